--- a/src/scheduler/common/assigning.ts
+++ b/src/scheduler/common/assigning.ts
@@ -28,7 +28,7 @@
 import { attemptKey } from './workerView.js';
 
 /** What evicting each task would lose, as far as workers tell it, by attempt. */
-const unsavedWorkMs = (state: CellState): ReadonlyMap<string, number> => {
+const unsavedWorkByAttempt = (state: CellState): ReadonlyMap<string, number> => {
   const unsaved = new Map<string, number>();
   state.workers.forEach(({ report }) =>
     report?.tasks.forEach((task) => {
@@ -57,7 +57,7 @@
   #capacity: FreeCapacity | undefined;
 
   /** Shards of which a task found no worker with room. */
-  readonly roomless = new Set<string>();
+  readonly shardIdsWithoutRoom = new Set<string>();
 
   #preemption: PreemptionPlan | undefined;
 
@@ -98,7 +98,7 @@
 
   /** A task whose worker cannot tell may lose all that it was to do. */
   #lostWorkMs(assignment: Assignment): number {
-    this.#unsavedWorkMs ??= unsavedWorkMs(this.state);
+    this.#unsavedWorkMs ??= unsavedWorkByAttempt(this.state);
     return this.#unsavedWorkMs.get(attemptKey(assignment)) ?? assignment.workMs;
   }
 
@@ -155,7 +155,7 @@
   checkpoint: task.checkpoint,
 });
 
-const servedElsewhere = (state: CellState, serviceName: string): number =>
+const countServersElsewhere = (state: CellState, serviceName: string): number =>
   [...state.endpointView.rows.values()]
     .flatMap(({ servers }) => servers)
     .filter((server) => server.serviceName === serviceName).length;
@@ -167,19 +167,22 @@
 ): number => {
   const view = round.state.configuration?.view;
   if (view === undefined) return 0;
-  const wanted = replicaShare(view, round.state.cell, service.replicaCount);
-  const elsewhereCount = servedElsewhere(round.state, service.name);
+  const wantedCount = replicaShare(view, round.state.cell, service.replicaCount);
+  const elsewhereCount = countServersElsewhere(round.state, service.name);
   const size = serviceSize(round.state, service);
   const replicas = [...existing];
   let assignedCount = 0;
-  while (replicas.length < wanted) {
+  while (replicas.length < wantedCount) {
     const request = { size, isSpread: true };
     // What no zone serves is missing to callers; the rest others keep until it is served here.
     const canWait = replicas.length + elsewhereCount >= service.replicaCount;
-    const near = round.capacity.candidatesNear(replicas, canWait);
-    const chosen = round.policy.choose(request, round.outlook.forService(service.name, near));
+    const nearCandidates = round.capacity.candidatesNear(replicas, canWait);
+    const chosen = round.policy.choose(
+      request,
+      round.outlook.forService(service.name, nearCandidates),
+    );
     if (chosen === undefined) {
-      for (let count = replicas.length; count < wanted; count += 1) round.makeRoom(size);
+      for (let count = replicas.length; count < wantedCount; count += 1) round.makeRoom(size);
       return assignedCount;
     }
     // Tasks of a service are interchangeable, so each gets an id that was never used before.
@@ -195,34 +198,39 @@
 const isBackedOff = (round: AssigningRound, row: WorkRow, task: BatchTask): boolean =>
   round.nowMs < (round.state.retryAtMs.get(batchTaskId(row.jobId, task.index)) ?? 0);
 
-const assignShard = (round: AssigningRound, use: TeamUse, row: WorkRow): number => {
+const assignShard = (round: AssigningRound, teamUse: TeamUse, row: WorkRow): number => {
   const size = batchSize(round.state, row);
   const request = { size, isSpread: false };
   const failedOn = round.state.workerHealth.failedOn(row.shardId);
   let assignedCount = 0;
-  let hasRoom = true;
+  let canAssignMore = true;
   const tasks = row.tasks.map((task) => {
-    if (!hasRoom || task.state !== BatchTaskState.Queued || isBackedOff(round, row, task)) {
+    if (!canAssignMore || task.state !== BatchTaskState.Queued || isBackedOff(round, row, task)) {
       return task;
     }
-    if (!use.isWithinQuota(row.team, row.size)) {
-      hasRoom = false;
+    if (!teamUse.isWithinQuota(row.team, row.size)) {
+      canAssignMore = false;
       return task;
     }
     const isUrgent = row.urgency === Urgency.Urgent;
-    const all = round.capacity.candidatesApartFrom(failedOn, request, !isUrgent);
-    const candidates = round.outlook.forBatch(row.team, size.processorMillis, all, isUrgent);
+    const allCandidates = round.capacity.candidatesApartFrom(failedOn, request, !isUrgent);
+    const candidates = round.outlook.forBatch(
+      row.team,
+      size.processorMillis,
+      allCandidates,
+      isUrgent,
+    );
     const chosen = round.policy.choose(request, candidates);
     if (chosen === undefined) {
       // Work of another kind may have a place where this one is kept away from a service.
-      if (candidates.length === all.length) round.capacity.noteTooLarge(size);
-      round.roomless.add(row.shardId);
-      hasRoom = isUrgent;
-      if (hasRoom) round.makeRoom(size);
+      if (candidates.length === allCandidates.length) round.capacity.noteTooLarge(size);
+      round.shardIdsWithoutRoom.add(row.shardId);
+      canAssignMore = isUrgent;
+      if (canAssignMore) round.makeRoom(size);
       return task;
     }
     round.assign(chosen.rack, batchAssignment(row, task, size, chosen));
-    use.take(row.team, row.size);
+    teamUse.take(row.team, row.size);
     assignedCount += 1;
     return { ...task, state: BatchTaskState.Assigned };
   });
@@ -230,18 +238,18 @@
   return assignedCount;
 };
 
-const hasQueued = (row: WorkRow): boolean =>
+const hasQueuedTask = (row: WorkRow): boolean =>
   row.tasks.some((task) => task.state === BatchTaskState.Queued);
 
 const assignBatch = (round: AssigningRound, parts: QuotaParts): number => {
   const { draft, state } = round;
   const queued = allShards(draft).filter(
-    (row) => hasQueued(row) && !draft.cancelledJobIds.has(row.jobId),
+    (row) => hasQueuedTask(row) && !draft.cancelledJobIds.has(row.jobId),
   );
   if (queued.length === 0) return 0;
-  const use = teamUseOf(state, draft, parts);
-  return orderedShards(queued, use).reduce(
-    (count, row) => (round.isFull ? count : count + assignShard(round, use, row)),
+  const teamUse = teamUseOf(state, draft, parts);
+  return orderedShards(queued, teamUse).reduce(
+    (count, row) => (round.isFull ? count : count + assignShard(round, teamUse, row)),
     0,
   );
 };
@@ -251,19 +259,19 @@
 ): ReadonlyMap<string, readonly Assignment[]> => {
   const groups = new Map<string, Assignment[]>();
   replicas.forEach((replica) => {
-    const known = groups.get(replica.serviceName);
-    if (known === undefined) groups.set(replica.serviceName, [replica]);
-    else known.push(replica);
+    const group = groups.get(replica.serviceName);
+    if (group === undefined) groups.set(replica.serviceName, [replica]);
+    else group.push(replica);
   });
   return groups;
 };
 
-export interface Assigned {
+export interface AssignmentResult {
   readonly count: number;
   /** Attempts that have to leave for urgent work, as keys. */
   readonly preempted: ReadonlySet<string>;
   /** Shards of which a task found no worker with room. */
-  readonly roomless: ReadonlySet<string>;
+  readonly shardIdsWithoutRoom: ReadonlySet<string>;
   /** What is left on the workers; worked out when asked for. */
   readonly capacity: () => FreeCapacity;
 }
@@ -277,7 +285,7 @@
   policy: PlacementPolicy,
   operationId: string,
   nowMs: number,
-): Assigned => {
+): AssignmentResult => {
   const round = new AssigningRound(state, rows, draft, policy, operationId, nowMs);
   const replicas = groupedByService(draft.replicas);
   const services = [...(state.configuration?.view.services.values() ?? [])].sort(
@@ -288,6 +296,11 @@
     0,
   );
   const batchCount = assignBatch(round, parts);
-  const { preempted, roomless } = round;
-  return { count: serviceCount + batchCount, preempted, roomless, capacity: () => round.capacity };
+  const { preempted, shardIdsWithoutRoom } = round;
+  return {
+    count: serviceCount + batchCount,
+    preempted,
+    shardIdsWithoutRoom,
+    capacity: () => round.capacity,
+  };
 };
--- a/src/scheduler/common/cellDraft.ts
+++ b/src/scheduler/common/cellDraft.ts
@@ -26,21 +26,21 @@
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
 import {
-  byWorker,
+  groupByWorker,
   isWorkFinished,
   replicasIn,
   toCancelledJobIds,
   type CellRows,
 } from './cellRows.js';
 
-const columnsMemo = new WeakMap<LedgerRow, LedgerColumns>();
+const columnsCache = new WeakMap<LedgerRow, LedgerColumns>();
 
 /** Kept with the row, since a draft is asked for its writes before and after it is committed. */
 const columnsOf = (row: LedgerRow): LedgerColumns => {
-  const known = columnsMemo.get(row);
-  if (known !== undefined) return known;
+  const cached = columnsCache.get(row);
+  if (cached !== undefined) return cached;
   const columns = toLedgerColumns(row.assignments);
-  columnsMemo.set(row, columns);
+  columnsCache.set(row, columns);
   return columns;
 };
 
@@ -62,7 +62,7 @@
   /** Shards that were split off in this draft, with the shard that they come from. */
   readonly #splitFrom = new Map<string, string>();
 
-  readonly #closedPlanIds = new Set<string>();
+  readonly #removedPlanIds = new Set<string>();
 
   #endpoints: EndpointRow | undefined;
 
@@ -79,9 +79,9 @@
   }
 
   get hasChanges(): boolean {
-    const rowCount = this.#ledger.size + this.#work.size + this.#closedPlanIds.size;
-    const isTelling = this.#endpoints !== undefined || this.#exchange !== undefined;
-    return rowCount > 0 || isTelling || this.#unreached !== undefined;
+    const rowCount = this.#ledger.size + this.#work.size + this.#removedPlanIds.size;
+    const hasOtherChanges = this.#endpoints !== undefined || this.#exchange !== undefined;
+    return rowCount > 0 || hasOtherChanges || this.#unreached !== undefined;
   }
 
   /** Rows that the transaction will write at least, for limits on its size. */
@@ -152,15 +152,15 @@
    * Removes the cancellations that no shard of the cell needs any more; they would pile up and
    * be read at each take-over. No such shard can come later: see `conditions`.
    */
-  closeCancellations(): void {
-    const openJobIds = new Set(
+  removeSettledCancellations(): void {
+    const unfinishedJobIds = new Set(
       this.shardIds
         .map((shardId) => this.work(shardId))
         .filter((row) => row !== undefined && !isWorkFinished(row))
         .map((row) => row?.jobId),
     );
     this.#base.cancellations.forEach(({ jobIds }, planId) => {
-      if (!jobIds.some((jobId) => openJobIds.has(jobId))) this.#closedPlanIds.add(planId);
+      if (!jobIds.some((jobId) => unfinishedJobIds.has(jobId))) this.#removedPlanIds.add(planId);
     });
   }
 
@@ -176,8 +176,8 @@
   splitWork(fromShardId: string, part: WorkRow, toCell: string): void {
     const row = this.work(fromShardId);
     if (row === undefined) return;
-    const leaving = new Set(part.tasks.map(({ index }) => index));
-    const tasks = row.tasks.filter(({ index }) => !leaving.has(index));
+    const movedIndexes = new Set(part.tasks.map(({ index }) => index));
+    const tasks = row.tasks.filter(({ index }) => !movedIndexes.has(index));
     this.#work.set(fromShardId, { ...row, tasks });
     this.#work.set(part.shardId, part);
     this.#movedTo.set(part.shardId, toCell);
@@ -191,7 +191,7 @@
       .flatMap(([shardId]) => this.#work.get(shardId)?.tasks ?? []);
   }
 
-  get handedOnCount(): number {
+  get transferredTaskCount(): number {
     return [...this.#splitFrom.keys()].reduce(
       (sum, shardId) => sum + (this.#work.get(shardId)?.tasks.length ?? 0),
       0,
@@ -230,7 +230,7 @@
       ...moved,
       ...(moved.length > 0 ? [condition(cellInboxKey(this.#cell))] : []),
       ...(this.#unreached === undefined ? [] : [condition(cellUnreachedKey(this.#cell))]),
-      ...[...this.#closedPlanIds].map((planId) => condition(cancellationKey(this.#cell, planId))),
+      ...[...this.#removedPlanIds].map((planId) => condition(cancellationKey(this.#cell, planId))),
     ];
   }
 
@@ -251,7 +251,7 @@
             { key: endpointKey(this.#cell), value: this.#endpoints },
             { key: endpointMarkKey(this.#cell), value: { operationId } },
           ];
-    const closed = [...this.#closedPlanIds].map((planId) => ({
+    const removedCancellations = [...this.#removedPlanIds].map((planId) => ({
       key: cancellationKey(this.#cell, planId),
       value: null,
     }));
@@ -263,7 +263,7 @@
       ...inboxes,
       ...endpoints,
       ...exchange,
-      ...closed,
+      ...removedCancellations,
       ...this.#unreachedWrites(),
     ];
   }
@@ -283,12 +283,12 @@
     const ledger = new Map([...this.#base.ledger, ...this.#ledger]);
     return {
       ledger,
-      assignmentsByWorker: byWorker(ledger, this.#base.assignmentsByWorker),
+      assignmentsByWorker: groupByWorker(ledger, this.#base.assignmentsByWorker),
       work,
       endpoints: this.endpoints,
       exchange: this.exchange,
       unreached: this.unreached,
-      ...this.#cancellationsAfter(),
+      ...this.#remainingCancellations(),
       versions,
     };
   }
@@ -300,11 +300,13 @@
     return [{ key: cellUnreachedKey(this.#cell), value }];
   }
 
-  #cancellationsAfter(): Pick<CellRows, 'cancellations' | 'cancelledJobIds'> {
+  #remainingCancellations(): Pick<CellRows, 'cancellations' | 'cancelledJobIds'> {
     const { cancellations, cancelledJobIds } = this.#base;
-    if (this.#closedPlanIds.size === 0) return { cancellations, cancelledJobIds };
-    const open = new Map([...cancellations].filter(([planId]) => !this.#closedPlanIds.has(planId)));
-    return { cancellations: open, cancelledJobIds: toCancelledJobIds(open) };
+    if (this.#removedPlanIds.size === 0) return { cancellations, cancelledJobIds };
+    const remaining = new Map(
+      [...cancellations].filter(([planId]) => !this.#removedPlanIds.has(planId)),
+    );
+    return { cancellations: remaining, cancelledJobIds: toCancelledJobIds(remaining) };
   }
 
   #leavesCell(row: WorkRow): boolean {
--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -21,7 +21,7 @@
   withLeaseLost,
   withLeaseRows,
 } from './cellLease.js';
-import { publishedDivision, withLoaded } from './cellReads.js';
+import { publishedQuotaDivision, withReadResult } from './cellReads.js';
 import { assignmentsOf } from './cellRows.js';
 import type {
   CellDecision,
@@ -31,7 +31,7 @@
   ConfirmedConfiguration,
 } from './cellState.js';
 import { needsFence } from './fence.js';
-import { NO_HAND_ON } from './handOn.js';
+import { INITIAL_TASK_TRANSFER } from './taskTransfer.js';
 import { LearntSizes } from './learntSizes.js';
 import { initialInterference, withSamples } from './interference/interferenceState.js';
 import { unrecordedFinishes } from './lateFinishes.js';
@@ -47,9 +47,9 @@
 } from './workerView.js';
 import { returnedAtMs } from './zoneReturn.js';
 
-export const unchanged = (state: CellState): CellDecision => ({ state, effects: [] });
+export const withoutEffects = (state: CellState): CellDecision => ({ state, effects: [] });
 
-export const counted = (counter: string, amount = 1): CellEffect => ({
+export const countEffect = (counter: string, amount = 1): CellEffect => ({
   kind: 'count',
   counter,
   amount,
@@ -85,7 +85,7 @@
 ): CellDecision => {
   const before = state.configuration;
   if (before !== undefined && configuration.view.version < before.view.version) {
-    return { state, effects: [counted('invariant_configuration_reverted')] };
+    return { state, effects: [countEffect('invariant_configuration_reverted')] };
   }
   const isInUse = isZoneInUse(configuration.view, state.cell);
   const next = {
@@ -96,20 +96,21 @@
   };
   const isSame =
     before?.view === configuration.view || before?.view.version === configuration.view.version;
-  if (!isSame) return unchanged(withAllStale(next));
+  if (!isSame) return withoutEffects(withAllStale(next));
   const isRoundStale = state.isRoundStale || (!mayAssign(state, nowMs) && mayAssign(next, nowMs));
-  return unchanged({ ...next, isRoundStale });
+  return withoutEffects({ ...next, isRoundStale });
 };
 
 /** Forgets everything that only an owner may know; it is learnt anew after a take-over. */
 const withOwnershipChange = (before: CellState, after: CellState, nowMs: number): CellDecision => {
   const isSameOwnership =
     before.lease.isOwner === after.lease.isOwner && before.lease.epoch === after.lease.epoch;
-  if (isSameOwnership || (!before.lease.isOwner && !after.lease.isOwner)) return unchanged(after);
-  const fresh = {
+  if (isSameOwnership || (!before.lease.isOwner && !after.lease.isOwner))
+    return withoutEffects(after);
+  const reset = {
     ...after,
     rows: undefined,
-    lastRows: undefined,
+    lastKnownRows: undefined,
     unreachedWorkerIds: new Set<string>(),
     pending: undefined,
     arrivals: undefined,
@@ -123,7 +124,7 @@
     unfitSinceMs: new Map<string, number>(),
     workerHealth: new WorkerHealth(),
     retryAtMs: new Map<string, number>(),
-    handOn: NO_HAND_ON,
+    taskTransfer: INITIAL_TASK_TRANSFER,
     learntSizes: new LearntSizes(),
     readDivision: '',
     quotaWaits: new Map<string, number>(),
@@ -131,11 +132,11 @@
   const workers = new Map(
     [...after.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      unreachedWorker(view.instance, presumedLeaseEndMs(fresh)),
+      unreachedWorker(view.instance, presumedLeaseEndMs(reset)),
     ]),
   );
   const event = after.lease.isOwner ? 'cell-acquired' : 'cell-lost';
-  return { state: { ...fresh, workers }, effects: [{ kind: 'log', event }] };
+  return { state: { ...reset, workers }, effects: [{ kind: 'log', event }] };
 };
 
 const withLeaseRead = (
@@ -158,7 +159,10 @@
   nowMs: number,
 ): CellDecision => {
   if (isLeft(result)) {
-    return unchanged({ ...state, lease: withLeaseCallFailed(state.lease, state.timing, nowMs) });
+    return withoutEffects({
+      ...state,
+      lease: withLeaseCallFailed(state.lease, state.timing, nowMs),
+    });
   }
   const lease =
     result.right.outcome === TransactionOutcome.Committed
@@ -177,49 +181,52 @@
   state.lease.isOwner && state.lease.epoch === epoch;
 
 /** Takes in the end of a write to the fence; it stays due until one has surely taken effect. */
-const withFenced = (state: CellState, result: Either<Failure, TransactionResult>): CellDecision => {
+const withFenceResult = (
+  state: CellState,
+  result: Either<Failure, TransactionResult>,
+): CellDecision => {
   const settled = { ...state, pending: undefined };
   const isFenced = !isLeft(result) && result.right.outcome === TransactionOutcome.Committed;
   return isFenced
-    ? { state: { ...settled, isFenceDue: false }, effects: [counted('cell_fenced')] }
-    : unchanged(settled);
+    ? { state: { ...settled, isFenceDue: false }, effects: [countEffect('cell_fenced')] }
+    : withoutEffects(settled);
 };
 
 /**
  * Takes in the end of a transaction. After a conflict or a lost answer the rows are read again
  * before anything depends on them, after a lost one behind a fence.
  */
-const withCommitted = (
+const withCommitResult = (
   state: CellState,
   result: Either<Failure, TransactionResult>,
   nowMs: number,
 ): CellDecision => {
   const { pending } = state;
-  if (pending?.kind === 'fence') return withFenced(state, result);
-  if (pending?.kind !== 'commit') return unchanged(state);
+  if (pending?.kind === 'fence') return withFenceResult(state, result);
+  if (pending?.kind !== 'commit') return withoutEffects(state);
   const settled = { ...state, pending: undefined };
   if (isLeft(result)) {
     const isFenceDue = needsFence(result.left);
     const next = withRowsInDoubt({ ...settled, isFenceDue });
-    return { state: next, effects: [counted('cell_transaction_failed')] };
+    return { state: next, effects: [countEffect('cell_transaction_failed')] };
   }
   if (result.right.outcome === TransactionOutcome.Conflict) {
-    return { state: withRowsInDoubt(settled), effects: [counted('cell_transaction_conflict')] };
+    return { state: withRowsInDoubt(settled), effects: [countEffect('cell_transaction_conflict')] };
   }
   const provedAtMs = pending.provesZone ? pending.sentAtMs : Number.NEGATIVE_INFINITY;
   const proved = { ...settled, zoneProvedAtMs: Math.max(state.zoneProvedAtMs, provedAtMs) };
   const rows = pending.draft.committed(result.right.version);
   // Nothing of a team with a quota starts until the others are read behind a new division.
-  const isDivisionNew = publishedDivision(rows) !== state.readDivision;
-  const nextLookAtMs = isDivisionNew ? nowMs : state.nextLookAtMs;
-  return unchanged(withNewRows({ ...proved, nextLookAtMs }, rows));
+  const isDivisionNew = publishedQuotaDivision(rows) !== state.readDivision;
+  const nextPollAtMs = isDivisionNew ? nowMs : state.nextPollAtMs;
+  return withoutEffects(withNewRows({ ...proved, nextPollAtMs }, rows));
 };
 
 /**
  * True when the report tells of something that a round may have to record: an end, or a change
  * of a service's task, which its entry points depend on. A batch task that has started is none.
  */
-const tellsNews = (state: CellState, before: WorkerView, after: WorkerView): boolean => {
+const requiresRound = (state: CellState, before: WorkerView, after: WorkerView): boolean => {
   if (before.report?.incarnation !== after.report?.incarnation) return true;
   if (before.tasks === after.tasks) return false;
   if (state.rows === undefined) return true;
@@ -245,34 +252,34 @@
     ? { ...view, isCommandInFlight: false }
     : withReport(view, result.right, nowMs);
   // A call that failed may have been the last that a worker's assignments waited for.
-  const isRoundStale = state.isRoundStale || isLeft(result) || tellsNews(state, view, next);
+  const isRoundStale = state.isRoundStale || isLeft(result) || requiresRound(state, view, next);
   return { ...state, isRoundStale, workers: new Map(state.workers).set(workerId, next) };
 };
 
 /** Answers to calls that only an owner makes. */
-const absorbAnswer = (
+const applyOwnerAnswer = (
   state: CellState,
   event: CellEvent & { readonly kind: 'loaded' | 'committed' | 'worker-answered' },
   nowMs: number,
 ): CellDecision => {
   if (!isOfThisOwnership(state, event.epoch)) {
-    return { state, effects: [counted('cell_stale_answer')] };
+    return { state, effects: [countEffect('cell_stale_answer')] };
   }
-  if (event.kind === 'loaded') return unchanged(withLoaded(state, event.result));
-  if (event.kind === 'committed') return withCommitted(state, event.result, nowMs);
-  return unchanged(withWorkerAnswer(state, event.workerId, event.result, nowMs));
+  if (event.kind === 'loaded') return withoutEffects(withReadResult(state, event.result));
+  if (event.kind === 'committed') return withCommitResult(state, event.result, nowMs);
+  return withoutEffects(withWorkerAnswer(state, event.workerId, event.result, nowMs));
 };
 
-export const absorb = (state: CellState, event: CellEvent, nowMs: number): CellDecision => {
+export const applyEvent = (state: CellState, event: CellEvent, nowMs: number): CellDecision => {
   switch (event.kind) {
     case 'configuration':
       return withConfiguration(state, event.configuration, nowMs);
     case 'instances':
-      return unchanged(withInstances(state, event.workers));
+      return withoutEffects(withInstances(state, event.workers));
     case 'latency-measured': {
-      if (!state.lease.isOwner) return unchanged(state);
+      if (!state.lease.isOwner) return withoutEffects(state);
       const own = event.samples.filter(({ workerId }) => state.workers.has(workerId));
-      return unchanged({ ...state, interference: withSamples(state.interference, own) });
+      return withoutEffects({ ...state, interference: withSamples(state.interference, own) });
     }
     case 'lease-read':
       return withLeaseRead(state, event.result, event.sentAtMs, nowMs);
@@ -281,8 +288,8 @@
     case 'loaded':
     case 'committed':
     case 'worker-answered':
-      return absorbAnswer(state, event, nowMs);
+      return applyOwnerAnswer(state, event, nowMs);
     default:
-      return unchanged(state);
+      return withoutEffects(state);
   }
 };
--- a/src/scheduler/common/cellLease.ts
+++ b/src/scheduler/common/cellLease.ts
@@ -26,13 +26,13 @@
 import {
   type CellLeaseTiming,
   nextRenewalAtMs,
-  takeableAtMs,
-  toldDelayMs,
+  takeoverAllowedAtMs,
+  publishedDelayMs,
   type WatchedOwner,
 } from './leasePatience.js';
 
 /** The pause after a failed call; a whole heartbeat would be most of a watcher's patience. */
-const FAILED_CALL_PAUSE_MS = 200;
+const FAILED_CALL_RETRY_DELAY_MS = 200;
 
 /** The table's clock as last read, with when that was on this daemon's clock. */
 interface TableClock {
@@ -103,17 +103,17 @@
 
 const nextHeartbeat = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): HeartbeatRow => {
   const counter = lease.heartbeatCounter + 1;
-  const leastDelayMs = toldDelayMs(lease, timing);
+  const leastDelayMs = publishedDelayMs(lease, timing);
   const cellMs = lease.cellClock === undefined ? 0 : toCellMs(lease.cellClock, nowMs);
-  const told = {
+  const heartbeat = {
     counter,
     ...(leastDelayMs !== undefined && { leastDelayMs }),
-    ...(timing.isClockKept === true && { cellMs: Math.floor(cellMs) }),
+    ...(timing.writesCellClock === true && { cellMs: Math.floor(cellMs) }),
   };
-  if (lease.tableClock === undefined) return told;
+  if (lease.tableClock === undefined) return heartbeat;
   // Counted from the sending: by an answer taken in late the heartbeat would look older than it is.
   const { tableMs, askedAtMs } = lease.tableClock;
-  return { ...told, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
+  return { ...heartbeat, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
 };
 
 const toOwnerRow = (
@@ -192,15 +192,16 @@
   formerLeases: readonly FormerLeases[] = [],
 ): { readonly lease: CellLease; readonly step: LeaseStep } | undefined => {
   if (lease.isStepInFlight) return undefined;
-  const hasWatched = lease.heartbeatRowVersion >= ABSENT_VERSION;
+  const hasReadHeartbeat = lease.heartbeatRowVersion >= ABSENT_VERSION;
   const hasOwner = lease.ownerRowVersion !== ABSENT_VERSION;
-  const isTakeable = !lease.isOwner && hasWatched && nowMs >= takeableAtMs(lease, hasOwner, timing);
+  const isTakeoverAllowed =
+    !lease.isOwner && hasReadHeartbeat && nowMs >= takeoverAllowedAtMs(lease, hasOwner, timing);
   // One that is overdue is not left for another heartbeat.
-  if (nowMs < lease.nextStepAtMs && !(isTakeable && lease.overdueSinceMs !== undefined))
+  if (nowMs < lease.nextStepAtMs && !(isTakeoverAllowed && lease.overdueSinceMs !== undefined))
     return undefined;
   const inFlight = { ...lease, isStepInFlight: true };
   if (lease.isOwner) return { lease: inFlight, step: renewStep(lease, timing, operationId, nowMs) };
-  if (isTakeable) {
+  if (isTakeoverAllowed) {
     const step = acquireStep(lease, timing, operationId, formerLeases, nowMs);
     const acquiringSinceMs = lease.acquiringSinceMs ?? nowMs;
     return { lease: { ...inFlight, formerLeases, acquiringSinceMs }, step };
@@ -208,7 +209,7 @@
   return { lease: inFlight, step: watchStep(lease) };
 };
 
-const rested = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): CellLease => ({
+const withStepFinished = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): CellLease => ({
   ...lease,
   isStepInFlight: false,
   nextStepAtMs: nowMs + timing.heartbeatIntervalMs,
@@ -255,7 +256,7 @@
   const isOverdue = isOlderThan(heartbeat, tableNowMs, timing.leaseMs);
   const overdueBeforeMs = isUnchanged ? lease.overdueSinceMs : undefined;
   return {
-    ...rested(lease, timing, nowMs),
+    ...withStepFinished(lease, timing, nowMs),
     // Found to be the owner: an acquisition whose answer was lost had taken effect.
     isOwner,
     epoch: owner?.epoch ?? 0,
@@ -287,7 +288,7 @@
   const isAcquired = kind === LeaseStepKind.Acquire;
   const dueAtMs = isAcquired ? sentAtMs : lease.nextStepAtMs;
   return {
-    ...rested(lease, timing, nowMs),
+    ...withStepFinished(lease, timing, nowMs),
     nextStepAtMs: nextRenewalAtMs(dueAtMs, timing, sentAtMs, nowMs),
     isOwner: true,
     epoch: isAcquired ? lease.epoch + 1 : lease.epoch,
@@ -299,7 +300,7 @@
     heldAtMs: sentAtMs,
     acquiringSinceMs: undefined,
     overdueSinceMs: undefined,
-    leastDelayMs: toldDelayMs(lease, timing),
+    leastDelayMs: publishedDelayMs(lease, timing),
     tableClock: tableClockOf(lease, tableNowMs, sentAtMs, nowMs),
     cellClock: lease.cellClock ?? { cellMs: 0, asOfMs: nowMs },
   };
@@ -311,7 +312,7 @@
   timing: CellLeaseTiming,
   nowMs: number,
 ): CellLease => ({
-  ...rested(lease, timing, nowMs),
+  ...withStepFinished(lease, timing, nowMs),
   isOwner: false,
   // The next look counts as the first, so the whole lease has to pass again.
   heartbeatRowVersion: -1,
@@ -331,8 +332,8 @@
   timing: CellLeaseTiming,
   nowMs: number,
 ): CellLease => ({
-  ...rested(lease, timing, nowMs),
-  nextStepAtMs: nowMs + Math.min(FAILED_CALL_PAUSE_MS, timing.heartbeatIntervalMs),
+  ...withStepFinished(lease, timing, nowMs),
+  nextStepAtMs: nowMs + Math.min(FAILED_CALL_RETRY_DELAY_MS, timing.heartbeatIntervalMs),
   // A lost acquisition may have raised the epoch, so the rows must be read again.
   heartbeatRowVersion: lease.isOwner ? lease.heartbeatRowVersion : -1,
   unchangedSinceMs: lease.isOwner ? lease.unchangedSinceMs : nowMs,
--- a/src/scheduler/common/cellReads.ts
+++ b/src/scheduler/common/cellReads.ts
@@ -21,7 +21,7 @@
   cellPrefixes,
   type CellRows,
   toCellRows,
-  toExchangeElsewhere,
+  toOtherCellsExchange,
   withArrivedRows,
 } from './cellRows.js';
 import type { Arrivals, CellDecision, CellState, PendingCall } from './cellState.js';
@@ -30,9 +30,9 @@
 import { surplusTaskIds } from './wantedEvictions.js';
 
 /** How often the owner looks whether work was added to its cell. */
-const LOOK_INTERVAL_MS = 500;
+const INBOX_POLL_INTERVAL_MS = 500;
 
-const reading = (
+const requestRows = (
   state: CellState,
   pending: PendingCall,
   keys: readonly string[],
@@ -46,93 +46,95 @@
  * The next look: the inbox row, and which cells published other servers. Made for a cell with 400
  * shards that gets two jobs a second, and for 3,440 replicas: what has not changed is not read.
  */
-const look = (state: CellState, nowMs: number): CellDecision => {
-  const isWhole = nowMs >= state.nextWholeLookAtMs;
+const startPoll = (state: CellState, nowMs: number): CellDecision => {
+  const isFullRead = nowMs >= state.nextFullEndpointReadAtMs;
   const next = {
     ...state,
-    nextLookAtMs: nowMs + LOOK_INTERVAL_MS,
-    nextWholeLookAtMs: isWhole ? nowMs + WHOLE_ENDPOINT_INTERVAL_MS : state.nextWholeLookAtMs,
+    nextPollAtMs: nowMs + INBOX_POLL_INTERVAL_MS,
+    nextFullEndpointReadAtMs: isFullRead
+      ? nowMs + WHOLE_ENDPOINT_INTERVAL_MS
+      : state.nextFullEndpointReadAtMs,
   };
   const inbox = cellInboxKey(state.cell);
-  if (isWhole) {
-    const wholePrefixes = [...WHOLE_ENDPOINT_PREFIXES, EXCHANGE_PREFIX];
-    return reading(next, { kind: 'look' }, [inbox], wholePrefixes);
+  if (isFullRead) {
+    const allPrefixes = [...WHOLE_ENDPOINT_PREFIXES, EXCHANGE_PREFIX];
+    return requestRows(next, { kind: 'poll' }, [inbox], allPrefixes);
   }
   const zones = state.configuration?.view.zones.keys() ?? [];
   const { keys, prefixes } = endpointLook(state.endpointView, zones);
-  const others = keys.filter((key) => key !== endpointKey(state.cell));
-  return reading(next, { kind: 'look' }, [inbox, ...others], [...prefixes, EXCHANGE_PREFIX]);
+  const otherKeys = keys.filter((key) => key !== endpointKey(state.cell));
+  return requestRows(next, { kind: 'poll' }, [inbox, ...otherKeys], [...prefixes, EXCHANGE_PREFIX]);
 };
 
 /** The next read, if one is due and no other call of the table is under way. */
 export const startRead = (state: CellState, nowMs: number): CellDecision => {
   if (state.pending !== undefined || state.isFenceDue) return { state, effects: [] };
   if (state.rows === undefined) {
-    const whole = { ...state, arrivals: undefined };
-    return reading(whole, { kind: 'load' }, [], cellPrefixes(state.cell));
+    const withoutArrivals = { ...state, arrivals: undefined };
+    return requestRows(withoutArrivals, { kind: 'load' }, [], cellPrefixes(state.cell));
   }
   const { arrivals } = state;
   if (arrivals !== undefined) {
     const next = { ...state, arrivals: undefined };
-    return reading(next, { kind: 'arrivals', arrivals }, arrivals.keys, []);
+    return requestRows(next, { kind: 'arrivals', arrivals }, arrivals.keys, []);
   }
-  return nowMs < state.nextLookAtMs ? { state, effects: [] } : look(state, nowMs);
+  return nowMs < state.nextPollAtMs ? { state, effects: [] } : startPoll(state, nowMs);
 };
 
 /** The owner knows its own cell's servers from its rows. */
-const withoutOwnRow = (cell: string, rows: readonly TableRow[]): readonly TableRow[] =>
+const withoutOwnEndpoints = (cell: string, rows: readonly TableRow[]): readonly TableRow[] =>
   rows.filter(({ key }) => key !== endpointKey(cell));
 
-const withRead = (state: CellState, rows: readonly TableRow[]): CellState => ({
+const withEndpoints = (state: CellState, rows: readonly TableRow[]): CellState => ({
   ...state,
-  endpointView: withEndpointRows(state.endpointView, withoutOwnRow(state.cell, rows)),
+  endpointView: withEndpointRows(state.endpointView, withoutOwnEndpoints(state.cell, rows)),
 });
 
 /** The division of quotas that the cell's own row tells; empty when it tells none. */
-export const publishedDivision = (rows: CellRows | undefined): string =>
+export const publishedQuotaDivision = (rows: CellRows | undefined): string =>
   rows?.exchange.quota === undefined ? '' : divisionKey(rows.exchange.quota);
 
 /** Takes in what the other cells tell, from a look or a load, which read all of it. */
 const withExchange = (
   state: CellState,
   rows: readonly TableRow[],
-  own: CellRows | undefined,
+  ownRows: CellRows | undefined,
 ): CellState => {
   // No other call was under way, so the others' rows were read after the own one was written.
-  const readDivision = publishedDivision(own);
+  const readDivision = publishedQuotaDivision(ownRows);
   return {
     ...state,
-    exchangeElsewhere: toExchangeElsewhere(state.cell, rows),
+    exchangeElsewhere: toOtherCellsExchange(state.cell, rows),
     readDivision,
     isRoundStale: state.isRoundStale || readDivision !== state.readDivision,
   };
 };
 
-const withSurplus = (state: CellState): CellState => {
+const withSurplusUpdated = (state: CellState): CellState => {
   const surplus = surplusTaskIds(state);
   return surplus.size === state.surplusTaskIds.size ? state : withAllStale(state);
 };
 
 const withRows = (state: CellState, rows: CellRows): CellState => {
-  const isSameCancelled = rows.cancelledJobIds.size === state.lastRows?.cancelledJobIds.size;
+  const isSameCancelled = rows.cancelledJobIds.size === state.lastKnownRows?.cancelledJobIds.size;
   const next = withNewRows(state, rows);
   return isSameCancelled ? next : withAllStale(next);
 };
 
 /** Finds out what a look leaves to be read. */
-const withLook = (state: CellState, rows: readonly TableRow[]): CellState => {
-  const next = withSurplus(withRead(withExchange(state, rows, state.rows), rows));
+const withPollResult = (state: CellState, rows: readonly TableRow[]): CellState => {
+  const next = withSurplusUpdated(withEndpoints(withExchange(state, rows, state.rows), rows));
   const inbox = rows.find(({ key }) => key === cellInboxKey(state.cell));
   const inboxVersion = inbox?.version ?? 0;
   const knownVersion = state.rows?.versions.get(cellInboxKey(state.cell)) ?? 0;
   const arrived = inboxVersion === knownVersion ? [] : arrivalsSince(inbox, knownVersion);
   if (arrived === undefined) return withRowsInDoubt(next);
-  const published = endpointKeysDue(next.endpointView).filter(
+  const endpointKeys = endpointKeysDue(next.endpointView).filter(
     (key) => key !== endpointKey(state.cell),
   );
-  const keys = [...arrived, ...published];
-  const isNothingNew = keys.length === 0 && inboxVersion === knownVersion;
-  return isNothingNew ? next : { ...next, arrivals: { keys, inboxVersion } };
+  const keys = [...arrived, ...endpointKeys];
+  const hasNothingToRead = keys.length === 0 && inboxVersion === knownVersion;
+  return hasNothingToRead ? next : { ...next, arrivals: { keys, inboxVersion } };
 };
 
 /**
@@ -144,7 +146,7 @@
   { keys, inboxVersion }: Arrivals,
   rows: readonly TableRow[],
 ): CellState => {
-  const next = withSurplus(withRead(state, rows));
+  const next = withSurplusUpdated(withEndpoints(state, rows));
   if (state.rows === undefined) return next;
   const isOfCell = (key: string): boolean => !key.startsWith(ENDPOINT_PREFIX);
   const added = withArrivedRows(state.cell, state.rows, keys.filter(isOfCell), rows);
@@ -154,14 +156,17 @@
 };
 
 /** Takes in the answer to a read; after a failure what was due is found again. */
-export const withLoaded = (state: CellState, result: Either<Failure, ReadResult>): CellState => {
+export const withReadResult = (
+  state: CellState,
+  result: Either<Failure, ReadResult>,
+): CellState => {
   const { pending } = state;
   if (pending === undefined || pending.kind === 'commit' || pending.kind === 'fence') return state;
   const settled = { ...state, pending: undefined };
   if (isLeft(result)) return settled;
   const { rows } = result.right;
-  if (pending.kind === 'look') return withLook(settled, rows);
+  if (pending.kind === 'poll') return withPollResult(settled, rows);
   if (pending.kind === 'arrivals') return withArrivals(settled, pending.arrivals, rows);
-  const own = toCellRows(state.cell, rows, state.lastRows);
-  return withRows(withRead(withExchange(settled, rows, own), rows), own);
+  const ownRows = toCellRows(state.cell, rows, state.lastKnownRows);
+  return withRows(withEndpoints(withExchange(settled, rows, ownRows), rows), ownRows);
 };
--- a/src/scheduler/common/cellRows.ts
+++ b/src/scheduler/common/cellRows.ts
@@ -61,7 +61,7 @@
   left.length === right.length && left.every((assignment, index) => assignment === right[index]);
 
 /** Groups the ledger by worker and keeps the lists of `before` that did not change. */
-export const byWorker = (
+export const groupByWorker = (
   ledger: ReadonlyMap<string, LedgerRow>,
   before: ReadonlyMap<string, readonly Assignment[]>,
 ): ReadonlyMap<string, readonly Assignment[]> => {
@@ -81,19 +81,19 @@
   );
 };
 
-const replicaMemo = new WeakMap<LedgerRow, readonly Assignment[]>();
+const replicasCache = new WeakMap<LedgerRow, readonly Assignment[]>();
 
 /**
  * Assignments of services in a ledger row. Rows are immutable and few change in a round, so the
  * answer is kept with the row: rounds come ten times a second and look at all racks.
  */
 export const replicasIn = (row: LedgerRow): readonly Assignment[] => {
-  const known = replicaMemo.get(row);
-  if (known !== undefined) return known;
+  const cached = replicasCache.get(row);
+  if (cached !== undefined) return cached;
   const replicas = row.assignments.filter(
     ({ taskClass }) => taskClass === TaskClass.LatencyCritical,
   );
-  replicaMemo.set(row, replicas);
+  replicasCache.set(row, replicas);
   return replicas;
 };
 
@@ -109,7 +109,7 @@
   cellUnreachedKey(cell),
 ];
 
-const parsedUnder = <Row>(
+const parseRowsUnder = <Row>(
   rows: readonly TableRow[],
   prefix: string,
   parse: (value: JsonValue) => Row,
@@ -140,7 +140,7 @@
   before: CellRows | undefined,
 ): CellRows => {
   const isKnown = (row: TableRow): boolean => before?.versions.get(row.key) === row.version;
-  const parsed = <Row>(
+  const parseChanged = <Row>(
     prefix: string,
     known: ReadonlyMap<string, Row> | undefined,
     parse: (value: JsonValue) => Row,
@@ -155,16 +155,16 @@
     );
   const exchangeRow = rows.find((row) => row.key === exchangeKey(cell));
   const endpointRow = rows.find((row) => row.key === endpointKey(cell));
-  const cancellations = parsed(cancellationPrefix(cell), before?.cancellations, (value) =>
+  const cancellations = parseChanged(cancellationPrefix(cell), before?.cancellations, (value) =>
     cancellationRowSchema.parse(value),
   );
-  const ledger = parsed(ledgerPrefix(cell), before?.ledger, (value) =>
+  const ledger = parseChanged(ledgerPrefix(cell), before?.ledger, (value) =>
     ledgerRowSchema.parse(value),
   );
   return {
     ledger,
-    assignmentsByWorker: byWorker(ledger, before?.assignmentsByWorker ?? new Map()),
-    work: parsed(workPrefix(cell), before?.work, (value) => workRowSchema.parse(value)),
+    assignmentsByWorker: groupByWorker(ledger, before?.assignmentsByWorker ?? new Map()),
+    work: parseChanged(workPrefix(cell), before?.work, (value) => workRowSchema.parse(value)),
     endpoints:
       endpointRow === undefined ? { servers: [] } : endpointRowSchema.parse(endpointRow.value),
     exchange: exchangeRow === undefined ? {} : exchangeRowSchema.parse(exchangeRow.value),
@@ -189,8 +189,8 @@
   const arrived = rows.filter(({ key }) => keys.includes(key));
   const isUnknown = ({ key }: TableRow): boolean => !prefixes.some((one) => key.startsWith(one));
   if (arrived.length < new Set(keys).size || arrived.some(isUnknown)) return undefined;
-  const work = parsedUnder(arrived, workPrefix(cell), (value) => workRowSchema.parse(value));
-  const cancelled = parsedUnder(arrived, cancellationPrefix(cell), (value) =>
+  const work = parseRowsUnder(arrived, workPrefix(cell), (value) => workRowSchema.parse(value));
+  const cancelled = parseRowsUnder(arrived, cancellationPrefix(cell), (value) =>
     cancellationRowSchema.parse(value),
   );
   const versions = new Map(before.versions);
@@ -209,11 +209,11 @@
 };
 
 /** What the other cells tell. */
-export const toExchangeElsewhere = (
+export const toOtherCellsExchange = (
   cell: string,
   rows: readonly TableRow[],
 ): ReadonlyMap<string, ExchangeRow> => {
-  const byCell = parsedUnder(rows, EXCHANGE_PREFIX, (value) => exchangeRowSchema.parse(value));
+  const byCell = parseRowsUnder(rows, EXCHANGE_PREFIX, (value) => exchangeRowSchema.parse(value));
   return new Map([...byCell].filter(([other]) => other !== cell));
 };
 
--- a/src/scheduler/common/cellScheduler.ts
+++ b/src/scheduler/common/cellScheduler.ts
@@ -10,19 +10,19 @@
 import { cellOwnerKey } from '../../services/workload/common/workRows.js';
 import { zoneKey } from '../../services/configuration/common/documents.js';
 import type { Transaction } from '../../services/table/common/table.js';
-import { absorb, counted, unchanged } from './cellEvents.js';
+import { applyEvent, countEffect, withoutEffects } from './cellEvents.js';
 import { initialCellLease, LeaseStepKind, nextLeaseStep } from './cellLease.js';
 import { startRead } from './cellReads.js';
 import type { CellRows } from './cellRows.js';
 import type { CellDecision, CellEffect, CellEvent, CellState, CellTiming } from './cellState.js';
 import { fenceCondition, startFence } from './fence.js';
-import { NO_HAND_ON } from './handOn.js';
+import { INITIAL_TASK_TRANSFER } from './taskTransfer.js';
 import { LearntSizes } from './learntSizes.js';
 import { initialInterference } from './interference/interferenceState.js';
 import { stepInterference } from './interference/interferenceStep.js';
 import { brokenByRound, brokenByStarts, ledgerChange } from './invariants.js';
 import type { PlacementPolicy } from './placement.js';
-import { hasSettled, mayAssign, planRound, type Round } from './round.js';
+import { hasHeardFromWorkers, mayAssign, planRound, type Round } from './round.js';
 import { unfitSince } from './unfitWork.js';
 import { learnFromUsage } from './usageLearning.js';
 import { isStartAllowed, planCommand } from './workerCommands.js';
@@ -41,15 +41,15 @@
   nowMs: number,
 ): CellState => ({
   cell,
-  timing: { ...timing, isClockKept: true },
+  timing: { ...timing, writesCellClock: true },
   lease: initialCellLease(cell, selfId, nowMs),
   rows: undefined,
-  lastRows: undefined,
+  lastKnownRows: undefined,
   unreachedWorkerIds: new Set(),
   surplusTaskIds: new Set(),
   endpointView: NO_ENDPOINTS,
   exchangeElsewhere: new Map(),
-  nextWholeLookAtMs: nowMs,
+  nextFullEndpointReadAtMs: nowMs,
   arrivals: undefined,
   workers: new Map(),
   pending: undefined,
@@ -58,7 +58,7 @@
   withdrawnSinceMs: undefined,
   returnedAtMs: undefined,
   tookOverAtMs: nowMs,
-  nextLookAtMs: nowMs,
+  nextPollAtMs: nowMs,
   isFenceDue: false,
   operationCount: 0,
   preempted: new Set(),
@@ -66,7 +66,7 @@
   unfitSinceMs: new Map(),
   workerHealth: new WorkerHealth(),
   retryAtMs: new Map(),
-  handOn: NO_HAND_ON,
+  taskTransfer: INITIAL_TASK_TRANSFER,
   learntSizes: new LearntSizes(),
   nextLearningAtMs: nowMs,
   readDivision: '',
@@ -102,27 +102,27 @@
 };
 
 const roundCounters = (round: Round): readonly CellEffect[] => [
-  counted('tasks_assigned', round.assignedCount),
-  counted('tasks_handed_on', round.draft.handedOnCount),
-  ...round.ends.map(({ end }) => counted(`assignments_${end.replace('-', '_')}`)),
+  countEffect('tasks_assigned', round.assignedCount),
+  countEffect('tasks_handed_on', round.draft.transferredTaskCount),
+  ...round.ends.map(({ end }) => countEffect(`assignments_${end.replace('-', '_')}`)),
 ];
 
 /** Works a round out; one that breaks an invariant is done again without new assignments. */
-const checkedRound = (
+const planCheckedRound = (
   state: CellState,
   rows: CellRows,
   policy: PlacementPolicy,
   operationId: string,
   nowMs: number,
 ): { readonly round: Round | undefined; readonly effects: readonly CellEffect[] } => {
-  const isAssigning = mayAssign(state, nowMs) && hasSettled(state, nowMs);
+  const isAssigning = mayAssign(state, nowMs) && hasHeardFromWorkers(state, nowMs);
   const round = planRound(state, rows, policy, operationId, isAssigning, nowMs);
   const broken = brokenByRound(state, rows, round.draft, isAssigning);
   if (broken.length === 0) return { round, effects: [] };
-  const effects = broken.map((invariant) => counted(invariant));
-  const bare = planRound(state, rows, policy, operationId, false, nowMs);
-  const isBareBroken = brokenByRound(state, rows, bare.draft, false).length > 0;
-  return { round: isBareBroken ? undefined : bare, effects };
+  const effects = broken.map((invariant) => countEffect(invariant));
+  const fallback = planRound(state, rows, policy, operationId, false, nowMs);
+  const isFallbackBroken = brokenByRound(state, rows, fallback.draft, false).length > 0;
+  return { round: isFallbackBroken ? undefined : fallback, effects };
 };
 
 const isRoundDue = (state: CellState, nowMs: number): boolean =>
@@ -157,24 +157,24 @@
 const startRound = (before: CellState, policy: PlacementPolicy, nowMs: number): CellDecision => {
   const { rows, pending } = before;
   if (rows === undefined || pending !== undefined || !isRoundDue(before, nowMs)) {
-    return unchanged(before);
+    return withoutEffects(before);
   }
   // What a look has found is read first: urgent work among it would wait for another round.
-  if (before.arrivals !== undefined) return unchanged(before);
+  if (before.arrivals !== undefined) return withoutEffects(before);
   const state = { ...before, unfitSinceMs: unfitSince(before, rows, nowMs) };
   const operationId = `${state.lease.selfId}:${state.cell}:${state.operationCount}`;
-  const { round, effects } = checkedRound(state, rows, policy, operationId, nowMs);
+  const { round, effects } = planCheckedRound(state, rows, policy, operationId, nowMs);
   const planned = {
     ...withPreempted(state, rows, round),
     quotaWaits: round?.quotaWaits ?? state.quotaWaits,
-    handOn: round?.handOn ?? state.handOn,
+    taskTransfer: round?.taskTransfer ?? state.taskTransfer,
     isRoundStale: false,
     nextFullRoundAtMs: nowMs + FULL_ROUND_INTERVAL_MS,
   };
   if (round === undefined || !round.draft.hasChanges) return { state: planned, effects };
   const transaction = toTransaction(state, rows, round, operationId);
   const { dropped } = ledgerChange(rows, round.draft);
-  const zones = state.configuration?.view;
+  const view = state.configuration?.view;
   return {
     state: {
       ...planned,
@@ -187,7 +187,7 @@
         draft: round.draft,
         sentAtMs: nowMs,
         droppedAttempts: new Set(dropped.map(attemptKey)),
-        provesZone: zones !== undefined && isZoneInUse(zones, state.cell),
+        provesZone: view !== undefined && isZoneInUse(view, state.cell),
       },
     },
     effects: [
@@ -208,17 +208,17 @@
     workers.set(workerId, planned.view);
     if (planned.command === undefined) return;
     const broken = brokenByStarts(state, workerId, planned.command, isStartAllowed(state, nowMs));
-    broken.forEach((invariant) => effects.push(counted(invariant)));
+    broken.forEach((invariant) => effects.push(countEffect(invariant)));
     const command = broken.length === 0 ? planned.command : { ...planned.command, starts: [] };
     effects.push({ kind: 'command', workerId, command });
   });
-  return workers === undefined ? unchanged(state) : { state: { ...state, workers }, effects };
+  return workers === undefined ? withoutEffects(state) : { state: { ...state, workers }, effects };
 };
 
 const stepLease = (state: CellState, nowMs: number): CellDecision => {
   const operationId = `${state.lease.selfId}:${state.cell}:lease:${state.operationCount}`;
   const next = nextLeaseStep(state.lease, state.timing, operationId, nowMs);
-  if (next === undefined) return unchanged(state);
+  if (next === undefined) return withoutEffects(state);
   const stepped = { ...state, lease: next.lease, operationCount: state.operationCount + 1 };
   const { step } = next;
   const effect: CellEffect =
@@ -243,12 +243,12 @@
   policy: PlacementPolicy,
   nowMs: number,
 ): CellDecision => {
-  const absorbed = absorb(state, event, nowMs);
+  const applied = applyEvent(state, event, nowMs);
   const leaseStep: Step = (current) => stepLease(current, nowMs);
-  if (!absorbed.state.lease.isOwner) return runSteps(absorbed, [leaseStep]);
-  return runSteps(absorbed, [
+  if (!applied.state.lease.isOwner) return runSteps(applied, [leaseStep]);
+  return runSteps(applied, [
     leaseStep,
-    (current) => unchanged(learnFromUsage(current, nowMs)),
+    (current) => withoutEffects(learnFromUsage(current, nowMs)),
     (current) => startRound(current, policy, nowMs),
     (current) => startFence(current, nowMs),
     (current) => startRead(current, nowMs),
--- a/src/scheduler/common/cellState.ts
+++ b/src/scheduler/common/cellState.ts
@@ -19,7 +19,7 @@
 import type { CellLeaseTiming } from './leasePatience.js';
 import type { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
-import type { HandOnMemory } from './handOn.js';
+import type { TaskTransferState } from './taskTransfer.js';
 import type { LearntSizes } from './learntSizes.js';
 import type { InterferencePolicy } from './interference/interferencePolicy.js';
 import type { InterferenceState } from './interference/interferenceState.js';
@@ -64,7 +64,7 @@
 /** What the owner's one table call in flight is for. */
 export type PendingCall =
   | { readonly kind: 'load' }
-  | { readonly kind: 'look' }
+  | { readonly kind: 'poll' }
   | { readonly kind: 'arrivals'; readonly arrivals: Arrivals }
   | { readonly kind: 'fence' }
   | {
@@ -84,7 +84,7 @@
   /** Undefined while not owner, and after a lost answer until the rows are read again. */
   readonly rows: CellRows | undefined;
   /** The rows last known for certain in this ownership; leases are renewed by them. */
-  readonly lastRows: CellRows | undefined;
+  readonly lastKnownRows: CellRows | undefined;
   /** Workers that the stored row names as unreached, or may name once a transaction has landed. */
   readonly unreachedWorkerIds: ReadonlySet<string>;
   /** Replicas beyond the cell's share that others have taken over, by task id. */
@@ -100,7 +100,7 @@
   readonly returnedAtMs: number | undefined;
   readonly tookOverAtMs: number;
   /** When to look again whether work has been added to the cell. */
-  readonly nextLookAtMs: number;
+  readonly nextPollAtMs: number;
   /** Whether a transaction of this owner may still land although its answer was lost. */
   readonly isFenceDue: boolean;
   readonly operationCount: number;
@@ -114,7 +114,7 @@
   readonly workerHealth: WorkerHealth;
   /** When a failed task may be tried again, by task id; a new owner tries it at once. */
   readonly retryAtMs: ReadonlyMap<string, number>;
-  readonly handOn: HandOnMemory;
+  readonly taskTransfer: TaskTransferState;
   /** How large tasks really are; learnt anew by each owner. */
   readonly learntSizes: LearntSizes;
   readonly nextLearningAtMs: number;
@@ -132,7 +132,7 @@
   /** What the other cells tell, by cell, as last read. */
   readonly exchangeElsewhere: ReadonlyMap<string, ExchangeRow>;
   /** When to read all published servers again. */
-  readonly nextWholeLookAtMs: number;
+  readonly nextFullEndpointReadAtMs: number;
   readonly arrivals: Arrivals | undefined;
 }
 
--- a/src/scheduler/common/invariants.ts
+++ b/src/scheduler/common/invariants.ts
@@ -82,7 +82,7 @@
 };
 
 /** A task's record only goes forward, and no checkpoint is lost on the way. */
-const isStepBack = (before: BatchTask, after: BatchTask): boolean => {
+const isRegression = (before: BatchTask, after: BatchTask): boolean => {
   if (isEnded(before)) return after.state !== before.state;
   if (after.attempt < before.attempt) return true;
   const isRequeued =
@@ -93,7 +93,7 @@
 };
 
 /** A task may leave its shard only for one that the same transaction hands over as it was. */
-const hasStepBack = (
+const hasRegression = (
   before: WorkRow | undefined,
   after: WorkRow | undefined,
   splitTasks: readonly BatchTask[],
@@ -101,14 +101,14 @@
   if (before === undefined || after === undefined) return false;
   const kept = new Map(after.tasks.map((task) => [task.index, task]));
   const split = new Map(splitTasks.map((task) => [task.index, task]));
-  const isDoubled = splitTasks.some(({ index }) => kept.has(index));
+  const isDuplicated = splitTasks.some(({ index }) => kept.has(index));
   const isCountWrong = kept.size + split.size !== before.tasks.length;
   return (
-    isDoubled ||
+    isDuplicated ||
     isCountWrong ||
     before.tasks.some((task) => {
       const next = kept.get(task.index) ?? split.get(task.index);
-      return next === undefined || isStepBack(task, next);
+      return next === undefined || isRegression(task, next);
     })
   );
 };
@@ -120,7 +120,7 @@
 };
 
 /** Each start of a batch task continues the attempt and the checkpoint that its row names. */
-const isStartUnfounded = (draft: CellDraft, gained: Assignment): boolean => {
+const isStartMismatched = (draft: CellDraft, gained: Assignment): boolean => {
   if (gained.shardId === '') return false;
   const task = draft.work(gained.shardId)?.tasks.find(({ index }) => index === gained.taskIndex);
   return (
@@ -140,16 +140,16 @@
   const change = ledgerChange(rows, draft);
   const isResumptionBroken =
     draft.changedShardIds.some((id) =>
-      hasStepBack(rows.work.get(id), draft.work(id), draft.splitTasks(id)),
+      hasRegression(rows.work.get(id), draft.work(id), draft.splitTasks(id)),
     ) ||
     change.dropped.some((one) => isEndUnrecorded(draft, one)) ||
-    change.gained.some((one) => isStartUnfounded(draft, one));
-  const isWithdrawnUsed = change.gained.length > 0 && !isAssigningAllowed;
+    change.gained.some((one) => isStartMismatched(draft, one));
+  const isAssigningForbidden = change.gained.length > 0 && !isAssigningAllowed;
   return [
     ...(isOvercommitted(state, rows, change) ? [Invariant.Overcommitted] : []),
     ...(isAssignedTwice(rows, change) ? [Invariant.DoubleAssignment] : []),
     ...(isResumptionBroken ? [Invariant.Resumption] : []),
-    ...(isWithdrawnUsed ? [Invariant.WithdrawnZone] : []),
+    ...(isAssigningForbidden ? [Invariant.WithdrawnZone] : []),
     ...(isQuotaExceeded(state, rows, draft, change.gained) ? [Invariant.QuotaExceeded] : []),
   ];
 };
--- a/src/scheduler/common/leasePatience.ts
+++ b/src/scheduler/common/leasePatience.ts
@@ -16,7 +16,7 @@
    */
   readonly renewsFromSending?: boolean;
   /** Owners keep a clock in their heartbeats, for bounds that outlast each of them. */
-  readonly isClockKept?: boolean;
+  readonly writesCellClock?: boolean;
 }
 
 /** What a watcher has seen of an owner. */
@@ -37,10 +37,10 @@
  * a call that times out (700 ms), a pause and a call. Without it a restart of all daemons waited
  * a whole lease, in which no work was started.
  */
-const OVERDUE_PATIENCE_MS = 1_000;
+const OVERDUE_WATCH_MS = 1_000;
 
 /** When a daemon that is first in line may take the cell. */
-const firstTakeableAtMs = (
+const undelayedTakeoverAtMs = (
   { unchangedSinceMs, overdueSinceMs, isReleased }: WatchedOwner,
   hasOwner: boolean,
   { leaseMs }: CellLeaseTiming,
@@ -48,29 +48,32 @@
   // A cell that nobody ever owned needs no lease to run out.
   if (!hasOwner || isReleased) return unchangedSinceMs;
   if (overdueSinceMs === undefined) return unchangedSinceMs + leaseMs;
-  return Math.max(unchangedSinceMs + Math.min(OVERDUE_PATIENCE_MS, leaseMs), overdueSinceMs);
+  return Math.max(unchangedSinceMs + Math.min(OVERDUE_WATCH_MS, leaseMs), overdueSinceMs);
 };
 
-const delayMs = (owner: WatchedOwner, timing: CellLeaseTiming): number => {
-  const knownMs = timing.isDelayRelative === true ? (owner.leastDelayMs ?? 0) : 0;
-  return Math.max(0, timing.acquireDelayMs - knownMs);
+const takeoverDelayMs = (owner: WatchedOwner, timing: CellLeaseTiming): number => {
+  const baselineMs = timing.isDelayRelative === true ? (owner.leastDelayMs ?? 0) : 0;
+  return Math.max(0, timing.acquireDelayMs - baselineMs);
 };
 
 /** When the cell may be taken, if the heartbeat stands still until then. */
-export const takeableAtMs = (
+export const takeoverAllowedAtMs = (
   owner: WatchedOwner,
   hasOwner: boolean,
   timing: CellLeaseTiming,
-): number => firstTakeableAtMs(owner, hasOwner, timing) + delayMs(owner, timing);
+): number => undelayedTakeoverAtMs(owner, hasOwner, timing) + takeoverDelayMs(owner, timing);
 
 /** What an owner tells of its extra patience; undefined where none counts from another's. */
-export const toldDelayMs = (owner: WatchedOwner, timing: CellLeaseTiming): number | undefined =>
+export const publishedDelayMs = (
+  owner: WatchedOwner,
+  timing: CellLeaseTiming,
+): number | undefined =>
   timing.isDelayRelative === true
     ? Math.min(timing.acquireDelayMs, owner.leastDelayMs ?? timing.acquireDelayMs)
     : undefined;
 
 /** At most this share of an interval is a renewal sent ahead by an owner that is held up. */
-const LONGEST_LEAD_SHARE = 2 / 3;
+const MAXIMUM_LEAD_RATIO = 2 / 3;
 
 /**
  * When to renew after a call that was due at `dueAtMs` and sent at `sentAtMs`. Other daemons have
@@ -84,6 +87,6 @@
   nowMs: number,
 ): number => {
   if (renewsFromSending !== true) return nowMs + heartbeatIntervalMs;
-  const leadMs = Math.min(sentAtMs - dueAtMs, heartbeatIntervalMs * LONGEST_LEAD_SHARE);
+  const leadMs = Math.min(sentAtMs - dueAtMs, heartbeatIntervalMs * MAXIMUM_LEAD_RATIO);
   return Math.max(nowMs, sentAtMs + heartbeatIntervalMs - Math.max(0, leadMs));
 };
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -15,7 +15,12 @@
 import type { CellState } from './cellState.js';
 import { type LearntFromEnds, learntFromEnds } from './learntFromEnds.js';
 import { recordLateFinishes } from './lateFinishes.js';
-import { type HandOnMemory, handOnWaitingTasks, nextHandOnMemory, publishRoom } from './handOn.js';
+import {
+  type TaskTransferState,
+  transferWaitingTasks,
+  nextTaskTransfer,
+  publishRoom,
+} from './taskTransfer.js';
 import type { PlacementPolicy } from './placement.js';
 import { nextQuotaWaits, publishQuotaShare, quotaPartsOf } from './quotaRound.js';
 import { type RecordedEnd, recordEnds } from './taskEnds.js';
@@ -31,7 +36,7 @@
   readonly assignedCount: number;
   /** Attempts that have to leave for urgent work, as keys. */
   readonly preempted: ReadonlySet<string>;
-  readonly handOn: HandOnMemory;
+  readonly taskTransfer: TaskTransferState;
   /** Since when teams have waited for a worker with their quota granted. */
   readonly quotaWaits: CellState['quotaWaits'];
 }
@@ -66,14 +71,14 @@
   });
 };
 
-const publishedWorkers = new WeakMap<EndpointRow, ReadonlyMap<string, string>>();
+const workersByTaskCache = new WeakMap<EndpointRow, ReadonlyMap<string, string>>();
 
 /** The worker of each published task; kept with the row, which hardly ever changes. */
 const workersByTask = (row: EndpointRow): ReadonlyMap<string, string> => {
-  const known = publishedWorkers.get(row);
-  if (known !== undefined) return known;
+  const cached = workersByTaskCache.get(row);
+  if (cached !== undefined) return cached;
   const workers = new Map(row.servers.map(({ taskId, workerId }) => [taskId, workerId] as const));
-  publishedWorkers.set(row, workers);
+  workersByTaskCache.set(row, workers);
   return workers;
 };
 
@@ -81,7 +86,7 @@
  * A server that a former owner published stays while this owner may yet hear of its worker: for
  * as long as a lease lasts that was renewed until the cell was taken over.
  */
-const isStillPublished = (
+const keepsPublishedServer = (
   state: CellState,
   { taskId, workerId }: Assignment,
   published: ReadonlyMap<string, string>,
@@ -98,7 +103,7 @@
 ): boolean => {
   const view = state.workers.get(assignment.workerId);
   if (isWorkerDraining(state, assignment.workerId)) return false;
-  if (view?.report === undefined) return isStillPublished(state, assignment, published, nowMs);
+  if (view?.report === undefined) return keepsPublishedServer(state, assignment, published, nowMs);
   return reportedTask(view, assignment)?.state === WorkerTaskState.Running;
 };
 
@@ -133,15 +138,15 @@
 };
 
 /** How long a new owner waits for its workers to answer before it assigns. */
-const SETTLING_MS = 1_000;
+const FIRST_REPORTS_WAIT_MS = 1_000;
 
 /**
  * False while a new owner has yet to hear from workers that are likely to answer. It would pile
  * everything that is queued, all replicas of a service among it, on the first ones to answer. A
  * worker that cannot be reached holds assigning up for a second at most.
  */
-export const hasSettled = (state: CellState, nowMs: number): boolean =>
-  nowMs - state.tookOverAtMs >= SETTLING_MS ||
+export const hasHeardFromWorkers = (state: CellState, nowMs: number): boolean =>
+  nowMs - state.tookOverAtMs >= FIRST_REPORTS_WAIT_MS ||
   [...state.workers.values()].every((view) => !view.isListed || view.report !== undefined);
 
 /** Works out all changes that are due now. */
@@ -160,26 +165,28 @@
   // A task that failed is queued in this very round: it would be tried again at once, and on the
   // worker that failed it, if the round assigned before it had learnt of the failure.
   const learnt = learntFromEnds(state, ends, nowMs);
-  const informed = { ...state, ...learnt };
+  const stateAfterEnds = { ...state, ...learnt };
   const parts = quotaPartsOf(state, rows);
   const assigned = isAssigning
-    ? assignQueuedWork(informed, rows, draft, parts, policy, operationId, nowMs)
+    ? assignQueuedWork(stateAfterEnds, rows, draft, parts, policy, operationId, nowMs)
     : undefined;
-  const roomless = assigned?.roomless ?? new Set<string>();
-  const receivers = isAssigning
-    ? handOnWaitingTasks(state, draft, operationId, nowMs)
+  const shardIdsWithoutRoom = assigned?.shardIdsWithoutRoom ?? new Set<string>();
+  const receivingCells = isAssigning
+    ? transferWaitingTasks(state, draft, operationId, nowMs)
     : new Set<string>();
   settleUnfitWork(state, draft, nowMs);
   moveShards(state, draft);
-  if (rows.cancellations.size > 0) draft.closeCancellations();
+  if (rows.cancellations.size > 0) draft.removeSettledCancellations();
   updateEndpoints(state, draft, nowMs);
   updateUnreached(state, rows, draft, nowMs);
   publishQuotaShare(state, draft, parts, nowMs);
-  publishRoom(state, draft, assigned?.capacity, roomless.size > 0, nowMs);
+  publishRoom(state, draft, assigned?.capacity, shardIdsWithoutRoom.size > 0, nowMs);
   const quotaWaits = nextQuotaWaits(state, draft, parts, nowMs);
   return {
     ...{ draft, ends, learnt, quotaWaits },
-    handOn: isAssigning ? nextHandOnMemory(state.handOn, roomless, receivers, nowMs) : state.handOn,
+    taskTransfer: isAssigning
+      ? nextTaskTransfer(state.taskTransfer, shardIdsWithoutRoom, receivingCells, nowMs)
+      : state.taskTransfer,
     assignedCount: assigned?.count ?? 0,
     preempted: assigned?.preempted ?? new Set<string>(),
   };
--- a/src/scheduler/common/staleness.ts
+++ b/src/scheduler/common/staleness.ts
@@ -19,7 +19,7 @@
 
 /** Has the messages worked out anew of those workers whose assignments changed. */
 export const withNewRows = (state: CellState, rows: CellRows): CellState => {
-  const before = state.lastRows?.assignmentsByWorker;
+  const before = state.lastKnownRows?.assignmentsByWorker;
   const isSame = (workerId: string): boolean =>
     before !== undefined && before.get(workerId) === rows.assignmentsByWorker.get(workerId);
   const workers = new Map(
@@ -31,7 +31,7 @@
   const unreachedWorkerIds = new Set(rows.unreached.keys());
   const next = {
     ...state,
-    ...{ rows, lastRows: rows, unreachedWorkerIds, workers },
+    ...{ rows, lastKnownRows: rows, unreachedWorkerIds, workers },
     isRoundStale: true,
   };
   const surplus = surplusTaskIds(next);
--- a/src/scheduler/common/handOn.ts
+++ b/src/scheduler/common/taskTransfer.ts
@@ -23,47 +23,47 @@
 import { cellCapacity } from './quotaRound.js';
 
 /** What an owner remembers of handing on; a new owner starts without it. */
-export interface HandOnMemory {
+export interface TaskTransferState {
   /** Since when shards have found no room, by shard id. */
-  readonly roomlessSinceMs: ReadonlyMap<string, number>;
+  readonly noRoomSinceMs: ReadonlyMap<string, number>;
   /** When tasks were last handed on to each cell. */
-  readonly handedOnAtMs: ReadonlyMap<string, number>;
+  readonly lastTransferAtMs: ReadonlyMap<string, number>;
   /** When a task last found no room here. */
-  readonly waitedAtMs: number;
+  readonly lastNoRoomAtMs: number;
   /** When the room was last worked out. */
-  readonly roomAtMs: number;
+  readonly roomComputedAtMs: number;
 }
 
-export const NO_HAND_ON: HandOnMemory = {
-  roomlessSinceMs: new Map(),
-  handedOnAtMs: new Map(),
-  waitedAtMs: Number.NEGATIVE_INFINITY,
-  roomAtMs: Number.NEGATIVE_INFINITY,
+export const INITIAL_TASK_TRANSFER: TaskTransferState = {
+  noRoomSinceMs: new Map(),
+  lastTransferAtMs: new Map(),
+  lastNoRoomAtMs: Number.NEGATIVE_INFINITY,
+  roomComputedAtMs: Number.NEGATIVE_INFINITY,
 };
 
 /** A batch task ends somewhere in a full cell several times a second, so a short wait is usual. */
-const PATIENCE_MS = 2_000;
+const TRANSFER_DELAY_MS = 2_000;
 /** Longer than a cell takes to read what came, to assign it and to publish the room that is left. */
-const INTERVAL_MS = 2_000;
+const TRANSFER_INTERVAL_MS = 2_000;
 /** Room counts as lasting once nothing has waited for so long. */
-const CALM_MS = 5_000;
+const ROOM_STABLE_MS = 5_000;
 /** Adding up what is free on all workers in each round would cost more than the rest of it. */
 const ROOM_INTERVAL_MS = 1_000;
 /** Changes of room by less than this share of the cell are not worth a write. */
-const NOTABLE_SHARE = 1 / 8;
+const MINIMUM_CHANGE_RATIO = 1 / 8;
 
-const hasNotableDifference = (one: Resources, other: Resources, whole: Resources): boolean => {
-  const isNotable = (left: number, right: number, all: number): boolean =>
-    Math.abs(left - right) > all * NOTABLE_SHARE;
+const isRoomChanged = (one: Resources, other: Resources, whole: Resources): boolean => {
+  const isLargeChange = (left: number, right: number, all: number): boolean =>
+    Math.abs(left - right) > all * MINIMUM_CHANGE_RATIO;
   return (
-    isNotable(one.processorMillis, other.processorMillis, whole.processorMillis) ||
-    isNotable(one.memoryBytes, other.memoryBytes, whole.memoryBytes) ||
-    isNotable(one.acceleratorCount, other.acceleratorCount, whole.acceleratorCount)
+    isLargeChange(one.processorMillis, other.processorMillis, whole.processorMillis) ||
+    isLargeChange(one.memoryBytes, other.memoryBytes, whole.memoryBytes) ||
+    isLargeChange(one.acceleratorCount, other.acceleratorCount, whole.acceleratorCount)
   );
 };
 
-const isRoomDue = ({ roomAtMs }: HandOnMemory, nowMs: number): boolean =>
-  nowMs - roomAtMs >= ROOM_INTERVAL_MS;
+const isRoomDue = ({ roomComputedAtMs }: TaskTransferState, nowMs: number): boolean =>
+  nowMs - roomComputedAtMs >= ROOM_INTERVAL_MS;
 
 /**
  * Publishes how much room the cell has for others' tasks: none while tasks of its own wait, else
@@ -78,8 +78,8 @@
 ): void => {
   const before = draft.exchange.room ?? NO_RESOURCES;
   const isClosed = state.withdrawnSinceMs !== undefined || hasWaiting;
-  const isCalm = nowMs - state.handOn.waitedAtMs >= CALM_MS;
-  const isDue = isClosed || (isCalm && isRoomDue(state.handOn, nowMs));
+  const isRoomStable = nowMs - state.taskTransfer.lastNoRoomAtMs >= ROOM_STABLE_MS;
+  const isDue = isClosed || (isRoomStable && isRoomDue(state.taskTransfer, nowMs));
   if (!isDue || (!isClosed && capacity === undefined)) return;
   // A worker that has shrunk below what runs on it has less than nothing free.
   const room = isClosed
@@ -87,8 +87,8 @@
     : sumResources(
         capacity?.().openCandidates.map(({ free }) => remainingResources(free, NO_RESOURCES)) ?? [],
       );
-  const isEmptied = isClosed && !fitsInto(before, NO_RESOURCES);
-  if (!isEmptied && !hasNotableDifference(room, before, cellCapacity(state))) return;
+  const isClosing = isClosed && !fitsInto(before, NO_RESOURCES);
+  if (!isClosing && !isRoomChanged(room, before, cellCapacity(state))) return;
   draft.setExchange({ ...draft.exchange, room });
 };
 
@@ -97,7 +97,7 @@
  * of; moved, it would be completed a second time. Tasks that never ran, or whose every earlier
  * attempt has said that it was evicted, are safe to move.
  */
-const mayMove = (task: BatchTask): boolean =>
+const isSafeToMove = (task: BatchTask): boolean =>
   task.state === BatchTaskState.Queued &&
   task.failureWeight === 0 &&
   task.attempt === 1 + task.evictionCount;
@@ -112,17 +112,18 @@
 };
 
 /** This cell's share of the room that each other cell in use has published. */
-const roomElsewhere = (
+const roomInOtherCells = (
   state: CellState,
   view: ConfigurationView,
   nowMs: number,
 ): Map<string, Resources> => {
   const others = zonesInUse(view).filter((zone) => zone !== state.cell);
-  const isRested = (zone: string): boolean =>
-    nowMs - (state.handOn.handedOnAtMs.get(zone) ?? Number.NEGATIVE_INFINITY) >= INTERVAL_MS;
+  const isIntervalOver = (zone: string): boolean =>
+    nowMs - (state.taskTransfer.lastTransferAtMs.get(zone) ?? Number.NEGATIVE_INFINITY) >=
+    TRANSFER_INTERVAL_MS;
   const shareOf = (amount: number): number => Math.floor(amount / others.length);
   return new Map(
-    others.filter(isRested).map((zone) => {
+    others.filter(isIntervalOver).map((zone) => {
       const room = state.exchangeElsewhere.get(zone)?.room ?? NO_RESOURCES;
       return [
         zone,
@@ -136,7 +137,7 @@
   );
 };
 
-const handOnShard = (
+const transferFromShard = (
   state: CellState,
   draft: CellDraft,
   row: WorkRow,
@@ -144,15 +145,15 @@
   operationId: string,
 ): string | undefined => {
   const handedOnBy = [...(row.handedOnBy ?? []), state.cell];
-  const movable = row.tasks.filter(mayMove);
+  const movable = row.tasks.filter(isSafeToMove);
   const [best] = [...rooms]
     .filter(([zone]) => !handedOnBy.includes(zone))
     .map(([zone, room]) => ({ zone, room, count: countThatFits(row.size, room) }))
     .sort((left, right) => right.count - left.count);
   if (best === undefined || best.count === 0 || movable.length === 0) return undefined;
   const tasks = movable.slice(0, best.count);
-  const taken = multipliedResources(row.size, tasks.length);
-  rooms.set(best.zone, subtractResources(best.room, taken));
+  const transferredSize = multipliedResources(row.size, tasks.length);
+  rooms.set(best.zone, subtractResources(best.room, transferredSize));
   // No other transaction has this id, so the row cannot exist in the other cell yet.
   const shardId = `${row.jobId}~${operationId}.${draft.rowCount}`;
   draft.splitWork(row.shardId, { ...row, shardId, handedOnBy, tasks }, best.zone);
@@ -168,44 +169,48 @@
  * cell that has handed it on, so it moves at most once for each zone. The owner's inbox condition
  * holds as for every move: a cancellation that was not read yet makes the transaction fail.
  */
-export const handOnWaitingTasks = (
+export const transferWaitingTasks = (
   state: CellState,
   draft: CellDraft,
   operationId: string,
   nowMs: number,
 ): ReadonlySet<string> => {
   const view = state.configuration?.view;
-  const receivers = new Set<string>();
-  if (view === undefined || state.withdrawnSinceMs !== undefined) return receivers;
-  const waiting = [...state.handOn.roomlessSinceMs].filter(
-    ([shardId, sinceMs]) => nowMs - sinceMs >= PATIENCE_MS && !state.unfitSinceMs.has(shardId),
+  const receivingCells = new Set<string>();
+  if (view === undefined || state.withdrawnSinceMs !== undefined) return receivingCells;
+  const waiting = [...state.taskTransfer.noRoomSinceMs].filter(
+    ([shardId, sinceMs]) =>
+      nowMs - sinceMs >= TRANSFER_DELAY_MS && !state.unfitSinceMs.has(shardId),
   );
-  if (waiting.length === 0) return receivers;
-  const rooms = roomElsewhere(state, view, nowMs);
+  if (waiting.length === 0) return receivingCells;
+  const rooms = roomInOtherCells(state, view, nowMs);
   waiting.forEach(([shardId]) => {
     const row = draft.work(shardId);
     const isOpen = row !== undefined && !draft.cancelledJobIds.has(row.jobId);
     if (!isOpen || draft.rowCount >= state.timing.maximumRowsPerRound) return;
-    const receiver = handOnShard(state, draft, row, rooms, operationId);
-    if (receiver !== undefined) receivers.add(receiver);
+    const receivingCell = transferFromShard(state, draft, row, rooms, operationId);
+    if (receivingCell !== undefined) receivingCells.add(receivingCell);
   });
-  return receivers;
+  return receivingCells;
 };
 
 /** What to remember after a round in which those shards found no room. */
-export const nextHandOnMemory = (
-  before: HandOnMemory,
-  roomless: ReadonlySet<string>,
-  receivers: ReadonlySet<string>,
+export const nextTaskTransfer = (
+  before: TaskTransferState,
+  shardIdsWithoutRoom: ReadonlySet<string>,
+  receivingCells: ReadonlySet<string>,
   nowMs: number,
-): HandOnMemory => ({
-  roomlessSinceMs: new Map(
-    [...roomless].map((shardId) => [shardId, before.roomlessSinceMs.get(shardId) ?? nowMs]),
+): TaskTransferState => ({
+  noRoomSinceMs: new Map(
+    [...shardIdsWithoutRoom].map((shardId) => [
+      shardId,
+      before.noRoomSinceMs.get(shardId) ?? nowMs,
+    ]),
   ),
-  handedOnAtMs: new Map([
-    ...before.handedOnAtMs,
-    ...[...receivers].map((cell) => [cell, nowMs] as const),
+  lastTransferAtMs: new Map([
+    ...before.lastTransferAtMs,
+    ...[...receivingCells].map((cell) => [cell, nowMs] as const),
   ]),
-  waitedAtMs: roomless.size > 0 ? nowMs : before.waitedAtMs,
-  roomAtMs: isRoomDue(before, nowMs) ? nowMs : before.roomAtMs,
+  lastNoRoomAtMs: shardIdsWithoutRoom.size > 0 ? nowMs : before.lastNoRoomAtMs,
+  roomComputedAtMs: isRoomDue(before, nowMs) ? nowMs : before.roomComputedAtMs,
 });
--- a/src/scheduler/common/unreachedWorkers.ts
+++ b/src/scheduler/common/unreachedWorkers.ts
@@ -13,7 +13,7 @@
 import { presumedLeaseEndMs } from './workerView.js';
 
 /** How long a new owner tries to reach a worker before it names it. */
-const FIRST_CONTACT_MS = 1_000;
+const FIRST_CONTACT_TIMEOUT_MS = 1_000;
 
 const isUnreached = (state: CellState, workerId: string): boolean =>
   state.workers.get(workerId)?.report === undefined;
@@ -29,8 +29,8 @@
   const { cellClock } = state.lease;
   if (storedMs === undefined || cellClock === undefined) return presumedMs;
   // A worker that is back tells what has finished there unheard.
-  const triedAtMs = state.tookOverAtMs + state.timing.reportFreshnessMs;
-  return Math.min(presumedMs, Math.max(triedAtMs, fromCellMs(cellClock, storedMs)));
+  const firstContactOverAtMs = state.tookOverAtMs + state.timing.reportFreshnessMs;
+  return Math.min(presumedMs, Math.max(firstContactOverAtMs, fromCellMs(cellClock, storedMs)));
 };
 
 /** The bounds to be stored of workers that have assignments and were not reached. */
@@ -40,7 +40,7 @@
   cellClock: CellClock | undefined,
   nowMs: number,
 ): ReadonlyMap<string, number> => {
-  const canAdd = cellClock !== undefined && nowMs - state.tookOverAtMs >= FIRST_CONTACT_MS;
+  const canAdd = cellClock !== undefined && nowMs - state.tookOverAtMs >= FIRST_CONTACT_TIMEOUT_MS;
   const wanted = new Map<string, number>();
   rows.assignmentsByWorker.forEach((_, workerId) => {
     if (!isUnreached(state, workerId)) return;
--- a/src/scheduler/common/workerCommands.ts
+++ b/src/scheduler/common/workerCommands.ts
@@ -13,7 +13,7 @@
 import { isEvictionWanted } from './wantedEvictions.js';
 import {
   attemptKey,
-  type QuietRenewal,
+  type RepeatableRenewal,
   reportedTask,
   startKey,
   type WorkerView,
@@ -27,7 +27,7 @@
 }
 
 /** Until the first report nothing can be asked but who the worker is. */
-const firstContact = (state: CellState): WorkerCommand => ({
+const emptyCommand = (state: CellState): WorkerCommand => ({
   incarnation: '',
   cellEpoch: state.lease.epoch,
   renewals: [],
@@ -68,7 +68,7 @@
 const toAttempt = ({ taskId, attempt }: TaskAttempt): TaskAttempt => ({ taskId, attempt });
 
 /** What a transaction in flight takes off the worker: it is neither started nor renewed. */
-const isLeaving = (state: CellState, assignment: Assignment): boolean =>
+const isBeingDropped = (state: CellState, assignment: Assignment): boolean =>
   state.pending?.kind === 'commit' && state.pending.droppedAttempts.has(attemptKey(assignment));
 
 /**
@@ -85,7 +85,7 @@
     (assignment) =>
       reportedTask(view, assignment) === undefined &&
       !evicted.has(assignment) &&
-      !isLeaving(state, assignment),
+      !isBeingDropped(state, assignment),
   );
 
 /**
@@ -94,7 +94,7 @@
  * that the lost transaction took off the worker has surely ended there and cannot be renewed.
  */
 const renewableAssignments = (state: CellState, workerId: string): readonly Assignment[] => {
-  const rows = state.rows ?? state.lastRows;
+  const rows = state.rows ?? state.lastKnownRows;
   return rows === undefined ? [] : assignmentsOf(rows, workerId);
 };
 
@@ -110,12 +110,12 @@
 ): WorkerCommand['throttles'] => {
   const shares = state.interference.controls.get(view.instance.id)?.shares;
   // Switched off, it takes back what was throttled while it was on.
-  const otherwise = state.timing.interference.isEnabled ? undefined : 1;
-  const leaving = new Set([...evicted].map(attemptKey));
+  const defaultShare = state.timing.interference.isEnabled ? undefined : 1;
+  const evictedKeys = new Set([...evicted].map(attemptKey));
   return report.tasks.flatMap((task) => {
     const key = attemptKey(task);
-    const processorShare = shares?.get(key) ?? otherwise;
-    if (task.state !== WorkerTaskState.Running || leaving.has(key)) return [];
+    const processorShare = shares?.get(key) ?? defaultShare;
+    if (task.state !== WorkerTaskState.Running || evictedKeys.has(key)) return [];
     if (processorShare === undefined || processorShare === (task.processorShare ?? 1)) return [];
     return [{ ...toAttempt(task), processorShare }];
   });
@@ -140,27 +140,29 @@
   const leaseUntilWorkerMs = report.workerNowMs + state.timing.workerLeaseMs;
   const startBeforeWorkerMs = report.workerNowMs + state.timing.startValidityMs;
   const wanted = wantedStarts(state, view, current, evicted);
-  const mayGrant = !state.unreachedWorkerIds.has(view.instance.id);
-  const starts = mayGrant && isStartAllowed(state, nowMs) ? wanted : [];
-  const listed = new Set(assignments.map(attemptKey));
-  const strays =
-    rows === undefined ? [] : report.tasks.filter((task) => !listed.has(attemptKey(task)));
+  const mayGrantLeases = !state.unreachedWorkerIds.has(view.instance.id);
+  const starts = mayGrantLeases && isStartAllowed(state, nowMs) ? wanted : [];
+  const assignedKeys = new Set(assignments.map(attemptKey));
+  const unassignedTasks =
+    rows === undefined ? [] : report.tasks.filter((task) => !assignedKeys.has(attemptKey(task)));
   const unrecorded = rows === undefined ? new Set() : unrecordedFinishes(rows, view);
-  const runningStrays = strays.filter((task) => task.state === WorkerTaskState.Running);
+  const runningUnassigned = unassignedTasks.filter(
+    (task) => task.state === WorkerTaskState.Running,
+  );
   // A stored bound of the worker's leases has to be taken back before any is granted.
-  const renewals = mayGrant ? renewableAssignments(state, view.instance.id) : [];
+  const renewals = mayGrantLeases ? renewableAssignments(state, view.instance.id) : [];
   const command = {
     incarnation: report.incarnation,
     cellEpoch: state.lease.epoch,
     renewals: renewals
-      .filter((one) => isOfIncarnation(one) && isRunning(one) && !isLeaving(state, one))
+      .filter((one) => isOfIncarnation(one) && isRunning(one) && !isBeingDropped(state, one))
       .map((assignment) => ({ ...toAttempt(assignment), leaseUntilWorkerMs })),
     starts: starts.map((assignment) =>
       toStart(assignment, startBeforeWorkerMs, leaseUntilWorkerMs),
     ),
-    evictions: [...[...evicted].filter(isRunning), ...runningStrays].map(toAttempt),
+    evictions: [...[...evicted].filter(isRunning), ...runningUnassigned].map(toAttempt),
     throttles: wantedThrottles(state, view, report, evicted),
-    acknowledgements: strays
+    acknowledgements: unassignedTasks
       .filter((task) => task.state !== WorkerTaskState.Running && !unrecorded.has(task.taskId))
       .map(toAttempt),
   };
@@ -171,16 +173,16 @@
  * The attempts of a message that does nothing but renew all that the worker has been given, with
  * what they were worked out from; undefined for any other message.
  */
-const toQuiet = (
+const toRepeatableRenewal = (
   state: CellState,
   view: WorkerView,
   { incarnation, renewals, throttles }: WorkerCommand,
   keys: ReadonlySet<string>,
-): QuietRenewal | undefined => {
+): RepeatableRenewal | undefined => {
   const assignments = state.rows?.assignmentsByWorker.get(view.instance.id);
   if (assignments === undefined || keys.size + throttles.length > 0) return undefined;
-  const isAll = renewals.length === assignments.length && renewals.length === view.tasks.size;
-  if (!isAll) return undefined;
+  const renewsAll = renewals.length === assignments.length && renewals.length === view.tasks.size;
+  if (!renewsAll) return undefined;
   return { assignments, tasks: view.tasks, incarnation, attempts: renewals.map(toAttempt) };
 };
 
@@ -193,32 +195,32 @@
  * makes room or is cancelled, and attempts that a transaction under way takes off. A new reason to
  * say something belongs into one of the two.
  */
-const quietCommand = (
+const repeatRenewal = (
   state: CellState,
   view: WorkerView,
   report: WorkerReport,
 ): WorkerCommand | undefined => {
-  const { quiet } = view;
-  if (quiet === undefined || view.isMessageStale || state.withdrawnSinceMs !== undefined) {
+  const { repeatableRenewal: repeatable } = view;
+  if (repeatable === undefined || view.isMessageStale || state.withdrawnSinceMs !== undefined) {
     return undefined;
   }
   // A worker that forgets a throttle does so without any other change in its report.
   const shares = state.interference.controls.get(view.instance.id)?.shares.values() ?? [];
   const isThrottling = [...shares].some((share) => share < 1);
   const cancelledCount = state.rows?.cancelledJobIds.size ?? 0;
-  const otherCount = state.surplusTaskIds.size + state.preempted.size + cancelledCount;
-  if (isThrottling || otherCount > 0) return undefined;
+  const changeCount = state.surplusTaskIds.size + state.preempted.size + cancelledCount;
+  if (isThrottling || changeCount > 0) return undefined;
   if (state.pending?.kind === 'commit' && state.pending.droppedAttempts.size > 0) return undefined;
   const isSame =
-    state.rows?.assignmentsByWorker.get(view.instance.id) === quiet.assignments &&
-    view.tasks === quiet.tasks &&
-    report.incarnation === quiet.incarnation;
+    state.rows?.assignmentsByWorker.get(view.instance.id) === repeatable.assignments &&
+    view.tasks === repeatable.tasks &&
+    report.incarnation === repeatable.incarnation;
   if (!isSame) return undefined;
   const leaseUntilWorkerMs = report.workerNowMs + state.timing.workerLeaseMs;
   return {
-    ...firstContact(state),
+    ...emptyCommand(state),
     incarnation: report.incarnation,
-    renewals: quiet.attempts.map(({ taskId, attempt }) => ({
+    renewals: repeatable.attempts.map(({ taskId, attempt }) => ({
       taskId,
       attempt,
       leaseUntilWorkerMs,
@@ -227,7 +229,7 @@
 };
 
 /** Starts, evictions, throttles and acknowledgements as keys, to tell what was not told yet. */
-const newsKeys = (command: WorkerCommand): ReadonlySet<string> =>
+const instructionKeys = (command: WorkerCommand): ReadonlySet<string> =>
   new Set([
     ...command.starts.map(startKey),
     ...command.evictions.map((attempt) => `evict ${attemptKey(attempt)}`),
@@ -236,11 +238,11 @@
   ]);
 
 /** True while the owner may renew leases although it cannot reach the table. */
-const mayRenew = (state: CellState, nowMs: number): boolean =>
+const mayRenewLeases = (state: CellState, nowMs: number): boolean =>
   nowMs - state.lease.heldAtMs <= state.timing.maximumRenewalWithoutTableMs;
 
 /** The view after `command` was sent: what it grants bounds when the worker may be given up. */
-const withSent = (
+const boundsAfterSending = (
   state: CellState,
   view: WorkerView,
   report: WorkerReport,
@@ -273,31 +275,34 @@
 ): PlannedCommand | undefined => {
   if (view.isCommandInFlight) return undefined;
   const isRenewalDue = nowMs - view.commandSentAtMs >= state.timing.workerRenewalIntervalMs;
-  if ((!isRenewalDue && !view.isMessageStale) || !mayRenew(state, nowMs)) return undefined;
+  if ((!isRenewalDue && !view.isMessageStale) || !mayRenewLeases(state, nowMs)) return undefined;
   const sent = { ...view, commandSentAtMs: nowMs, isCommandInFlight: true };
   const { report } = view;
   if (report === undefined) {
-    return isRenewalDue ? { command: firstContact(state), view: sent } : undefined;
+    return isRenewalDue ? { command: emptyCommand(state), view: sent } : undefined;
   }
-  const repeated = quietCommand(state, view, report);
+  const repeated = repeatRenewal(state, view, report);
   if (repeated !== undefined) {
-    return { command: repeated, view: { ...sent, ...withSent(state, view, report, repeated) } };
+    return {
+      command: repeated,
+      view: { ...sent, ...boundsAfterSending(state, view, report, repeated) },
+    };
   }
   const { command, withheldCount } = commandFor(state, view, report, nowMs);
   // With the rows in doubt nothing but renewals is sent, so what is due has to be found again.
   const isMessageStale = withheldCount > 0 || state.rows === undefined;
-  const keys = newsKeys(command);
-  if (!isRenewalDue && [...keys].every((key) => view.toldKeys.has(key))) {
-    return { command: undefined, view: { ...view, isMessageStale, quiet: undefined } };
+  const keys = instructionKeys(command);
+  if (!isRenewalDue && [...keys].every((key) => view.sentKeys.has(key))) {
+    return { command: undefined, view: { ...view, isMessageStale, repeatableRenewal: undefined } };
   }
   return {
     command,
     view: {
       ...sent,
-      ...withSent(state, view, report, command),
+      ...boundsAfterSending(state, view, report, command),
       isMessageStale,
-      toldKeys: keys,
-      quiet: toQuiet(state, view, command, keys),
+      sentKeys: keys,
+      repeatableRenewal: toRepeatableRenewal(state, view, command, keys),
     },
   };
 };
--- a/src/scheduler/common/workerView.ts
+++ b/src/scheduler/common/workerView.ts
@@ -27,15 +27,15 @@
    * they are repeated at renewals only. A worker that cannot write a checkpoint would otherwise
    * be told to evict again at each of its answers, as fast as the network carries them.
    */
-  readonly toldKeys: ReadonlySet<string>;
+  readonly sentKeys: ReadonlySet<string>;
   /** True when something changed since the last message, so that it is worked out anew. */
   readonly isMessageStale: boolean;
   /** Set while the last message did nothing but renew all that the worker has. */
-  readonly quiet: QuietRenewal | undefined;
+  readonly repeatableRenewal: RepeatableRenewal | undefined;
 }
 
 /** What a message that only renewed was worked out from, and the attempts that it renewed. */
-export interface QuietRenewal {
+export interface RepeatableRenewal {
   readonly assignments: readonly Assignment[];
   readonly tasks: ReadonlyMap<string, WorkerTaskReport>;
   readonly incarnation: string;
@@ -43,7 +43,7 @@
 }
 
 const NO_TASKS: ReadonlyMap<string, WorkerTaskReport> = new Map();
-const NOTHING_TOLD: ReadonlySet<string> = new Set();
+const NO_KEYS: ReadonlySet<string> = new Set();
 
 /** One attempt as a key; task ids never hold a hash sign followed by a number at their end. */
 export const attemptKey = ({ taskId, attempt }: TaskAttempt): string => `${taskId}#${attempt}`;
@@ -84,9 +84,9 @@
   commandSentAtMs: Number.NEGATIVE_INFINITY,
   isCommandInFlight: false,
   tasks: NO_TASKS,
-  toldKeys: NOTHING_TOLD,
+  sentKeys: NO_KEYS,
   isMessageStale: true,
-  quiet: undefined,
+  repeatableRenewal: undefined,
 });
 
 const reportedLeasesOverAtMs = (report: WorkerReport, receivedAtMs: number): number => {
@@ -126,16 +126,16 @@
  * an accepted job never ran. By the fresh report they are good again for `startValidityMs`. One
  * message more an interval at the most, for the report that answers it is younger than that.
  */
-const stillTold = (
+const remainingSentKeys = (
   view: WorkerView,
   report: WorkerReport,
   tasks: WorkerView['tasks'],
 ): ReadonlySet<string> => {
-  if (report.workerNowMs <= view.startsGoodUntilWorkerMs) return view.toldKeys;
+  if (report.workerNowMs <= view.startsGoodUntilWorkerMs) return view.sentKeys;
   const isRefusedStart = (key: string): boolean =>
     key.startsWith(START_KEY) && !tasks.has(key.slice(START_KEY.length));
-  const kept = [...view.toldKeys].filter((key) => !isRefusedStart(key));
-  return kept.length === view.toldKeys.size ? view.toldKeys : new Set(kept);
+  const kept = [...view.sentKeys].filter((key) => !isRefusedStart(key));
+  return kept.length === view.sentKeys.size ? view.sentKeys : new Set(kept);
 };
 
 /**
@@ -151,7 +151,7 @@
   const isFirst = view.report === undefined;
   const reportedOverAtMs = reportedLeasesOverAtMs(report, receivedAtMs);
   const tasks = tasksByAttempt(view, report);
-  const toldKeys = stillTold(view, report, tasks);
+  const sentKeys = remainingSentKeys(view, report, tasks);
   return {
     ...view,
     report,
@@ -160,8 +160,8 @@
     startsGoodUntilWorkerMs: isFirst ? report.workerNowMs : view.startsGoodUntilWorkerMs,
     isCommandInFlight: false,
     tasks,
-    toldKeys,
-    isMessageStale: view.isMessageStale || tasks !== view.tasks || toldKeys !== view.toldKeys,
+    sentKeys,
+    isMessageStale: view.isMessageStale || tasks !== view.tasks || sentKeys !== view.sentKeys,
   };
 };
 
--- a/src/scheduler/test/cellLease.test.ts
+++ b/src/scheduler/test/cellLease.test.ts
@@ -41,17 +41,17 @@
 }
 
 /** Looks as often as the lease asks until it asks to take the cell; returns when that is. */
-const takenAtMs = (
-  firstLookAtMs: number,
-  look: (nowMs: number) => Heartbeat,
+const takeoverAtMs = (
+  firstReadAtMs: number,
+  readHeartbeat: (nowMs: number) => Heartbeat,
   tableNowMs?: (nowMs: number) => number,
   timing: CellLeaseTiming = TIMING,
 ): number => {
-  let lease: CellLease = initialCellLease(CELL, 'self', firstLookAtMs);
-  for (let nowMs = firstLookAtMs; nowMs < firstLookAtMs + 10_000; nowMs += 10) {
+  let lease: CellLease = initialCellLease(CELL, 'self', firstReadAtMs);
+  for (let nowMs = firstReadAtMs; nowMs < firstReadAtMs + 10_000; nowMs += 10) {
     const next = nextLeaseStep(lease, timing, 'operation', nowMs);
     if (next !== undefined) {
-      const { version, sentAtTableMs, leastDelayMs } = look(nowMs);
+      const { version, sentAtTableMs, leastDelayMs } = readHeartbeat(nowMs);
       if (next.step.kind === LeaseStepKind.Acquire) {
         const condition = next.step.transaction.conditions.at(-1);
         if (condition?.version === version) return nowMs;
@@ -72,15 +72,15 @@
     // wait while nobody schedules. The table's clock shows that the owner is long gone, so that
     // the first to look need not watch for a whole lease.
     const heartbeat = () => ({ version: 40, sentAtTableMs: 90_000 });
-    const takenAfterMs = takenAtMs(5_000, heartbeat, (nowMs) => 95_000 + nowMs) - 5_000;
-    expect(takenAfterMs).toBeLessThan(TIMING.leaseMs);
-    expect(takenAfterMs).toBeGreaterThan(900);
+    const takeoverDelayMs = takeoverAtMs(5_000, heartbeat, (nowMs) => 95_000 + nowMs) - 5_000;
+    expect(takeoverDelayMs).toBeLessThan(TIMING.leaseMs);
+    expect(takeoverDelayMs).toBeGreaterThan(900);
   });
 
   it('is watched for all its time where the table tells no clock', () => {
-    const takenAfterMs = takenAtMs(5_000, () => ({ version: 40 })) - 5_000;
-    expect(takenAfterMs).toBeGreaterThanOrEqual(TIMING.leaseMs);
-    expect(takenAfterMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
+    const takeoverDelayMs = takeoverAtMs(5_000, () => ({ version: 40 })) - 5_000;
+    expect(takeoverDelayMs).toBeGreaterThanOrEqual(TIMING.leaseMs);
+    expect(takeoverDelayMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
   });
 
   it('stays with an owner that comes back with the table after an outage', () => {
@@ -92,7 +92,7 @@
       nowMs < renewedAtMs
         ? { version: 40, sentAtTableMs: 1_000 }
         : { version: 41 + Math.floor((nowMs - renewedAtMs) / 450), sentAtTableMs: nowMs };
-    expect(takenAtMs(backAtMs, heartbeat, (nowMs) => nowMs)).toBe(Number.POSITIVE_INFINITY);
+    expect(takeoverAtMs(backAtMs, heartbeat, (nowMs) => nowMs)).toBe(Number.POSITIVE_INFINITY);
   });
 
   it('is renewed in time by an owner that took the last answer in late', () => {
@@ -163,12 +163,12 @@
     const heartbeat = { version: 40, sentAtTableMs: 0, leastDelayMs: 90 };
     const better = { ...TIMING, acquireDelayMs: 90, isDelayRelative: true };
     const worse = { ...better, acquireDelayMs: 645 };
-    const look = () => heartbeat;
+    const readHeartbeat = () => heartbeat;
     const clock = (nowMs: number): number => nowMs;
-    const betterAfterMs = takenAtMs(5_000, look, clock, better) - 5_000;
+    const betterAfterMs = takeoverAtMs(5_000, readHeartbeat, clock, better) - 5_000;
     expect(betterAfterMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
     // The better one may have looked a whole interval later.
-    const worseAfterMs = takenAtMs(5_000, look, clock, worse) - 5_000;
+    const worseAfterMs = takeoverAtMs(5_000, readHeartbeat, clock, worse) - 5_000;
     expect(worseAfterMs).toBeGreaterThan(betterAfterMs + TIMING.heartbeatIntervalMs);
   });
 
@@ -177,10 +177,14 @@
       ...TIMING,
       ...{ acquireDelayMs: acquireDelayMs(cores), isDelayRelative: true },
     });
-    const look = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: acquireDelayMs(1.35) });
+    const readHeartbeat = () => ({
+      version: 40,
+      sentAtTableMs: 0,
+      leastDelayMs: acquireDelayMs(1.35),
+    });
     // Without a clock of the table, as each sees the heartbeat stand still from its first look on.
-    const betterAtMs = takenAtMs(5_000, look, undefined, timingOf(1.35));
-    const worseAtMs = takenAtMs(5_000, look, undefined, timingOf(0.324));
+    const betterAtMs = takeoverAtMs(5_000, readHeartbeat, undefined, timingOf(1.35));
+    const worseAtMs = takeoverAtMs(5_000, readHeartbeat, undefined, timingOf(0.324));
     expect(worseAtMs).toBeGreaterThanOrEqual(betterAtMs + TIMING.heartbeatIntervalMs);
   });
 
@@ -188,19 +192,19 @@
     // The heartbeat has been seen to stand still for longer than the extra patience by then.
     const better = { ...TIMING, acquireDelayMs: 90, isDelayRelative: true };
     const worse = { ...better, acquireDelayMs: 645 };
-    const look = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 90 });
+    const readHeartbeat = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 90 });
     const overdueAtMs = 5_000 + TIMING.leaseMs - 10;
     const clock = (nowMs: number): number => (nowMs < overdueAtMs ? 0 : TIMING.leaseMs);
-    const betterAtMs = takenAtMs(5_000, look, clock, better);
-    const worseAtMs = takenAtMs(5_000, look, clock, worse);
+    const betterAtMs = takeoverAtMs(5_000, readHeartbeat, clock, better);
+    const worseAtMs = takeoverAtMs(5_000, readHeartbeat, clock, worse);
     expect(worseAtMs).toBeGreaterThan(betterAtMs + TIMING.heartbeatIntervalMs);
   });
 
   it('goes at once to a daemon with as much processor as any owner has had', () => {
     const timing = { ...TIMING, acquireDelayMs: 645, isDelayRelative: true };
-    const look = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 645 });
-    const takenAfterMs = takenAtMs(5_000, look, (nowMs) => nowMs, timing) - 5_000;
-    expect(takenAfterMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
+    const readHeartbeat = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 645 });
+    const takeoverDelayMs = takeoverAtMs(5_000, readHeartbeat, (nowMs) => nowMs, timing) - 5_000;
+    expect(takeoverDelayMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
   });
 
   it('tells the least patience of its owners in each heartbeat', () => {
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -235,7 +235,7 @@
     const cell = startCell(213);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
     cell.runFor(6_000);
-    cell.relist('w1', { rack: 'r9', capacity: { ...CAPACITY, processorMillis: 24_000 } });
+    cell.updateInstance('w1', { rack: 'r9', capacity: { ...CAPACITY, processorMillis: 24_000 } });
     submit(cell, shard(60, 2_000));
     cell.runFor(10_000);
     cell.writeRow(workerKey('w1'), { id: 'w1', isDraining: true });
--- a/src/scheduler/test/newCellOwner.test.ts
+++ b/src/scheduler/test/newCellOwner.test.ts
@@ -17,12 +17,12 @@
     };
     expect(published()).toBe(24);
     Object.assign(cell.owner() ?? {}, { isAlive: false });
-    let least = published();
+    let minimumPublished = published();
     for (let tick = 0; tick < 400; tick += 1) {
       cell.runFor(25);
-      least = Math.min(least, published());
+      minimumPublished = Math.min(minimumPublished, published());
     }
-    expect(least).toBe(24);
+    expect(minimumPublished).toBe(24);
   });
 
   it('withdraws the services of a worker that answers no owner for a whole lease', () => {
@@ -36,7 +36,7 @@
       return servers.filter(({ workerId }) => workerId === 'w0').length;
     };
     expect(publishedOnW0()).toBeGreaterThan(0);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     Object.assign(cell.owner() ?? {}, { isAlive: false });
     cell.runFor(5_000 + cell.timing.workerLeaseMs);
     expect(publishedOnW0()).toBe(0);
@@ -47,8 +47,8 @@
     for (let index = 0; index < 10; index += 1) cell.addDaemon(`e${index}`);
     submit(cell, shard(48, 30_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
-    cell.relist('w0', null);
+    cell.unreachableWorkers.add('w0');
+    cell.updateInstance('w0', null);
     for (let round = 0; round < 8; round += 1) {
       Object.assign(cell.owner() ?? {}, { isAlive: false });
       cell.runFor(30_000);
--- a/src/scheduler/test/quietRenewals.test.ts
+++ b/src/scheduler/test/repeatedRenewals.test.ts
@@ -7,22 +7,23 @@
 const LEASE_MS = 10_000;
 
 /** A cell whose workers have been told nothing but renewals for some seconds. */
-const quietCell = (seed: number): VirtualCell => {
+const cellWithRepeatedRenewals = (seed: number): VirtualCell => {
   const cell = startCell(seed);
   Array.from({ length: 8 }, (_, index) => submit(cell, shard(2, LONG_MS, `kitchen.${index}`)));
   cell.runFor(15_000);
   return cell;
 };
 
-const quietWorkerCount = (cell: VirtualCell): number =>
-  [...(cell.owner()?.state.workers.values() ?? [])].filter(({ quiet }) => quiet !== undefined)
-    .length;
+const repeatingWorkerCount = (cell: VirtualCell): number =>
+  [...(cell.owner()?.state.workers.values() ?? [])].filter(
+    ({ repeatableRenewal }) => repeatableRenewal !== undefined,
+  ).length;
 
 describe('renewals that repeat the message before', () => {
   // A caller of a batch job sees its tasks go on for minutes while nothing happens in the cell.
   it('keep the leases of all that runs', () => {
-    const cell = quietCell(1);
-    expect(quietWorkerCount(cell)).toBeGreaterThan(0);
+    const cell = cellWithRepeatedRenewals(1);
+    expect(repeatingWorkerCount(cell)).toBeGreaterThan(0);
     cell.runFor(5 * LEASE_MS);
     expect(cell.judge.verdict()).toMatchObject({ lapsedCount: 0, startCount: 16 });
     expectNoHarm(cell);
@@ -30,25 +31,27 @@
 
   // With each message worked out anew a cell of 123 workers took four times the processor time.
   it('are not worked out anew, beside batch tasks either', () => {
-    const cell = quietCell(4);
-    const quietOf = () =>
-      [...(cell.owner()?.state.workers.values() ?? [])].map(({ quiet }) => quiet);
-    const before = quietOf();
+    const cell = cellWithRepeatedRenewals(4);
+    const renewals = () =>
+      [...(cell.owner()?.state.workers.values() ?? [])].map(
+        ({ repeatableRenewal }) => repeatableRenewal,
+      );
+    const before = renewals();
     cell.runFor(5_000);
-    expect(before.some((quiet) => (quiet?.attempts.length ?? 0) > 0)).toBe(true);
-    quietOf().forEach((quiet, index) => expect(quiet).toBe(before[index]));
+    expect(before.some((renewal) => (renewal?.attempts.length ?? 0) > 0)).toBe(true);
+    renewals().forEach((renewal, index) => expect(renewal).toBe(before[index]));
   });
 
   // A worker is drained in a quiet cell: its tasks must be told to leave at once, not repeated.
   it('end as soon as there is something else to say', () => {
-    const cell = quietCell(2);
+    const cell = cellWithRepeatedRenewals(2);
     const busy = [...cell.workers.values()].filter(({ workerId, incarnation }) => {
       const view = cell.owner()?.state.workers.get(workerId);
-      return view?.quiet?.incarnation === incarnation;
+      return view?.repeatableRenewal?.incarnation === incarnation;
     });
     const workerId = busy[0]?.workerId ?? '';
     const taskCount = cell.owner()?.state.workers.get(workerId)?.tasks.size ?? 0;
-    cell.relist(workerId, { state: 'leaving' });
+    cell.updateInstance(workerId, { state: 'leaving' });
     cell.runFor(2_000);
     expect(taskCount).toBeGreaterThan(0);
     expect(cell.judge.verdict().evictionCount).toBe(taskCount);
@@ -57,8 +60,10 @@
 
   // The worker is started again and has forgotten all; renewals to it would keep nothing alive.
   it('end with the incarnation', () => {
-    const cell = quietCell(3);
-    const view = [...(cell.owner()?.state.workers.values() ?? [])].find(({ quiet }) => quiet);
+    const cell = cellWithRepeatedRenewals(3);
+    const view = [...(cell.owner()?.state.workers.values() ?? [])].find(
+      ({ repeatableRenewal }) => repeatableRenewal,
+    );
     cell.restartWorker(view?.instance.id ?? '');
     cell.runFor(10_000);
     expect(cell.judge.verdict().startCount).toBe(16 + (view?.tasks.size ?? 0));
--- a/src/scheduler/test/runsOnce.test.ts
+++ b/src/scheduler/test/runsOnce.test.ts
@@ -1,4 +1,4 @@
-import { setImmediate as turn } from 'node:timers/promises';
+import { setImmediate as waitForEventLoop } from 'node:timers/promises';
 
 import { left, right } from 'fp-ts/lib/Either.js';
 import { describe, expect, it } from 'vitest';
@@ -139,7 +139,7 @@
     const cell = startCell(13);
     submit(cell, shard(64, 20_000));
     cell.runFor(4_000);
-    cell.relist('w0', { capacity: { ...CAPACITY, processorMillis: 8_000 } });
+    cell.updateInstance('w0', { capacity: { ...CAPACITY, processorMillis: 8_000 } });
     submit(cell, shard(20, 1_000, 'kitchen.more'));
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(84);
@@ -193,9 +193,9 @@
     cell.lostAnswerRatio = 0.1;
     submit(cell, shard(150, 30_000));
     cell.runFor(5_000);
-    cell.cutWorkers.add('w1');
+    cell.unreachableWorkers.add('w1');
     cell.runFor(14_000);
-    cell.cutWorkers.delete('w1');
+    cell.unreachableWorkers.delete('w1');
     cell.runFor(2_000);
     cell.restartWorker('w2');
     cell.runFor(200_000);
@@ -210,10 +210,10 @@
     const cell = startCell(39);
     submit(cell, shard(40, 12_000));
     cell.runFor(5_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     cell.runFor(17_000);
     expect(cell.count('assignments_lost')).toBeGreaterThan(0);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
     expect(workRowsOf(cell, workPrefix(CELL))).toEqual([]);
@@ -247,8 +247,8 @@
     const cell = startCell(38, { timing: { maximumRenewalWithoutTableMs: 20_000 } });
     submit(cell, shard(64, 60_000));
     cell.runFor(5_000);
-    cell.cutWorkers.add('w3');
-    cell.relist('w3', null);
+    cell.unreachableWorkers.add('w3');
+    cell.updateInstance('w3', null);
     cell.daemons.forEach((daemon) => {
       // The record is the harness's own.
       // eslint-disable-next-line no-param-reassign
@@ -294,7 +294,7 @@
       expectNoHarm(cell);
       // The runner's own messages are answered between the steps, see tools/test/eventLoopTurns.ts.
       // eslint-disable-next-line no-await-in-loop
-      await turn();
+      await waitForEventLoop();
     }
   });
 });
--- a/src/scheduler/test/handOn.test.ts
+++ b/src/scheduler/test/taskTransfer.test.ts
@@ -82,8 +82,10 @@
       if (!isCancelled) taskCount += count;
       cell.runFor(random.nextIndex(5_000));
       if (isCancelled) {
-        ZONES.forEach((one) =>
-          cell.writeRow(cancellationKey(one, `plan${step}`), { jobIds: [`kitchen.job${step}`] }),
+        ZONES.forEach((otherZone) =>
+          cell.writeRow(cancellationKey(otherZone, `plan${step}`), {
+            jobIds: [`kitchen.job${step}`],
+          }),
         );
       }
       if (random.nextIndex(6) === 0) setZone(cell, 'withdrawn', 'zone-c');
--- a/src/scheduler/test/unreachedWorkers.test.ts
+++ b/src/scheduler/test/unreachedWorkers.test.ts
@@ -15,13 +15,13 @@
 const UNREACHED_KEY = cellUnreachedKey(CELL);
 const DAEMON_COUNT = 4;
 
-const namedIn = (cell: VirtualCell): readonly string[] => {
+const unreachedWorkerIds = (cell: VirtualCell): readonly string[] => {
   const [row] = cell.table.read({ keys: [UNREACHED_KEY], prefixes: [] }).rows;
   if (row === undefined) return [];
   return Object.keys(unreachedRowSchema.parse(row.value).leasesOverCellMs);
 };
 
-const namesNobody = ({ writes }: Transaction): boolean =>
+const clearsUnreachedRow = ({ writes }: Transaction): boolean =>
   writes.some(({ key, value }) => key === UNREACHED_KEY && value === null);
 
 const killOwner = (cell: VirtualCell): void => {
@@ -34,11 +34,11 @@
   ['d3', 'd4', 'd5'].forEach((id) => cell.addDaemon(id));
   submit(cell, shard(48, 200_000));
   cell.runFor(4_000);
-  cell.cutWorkers.add('w0');
+  cell.unreachableWorkers.add('w0');
   killOwner(cell);
   cell.runFor(5_500);
-  expect(namedIn(cell)).toEqual(['w0']);
-  cell.cutWorkers.delete('w0');
+  expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+  cell.unreachableWorkers.delete('w0');
   return cell;
 };
 
@@ -46,12 +46,12 @@
   it('is not given up by an old bound after it was reached and given leases again', () => {
     const cell = cellWithUnreachedWorker();
     cell.runFor(80_000);
-    expect(namedIn(cell)).toEqual([]);
-    cell.cutWorkers.add('w0');
+    expect(unreachedWorkerIds(cell)).toEqual([]);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(6_000);
     expect(cell.count('assignments_lost')).toBe(0);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
     expectNoHarm(cell);
@@ -59,15 +59,15 @@
 
   it('is granted no lease while the row that bounds its leases cannot be changed', () => {
     const cell = cellWithUnreachedWorker();
-    cell.isHeldBack = namesNobody;
+    cell.shouldDelayTransaction = clearsUnreachedRow;
     cell.runFor(80_000);
-    expect(namedIn(cell)).toEqual(['w0']);
-    cell.cutWorkers.add('w0');
+    expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = undefined;
+    cell.shouldDelayTransaction = undefined;
     cell.runFor(8_500);
-    cell.releaseHeld();
-    cell.cutWorkers.delete('w0');
+    cell.releaseDelayedTransactions();
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
     expectNoHarm(cell);
@@ -78,21 +78,21 @@
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = ({ writes }) => writes.some(({ key }) => key === UNREACHED_KEY);
+    cell.shouldDelayTransaction = ({ writes }) => writes.some(({ key }) => key === UNREACHED_KEY);
     cell.runFor(5_500);
-    expect(cell.heldTransactions.length).toBeGreaterThan(0);
-    cell.cutWorkers.delete('w0');
+    expect(cell.delayedTransactions.length).toBeGreaterThan(0);
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(3_000);
-    cell.isHeldBack = undefined;
-    cell.releaseHeld();
+    cell.shouldDelayTransaction = undefined;
+    cell.releaseDelayedTransactions();
     cell.runFor(80_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(6_000);
     expect(cell.count('assignments_lost')).toBe(0);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
     expectNoHarm(cell);
@@ -103,20 +103,20 @@
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = ({ writes }) =>
+    cell.shouldDelayTransaction = ({ writes }) =>
       writes.some(({ key }) => key === UNREACHED_KEY || key === cellFenceKey(CELL));
     cell.runFor(5_500);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(80_000);
-    cell.isHeldBack = undefined;
-    cell.releaseHeld();
-    expect(namedIn(cell)).toEqual(['w0']);
-    cell.cutWorkers.add('w0');
+    cell.shouldDelayTransaction = undefined;
+    cell.releaseDelayedTransactions();
+    expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(8_500);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
     expectNoHarm(cell);
@@ -141,10 +141,10 @@
 });
 
 describe('owners and workers that come and go', () => {
-  const daemonCountOf = (cell: VirtualCell): number =>
+  const aliveDaemonCount = (cell: VirtualCell): number =>
     cell.daemons.filter(({ isAlive }) => isAlive).length;
 
-  const fault = (cell: VirtualCell, random: SeededRandom, step: number): void => {
+  const injectFault = (cell: VirtualCell, random: SeededRandom, step: number): void => {
     const workerId = `w${random.nextIndex(4)}`;
     const owner = cell.owner();
     switch (random.nextIndex(7)) {
@@ -157,15 +157,16 @@
         break;
       case 3:
       case 4:
-        cell.cutWorkers.add(workerId);
+        cell.unreachableWorkers.add(workerId);
         break;
       case 5:
-        cell.cutWorkers.delete(workerId);
+        cell.unreachableWorkers.delete(workerId);
         break;
       default:
         if (owner !== undefined) owner.isCutFromTable = !owner.isCutFromTable;
     }
-    while (daemonCountOf(cell) < DAEMON_COUNT) cell.addDaemon(`f${step}-${daemonCountOf(cell)}`);
+    while (aliveDaemonCount(cell) < DAEMON_COUNT)
+      cell.addDaemon(`f${step}-${aliveDaemonCount(cell)}`);
   };
 
   // What a worker finishes unheard and tells too late may be completed again.
@@ -177,9 +178,9 @@
     expect([...cell.counters.keys()].filter((name) => name.startsWith('invariant_'))).toEqual([]);
   };
 
-  const settle = (cell: VirtualCell): void => {
+  const recoverAndSettle = (cell: VirtualCell): void => {
     Object.assign(cell, { lostAnswerRatio: 0, lateCommandRatio: 0, lostCommandAnswerRatio: 0 });
-    cell.cutWorkers.clear();
+    cell.unreachableWorkers.clear();
     cell.daemons.forEach((daemon) => {
       Object.assign(daemon, { isCutFromTable: false });
       if (daemon.isAlive && daemon.isPaused) cell.resume(daemon);
@@ -198,13 +199,13 @@
       submit(cell, shard(48, 40_000));
       cell.runFor(4_000);
       for (let step = 0; step < 30; step += 1) {
-        fault(cell, random, step);
+        injectFault(cell, random, step);
         cell.runFor(100 + random.nextIndex(9_000));
         const paused = cell.daemons.find(({ isAlive, isPaused }) => isAlive && isPaused);
         if (paused !== undefined && random.nextIndex(2) === 0) cell.resume(paused);
         if (step % 5 === 0) submit(cell, shard(10, 15_000, `kitchen.step${step}`));
       }
-      settle(cell);
+      recoverAndSettle(cell);
       expect(workRowsOf(cell, workPrefix(CELL))).toEqual([]);
       expectNoTaskInTwoPlaces(cell);
     },
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -53,7 +53,7 @@
 const WITHDRAWAL_BOUND_MS = 2_700;
 const DAEMON_CLOCK_STEP_MS = 5_000_011;
 const WORKER_CLOCK_STEP_MS = 1_000_003;
-const MAXIMUM_LATENESS_MS = 6_000;
+const MAXIMUM_LATE_ARRIVAL_MS = 6_000;
 
 /** One daemon's state for the cell, with the faults it can have. */
 export interface VirtualDaemon {
@@ -98,7 +98,7 @@
   readonly counters = new Map<string, number>();
 
   /** Workers that no message reaches. */
-  readonly cutWorkers = new Set<string>();
+  readonly unreachableWorkers = new Set<string>();
 
   isTableDown = false;
 
@@ -106,9 +106,9 @@
   lostAnswerRatio = 0;
 
   /** Transactions to be held back: their answer is lost, and they take effect on release. */
-  isHeldBack: ((transaction: Transaction) => boolean) | undefined;
+  shouldDelayTransaction: ((transaction: Transaction) => boolean) | undefined;
 
-  readonly heldTransactions: Transaction[] = [];
+  readonly delayedTransactions: Transaction[] = [];
 
   /** The share of workers' answers that are lost after the command was carried out. */
   lostCommandAnswerRatio = 0;
@@ -193,13 +193,13 @@
     };
     this.daemons.push(daemon);
     this.#deliver(daemon, { kind: 'instances', workers: this.instances });
-    this.#every(TICK_MS, daemon, () => this.#deliver(daemon, { kind: 'tick' }));
-    this.#every(CONFIGURATION_INTERVAL_MS, daemon, () => this.#readConfiguration(daemon));
+    this.#runEvery(TICK_MS, daemon, () => this.#deliver(daemon, { kind: 'tick' }));
+    this.#runEvery(CONFIGURATION_INTERVAL_MS, daemon, () => this.#readConfiguration(daemon));
     return daemon;
   }
 
   /** Shows all daemons a list of instances in which one worker is changed or, if null, gone. */
-  relist(id: string, change: Partial<WorkerInstance> | null): void {
+  updateInstance(id: string, change: Partial<WorkerInstance> | null): void {
     const index = this.instances.findIndex((instance) => instance.id === id);
     const [instance] = this.instances.splice(index, 1);
     if (instance !== undefined && change !== null) {
@@ -305,7 +305,7 @@
     });
   }
 
-  #every(intervalMs: number, daemon: VirtualDaemon, run: () => void): void {
+  #runEvery(intervalMs: number, daemon: VirtualDaemon, run: () => void): void {
     const step = (): void => {
       if (!daemon.isAlive) return;
       // A paused process's timers do not fire.
@@ -329,10 +329,10 @@
     const decision = decide(daemon.state, event, this.policy, nowMs);
     // eslint-disable-next-line no-param-reassign
     daemon.state = decision.state;
-    decision.effects.forEach((effect) => this.#performWhileAlive(daemon, effect));
+    decision.effects.forEach((effect) => this.#performIfAlive(daemon, effect));
   }
 
-  #performWhileAlive(daemon: VirtualDaemon, effect: CellEffect): void {
+  #performIfAlive(daemon: VirtualDaemon, effect: CellEffect): void {
     if (!daemon.isAlive) return;
     this.#perform(daemon, effect);
     if (effect.kind === 'count' || effect.kind === 'log') return;
@@ -356,11 +356,11 @@
         this.#command(daemon, call);
         break;
       default:
-        this.#note(daemon, effect);
+        this.#recordEffect(daemon, effect);
     }
   }
 
-  #note(daemon: VirtualDaemon, effect: CellEffect): void {
+  #recordEffect(daemon: VirtualDaemon, effect: CellEffect): void {
     if (effect.kind === 'count') {
       this.counters.set(effect.counter, this.count(effect.counter) + effect.amount);
     }
@@ -388,13 +388,15 @@
   }
 
   /** Lets the transactions that were held back take effect, as far as their conditions hold. */
-  releaseHeld(): readonly TransactionResult[] {
-    return this.heldTransactions.splice(0).map((held) => this.table.transact(held));
+  releaseDelayedTransactions(): readonly TransactionResult[] {
+    return this.delayedTransactions
+      .splice(0)
+      .map((transaction) => this.table.transact(transaction));
   }
 
   #transact(transaction: Transaction): Either<Failure, TransactionResult> {
-    if (this.isHeldBack?.(transaction) === true) {
-      this.heldTransactions.push(transaction);
+    if (this.shouldDelayTransaction?.(transaction) === true) {
+      this.delayedTransactions.push(transaction);
       return left(failure(ErrorKind.StoreAnswerLost, 'held back'));
     }
     const result = this.table.transact(transaction);
@@ -406,24 +408,26 @@
     const { workerId, command } = call;
     const answer = (result: Either<Failure, WorkerReport>): void =>
       this.#deliver(daemon, call.toEvent(result));
-    const giveUp = (): void =>
+    const timeOut = (): void =>
       this.#schedule(CALL_TIMEOUT_MS, () =>
         answer(left(failure(ErrorKind.WorkerUnavailable, 'cut'))),
       );
     const isLate = this.#random.nextFraction() < this.lateCommandRatio;
-    const latenessMs = isLate ? CALL_TIMEOUT_MS + this.#random.nextIndex(MAXIMUM_LATENESS_MS) : 0;
-    if (isLate) giveUp();
+    const latenessMs = isLate
+      ? CALL_TIMEOUT_MS + this.#random.nextIndex(MAXIMUM_LATE_ARRIVAL_MS)
+      : 0;
+    if (isLate) timeOut();
     this.#schedule(this.#delayMs() + latenessMs, () => {
-      const report = this.#carryOut(workerId, command);
+      const report = this.#executeCommand(workerId, command);
       const isLost = this.#random.nextFraction() < this.lostCommandAnswerRatio;
       if (isLate) return;
-      if (report === undefined || isLost) giveUp();
+      if (report === undefined || isLost) timeOut();
       else this.#schedule(this.#delayMs(), () => answer(right(report)));
     });
   }
 
-  #carryOut(workerId: string, command: WorkerCommand): WorkerReport | undefined {
-    if (this.cutWorkers.has(workerId)) return undefined;
+  #executeCommand(workerId: string, command: WorkerCommand): WorkerReport | undefined {
+    if (this.unreachableWorkers.has(workerId)) return undefined;
     return this.workers.get(workerId)?.command(command, this.#workerNowMs(workerId));
   }
 
--- a/src/scheduler/test/zoneAndStore.test.ts
+++ b/src/scheduler/test/zoneAndStore.test.ts
@@ -20,7 +20,7 @@
 import { CELL, VirtualCell, type VirtualDaemon } from './virtualCell.js';
 
 /** A steady stream of short tasks, so that starts are under way at any moment. */
-const stream = (cell: VirtualCell, jobCount: number, intervalMs: number): void => {
+const submitSteadily = (cell: VirtualCell, jobCount: number, intervalMs: number): void => {
   for (let job = 0; job < jobCount; job += 1) {
     submit(cell, shard(4, 2_000, `kitchen.job${job}-${cell.nowMs}`));
     cell.runFor(intervalMs);
@@ -38,10 +38,10 @@
 };
 
 /** One transaction may fall into a second together with the budget of that second. */
-const peakBound = (cell: VirtualCell): number =>
+const maximumPeakRows = (cell: VirtualCell): number =>
   cell.timing.rowsPerSecond + 2 * cell.timing.maximumRowsPerRound;
 
-const runningStarts = (cell: VirtualCell): number => cell.judge.verdict().startCount;
+const startCountOf = (cell: VirtualCell): number => cell.judge.verdict().startCount;
 
 describe('a withdrawn zone', () => {
   // The zone is withdrawn while starts are under way, by each path that could carry one late:
@@ -53,7 +53,7 @@
     cell.lostAnswerRatio = 0.2;
     cell.lostCommandAnswerRatio = 0.1;
     cell.runFor(4_000);
-    stream(cell, 10, 300);
+    submitSteadily(cell, 10, 300);
     const owner = cell.owner() as VirtualDaemon;
     const fault = seed % 4;
     if (fault === 1) owner.isPaused = true;
@@ -63,7 +63,7 @@
     setZone(cell, 'withdrawn');
     cell.runFor(1_500);
     if (fault === 1) cell.resume(owner);
-    stream(cell, 20, 300);
+    submitSteadily(cell, 20, 300);
     cell.runFor(10_000);
     expectNoHarm(cell);
     // Once it is back, all of the work gets done here, for there is no other zone.
@@ -84,14 +84,14 @@
       setZone(cell, 'in-use');
       const daemon = cell.addDaemon('d1');
       cell.runFor(5_000);
-      cell.cutWorkers.add('w3');
+      cell.unreachableWorkers.add('w3');
       submit(cell, shard(64, 4_800));
       cell.runFor(1_200);
       expect(cell.judge.verdict().startCount).toBe(48);
       daemon[fault] = true;
       setZone(cell, 'withdrawn');
       cell.runFor(4_000);
-      cell.cutWorkers.delete('w3');
+      cell.unreachableWorkers.delete('w3');
       cell.runFor(10_000);
       expect(cell.judge.verdict().startCount).toBe(48);
       expectNoHarm(cell);
@@ -133,7 +133,7 @@
     cell.runFor(5_000);
     cell.writeRow(cancellationKey(CELL, 'plan'), { jobIds });
     const before = cell.table.counts.writtenRowCount;
-    expect(peakRowsPerSecond(cell, 100)).toBeLessThan(peakBound(cell));
+    expect(peakRowsPerSecond(cell, 100)).toBeLessThan(maximumPeakRows(cell));
     const rowsPerSecond = (cell.table.counts.writtenRowCount - before) / 100;
     expect(rowsPerSecond).toBeLessThan(cell.timing.rowsPerSecond + 3);
     const finished = workRowsOf(cell, finishedPrefix(CELL));
@@ -180,18 +180,18 @@
     cell.lostAnswerRatio = 0.3;
     submit(cell, shard(30, 400_000, 'kitchen.long'));
     cell.runFor(4_000);
-    stream(cell, 10, 300);
+    submitSteadily(cell, 10, 300);
     cell.isTableDown = true;
     cell.runFor(3_000);
-    const startCount = runningStarts(cell);
+    const startCount = startCountOf(cell);
     cell.runFor(177_000);
-    expect(runningStarts(cell)).toBe(startCount);
+    expect(startCountOf(cell)).toBe(startCount);
     expect(cell.judge.verdict().lapsedCount).toBe(0);
     cell.lostAnswerRatio = 0;
     for (let job = 0; job < 300; job += 1) submit(cell, shard(1, 500, `kitchen.backlog${job}`));
     cell.isTableDown = false;
     const before = cell.table.counts.writtenRowCount;
-    expect(peakRowsPerSecond(cell, 20)).toBeLessThan(peakBound(cell));
+    expect(peakRowsPerSecond(cell, 20)).toBeLessThan(maximumPeakRows(cell));
     const rowsPerSecond = (cell.table.counts.writtenRowCount - before) / 20;
     expect(rowsPerSecond).toBeLessThan(cell.timing.rowsPerSecond + 3);
     cell.runFor(60_000);
