--- a/src/scheduler/common/cellCalls.ts
+++ b/src/scheduler/common/cellCalls.ts
@@ -1,4 +1,7 @@
-/** The calls that a cell's effects ask for, each with the event that its answer becomes. */
+/**
+ * Translates the effects of a cell into calls, each with a function that turns the answer into an
+ * event.
+ */
 import type { Either } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../services/errors/common/errorKinds.js';
@@ -31,7 +34,7 @@
       readonly toEvent: ToEvent<WorkerReport>;
     };
 
-/** The call of an effect that is performed at `sentAtMs`; undefined for counters and log lines. */
+/** The call for an effect that is performed at `sentAtMs`; undefined for counters and log lines. */
 export const toCellCall = (effect: CellEffect, sentAtMs: number): CellCall | undefined => {
   switch (effect.kind) {
     case 'lease-read':
--- a/src/scheduler/common/cellClock.ts
+++ b/src/scheduler/common/cellClock.ts
@@ -1,19 +1,19 @@
 /**
- * A clock that the owners of a cell keep one after the other, in their heartbeats. It stands still
- * between an owner's last heartbeat and the next owner's first look at it, and clocks of different
- * machines are never compared: it is never ahead of the time that has passed, so what is to be over
- * at one of its instants is over when any owner's reading of it gets there.
+ * A clock of a cell that its successive owners carry on in their heartbeats. It stops between an
+ * owner's last heartbeat and the next owner's first read of it, and clocks of different machines
+ * are never compared. It therefore never runs ahead of real time: a lease that ends by a cell time
+ * has ended once any owner's reading of the clock reaches that time.
  */
 export interface CellClock {
   readonly cellMs: number;
-  /** When the clock was at `cellMs` or further, on this daemon's own clock. */
+  /** The time on this daemon's clock at which the cell clock showed at least `cellMs`. */
   readonly asOfMs: number;
 }
 
-/** What the clock shows at an instant of this daemon. */
+/** The cell time at the daemon's local time `atMs`. */
 export const toCellMs = ({ cellMs, asOfMs }: CellClock, atMs: number): number =>
   cellMs + atMs - asOfMs;
 
-/** The instant of this daemon at which the clock shows `atCellMs`. */
+/** The daemon's local time at which the cell clock shows `atCellMs`. */
 export const fromCellMs = ({ cellMs, asOfMs }: CellClock, atCellMs: number): number =>
   asOfMs + atCellMs - cellMs;
--- a/src/scheduler/common/cellDraft.ts
+++ b/src/scheduler/common/cellDraft.ts
@@ -1,4 +1,4 @@
-/** Changes to a cell's rows, gathered for the next transaction. */
+/** Collects changes to a cell's rows for the next transaction. */
 import {
   ABSENT_VERSION,
   type RowCondition,
@@ -35,7 +35,7 @@
 
 const columnsCache = new WeakMap<LedgerRow, LedgerColumns>();
 
-/** Kept with the row, since a draft is asked for its writes before and after it is committed. */
+/** Cached by row, because the writes of a draft are computed before and after its commit. */
 const columnsOf = (row: LedgerRow): LedgerColumns => {
   const cached = columnsCache.get(row);
   if (cached !== undefined) return cached;
@@ -45,8 +45,8 @@
 };
 
 /**
- * Gathers the changes of one round, so that one transaction carries them all. Reading goes
- * through the draft and sees what was changed before in the same round.
+ * Collects the changes of one round for a single transaction. Reads through the draft include the
+ * changes that the round has made so far.
  */
 export class CellDraft {
   readonly #cell: string;
@@ -59,7 +59,7 @@
 
   readonly #movedTo = new Map<string, string>();
 
-  /** Shards that were split off in this draft, with the shard that they come from. */
+  /** The shard that each shard split off in this draft comes from, by shard id. */
   readonly #splitFrom = new Map<string, string>();
 
   readonly #removedPlanIds = new Set<string>();
@@ -70,7 +70,7 @@
 
   #unreached: ReadonlyMap<string, number> | undefined;
 
-  /** Worked out once for a state of the ledger; a round asks three times. */
+  /** Cached until the ledger changes, because a round reads it three times. */
   #replicas: readonly Assignment[] | undefined;
 
   constructor(cell: string, base: CellRows) {
@@ -84,12 +84,12 @@
     return rowCount > 0 || hasOtherChanges || this.#unreached !== undefined;
   }
 
-  /** Rows that the transaction will write at least, for limits on its size. */
+  /** The least number of rows that the transaction will write, for limits on its size. */
   get rowCount(): number {
     return this.#ledger.size + this.#work.size + this.#movedTo.size;
   }
 
-  /** Racks whose ledger rows change. */
+  /** Racks whose ledger rows change in this draft. */
   get changedRacks(): readonly string[] {
     return [...this.#ledger.keys()];
   }
@@ -126,7 +126,7 @@
     return (this.#ledger.get(rack) ?? this.#base.ledger.get(rack))?.assignments ?? [];
   }
 
-  /** All assignments of services, as changed so far. */
+  /** All service assignments, including the draft's changes. */
   get replicas(): readonly Assignment[] {
     this.#replicas ??= this.racks.flatMap((rack) => {
       const row = this.#ledger.get(rack) ?? this.#base.ledger.get(rack);
@@ -149,8 +149,9 @@
   }
 
   /**
-   * Removes the cancellations that no shard of the cell needs any more; they would pile up and
-   * be read at each take-over. No such shard can come later: see `conditions`.
+   * Removes the cancellations that no shard of the cell needs any more. Otherwise they would
+   * accumulate and be read at each takeover. No shard that needs one can arrive later, see
+   * `conditions`.
    */
   removeSettledCancellations(): void {
     const unfinishedJobIds = new Set(
@@ -164,7 +165,7 @@
     });
   }
 
-  /** Hands a shard over to another cell in the same transaction. */
+  /** Moves a shard to another cell in the same transaction. */
   moveWork(shardId: string, toCell: string): void {
     const row = this.work(shardId);
     if (row === undefined) return;
@@ -172,7 +173,9 @@
     this.#movedTo.set(shardId, toCell);
   }
 
-  /** Takes tasks out of a shard and hands them over to another cell as a shard of their own. */
+  /**
+   * Removes the tasks of `part` from a shard and moves them to another cell as a separate shard.
+   */
   splitWork(fromShardId: string, part: WorkRow, toCell: string): void {
     const row = this.work(fromShardId);
     if (row === undefined) return;
@@ -184,7 +187,7 @@
     this.#splitFrom.set(part.shardId, fromShardId);
   }
 
-  /** Tasks that were split off a shard in this draft. */
+  /** The tasks that were split off a shard in this draft. */
   splitTasks(fromShardId: string): readonly BatchTask[] {
     return [...this.#splitFrom]
       .filter(([, from]) => from === fromShardId)
@@ -211,9 +214,10 @@
   }
 
   /**
-   * Conditions that every touched row is still as it was read. A transaction that moves a shard
-   * names the inbox too, which every plan that cancels writes: a shard whose cancellation has
-   * not been read yet would arrive in a cell that has already dealt with it, and run there.
+   * Conditions that every changed row still has the version that was read. A transaction that
+   * moves a shard also requires the version of the cell's inbox, which every cancelling plan
+   * writes. Otherwise a shard whose cancellation has not been read yet could arrive in a cell that
+   * has already processed the cancellation, and run there.
    */
   conditions(): readonly RowCondition[] {
     const condition = (key: string): RowCondition => ({
@@ -268,7 +272,7 @@
     ];
   }
 
-  /** The cell's rows after a commit that gave all written rows `version`. */
+  /** The cell's rows after a commit that gave all written rows the version `version`. */
   committed(version: number): CellRows {
     const versions = new Map(this.#base.versions);
     this.writes('').forEach((write) => {
@@ -320,7 +324,7 @@
       const removal = this.#splitFrom.has(row.shardId) ? [] : [{ key, value: null }];
       return [...removal, { key: workKey(toCell, row.shardId), value: row }];
     }
-    // All of its tasks were handed on, so nothing is left to be kept.
+    // All tasks of the shard were transferred to other cells, so the row is removed.
     if (row.tasks.length === 0) return [{ key, value: null }];
     if (!isWorkFinished(row)) return [{ key, value: row }];
     return [
--- a/src/scheduler/common/cellRows.ts
+++ b/src/scheduler/common/cellRows.ts
@@ -34,19 +34,22 @@
   /** Work rows by shard id. */
   readonly work: ReadonlyMap<string, WorkRow>;
   readonly endpoints: EndpointRow;
-  /** What the cell tells the other cells. */
+  /** The row that the cell publishes for the other cells. */
   readonly exchange: ExchangeRow;
-  /** Workers that must not be granted a lease while they stand here, see `unreachedWorkers.ts`. */
+  /**
+   * When the leases of unreached workers have ended on the cell clock, by worker id. A worker
+   * listed here must not be granted a lease; see `unreachedWorkers.ts`.
+   */
   readonly unreached: ReadonlyMap<string, number>;
   readonly cancelledJobIds: ReadonlySet<string>;
   /** The jobs that each confirmed plan cancelled, by plan id. */
   readonly cancellations: ReadonlyMap<string, CancellationRow>;
-  /** Row versions by key; a key that is missing has version zero. */
+  /** Row versions by key. A missing key has version zero. */
   readonly versions: ReadonlyMap<string, number>;
   /**
-   * The ledger by worker, across racks: a worker that was moved to another rack still has the
-   * assignments of its old one. Commands and rounds would otherwise search all of the cell's
-   * assignments for each worker.
+   * The assignments of the ledger by worker, across racks: a worker that moved to another rack
+   * keeps the assignments in the row of its old rack. The index saves commands and rounds a search
+   * through all of the cell's assignments for each worker.
    */
   readonly assignmentsByWorker: ReadonlyMap<string, readonly Assignment[]>;
 }
@@ -60,7 +63,7 @@
 const isSameList = (left: readonly Assignment[], right: readonly Assignment[]): boolean =>
   left.length === right.length && left.every((assignment, index) => assignment === right[index]);
 
-/** Groups the ledger by worker and keeps the lists of `before` that did not change. */
+/** Groups the ledger's assignments by worker. Reuses the lists of `before` that did not change. */
 export const groupByWorker = (
   ledger: ReadonlyMap<string, LedgerRow>,
   before: ReadonlyMap<string, readonly Assignment[]>,
@@ -84,8 +87,8 @@
 const replicasCache = new WeakMap<LedgerRow, readonly Assignment[]>();
 
 /**
- * Assignments of services in a ledger row. Rows are immutable and few change in a round, so the
- * answer is kept with the row: rounds come ten times a second and look at all racks.
+ * Returns the service assignments of a ledger row. The result is cached by row, because rows are
+ * immutable, few change in a round, and a round visits all racks ten times a second.
  */
 export const replicasIn = (row: LedgerRow): readonly Assignment[] => {
   const cached = replicasCache.get(row);
@@ -97,7 +100,7 @@
   return replicas;
 };
 
-/** What the owner reads when it takes the cell over or has lost track of it. */
+/** Prefixes of the rows that the owner reads after a takeover or when its rows are in doubt. */
 export const cellPrefixes = (cell: string): readonly string[] => [
   ledgerPrefix(cell),
   workPrefix(cell),
@@ -130,9 +133,9 @@
     : new Map(Object.entries(unreachedRowSchema.parse(row.value).leasesOverCellMs));
 
 /**
- * Reads the rows of a cell. Rows that have the version known before are taken over without being
- * parsed: each submission has the owner read its cell again, and parsing some 2,500 assignments
- * twice a second would take more of a processor than all the rest of scheduling.
+ * Parses the rows of a cell. Rows whose version did not change since `before` are reused without
+ * parsing: parsing some 2,500 assignments twice a second would take more processor time than all
+ * other scheduling work.
  */
 export const toCellRows = (
   cell: string,
@@ -176,8 +179,9 @@
 };
 
 /**
- * Adds rows that submitters and cancelling operators have written, all other rows being known.
- * Undefined when one of `keys` is not among the rows read or is of another kind.
+ * Adds work and cancellation rows that submitters and operators have written; all other rows keep
+ * their state of `before`. Returns undefined if one of `keys` is missing from `rows` or is the key
+ * of another kind of row.
  */
 export const withArrivedRows = (
   cell: string,
@@ -208,7 +212,7 @@
   };
 };
 
-/** What the other cells tell. */
+/** Parses the exchange rows of all cells but `cell`. */
 export const toOtherCellsExchange = (
   cell: string,
   rows: readonly TableRow[],
@@ -217,7 +221,7 @@
   return new Map([...byCell].filter(([other]) => other !== cell));
 };
 
-/** True when nothing of the shard is left to do. */
+/** True if all tasks of the shard have ended. */
 export const isWorkFinished = (row: WorkRow): boolean => row.tasks.every(isEnded);
 
 export const allAssignments = (rows: CellRows): readonly Assignment[] =>
--- a/src/scheduler/common/cellState.ts
+++ b/src/scheduler/common/cellState.ts
@@ -1,4 +1,7 @@
-/** The state of one daemon with regard to one cell, and the events and effects around it. */
+/**
+ * The scheduling state that one daemon holds for one cell, with the events and effects of its state
+ * machine.
+ */
 import type { Either } from 'fp-ts/lib/Either.js';
 
 import type { ConfigurationView } from '../../services/configuration/common/configurationView.js';
@@ -26,42 +29,42 @@
 import type { WorkerHealth } from './workerHealth.js';
 import type { WorkerView } from './workerView.js';
 
-/** Limits and intervals of a cell's scheduling, from the settings. */
+/** Limits and intervals of a cell's scheduling, taken from the settings. */
 export interface CellTiming extends CellLeaseTiming {
   readonly workerRenewalIntervalMs: number;
   readonly workerLeaseMs: number;
   readonly startValidityMs: number;
   readonly serviceDrainMs: number;
-  /** The time in which a zone that returns is opened to tasks. */
+  /** How long a zone that returns to use takes to open its full capacity to tasks. */
   readonly zoneReturnMs: number;
   readonly maximumRenewalWithoutTableMs: number;
-  /** How old the last confirmation of the configuration may be for a start. */
+  /** Maximum age of the last configuration confirmation that a start may rely on. */
   readonly configurationFreshnessMs: number;
-  /** The time between two transactions of a cell, in which changes gather. */
+  /** Minimum time between two transactions of a cell; changes are batched meanwhile. */
   readonly roundIntervalMs: number;
-  /** Rows that a cell may write a second, its heartbeat aside. */
+  /** Rows that a cell may write per second, not counting its heartbeat. */
   readonly rowsPerSecond: number;
-  /** Rows that one transaction may write, so that none outlasts the call's time limit. */
+  /** Rows that one transaction may write; it keeps the call within its timeout. */
   readonly maximumRowsPerRound: number;
-  /** How old a worker's last report may be for a new assignment. */
+  /** Maximum age of a worker's last report for the worker to get a new assignment. */
   readonly reportFreshnessMs: number;
   readonly interference: InterferencePolicy;
 }
 
-/** The configuration with the instant at which it was last known to be the newest. */
+/** A configuration and the time at which it was last confirmed to be the latest one. */
 export interface ConfirmedConfiguration {
   readonly view: ConfigurationView;
   readonly confirmedAtMs: number;
 }
 
-/** Rows that a look found to have been added or changed, to be read next. */
+/** Rows that an inbox poll reported as added or changed. The owner reads them next. */
 export interface Arrivals {
   readonly keys: readonly string[];
-  /** The version of the inbox row that tells of them. */
+  /** The version of the inbox row that listed the keys. */
   readonly inboxVersion: number;
 }
 
-/** What the owner's one table call in flight is for. */
+/** The purpose of the owner's table call in flight. At most one is in flight. */
 export type PendingCall =
   | { readonly kind: 'load' }
   | { readonly kind: 'poll' }
@@ -71,9 +74,12 @@
       readonly kind: 'commit';
       readonly draft: CellDraft;
       readonly sentAtMs: number;
-      /** Attempts that the transaction takes off their workers, as keys. */
+      /** Keys of the attempts that the transaction removes from their workers. */
       readonly droppedAttempts: ReadonlySet<string>;
-      /** True when the transaction names the row of a zone in use, so that its commit proves it. */
+      /**
+       * True if the transaction requires the row of a zone in use, so that its commit proves the
+       * zone to be in use.
+       */
       readonly provesZone: boolean;
     };
 
@@ -81,57 +87,68 @@
   readonly cell: string;
   readonly timing: CellTiming;
   readonly lease: CellLease;
-  /** Undefined while not owner, and after a lost answer until the rows are read again. */
+  /**
+   * Undefined while this daemon is not the owner, and after a conflict or a lost answer until the
+   * rows are read again.
+   */
   readonly rows: CellRows | undefined;
-  /** The rows last known for certain in this ownership; leases are renewed by them. */
+  /**
+   * The last rows of this ownership that are known to be correct. Lease renewals are based on them.
+   */
   readonly lastKnownRows: CellRows | undefined;
-  /** Workers that the stored row names as unreached, or may name once a transaction has landed. */
+  /**
+   * Workers that the stored row lists as unreached, or that it may list once a pending transaction
+   * takes effect.
+   */
   readonly unreachedWorkerIds: ReadonlySet<string>;
-  /** Replicas beyond the cell's share that others have taken over, by task id. */
+  /** Task ids of replicas beyond the cell's share that other cells already serve. */
   readonly surplusTaskIds: ReadonlySet<string>;
   readonly workers: ReadonlyMap<string, WorkerView>;
   readonly pending: PendingCall | undefined;
   readonly configuration: ConfirmedConfiguration | undefined;
-  /** When a committed transaction last proved that the zone was in use; when it was sent. */
+  /** When the last transaction was sent whose commit proved the zone to be in use. */
   readonly zoneProvedAtMs: number;
-  /** Since when the zone is known to be withdrawn. */
+  /** When this daemon learned that the zone is withdrawn; undefined while the zone is in use. */
   readonly withdrawnSinceMs: number | undefined;
-  /** When the zone returned to use, as long as that may matter. */
+  /** When the zone returned to use; undefined if its whole capacity is open. */
   readonly returnedAtMs: number | undefined;
   readonly tookOverAtMs: number;
-  /** When to look again whether work has been added to the cell. */
+  /** When to poll the inbox for added work again. */
   readonly nextPollAtMs: number;
-  /** Whether a transaction of this owner may still land although its answer was lost. */
+  /** True while a transaction of this owner whose answer was lost may still take effect. */
   readonly isFenceDue: boolean;
   readonly operationCount: number;
-  /** Attempts that have to leave for urgent work or a service, as keys; a new owner chooses anew. */
+  /**
+   * Keys of the attempts that are preempted for urgent work or a service. A new owner chooses
+   * again.
+   */
   readonly preempted: ReadonlySet<string>;
-  /** Which batch kinds slow which services; learnt anew by each owner. */
+  /** How much each kind of batch task slows each service. Each owner learns it again. */
   readonly interference: InterferenceState;
-  /** Since when shards have been larger than any listed worker, by shard id. */
+  /** Since when a shard's tasks have been larger than every listed worker, by shard id. */
   readonly unfitSinceMs: ReadonlyMap<string, number>;
-  /** Which workers fail what they start; learnt anew by each owner. */
+  /** Task failures by worker. Each owner learns them again. */
   readonly workerHealth: WorkerHealth;
-  /** When a failed task may be tried again, by task id; a new owner tries it at once. */
+  /** When a failed task may be retried, by task id. A new owner retries at once. */
   readonly retryAtMs: ReadonlyMap<string, number>;
   readonly taskTransfer: TaskTransferState;
-  /** How large tasks really are; learnt anew by each owner. */
+  /** Task sizes learned from usage. Each owner learns them again. */
   readonly learntSizes: LearntSizes;
   readonly nextLearningAtMs: number;
-  /** The division of quotas that the cell had published when it last read the other cells' rows. */
+  /** The quota division that this cell had published when it last read the other cells' rows. */
   readonly readDivision: string;
-  /** Since when a team's large task has had its quota and found no worker with room, by team. */
+  /** Since when a large task of a team has had enough quota but no worker with room, by team. */
   readonly quotaWaits: ReadonlyMap<string, number>;
-  /** True when something changed that a round may have to act on. */
+  /** True if something changed that a round may have to act on. */
   readonly isRoundStale: boolean;
   readonly nextFullRoundAtMs: number;
-  /** When the next round may be written. */
+  /** The earliest time at which the next round may write. */
   readonly nextRoundAtMs: number;
-  /** The published servers of the cells as last read; for other cells than this. */
+  /** The servers that the other cells published, as last read. */
   readonly endpointView: EndpointView;
-  /** What the other cells tell, by cell, as last read. */
+  /** The exchange rows of the other cells as last read, by cell. */
   readonly exchangeElsewhere: ReadonlyMap<string, ExchangeRow>;
-  /** When to read all published servers again. */
+  /** When to read the published servers of all cells again. */
   readonly nextFullEndpointReadAtMs: number;
   readonly arrivals: Arrivals | undefined;
 }
@@ -154,7 +171,7 @@
     }
   | {
       readonly kind: 'loaded';
-      /** The epoch of the ownership in which the call was made, as in the two events below. */
+      /** The epoch of the ownership that made the call; the same holds for the two events below. */
       readonly epoch: number;
       readonly result: Either<Failure, ReadResult>;
     }
