--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -1,4 +1,6 @@
-/** Takes an event into the state of a cell, without saying yet what follows from it. */
+/**
+ * Applies an event to the state of a cell. The steps of `decide` act on the new state afterwards.
+ */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import { isZoneInUse } from '../../services/configuration/common/configurationView.js';
@@ -61,8 +63,8 @@
       .filter(({ availabilityZone }) => availabilityZone === state.cell)
       .map((instance) => [instance.id, instance]),
   );
-  // A worker that left the list keeps its view, for its tasks may still run; it takes no new
-  // ones, and is forgotten once nothing is assigned to it any more.
+  // A worker that left the list keeps its view while tasks are assigned to it, because they may
+  // still run. It gets no new tasks.
   const unlisted = [...state.workers]
     .filter(([id]) => !listed.has(id))
     .filter(([id]) => state.rows === undefined || state.rows.assignmentsByWorker.has(id))
@@ -75,8 +77,8 @@
 };
 
 /**
- * Invariant: the configuration never goes back. A zone that was withdrawn in a later version
- * would otherwise be started in again by a reader that got an old answer.
+ * Invariant: the configuration never reverts to an older version. Otherwise a late answer to an
+ * earlier read would allow starts in a zone that has been withdrawn since.
  */
 const withConfiguration = (
   state: CellState,
@@ -101,7 +103,7 @@
   return withoutEffects({ ...next, isRoundStale });
 };
 
-/** Forgets everything that only an owner may know; it is learnt anew after a take-over. */
+/** Resets the state that belongs to an ownership. A new owner learns it again after a takeover. */
 const withOwnershipChange = (before: CellState, after: CellState, nowMs: number): CellDecision => {
   const isSameOwnership =
     before.lease.isOwner === after.lease.isOwner && before.lease.epoch === after.lease.epoch;
@@ -114,7 +116,7 @@
     unreachedWorkerIds: new Set<string>(),
     pending: undefined,
     arrivals: undefined,
-    // The owner row's new version stops whatever a former ownership left under way.
+    // The new version of the owner row blocks every transaction that a former ownership sent.
     isFenceDue: false,
     tookOverAtMs: nowMs,
     isRoundStale: true,
@@ -172,15 +174,18 @@
 };
 
 /**
- * True when an answer belongs to this ownership of the cell. A daemon that lost the cell and got
- * it back would otherwise take a worker's old answer for first contact: it would believe the
- * leases named there, although the owner in between granted longer ones, give the worker's tasks
- * up while they run, and start them a second time.
+ * True if an answer belongs to this ownership of the cell. A daemon that lost the cell and regained
+ * it would otherwise take a worker's old answer for the first report of this ownership. It would
+ * rely on the leases named there, although the owner in between granted longer ones, give up the
+ * worker's tasks while they run, and start them a second time.
  */
 const isOfThisOwnership = (state: CellState, epoch: number): boolean =>
   state.lease.isOwner && state.lease.epoch === epoch;
 
-/** Takes in the end of a write to the fence; it stays due until one has surely taken effect. */
+/**
+ * Applies the result of a fence write. The fence stays due until a write is known to have
+ * committed.
+ */
 const withFenceResult = (
   state: CellState,
   result: Either<Failure, TransactionResult>,
@@ -193,8 +198,8 @@
 };
 
 /**
- * Takes in the end of a transaction. After a conflict or a lost answer the rows are read again
- * before anything depends on them, after a lost one behind a fence.
+ * Applies the result of a transaction. After a conflict or a lost answer the rows are read again
+ * before anything depends on them; after a lost answer the fence is written first.
  */
 const withCommitResult = (
   state: CellState,
@@ -216,15 +221,17 @@
   const provedAtMs = pending.provesZone ? pending.sentAtMs : Number.NEGATIVE_INFINITY;
   const proved = { ...settled, zoneProvedAtMs: Math.max(state.zoneProvedAtMs, provedAtMs) };
   const rows = pending.draft.committed(result.right.version);
-  // Nothing of a team with a quota starts until the others are read behind a new division.
+  // No task of a team with a quota starts under a new quota division until the other cells' rows
+  // have been read after its publication, so they are read at once.
   const isDivisionNew = publishedQuotaDivision(rows) !== state.readDivision;
   const nextPollAtMs = isDivisionNew ? nowMs : state.nextPollAtMs;
   return withoutEffects(withNewRows({ ...proved, nextPollAtMs }, rows));
 };
 
 /**
- * True when the report tells of something that a round may have to record: an end, or a change
- * of a service's task, which its entry points depend on. A batch task that has started is none.
+ * True if the report contains a change that a round may have to record: the end of a task, or a
+ * change of a service task, on which the published endpoints depend. The start of a batch task
+ * needs no round.
  */
 const requiresRound = (state: CellState, before: WorkerView, after: WorkerView): boolean => {
   if (before.report?.incarnation !== after.report?.incarnation) return true;
@@ -251,12 +258,12 @@
   const next = isLeft(result)
     ? { ...view, isCommandInFlight: false }
     : withReport(view, result.right, nowMs);
-  // A call that failed may have been the last that a worker's assignments waited for.
+  // The end of a worker's assignments may have been waiting for this call, even if it failed.
   const isRoundStale = state.isRoundStale || isLeft(result) || requiresRound(state, view, next);
   return { ...state, isRoundStale, workers: new Map(state.workers).set(workerId, next) };
 };
 
-/** Answers to calls that only an owner makes. */
+/** Applies an answer to a call that only an owner makes. */
 const applyOwnerAnswer = (
   state: CellState,
   event: CellEvent & { readonly kind: 'loaded' | 'committed' | 'worker-answered' },
--- a/src/scheduler/common/cellLease.ts
+++ b/src/scheduler/common/cellLease.ts
@@ -1,9 +1,9 @@
 /**
- * Who schedules a cell. The owner raises a heartbeat counter in the table; another daemon takes
- * over after it has seen the counter stand still for a whole lease on its own clock, or for a
- * shorter time once the heartbeat is older than a lease on the table's clock. Clocks of different
- * machines are never compared. Every write of an owner is conditional on the version
- * of the owner row, so a former owner that wakes up from a pause can commit nothing.
+ * The lease that decides which daemon schedules a cell. The owner increments a heartbeat counter
+ * in the table. Another daemon takes over after it has seen the counter unchanged for a whole lease
+ * on its own clock, or for a shorter time if the heartbeat is older than a lease on the table's
+ * clock. Clocks of different machines are never compared. Every write of an owner is conditional on
+ * the version of the owner row, so a former owner that resumes after a pause cannot commit.
  */
 import {
   ABSENT_VERSION,
@@ -31,38 +31,45 @@
   type WatchedOwner,
 } from './leasePatience.js';
 
-/** The pause after a failed call; a whole heartbeat would be most of a watcher's patience. */
+/**
+ * Delay after a failed call. A whole heartbeat interval would use up most of the time that watchers
+ * wait.
+ */
 const FAILED_CALL_RETRY_DELAY_MS = 200;
 
-/** The table's clock as last read, with when that was on this daemon's clock. */
+/** The table's clock as last read, with the times of the read on this daemon's clock. */
 interface TableClock {
   readonly tableMs: number;
-  /** When the answer was taken in: the table's clock was at least as far by then. */
+  /** When the answer was processed. The table's clock showed at least `tableMs` then. */
   readonly readAtMs: number;
-  /** When it was asked for: the table's clock was no further then. */
+  /** When the call was sent. The table's clock showed at most `tableMs` then. */
   readonly askedAtMs: number;
 }
 
 /** What one daemon knows of a cell's lease. */
 export interface CellLease extends WatchedOwner {
   readonly cell: string;
-  /** Names this life of this process; a restarted daemon is another owner. */
+  /** Identifies this run of the process. A restarted daemon is a different owner. */
   readonly selfId: string;
   readonly isOwner: boolean;
   readonly epoch: number;
   readonly ownerRowVersion: number;
-  /** What the owner row says of leases granted before its epoch. */
+  /** The leases granted before this epoch, as recorded in the owner row. */
   readonly formerLeases: readonly FormerLeases[];
   readonly heartbeatRowVersion: number;
   readonly heartbeatCounter: number;
-  /** When, on the table's clock, the heartbeat that was read was sent at the latest, if it tells. */
+  /**
+   * The latest time on the table's clock at which the heartbeat that was read was sent, if known.
+   */
   readonly heartbeatSentTableMs: number | undefined;
-  /** When the last heartbeat known to be committed was sent. */
+  /** When the last heartbeat that is known to be committed was sent. */
   readonly heldAtMs: number;
-  /** When the first of the acquisitions without an answer was sent; any of them may be stored. */
+  /** When the first of the unanswered acquisitions was sent. Any of them may have committed. */
   readonly acquiringSinceMs: number | undefined;
   readonly tableClock: TableClock | undefined;
-  /** Undefined until a heartbeat tells of it or this daemon starts it. */
+  /**
+   * Undefined until this daemon reads the clock from a heartbeat or starts it as the first owner.
+   */
   readonly cellClock: CellClock | undefined;
   readonly nextStepAtMs: number;
   readonly isStepInFlight: boolean;
@@ -71,7 +78,7 @@
 export const LeaseStepKind = { Watch: 'watch', Acquire: 'acquire', Renew: 'renew' } as const;
 export type LeaseStepKind = (typeof LeaseStepKind)[keyof typeof LeaseStepKind];
 
-/** A table call the lease asks for; at most one is in flight. */
+/** A table call that the lease needs. At most one is in flight. */
 export type LeaseStep =
   | { readonly kind: typeof LeaseStepKind.Watch; readonly request: ReadRequest }
   | {
@@ -111,7 +118,8 @@
     ...(timing.writesCellClock === true && { cellMs: Math.floor(cellMs) }),
   };
   if (lease.tableClock === undefined) return heartbeat;
-  // Counted from the sending: by an answer taken in late the heartbeat would look older than it is.
+  // Counted from when the clock was requested. Counted from an answer that was processed late, the
+  // heartbeat would look older than it is.
   const { tableMs, askedAtMs } = lease.tableClock;
   return { ...heartbeat, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
 };
@@ -163,10 +171,13 @@
   },
 });
 
-/** The owner id of a cell that its last owner has given up. */
+/** The owner id of a cell whose last owner has released it. */
 const NO_OWNER_ID = '';
 
-/** What an owner writes that ends in order, so that another need not wait for its lease. */
+/**
+ * The transaction by which an owner that shuts down releases the cell, so that another daemon need
+ * not wait for the lease to expire.
+ */
 export const releaseTransaction = (lease: CellLease, operationId: string): Transaction => ({
   operationId,
   conditions: [{ key: cellOwnerKey(lease.cell), version: lease.ownerRowVersion }],
@@ -183,7 +194,7 @@
   request: { keys: [cellOwnerKey(lease.cell), cellHeartbeatKey(lease.cell)], prefixes: [] },
 });
 
-/** The next table call, if one is due. `hasWatched` tells a first look from a later one. */
+/** The next table call, if one is due. A daemon takes over only after it has read the heartbeat. */
 export const nextLeaseStep = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -196,7 +207,7 @@
   const hasOwner = lease.ownerRowVersion !== ABSENT_VERSION;
   const isTakeoverAllowed =
     !lease.isOwner && hasReadHeartbeat && nowMs >= takeoverAllowedAtMs(lease, hasOwner, timing);
-  // One that is overdue is not left for another heartbeat.
+  // An overdue lease is taken over at once, without waiting for the next heartbeat interval.
   if (nowMs < lease.nextStepAtMs && !(isTakeoverAllowed && lease.overdueSinceMs !== undefined))
     return undefined;
   const inFlight = { ...lease, isStepInFlight: true };
@@ -223,7 +234,7 @@
 ): TableClock | undefined =>
   tableNowMs === undefined ? lease.tableClock : { tableMs: tableNowMs, readAtMs: nowMs, askedAtMs };
 
-/** The clock goes on from when this daemon first saw the heartbeat that tells of it. */
+/** The cell clock continues from when this daemon first saw the heartbeat that carries it. */
 const cellClockOf = (heartbeat: HeartbeatRow | undefined, nowMs: number): CellClock | undefined =>
   heartbeat?.cellMs === undefined ? undefined : { cellMs: heartbeat.cellMs, asOfMs: nowMs };
 
@@ -236,7 +247,7 @@
   tableNowMs !== undefined &&
   tableNowMs - heartbeat.sentAtTableMs >= ageMs;
 
-/** Takes in the owner and heartbeat rows that a watcher has read. */
+/** Applies the owner and heartbeat rows that a watcher has read. */
 export const withLeaseRows = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -257,7 +268,7 @@
   const overdueBeforeMs = isUnchanged ? lease.overdueSinceMs : undefined;
   return {
     ...withStepFinished(lease, timing, nowMs),
-    // Found to be the owner: an acquisition whose answer was lost had taken effect.
+    // If this daemon is the owner, an acquisition whose answer was lost has committed.
     isOwner,
     epoch: owner?.epoch ?? 0,
     ownerRowVersion: ownerRow?.version ?? ABSENT_VERSION,
@@ -267,7 +278,7 @@
     heartbeatCounter: heartbeat?.counter ?? 0,
     heartbeatSentTableMs: heartbeat?.sentAtTableMs,
     unchangedSinceMs: isUnchanged ? lease.unchangedSinceMs : nowMs,
-    // Others count from the heartbeat that the acquisition wrote, not from this reading.
+    // Other daemons count from the heartbeat that the acquisition wrote, not from this read.
     heldAtMs: isOwner ? (lease.acquiringSinceMs ?? sentAtMs) : lease.heldAtMs,
     overdueSinceMs: isOverdue ? (overdueBeforeMs ?? nowMs) : undefined,
     leastDelayMs: heartbeat?.leastDelayMs,
@@ -276,7 +287,7 @@
   };
 };
 
-/** Takes in a committed acquisition or renewal that was sent at `sentAtMs`. */
+/** Applies a committed acquisition or renewal that was sent at `sentAtMs`. */
 export const withLeaseCommitted = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -306,7 +317,7 @@
   };
 };
 
-/** Takes in a conflict: somebody else owns the cell or has been quicker. */
+/** Applies a conflict: another daemon owns the cell or acquired it first. */
 export const withLeaseLost = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -314,19 +325,24 @@
 ): CellLease => ({
   ...withStepFinished(lease, timing, nowMs),
   isOwner: false,
-  // The next look counts as the first, so the whole lease has to pass again.
+  // The next read counts as the first one, so the whole lease has to pass again.
   heartbeatRowVersion: -1,
   unchangedSinceMs: nowMs,
 });
 
-/** For an owner that has yielded and still stands in the row: it may only take the cell anew. */
+/**
+ * For an owner that has yielded but is still in the owner row: it has to acquire the cell again.
+ */
 export const withLeaseGivenUp = (lease: CellLease): CellLease => ({
   ...lease,
   isOwner: false,
   isReleased: true,
 });
 
-/** Takes in a failed call. An owner stays owner: while the table is out nobody can take over. */
+/**
+ * Applies a failed call. An owner stays owner, because nobody can take over while the table is
+ * down.
+ */
 export const withLeaseCallFailed = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -334,7 +350,7 @@
 ): CellLease => ({
   ...withStepFinished(lease, timing, nowMs),
   nextStepAtMs: nowMs + Math.min(FAILED_CALL_RETRY_DELAY_MS, timing.heartbeatIntervalMs),
-  // A lost acquisition may have raised the epoch, so the rows must be read again.
+  // An acquisition whose answer was lost may have raised the epoch, so the rows are read again.
   heartbeatRowVersion: lease.isOwner ? lease.heartbeatRowVersion : -1,
   unchangedSinceMs: lease.isOwner ? lease.unchangedSinceMs : nowMs,
 });
--- a/src/scheduler/common/cellReads.ts
+++ b/src/scheduler/common/cellReads.ts
@@ -1,4 +1,4 @@
-/** What the owner of a cell reads, and how what was read comes into its state. */
+/** The table reads of a cell's owner, and how their results change its state. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../services/errors/common/errorKinds.js';
@@ -29,7 +29,7 @@
 import { withAllStale, withNewRows, withRowsInDoubt } from './staleness.js';
 import { surplusTaskIds } from './wantedEvictions.js';
 
-/** How often the owner looks whether work was added to its cell. */
+/** How often the owner polls the inbox for work added to its cell. */
 const INBOX_POLL_INTERVAL_MS = 500;
 
 const requestRows = (
@@ -43,8 +43,9 @@
 });
 
 /**
- * The next look: the inbox row, and which cells published other servers. Made for a cell with 400
- * shards that gets two jobs a second, and for 3,440 replicas: what has not changed is not read.
+ * Starts a poll: reads the inbox row and which cells have changed their published servers. Rows
+ * that did not change are not read, which keeps the reads small for a cell with 400 shards and two
+ * new jobs a second, and for 3,440 replicas.
  */
 const startPoll = (state: CellState, nowMs: number): CellDecision => {
   const isFullRead = nowMs >= state.nextFullEndpointReadAtMs;
@@ -66,7 +67,7 @@
   return requestRows(next, { kind: 'poll' }, [inbox, ...otherKeys], [...prefixes, EXCHANGE_PREFIX]);
 };
 
-/** The next read, if one is due and no other call of the table is under way. */
+/** Starts the next read if one is due and no other table call is in flight. */
 export const startRead = (state: CellState, nowMs: number): CellDecision => {
   if (state.pending !== undefined || state.isFenceDue) return { state, effects: [] };
   if (state.rows === undefined) {
@@ -81,7 +82,9 @@
   return nowMs < state.nextPollAtMs ? { state, effects: [] } : startPoll(state, nowMs);
 };
 
-/** The owner knows its own cell's servers from its rows. */
+/**
+ * Leaves out the cell's own endpoint row, because the owner knows its servers from its own rows.
+ */
 const withoutOwnEndpoints = (cell: string, rows: readonly TableRow[]): readonly TableRow[] =>
   rows.filter(({ key }) => key !== endpointKey(cell));
 
@@ -90,17 +93,17 @@
   endpointView: withEndpointRows(state.endpointView, withoutOwnEndpoints(state.cell, rows)),
 });
 
-/** The division of quotas that the cell's own row tells; empty when it tells none. */
+/** The key of the quota division in the cell's own exchange row; empty if there is none. */
 export const publishedQuotaDivision = (rows: CellRows | undefined): string =>
   rows?.exchange.quota === undefined ? '' : divisionKey(rows.exchange.quota);
 
-/** Takes in what the other cells tell, from a look or a load, which read all of it. */
+/** Applies the other cells' exchange rows, all of which a poll or a load reads. */
 const withExchange = (
   state: CellState,
   rows: readonly TableRow[],
   ownRows: CellRows | undefined,
 ): CellState => {
-  // No other call was under way, so the others' rows were read after the own one was written.
+  // No other call was in flight, so the other cells' rows were read after the own row was written.
   const readDivision = publishedQuotaDivision(ownRows);
   return {
     ...state,
@@ -121,7 +124,7 @@
   return isSameCancelled ? next : withAllStale(next);
 };
 
-/** Finds out what a look leaves to be read. */
+/** Applies a poll: determines the rows that have to be read next. */
 const withPollResult = (state: CellState, rows: readonly TableRow[]): CellState => {
   const next = withSurplusUpdated(withEndpoints(withExchange(state, rows, state.rows), rows));
   const inbox = rows.find(({ key }) => key === cellInboxKey(state.cell));
@@ -138,8 +141,8 @@
 };
 
 /**
- * Takes in rows that were added. The inbox counts as known up to the version that told of them:
- * if it has moved on since, the next look tells what else came.
+ * Applies rows that were added. The inbox counts as read up to the version that listed them. If it
+ * has changed since, the next poll finds the further rows.
  */
 const withArrivals = (
   state: CellState,
@@ -155,7 +158,7 @@
   return withRows(next, { ...added, versions });
 };
 
-/** Takes in the answer to a read; after a failure what was due is found again. */
+/** Applies the answer to a read. After a failure the next read finds again what is due. */
 export const withReadResult = (
   state: CellState,
   result: Either<Failure, ReadResult>,
--- a/src/scheduler/common/leasePatience.ts
+++ b/src/scheduler/common/leasePatience.ts
@@ -1,51 +1,54 @@
-/** When the owner of a cell renews its lease, and how long others watch its heartbeat stand still. */
+/** Computes when the owner of a cell renews its lease and when another daemon may take over. */
 
 export interface CellLeaseTiming {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
-  /** Extra patience of daemons that should not be first to take this cell. */
+  /** Extra delay before a takeover by a daemon that should not be the first to take this cell. */
   readonly acquireDelayMs: number;
   /**
-   * The extra patience counts from the least one of an owner so far, which owners tell in their
-   * heartbeats: daemons that are all alike need not wait for a better one that there never was.
+   * Whether the extra delay is relative to the smallest delay of any owner so far, which owners
+   * publish in their heartbeats. Without it, daemons that all have the same delay would wait for a
+   * better one that does not exist.
    */
   readonly isDelayRelative?: boolean;
   /**
-   * Renewals count from the last sending instead of its answer, for owners that take in hundreds of
-   * answers a second and may get to that one late.
+   * Whether the renewal interval starts when the last renewal is sent instead of when its answer is
+   * processed. For owners that process hundreds of answers a second and may reach that one late.
    */
   readonly renewsFromSending?: boolean;
-  /** Owners keep a clock in their heartbeats, for bounds that outlast each of them. */
+  /**
+   * Whether owners carry a cell clock in their heartbeats, for time bounds that outlast an owner.
+   */
   readonly writesCellClock?: boolean;
 }
 
-/** What a watcher has seen of an owner. */
+/** What a watcher has observed of an owner. */
 export interface WatchedOwner {
   /** Since when the heartbeat row has been seen unchanged. */
   readonly unchangedSinceMs: number;
-  /** Since when its heartbeat was seen to be older than a lease on the table's clock. */
+  /** Since when the heartbeat has been seen to be older than a lease on the table's clock. */
   readonly overdueSinceMs: number | undefined;
-  /** The last owner has given the cell up, so nobody need wait for its lease. */
+  /** Whether the last owner has released the cell, so that nobody waits for its lease. */
   readonly isReleased: boolean;
-  /** The least extra patience of an owner so far, where owners tell it. */
+  /** The smallest extra delay of any owner so far, if owners publish it. */
   readonly leastDelayMs: number | undefined;
 }
 
 /**
- * How long a heartbeat that is older than a lease by the table's clock is watched. All daemons may
- * have started anew, or the table may be back from an outage: an owner that lives heartbeats within
- * a call that times out (700 ms), a pause and a call. Without it a restart of all daemons waited
- * a whole lease, in which no work was started.
+ * How long to watch a heartbeat that is older than a lease on the table's clock. Either all daemons
+ * have restarted, or the table is back after an outage. In the second case a live owner sends a
+ * heartbeat after a call that times out (700 ms), a retry delay and another call. Watching for a
+ * whole lease instead would start no work for that long after a restart of all daemons.
  */
 const OVERDUE_WATCH_MS = 1_000;
 
-/** When a daemon that is first in line may take the cell. */
+/** When a daemon without extra delay may take over the cell. */
 const undelayedTakeoverAtMs = (
   { unchangedSinceMs, overdueSinceMs, isReleased }: WatchedOwner,
   hasOwner: boolean,
   { leaseMs }: CellLeaseTiming,
 ): number => {
-  // A cell that nobody ever owned needs no lease to run out.
+  // A cell that never had an owner has no lease that must expire.
   if (!hasOwner || isReleased) return unchangedSinceMs;
   if (overdueSinceMs === undefined) return unchangedSinceMs + leaseMs;
   return Math.max(unchangedSinceMs + Math.min(OVERDUE_WATCH_MS, leaseMs), overdueSinceMs);
@@ -56,14 +59,14 @@
   return Math.max(0, timing.acquireDelayMs - baselineMs);
 };
 
-/** When the cell may be taken, if the heartbeat stands still until then. */
+/** When this daemon may take over the cell if the heartbeat stays unchanged until then. */
 export const takeoverAllowedAtMs = (
   owner: WatchedOwner,
   hasOwner: boolean,
   timing: CellLeaseTiming,
 ): number => undelayedTakeoverAtMs(owner, hasOwner, timing) + takeoverDelayMs(owner, timing);
 
-/** What an owner tells of its extra patience; undefined where none counts from another's. */
+/** The extra delay that an owner publishes; undefined if delays are not relative. */
 export const publishedDelayMs = (
   owner: WatchedOwner,
   timing: CellLeaseTiming,
@@ -72,13 +75,14 @@
     ? Math.min(timing.acquireDelayMs, owner.leastDelayMs ?? timing.acquireDelayMs)
     : undefined;
 
-/** At most this share of an interval is a renewal sent ahead by an owner that is held up. */
+/** The largest part of an interval by which a delayed owner sends its renewal early. */
 const MAXIMUM_LEAD_RATIO = 2 / 3;
 
 /**
- * When to renew after a call that was due at `dueAtMs` and sent at `sentAtMs`. Other daemons have
- * counted since then, however late its answer was taken in. An owner that was held up is likely to
- * be so again, and begins as much earlier, so that its renewals are hardly further apart.
+ * When to renew after a call that was due at `dueAtMs` and sent at `sentAtMs`. Other daemons count
+ * from the sending, however late the answer is processed. An owner that sent a renewal late is
+ * likely to be late again, so it plans the next one earlier by the same amount. This keeps the
+ * interval between its renewals nearly constant.
  */
 export const nextRenewalAtMs = (
   dueAtMs: number,
