--- a/src/scheduler/test/arrivals.test.ts
+++ b/src/scheduler/test/arrivals.test.ts
@@ -13,7 +13,7 @@
   cell.addRows([{ key: workKey(CELL, row.shardId), value: row }]);
 };
 
-/** A cell with an owner that knows it whole, and some jobs that outlast the test. */
+/** A cell whose owner has read all its rows, with jobs that outlast the test. */
 const busyCell = (seed: number): VirtualCell => {
   const cell = startCell(seed);
   Array.from({ length: JOB_COUNT }, (_, index) =>
@@ -26,10 +26,10 @@
 const openJobIds = (cell: VirtualCell): readonly string[] =>
   workRowsOf(cell, workPrefix(CELL)).map(({ jobId }) => jobId);
 
-describe('work that is added to a cell', () => {
-  // Each submission had the owner read its cell again: with 400 shards and two jobs a second that
-  // was half of what all daemons together may read from the table.
-  it('is read alone', () => {
+describe('work added to a cell', () => {
+  // The owner used to read its whole cell again for each submission. With 400 shards and two jobs a
+  // second that took half of the rows that all daemons together may read from the table.
+  it('is read without reading the rest of the cell again', () => {
     const cell = busyCell(1);
     const before = cell.table.counts.readRowCount;
     Array.from({ length: 5 }, (_, index) => {
@@ -42,9 +42,9 @@
     expectNoHarm(cell);
   });
 
-  // The inbox names the rows of two submissions, and a writer that names none comes between. The
-  // owner must find the row that the last list leaves out, or an accepted job would never run.
-  it('is found although a writer names no rows', () => {
+  // The inbox lists the rows of two submissions, and between them a writer updates it without
+  // listing its row. The owner must find the unlisted row, or an accepted job would never run.
+  it('is found although a writer lists no rows in the inbox', () => {
     const cell = busyCell(2);
     add(cell, 'kitchen.named-1', SHORT_MS);
     submit(cell, shard(1, SHORT_MS, 'kitchen.unnamed'));
@@ -54,8 +54,8 @@
     expectNoHarm(cell);
   });
 
-  // The answer of the owner's own transaction is lost while work arrives, so it reads all again;
-  // what arrived must neither be lost nor done twice.
+  // Answers to the owner's transactions are lost while work arrives, so the owner reads all rows
+  // again. The arrived work must neither be lost nor run twice.
   it.each([3, 4, 5, 6])('runs once while answers of the table are lost, seed %i', (seed) => {
     const cell = busyCell(seed);
     cell.lostAnswerRatio = 0.4;
@@ -82,7 +82,7 @@
 });
 
 describe('a cancellation', () => {
-  it('is taken in with the work that came with it', () => {
+  it('is applied to existing work and to work that arrives with it', () => {
     const cell = busyCell(8);
     add(cell, 'kitchen.late', LONG_MS);
     const jobIds = ['kitchen.0', 'kitchen.late'];
--- a/src/scheduler/test/cellFixtures.ts
+++ b/src/scheduler/test/cellFixtures.ts
@@ -1,4 +1,4 @@
-/** Work, zones and expectations that the tests of a cell share. */
+/** Shared fixtures of the cell tests: work rows, zones and expectations. */
 import { expect } from 'vitest';
 
 import { zoneKey, type ZoneState } from '../../services/configuration/common/documents.js';
@@ -43,7 +43,7 @@
   cell.judge.markZone(zone, state === 'withdrawn', cell.nowMs);
 };
 
-/** Several cells with a daemon and three workers each, all zones in use. */
+/** Several cells with one daemon and three workers each. All their zones are in use. */
 export const startCells = (
   seed: number,
   zones: readonly string[],
@@ -58,7 +58,7 @@
   return cell;
 };
 
-/** A cell whose zone is in use, with two daemons. */
+/** A cell with two daemons whose zone is in use. */
 export const startCell = (seed: number, options: Partial<VirtualCellOptions> = {}): VirtualCell => {
   const cell = new VirtualCell({ seed, workerCount: 4, capacity: CAPACITY, ...options });
   setZone(cell, 'in-use');
@@ -67,13 +67,16 @@
   return cell;
 };
 
-/** Work rows of the cell, or of another one, by shard id. */
+/** The work rows in the table whose keys start with `prefix`. */
 export const workRowsOf = (cell: VirtualCell, prefix: string): readonly WorkRow[] =>
   cell.table
     .read({ keys: [], prefixes: [prefix] })
     .rows.map((row) => workRowSchema.parse(row.value));
 
-/** What must hold whatever has happened. No invariant may have had to step in either. */
+/**
+ * Expects that no safety property was violated, and that no invariant check prevented a step except
+ * the expected ones.
+ */
 export const expectNoHarm = (
   cell: VirtualCell,
   expectedInvariants: readonly string[] = [],
--- a/src/scheduler/test/cellLease.test.ts
+++ b/src/scheduler/test/cellLease.test.ts
@@ -16,7 +16,7 @@
 import type { CellLeaseTiming } from '../common/leasePatience.js';
 
 const TIMING = { heartbeatIntervalMs: 450, leaseMs: 1_500, acquireDelayMs: 0 };
-/** As of an owner of hundreds of workers. */
+/** The timing of an owner with hundreds of workers. */
 const FLEET_TIMING = { ...TIMING, renewsFromSending: true };
 const CELL = 'cell';
 
@@ -40,7 +40,7 @@
   readonly leastDelayMs?: number;
 }
 
-/** Looks as often as the lease asks until it asks to take the cell; returns when that is. */
+/** Reads the heartbeat as often as the lease requires. Returns when the lease is acquired. */
 const takeoverAtMs = (
   firstReadAtMs: number,
   readHeartbeat: (nowMs: number) => Heartbeat,
@@ -67,25 +67,26 @@
 };
 
 describe('the lease of a cell', () => {
-  it('is taken sooner where the heartbeat is older than a lease on the table clock', () => {
-    // All daemons die at once and start anew. None of them has seen a heartbeat move, and callers
-    // wait while nobody schedules. The table's clock shows that the owner is long gone, so that
-    // the first to look need not watch for a whole lease.
+  it('is taken over sooner if the heartbeat is older than a lease on the table clock', () => {
+    // All daemons die at once and restart. None of them has seen a heartbeat change, and callers
+    // wait while no daemon schedules. The table's clock shows that the owner died long ago, so the
+    // first daemon that reads the heartbeat need not watch it for a whole lease.
     const heartbeat = () => ({ version: 40, sentAtTableMs: 90_000 });
     const takeoverDelayMs = takeoverAtMs(5_000, heartbeat, (nowMs) => 95_000 + nowMs) - 5_000;
     expect(takeoverDelayMs).toBeLessThan(TIMING.leaseMs);
     expect(takeoverDelayMs).toBeGreaterThan(900);
   });
 
-  it('is watched for all its time where the table tells no clock', () => {
+  it('is watched for its whole duration if the table provides no clock', () => {
     const takeoverDelayMs = takeoverAtMs(5_000, () => ({ version: 40 })) - 5_000;
     expect(takeoverDelayMs).toBeGreaterThanOrEqual(TIMING.leaseMs);
     expect(takeoverDelayMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
   });
 
-  it('stays with an owner that comes back with the table after an outage', () => {
-    // The table was silent for longer than a lease. Its owner lives, waits for a call that times
-    // out after 700 ms, pauses and heartbeats. Another daemon looks at the instant of the return.
+  it('stays with an owner that survives an outage of the table', () => {
+    // The table was down for longer than a lease. The live owner waits for a call that times out
+    // after 700 ms, then for the retry delay, and sends a heartbeat. Another daemon reads the rows
+    // at the moment the table returns.
     const backAtMs = 5_000;
     const renewedAtMs = backAtMs + 700 + 200 + 20;
     const heartbeat = (nowMs: number) =>
@@ -95,8 +96,9 @@
     expect(takeoverAtMs(backAtMs, heartbeat, (nowMs) => nowMs)).toBe(Number.POSITIVE_INFINITY);
   });
 
-  it('is renewed in time by an owner that took the last answer in late', () => {
-    // Sent at 1,000 and carried out there, the answer waits 400 ms behind those of workers.
+  it('is renewed in time by an owner that processes the last answer late', () => {
+    // The transaction is sent and committed at 1,000. Its answer waits 400 ms behind those of
+    // workers.
     const owned = withLeaseCommitted(
       initialCellLease(CELL, 'self', 0),
       FLEET_TIMING,
@@ -110,22 +112,22 @@
     expect(renewal?.step.kind).toBe(LeaseStepKind.Renew);
   });
 
-  it('is renewed ahead by an owner that got to the last renewal late', () => {
+  it('is renewed early by an owner that sent the last renewal late', () => {
     const committed = { outcome: TransactionOutcome.Committed, version: 8 };
     const start = initialCellLease(CELL, 'self', 0);
     const { Acquire, Renew } = LeaseStepKind;
     const owned = withLeaseCommitted(start, FLEET_TIMING, Acquire, committed, 1_000, 1_010);
-    // Due at 1,450, and sent 200 ms later since the process was held up.
+    // The renewal is due at 1,450 and sent 200 ms later because the process was delayed.
     const renewed = withLeaseCommitted(owned, FLEET_TIMING, Renew, committed, 1_650, 1_660);
     expect(nextLeaseStep(renewed, FLEET_TIMING, 'operation', 1_890)).toBeUndefined();
     expect(nextLeaseStep(renewed, FLEET_TIMING, 'operation', 1_900)?.step.kind).toBe(Renew);
-    // However late, it is not renewed more than three times as often.
+    // Even after a long delay, the lease is renewed at most three times as often.
     const late = withLeaseCommitted(renewed, FLEET_TIMING, Renew, committed, 3_000, 3_010);
     expect(nextLeaseStep(late, FLEET_TIMING, 'operation', 3_140)).toBeUndefined();
     expect(nextLeaseStep(late, FLEET_TIMING, 'operation', 3_150)?.step.kind).toBe(Renew);
   });
 
-  it('shows no older heartbeat than was sent, by an owner that took the last answer in late', () => {
+  it('gets a correct heartbeat time from an owner that processes the last answer late', () => {
     const owned = withLeaseCommitted(
       initialCellLease(CELL, 'self', 0),
       FLEET_TIMING,
@@ -141,7 +143,7 @@
     });
   });
 
-  it('is renewed soon after a call that failed', () => {
+  it('is renewed soon after a failed call', () => {
     const committed = { outcome: TransactionOutcome.Committed, version: 41, tableNowMs: 1_000 };
     const owner = withLeaseCommitted(
       initialCellLease(CELL, 'self', 0),
@@ -159,7 +161,7 @@
     });
   });
 
-  it('goes to the daemon with more processor where an owner has had as much', () => {
+  it('goes first to the daemon with more processor if an owner has had as much', () => {
     const heartbeat = { version: 40, sentAtTableMs: 0, leastDelayMs: 90 };
     const better = { ...TIMING, acquireDelayMs: 90, isDelayRelative: true };
     const worse = { ...better, acquireDelayMs: 645 };
@@ -167,12 +169,12 @@
     const clock = (nowMs: number): number => nowMs;
     const betterAfterMs = takeoverAtMs(5_000, readHeartbeat, clock, better) - 5_000;
     expect(betterAfterMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
-    // The better one may have looked a whole interval later.
+    // The better daemon may have read the heartbeat a whole interval later.
     const worseAfterMs = takeoverAtMs(5_000, readHeartbeat, clock, worse) - 5_000;
     expect(worseAfterMs).toBeGreaterThan(betterAfterMs + TIMING.heartbeatIntervalMs);
   });
 
-  it('does not go to a third of a core at the look at which a whole core may take it', () => {
+  it('goes to a daemon with a third of a core only after one with a whole core may take it', () => {
     const timingOf = (cores: number): CellLeaseTiming => ({
       ...TIMING,
       ...{ acquireDelayMs: acquireDelayMs(cores), isDelayRelative: true },
@@ -182,14 +184,14 @@
       sentAtTableMs: 0,
       leastDelayMs: acquireDelayMs(1.35),
     });
-    // Without a clock of the table, as each sees the heartbeat stand still from its first look on.
+    // Without a table clock, each daemon sees the heartbeat unchanged from its first read on.
     const betterAtMs = takeoverAtMs(5_000, readHeartbeat, undefined, timingOf(1.35));
     const worseAtMs = takeoverAtMs(5_000, readHeartbeat, undefined, timingOf(0.324));
     expect(worseAtMs).toBeGreaterThanOrEqual(betterAtMs + TIMING.heartbeatIntervalMs);
   });
 
-  it('goes to the daemon with more processor where both see at once that it is overdue', () => {
-    // The heartbeat has been seen to stand still for longer than the extra patience by then.
+  it('goes first to the daemon with more processor if both see at once that it is overdue', () => {
+    // By then the heartbeat has been seen unchanged for longer than the extra delay.
     const better = { ...TIMING, acquireDelayMs: 90, isDelayRelative: true };
     const worse = { ...better, acquireDelayMs: 645 };
     const readHeartbeat = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 90 });
@@ -200,14 +202,14 @@
     expect(worseAtMs).toBeGreaterThan(betterAtMs + TIMING.heartbeatIntervalMs);
   });
 
-  it('goes at once to a daemon with as much processor as any owner has had', () => {
+  it('goes without extra delay to a daemon with as much processor as any owner has had', () => {
     const timing = { ...TIMING, acquireDelayMs: 645, isDelayRelative: true };
     const readHeartbeat = () => ({ version: 40, sentAtTableMs: 0, leastDelayMs: 645 });
     const takeoverDelayMs = takeoverAtMs(5_000, readHeartbeat, (nowMs) => nowMs, timing) - 5_000;
     expect(takeoverDelayMs).toBeLessThanOrEqual(TIMING.leaseMs + TIMING.heartbeatIntervalMs);
   });
 
-  it('tells the least patience of its owners in each heartbeat', () => {
+  it('carries the smallest takeover delay of its owners in each heartbeat', () => {
     const timing = { ...TIMING, acquireDelayMs: 645, isDelayRelative: true };
     const rows = rowsOf(40, 0, 90);
     const watched = withLeaseRows(initialCellLease(CELL, 'self', 0), timing, { rows }, 0, 0);
--- a/src/scheduler/test/cellScheduler.test.ts
+++ b/src/scheduler/test/cellScheduler.test.ts
@@ -6,7 +6,7 @@
 import { CELL } from './virtualCell.js';
 
 describe('a cell', () => {
-  it('runs each task of a job once and fills a service up', () => {
+  it('runs each task of a job once and starts all replicas of a service', () => {
     const cell = startCell(1);
     cell.writeRow(serviceKey('rounds'), {
       name: 'rounds',
@@ -22,10 +22,11 @@
     expectNoHarm(cell);
   });
 
-  // The owner dies while tasks run. Callers must see neither a gap in services nor a task run
-  // again: the next owner finds the ledger, asks the workers and renews what runs. It may take
-  // over only once the heartbeat has stood still for a whole lease.
-  it('is taken over within five seconds and restarts nothing that still runs', () => {
+  // The owner dies while tasks run. Services must not be interrupted and no task may run again. The
+  // next owner reads the ledger, asks the workers and renews the leases of running tasks. It may
+  // take
+  // over only after the heartbeat has been unchanged for a whole lease.
+  it('is taken over within five seconds without restarting running tasks', () => {
     const cell = startCell(2);
     cell.writeRow(workKey(CELL, `kitchen.plan~${CELL}`), shard(80, 20_000));
     cell.runFor(5_000);
@@ -41,9 +42,9 @@
     expectNoHarm(cell);
   });
 
-  // The owner is stopped past its lease and goes on afterwards. Another one has taken over by
-  // then, so for a moment both believe they own the cell; only one may commit.
-  it('commits nothing by an owner that was paused past its lease', () => {
+  // The owner is paused for longer than its lease and resumes. Another daemon has taken over by
+  // then, so for a moment both believe they own the cell. Only one of them may commit.
+  it('stays consistent when an owner resumes after a pause longer than its lease', () => {
     const cell = startCell(3);
     cell.writeRow(workKey(CELL, `kitchen.plan~${CELL}`), shard(200, 3_000));
     cell.runFor(4_000);
@@ -56,9 +57,10 @@
     expectNoHarm(cell);
   });
 
-  // Answers of transactions are lost after they took effect. The owner cannot know which, reads
-  // the rows again and must come to the same result as without the loss.
-  it('survives lost answers of the table', () => {
+  // Answers to transactions are lost after the commit. The owner cannot know which transactions
+  // have
+  // committed, reads the rows again and must reach the same result as without the loss.
+  it('completes all tasks while answers of the table are lost', () => {
     const cell = startCell(4);
     cell.lostAnswerRatio = 0.3;
     cell.writeRow(workKey(CELL, `kitchen.plan~${CELL}`), shard(100, 1_000));
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -30,8 +30,8 @@
 const LARGE = { processorMillis: 64_000, memoryBytes: GIBIBYTE, acceleratorCount: 0 };
 
 describe('the queue', () => {
-  // The job at the head needs more than any worker has. Those behind it must not wait for it.
-  it('is not held up by a job that fits nowhere', () => {
+  // The first job in the queue needs more than any worker has. The jobs behind it must not wait.
+  it('is not blocked by a job that fits no worker', () => {
     const cell = startCell(201);
     submit(cell, { ...shard(10, 1_000, 'kitchen.a-large', LARGE), urgency: 'urgent' });
     submit(cell, shard(50, 1_000, 'kitchen.b-small'));
@@ -41,9 +41,9 @@
     expectNoHarm(cell);
   });
 
-  // A job is larger than any worker. It is not refused at once, for a large worker may just be
-  // replaced; another zone may have one; when none has, its submitter is told why.
-  it('passes on what fits no worker, and refuses it when all zones have', () => {
+  // A job is larger than any worker. It is not refused at once, because a large worker may just be
+  // being replaced or another zone may have one. If no zone has one, the refusal gives the reason.
+  it('moves a job that fits no worker to another zone, and refuses it once all zones tried', () => {
     const cell = startCell(204);
     const zoneB = { name: 'zone-b', region: 'r', state: 'in-use' };
     cell.writeRow(zoneKey('zone-b'), zoneB);
@@ -61,8 +61,9 @@
     expectNoHarm(cell);
   });
 
-  // The cell is full of batch tasks that run for minutes when an urgent job comes. Room is made
-  // by evicting the fewest tasks, which resume later, and the urgent job starts in time.
+  // The cell is full of batch tasks that run for minutes when an urgent job arrives. The owner
+  // evicts
+  // as few tasks as possible, which resume later, and the urgent job starts in time.
   it('starts urgent work within 3.5 seconds in a full cell', () => {
     const cell = startCell(202);
     submit(cell, shard(200, 60_000));
@@ -80,9 +81,11 @@
     expectNoHarm(cell);
   });
 
-  // A team submits far more than its quota, beside another team. It may hold its cell's part
-  // only: half, for two zones are in use. The other team's work starts at once.
-  it('holds a team to its part of the quota', () => {
+  // A team submits far more than its quota while another team submits too. The team may use only
+  // this
+  // cell's part of its quota, which is half because two zones are in use. The other team's work
+  // starts at once.
+  it('limits a team to the part of its quota for this cell', () => {
     const cell = startCell(203);
     cell.writeRow(zoneKey('zone-b'), { name: 'zone-b', region: 'r', state: 'in-use' });
     const limit = { processorMillis: 40_000, memoryBytes: 80 * GIBIBYTE, acceleratorCount: 0 };
@@ -98,7 +101,7 @@
     expect(assigned('drivers.job')).toBe(20);
   });
 
-  it('backs a failed task off, longer each time and spread within a job', () => {
+  it('retries failed tasks with exponential backoff, spread within a job', () => {
     expect(retryDelayMs(1, 0)).toBe(1_000);
     expect(retryDelayMs(3, 0)).toBe(4_000);
     expect(retryDelayMs(30, 0)).toBe(60_000);
@@ -114,8 +117,8 @@
   ): WorkerHealth =>
     pairs.reduce((known, [worker, job]) => known.withFailure(worker, job, 100, nowMs), health);
 
-  // Many jobs fail on one worker: it takes nothing for a while, and is tried again later.
-  it('sets a worker aside on which different jobs fail', () => {
+  // Many jobs fail on one worker. It gets no tasks for a while and is tried again later.
+  it('excludes a worker on which different jobs fail', () => {
     const health = failures(new WorkerHealth(), [
       ['w1', 'a'],
       ['w1', 'b'],
@@ -135,9 +138,11 @@
     expect(again.isSetAside('w1', 31_000 + 59_000)).toBe(true);
   });
 
-  // One worker fails all it starts, in a cell of four. Its first failure of a job may be the
-  // job's fault; once another job has failed there too, failures count against neither job, and
-  // both are tried elsewhere. Counted, good jobs were given up after five tries on that worker.
+  // In a cell of four workers, one worker fails every task. Its first failure may be the job's
+  // fault.
+  // Once another job has failed there too, failures count against neither job, and both are tried
+  // on
+  // other workers. Otherwise good jobs would be given up after five attempts on that worker.
   it('does not count failures against jobs on a worker where others fail too', () => {
     const fail = (health: WorkerHealth, job: string): WorkerHealth =>
       health.withFailure('w1', job, 4, 0);
@@ -150,9 +155,9 @@
     expect(twice.withSuccess('w1').isCredible('w1', 'b')).toBe(true);
   });
 
-  // A job that can never run must be told so; bad workers must not make good ones look like it.
-  // Two jobs that fail everywhere make every worker doubtful for the other, so doubtful failures
-  // have to count as well, though less.
+  // A job that can never run must fail, but bad workers must not make good jobs fail. Two jobs that
+  // fail on every worker make every worker doubtful for each other, so doubtful failures have to
+  // count too, with a lower weight.
   it('gives a task up after five credible failures, or after twenty doubtful ones', () => {
     const after = (failureCount: number, isCredible: boolean): number =>
       Array.from({ length: failureCount }).reduce<number>(
@@ -163,8 +168,8 @@
     expect([isGivenUp(after(19, false)), isGivenUp(after(20, false))]).toEqual([false, true]);
   });
 
-  // Three bad jobs fail on many workers. None of these may be set aside for it.
-  it('does not count failures of jobs that fail everywhere against workers', () => {
+  // Four bad jobs fail on many workers. None of these workers may be excluded because of them.
+  it('does not count failures of jobs that fail on every worker against the workers', () => {
     const workers = Array.from({ length: 20 }, (_, index) => `w${index}`);
     const pairs = ['a', 'b', 'c', 'd'].flatMap((job) =>
       workers.map((worker) => [worker, job] as const),
@@ -173,7 +178,7 @@
     expect(workers.filter((worker) => health.isSetAside(worker, 1_000))).toEqual([]);
   });
 
-  // The network fails for half of the workers. At most a tenth may be set aside.
+  // The network fails for half of 100 workers. At most a tenth of all workers may be excluded.
   it('keeps most of the workers in use', () => {
     const pairs = Array.from({ length: 50 }, (_, worker) =>
       Array.from({ length: 4 }, (__, job) => [`w${worker}`, `job${worker}-${job}`] as const),
@@ -189,9 +194,10 @@
 describe('replicas of a service', () => {
   const rounds = { name: 'rounds', team: 'kitchen', replicaCount: 8, size: SIZE };
 
-  // Another zone returns, so that half of the replicas belong there. They must not be given up
-  // before those of the other zone serve: callers would meet half a service for seconds.
-  it('are kept until the zone that returns serves its share', () => {
+  // Another zone returns, so half of the replicas belong there. This cell must not stop its
+  // replicas
+  // before those of the other zone serve, or half of the service would be missing for seconds.
+  it('are kept until the returning zone serves its share', () => {
     const cell = startCell(211);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
     cell.runFor(6_000);
@@ -212,7 +218,7 @@
     expectNoHarm(cell);
   });
 
-  // A worker returns to use after a drain, and the zone after a withdrawal: nothing flaps.
+  // A zone is withdrawn and returns to use. Tasks must not move back and forth.
   it('move once when a zone leaves and returns', () => {
     const cell = startCell(212);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
@@ -228,10 +234,12 @@
     expectNoHarm(cell);
   });
 
-  // A worker with replicas moves to another rack and shrinks: nothing of it is started again. The
-  // first round once came before half of the workers had answered and put four replicas each on
-  // two workers, so that draining one of them moved half of the service.
-  it('stay on a worker that is listed in another rack', () => {
+  // A worker with replicas moves to another rack and its capacity shrinks. Its tasks are not
+  // started
+  // again. The first round once ran before half of the workers had answered and put four replicas
+  // on
+  // each of two workers, so draining one of them moved half of the service.
+  it('stay on a worker that moves to another rack', () => {
     const cell = startCell(213);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
     cell.runFor(6_000);
--- a/src/scheduler/test/expiredStarts.test.ts
+++ b/src/scheduler/test/expiredStarts.test.ts
@@ -4,12 +4,12 @@
 
 const SEEDS = Array.from({ length: 20 }, (_, index) => index + 1);
 
-describe('a start that comes too late at its worker', () => {
-  // On a busy machine timers fire late: a renewal leaves more than `startValidityMs` after the
-  // report that its starts are dated by. The worker refuses such a start without a word, so its
-  // report is like the one before. Repeated at the next renewal, again by a report of that age,
-  // the start was refused for ever: an accepted job did not end within 120 s (chaos, seed 1).
-  it.each(SEEDS)('is sent again by a fresh report (seed %i)', (seed) => {
+describe('a start that reaches its worker after its validity', () => {
+  // On a busy machine timers fire late, and a renewal is sent more than `startValidityMs` after the
+  // report that the validity of its starts counts from. The worker drops such a start silently, so
+  // its report does not change. The next renewal repeated the start with the same delay, and it
+  // expired each time: an accepted job did not end within 120 s (chaos, seed 1).
+  it.each(SEEDS)('is sent again with the validity of a fresh report (seed %i)', (seed) => {
     const cell = startCell(seed, { workerCount: 1, timing: { workerRenewalIntervalMs: 1_300 } });
     cell.runFor(3_000 + seed * 90);
     submit(cell, shard(1, 1_000));
--- a/src/scheduler/test/lateTransactions.test.ts
+++ b/src/scheduler/test/lateTransactions.test.ts
@@ -11,7 +11,7 @@
 
 const STEP_MS = 5;
 const WORK_MS = 20_000;
-/** Two tasks never fit onto one worker, so a second attempt goes to the other one. */
+/** Two tasks do not fit on one worker, so a second attempt goes to the other worker. */
 const ONE_TASK_CAPACITY = { ...CAPACITY, processorMillis: 3_000 };
 
 const assignmentsIn = (cell: VirtualCell): readonly Assignment[] =>
@@ -19,7 +19,7 @@
     .read({ keys: [], prefixes: [ledgerPrefix(CELL)] })
     .rows.flatMap((row) => ledgerRowSchema.parse(row.value).assignments);
 
-/** True for the transaction that takes the first attempt back. */
+/** True for the transaction that removes the first attempt from the ledger. */
 const takesAssignmentBack = (transaction: Transaction): boolean =>
   transaction.writes.some(
     ({ key, value }) =>
@@ -32,12 +32,14 @@
   expect(isReached()).toBe(true);
 };
 
-describe('a transaction whose answer was lost and that lands late', () => {
-  // A task is assigned, its worker is cut off before the start arrives, and after the lease the
-  // owner takes the assignment back. The store is slow: the answer is lost, and the rows read
-  // again still show the assignment. The worker returns and is sent the start from these rows.
-  // Now the old transaction lands and queues the next attempt: the task would run twice.
-  it('does not take back an assignment that has been started since', () => {
+describe('a transaction whose answer is lost and that commits late', () => {
+  // A task is assigned, its worker becomes unreachable before the start arrives, and after the
+  // lease
+  // the owner removes the assignment. The store is slow: the answer is lost, and the rows read
+  // again
+  // still contain the assignment. The worker returns and gets the start based on these rows. If the
+  // old transaction then committed and queued the next attempt, the task would run twice.
+  it('does not remove an assignment that has been started since', () => {
     const cell = startCell(21, { workerCount: 2, capacity: ONE_TASK_CAPACITY });
     cell.runFor(3_000);
     submit(cell, shard(1, WORK_MS));
--- a/src/scheduler/test/newCellOwner.test.ts
+++ b/src/scheduler/test/newCellOwner.test.ts
@@ -6,7 +6,7 @@
 import { CELL } from './virtualCell.js';
 
 describe('a new owner of a cell', () => {
-  it('does not withdraw services from entry points whose workers it has not heard of yet', () => {
+  it('keeps endpoints published whose workers have not reported to it yet', () => {
     const cell = startCell(2, { workerCount: 12 });
     const service = { name: 'rounds', team: 'kitchen', replicaCount: 24, size: SIZE };
     cell.writeRow(serviceKey('rounds'), { ...service, urgency: 'urgent' });
@@ -25,7 +25,7 @@
     expect(minimumPublished).toBe(24);
   });
 
-  it('withdraws the services of a worker that answers no owner for a whole lease', () => {
+  it('removes the endpoints of a worker that answers no owner for a whole lease', () => {
     const cell = startCell(2, { workerCount: 12 });
     const service = { name: 'rounds', team: 'kitchen', replicaCount: 24, size: SIZE };
     cell.writeRow(serviceKey('rounds'), { ...service, urgency: 'urgent' });
@@ -42,7 +42,7 @@
     expect(publishedOnW0()).toBe(0);
   });
 
-  it('does not wait anew for a lost worker, however many owners follow', () => {
+  it('does not wait again for a lost worker after each change of owner', () => {
     const cell = startCell(2);
     for (let index = 0; index < 10; index += 1) cell.addDaemon(`e${index}`);
     submit(cell, shard(48, 30_000));
--- a/src/scheduler/test/repeatedRenewals.test.ts
+++ b/src/scheduler/test/repeatedRenewals.test.ts
@@ -6,7 +6,7 @@
 const LONG_MS = 600_000;
 const LEASE_MS = 10_000;
 
-/** A cell whose workers have been told nothing but renewals for some seconds. */
+/** A cell whose workers have received only renewals for some seconds. */
 const cellWithRepeatedRenewals = (seed: number): VirtualCell => {
   const cell = startCell(seed);
   Array.from({ length: 8 }, (_, index) => submit(cell, shard(2, LONG_MS, `kitchen.${index}`)));
@@ -19,9 +19,9 @@
     ({ repeatableRenewal }) => repeatableRenewal !== undefined,
   ).length;
 
-describe('renewals that repeat the message before', () => {
-  // A caller of a batch job sees its tasks go on for minutes while nothing happens in the cell.
-  it('keep the leases of all that runs', () => {
+describe('renewals that repeat the previous command', () => {
+  // Batch tasks run on for minutes while nothing else happens in the cell.
+  it('keep the leases of all running tasks', () => {
     const cell = cellWithRepeatedRenewals(1);
     expect(repeatingWorkerCount(cell)).toBeGreaterThan(0);
     cell.runFor(5 * LEASE_MS);
@@ -29,8 +29,8 @@
     expectNoHarm(cell);
   });
 
-  // With each message worked out anew a cell of 123 workers took four times the processor time.
-  it('are not worked out anew, beside batch tasks either', () => {
+  // Computing each command again took four times the processor time in a cell of 123 workers.
+  it('are not computed again, even for workers with batch tasks', () => {
     const cell = cellWithRepeatedRenewals(4);
     const renewals = () =>
       [...(cell.owner()?.state.workers.values() ?? [])].map(
@@ -42,8 +42,8 @@
     renewals().forEach((renewal, index) => expect(renewal).toBe(before[index]));
   });
 
-  // A worker is drained in a quiet cell: its tasks must be told to leave at once, not repeated.
-  it('end as soon as there is something else to say', () => {
+  // A worker is drained while its commands only repeat renewals. Its tasks must be evicted at once.
+  it('end as soon as a worker needs another command', () => {
     const cell = cellWithRepeatedRenewals(2);
     const busy = [...cell.workers.values()].filter(({ workerId, incarnation }) => {
       const view = cell.owner()?.state.workers.get(workerId);
@@ -58,8 +58,8 @@
     expectNoHarm(cell);
   });
 
-  // The worker is started again and has forgotten all; renewals to it would keep nothing alive.
-  it('end with the incarnation', () => {
+  // The worker restarts and has lost its tasks, so renewals to it would have no effect.
+  it('end when the incarnation of the worker changes', () => {
     const cell = cellWithRepeatedRenewals(3);
     const view = [...(cell.owner()?.state.workers.values() ?? [])].find(
       ({ repeatableRenewal }) => repeatableRenewal,
--- a/src/scheduler/test/taskTransfer.test.ts
+++ b/src/scheduler/test/taskTransfer.test.ts
@@ -18,9 +18,10 @@
     .filter((task) => task.state === state).length;
 
 describe('queued work in a full cell', () => {
-  // A job of 140 tasks has come to one cell that has room for 48, running for minutes, while the
-  // other cells idle. Shards used to stay where they were. What waits has to run in the others.
-  it('is handed on to cells with room, while what runs stays', () => {
+  // A job of 140 tasks, which run for minutes, arrives in a cell with room for 48 while the other
+  // cells are idle. Shards used to stay in their cell. The waiting tasks have to run in other
+  // cells.
+  it('is transferred to cells with room while running tasks stay', () => {
     const cell = startCells(401, ZONES);
     cell.runFor(8_000);
     submit(cell, shardIn('zone-a', 'plan', 140, 60_000), 'zone-a');
@@ -33,9 +34,8 @@
     expectNoHarm(cell);
   });
 
-  // All cells have more than they can run. Nothing may be sent about, which would cost writes and
-  // bring nothing.
-  it('stays where it is when the other cells are full too', () => {
+  // All cells have more tasks than they can run. Transfers would cost writes without any benefit.
+  it('stays in its cell if the other cells are full too', () => {
     const cell = startCells(402, ZONES);
     cell.runFor(8_000);
     ZONES.forEach((zone) => submit(cell, shardIn(zone, `plan-${zone}`, 100, 20_000), zone));
@@ -46,9 +46,10 @@
     expectNoHarm(cell);
   });
 
-  // A cell fills up and two others hand their work on to it at the same moment, from the same
-  // picture of its room. It must not get more than it has room for, nor send it back.
-  it('is not sent in a stampede, nor to and fro', () => {
+  // Two full cells transfer tasks to a third one at the same time, based on the same published
+  // room.
+  // The third cell must not get more tasks than it has room for, nor send tasks back.
+  it('is not transferred beyond the room of the receiving cell, nor back and forth', () => {
     const cell = startCells(403, ZONES);
     cell.runFor(8_000);
     submit(cell, shardIn('zone-a', 'plan-a', 120, 100_000), 'zone-a');
@@ -60,14 +61,15 @@
     }
     expect(countIn(cell, 'zone-c', 'assigned')).toBe(48);
     expect(mostQueued).toBeLessThanOrEqual(48);
-    // 48 find room; a few more may have been sent when little was left.
+    // 48 tasks find room. A few more may have been sent when little room was left.
     expect(cell.count('tasks_handed_on')).toBeLessThan(56);
     expectNoHarm(cell);
   });
 
-  // Jobs come to random cells, some are cancelled while they are handed on, answers are lost,
-  // workers are cut off and a zone leaves and returns. Each task runs to its end once.
-  it.each([411, 412, 413, 414, 415, 416])('ends once whatever happens, seed %i', (seed) => {
+  // Jobs arrive in random cells, some are cancelled while their tasks are transferred, answers of
+  // the
+  // table and of workers are lost, and a zone leaves and returns. Each task ends exactly once.
+  it.each([411, 412, 413, 414, 415, 416])('ends once under random faults, seed %i', (seed) => {
     const cell = startCells(seed, ZONES);
     const random = new SeededRandom(seed);
     cell.lostAnswerRatio = 0.05;
