--- a/src/scheduler/test/runsOnce.test.ts
+++ b/src/scheduler/test/runsOnce.test.ts
@@ -45,7 +45,7 @@
   checkpoint: null,
 };
 
-/** The owner loses the cell and finds itself owner again, two epochs later. */
+/** The owner loses the cell and becomes owner again two epochs later. */
 const loseAndRegain = (state: CellState, nowMs: number): CellState => {
   const lost = decide(
     state,
@@ -76,10 +76,11 @@
 };
 
 describe('answers of an earlier ownership', () => {
-  // A daemon loses the cell and regains it while its message to a worker is under way. The old
-  // answer names short leases; the owner in between granted longer ones. Taken for first
-  // contact, it would have the worker's tasks given up while they run, and run a second time.
-  it('are no first contact with a worker', () => {
+  // A daemon loses the cell and regains it while its command to a worker is in flight. The old
+  // answer
+  // names short leases, but the owner in between granted longer ones. If the answer counted as the
+  // worker's first report, the worker's tasks would be given up while they run, and run twice.
+  it('do not count as the first report of a worker', () => {
     const { state, nowMs } = ownedState();
     const regained = loseAndRegain(state, nowMs);
     expect(regained.lease.isOwner).toBe(true);
@@ -95,9 +96,9 @@
     expect(answered.workers.get('w0')?.leasesOverAtMs).toBeGreaterThan(nowMs + 60_000);
   });
 
-  // The same with a read of the rows: what the cell looked like under the earlier ownership
-  // must not be what the new one assigns by.
-  it('are neither its rows nor the end of its transaction', () => {
+  // The new ownership must not assign work based on rows that the earlier ownership read, nor take
+  // the result of its transaction for its own.
+  it('change neither the rows nor the pending call', () => {
     const { state, nowMs } = ownedState();
     const regained = loseAndRegain(state, nowMs);
     expect(regained.pending?.kind).toBe('load');
@@ -121,10 +122,10 @@
   });
 });
 
-describe('capacity', () => {
-  // A fault in the placement policy gives every task to the same worker. The worker would be
-  // committed to many times what it has; the round must be refused and the fault counted.
-  it('is kept whatever the policy chooses', () => {
+describe('the capacity of workers', () => {
+  // A faulty placement policy gives every task to the same worker, which would get many times its
+  // capacity. The round must be refused and the fault counted.
+  it('is not exceeded by a faulty placement policy', () => {
     const cell = startCell(12);
     cell.policy = { choose: (_request, candidates) => candidates[0] };
     submit(cell, shard(40, 5_000));
@@ -133,9 +134,9 @@
     expectNoHarm(cell, ['invariant_overcommitted']);
   });
 
-  // A worker shrinks below what runs on it. The check of the whole ledger then failed for every
-  // later round, so that the cell recorded no end and started nothing any more.
-  it('of a worker that shrinks does not stop the cell', () => {
+  // A worker's capacity shrinks below its usage. A check of the whole ledger then failed in every
+  // later round, so the cell recorded no ends and started no tasks any more.
+  it('may shrink below the usage of a worker without stopping the cell', () => {
     const cell = startCell(13);
     submit(cell, shard(64, 20_000));
     cell.runFor(4_000);
@@ -146,9 +147,9 @@
     expectNoHarm(cell);
   });
 
-  // Two daemons both believe that they own the cell: one was stopped past its lease and goes on
-  // with its old picture while the other fills the workers up to the last processor.
-  it.each([21, 22, 23])('is kept with a paused former owner, seed %i', (seed) => {
+  // Two daemons both believe that they own the cell. One was paused for longer than its lease and
+  // resumes with outdated rows while the other fills the workers completely.
+  it.each([21, 22, 23])('is not exceeded when a paused former owner resumes, seed %i', (seed) => {
     const cell = startCell(seed);
     submit(cell, shard(200, 3_000));
     cell.runFor(3_000);
@@ -166,10 +167,12 @@
 });
 
 describe('a task', () => {
-  // The owner is stopped for longer than the workers' leases and another renews them meanwhile.
-  // When it goes on, every lease it knows of has run out: it would give all tasks up and start
-  // them again, although its rows are still as it read them. The owner's row makes that fail.
-  it('is not given up by an owner that was paused past the leases', () => {
+  // The owner is paused for longer than the workers' leases while another daemon renews them. When
+  // it
+  // resumes, every lease it knows of has expired. It would give up all tasks and start them again,
+  // and the rows it changes still have the versions that it read. The condition on the owner row
+  // makes that transaction fail.
+  it('is not given up by an owner that was paused for longer than the leases', () => {
     const cell = startCell(30);
     submit(cell, shard(60, 60_000));
     cell.runFor(5_000);
@@ -183,9 +186,12 @@
     expectNoHarm(cell);
   });
 
-  // Starts arrive after their daemon gave them up, workers' and the table's answers are lost and
-  // a worker is cut off past its leases and comes back. Each of these once made tasks run twice.
-  // The tasks outlast the cut: one that finishes unheard has an unknown outcome and runs again.
+  // Commands arrive after their call has timed out, answers of workers and of the table are lost,
+  // and
+  // a worker is unreachable for longer than its leases and returns. Each of these once made tasks
+  // run
+  // twice. The tasks outlast the disconnection, because a task that finishes while its worker is
+  // unreachable has an unknown outcome and runs again.
   it.each([31, 32, 33, 34, 35, 36])('runs in one place at a time, seed %i', (seed) => {
     const cell = startCell(seed);
     cell.lateCommandRatio = 0.1;
@@ -203,10 +209,12 @@
     expectNoHarm(cell);
   });
 
-  // A worker is cut off, finishes its tasks unheard, and comes back while the next attempts run
-  // elsewhere. What it finished counts and the next attempts are stopped; they would have done
-  // the work a second time.
-  it('that finished unheard is not finished again', () => {
+  // A worker becomes unreachable, finishes its tasks and returns while the next attempts run on
+  // other
+  // workers. The finished tasks count, and the next attempts are stopped so that the work is not
+  // done
+  // twice.
+  it('that finished on an unreachable worker is not finished again', () => {
     const cell = startCell(39);
     submit(cell, shard(40, 12_000));
     cell.runFor(5_000);
@@ -221,9 +229,10 @@
   });
 
   // A worker has been idle for longer than a lease, so it holds none. Its next task was then
-  // taken for lost before its start had been sent: the start went out all the same, and the
-  // next attempt went to another worker. The demo showed it as evictions that changed from run
-  // to run, for the first attempt was then a stray to be evicted.
+  // considered lost before its start was sent. The start was sent nevertheless, and the next
+  // attempt
+  // went to another worker. In the demo the number of evictions varied between runs, because the
+  // first attempt had to be evicted.
   it('is not given up on an idle worker before it was started', () => {
     const cell = startCell(37);
     cell.runFor(15_000);
@@ -236,14 +245,16 @@
     const assignment = { ...ASSIGNMENT, incarnation: view.report?.incarnation ?? '' };
     const nowMs = cell.nowMs + clockOffsetMs;
     expect(assignmentEnd(state, view, assignment, nowMs)).toBeUndefined();
-    // Out of contact it is given up, for its start can no longer take effect.
+    // Without a recent report the task is given up, because its start can no longer take effect.
     expect(assignmentEnd(state, view, assignment, nowMs + 60_000)).toBe(AssignmentEnd.Lost);
     expectNoHarm(cell);
   });
 
-  // A worker leaves the list and all daemons are replaced, so the next owner never sees it listed. Its
-  // tasks stood assigned for ever; they have to run again once no lease can hold any more.
-  it('of a worker that no owner sees any more runs again', () => {
+  // A worker leaves the instance list and all daemons are replaced, so the next owner never sees
+  // the
+  // worker. Its tasks used to stay assigned forever. They have to run again once all leases have
+  // expired.
+  it('runs again if its worker is not known to any owner any more', () => {
     const cell = startCell(38, { timing: { maximumRenewalWithoutTableMs: 20_000 } });
     submit(cell, shard(64, 60_000));
     cell.runFor(5_000);
@@ -261,7 +272,9 @@
   });
 });
 
-/** A worker is drained and used again, so that tasks are evicted and go on elsewhere. */
+/**
+ * Drains a worker and returns it to use, so that tasks are evicted and continue on other workers.
+ */
 const runWithEvictions = (cell: VirtualCell): void => {
   submit(cell, shard(40, 6_000));
   cell.runFor(4_000);
@@ -270,12 +283,15 @@
   cell.writeRow(workerKey('w0'), { id: 'w0', isDraining: false });
 };
 
-describe('every single step of the owner', () => {
-  // The owner dies right after its n-th call or message, for every n until the work is done:
-  // between checkpoint and transaction, between transaction and start, and so on. The next one
-  // has only the table and the workers to go by. Each task must complete, once, from its
-  // checkpoint, and never run in two places.
-  it('may be its last', async () => {
+describe('an owner that dies after any of its calls', () => {
+  // The owner dies right after its n-th call or command, for every n until the work is done:
+  // between
+  // checkpoint and transaction, between transaction and start, and so on. The next owner has only
+  // the
+  // table and the workers as sources. Each task must complete once, continue from its checkpoint
+  // and
+  // never run in two places.
+  it('leaves work that the next owner completes once', async () => {
     const probe = startCell(41);
     runWithEvictions(probe);
     probe.runFor(30_000);
@@ -292,18 +308,19 @@
       cell.runFor(30_000);
       expect([step, cell.judge.verdict().completedBatchCount]).toEqual([step, 40]);
       expectNoHarm(cell);
-      // The runner's own messages are answered between the steps, see tools/test/eventLoopTurns.ts.
+      // Lets the test runner process its own messages, see tools/test/eventLoopTurns.ts.
       // eslint-disable-next-line no-await-in-loop
       await waitForEventLoop();
     }
   });
 });
 
-describe('evicted work', () => {
-  // Checkpoints cannot be written while the object store is out. A task that has to leave its
-  // worker then runs on, under leases, and leaves once the store is back; nothing is lost and
-  // the worker is not flooded with requests to evict.
-  it('runs on while the object store is out', () => {
+describe('work to be evicted', () => {
+  // Checkpoints cannot be written while the object store is down. A task to be evicted then runs on
+  // with renewed leases and is evicted once the store is back. No work is lost, and the worker is
+  // not
+  // flooded with evictions.
+  it('runs on while the object store is down', () => {
     const cell = startCell(51);
     submit(cell, shard(40, 60_000));
     cell.runFor(4_000);
@@ -324,9 +341,10 @@
     expectNoHarm(cell);
   });
 
-  // The zone is withdrawn while tasks run. Each is evicted once and its shard moves, with the
-  // checkpoints, to exactly one other cell.
-  it('moves to one other zone with its checkpoints', () => {
+  // The zone is withdrawn while tasks run. Each task is evicted once, and its shard moves to
+  // exactly
+  // one other cell with its checkpoints.
+  it('moves to exactly one other zone with its checkpoints', () => {
     const cell = startCell(52);
     cell.writeRow('configuration/document/zone/zone-b', {
       name: 'zone-b',
--- a/src/scheduler/test/unreachedWorkers.test.ts
+++ b/src/scheduler/test/unreachedWorkers.test.ts
@@ -28,7 +28,7 @@
   Object.assign(cell.owner() ?? {}, { isAlive: false });
 };
 
-/** Tasks run on all workers, and `w0` stands in the row although its leases go on. */
+/** A cell with tasks on all workers whose row lists `w0` although the leases of `w0` continue. */
 const cellWithUnreachedWorker = (): VirtualCell => {
   const cell = startCell(5);
   ['d3', 'd4', 'd5'].forEach((id) => cell.addDaemon(id));
@@ -43,7 +43,7 @@
 };
 
 describe('a worker that a new owner has not reached', () => {
-  it('is not given up by an old bound after it was reached and given leases again', () => {
+  it('is not given up because of an old lease bound after it got leases again', () => {
     const cell = cellWithUnreachedWorker();
     cell.runFor(80_000);
     expect(unreachedWorkerIds(cell)).toEqual([]);
@@ -57,7 +57,7 @@
     expectNoHarm(cell);
   });
 
-  it('is granted no lease while the row that bounds its leases cannot be changed', () => {
+  it('is granted no lease while the row with its lease bound cannot be changed', () => {
     const cell = cellWithUnreachedWorker();
     cell.shouldDelayTransaction = clearsUnreachedRow;
     cell.runFor(80_000);
@@ -73,7 +73,7 @@
     expectNoHarm(cell);
   });
 
-  it('is named by no transaction that lands after it was granted leases', () => {
+  it('is not added to the row by a late transaction after it was granted leases', () => {
     const cell = startCell(6);
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
@@ -98,7 +98,7 @@
     expectNoHarm(cell);
   });
 
-  it('is granted no lease while a transaction that names it may still land', () => {
+  it('is granted no lease while a transaction that lists it may still commit', () => {
     const cell = startCell(8);
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
@@ -123,8 +123,8 @@
   });
 });
 
-describe('the clock that owners keep', () => {
-  it('is never ahead of the time that has passed, and goes on with each owner', () => {
+describe('the clock of a cell', () => {
+  it('never runs ahead of real time and continues with each owner', () => {
     const cell = startCell(7);
     for (let round = 0; round < 6; round += 1) {
       cell.addDaemon(`e${round}`);
@@ -140,7 +140,7 @@
   });
 });
 
-describe('owners and workers that come and go', () => {
+describe('random faults of owners and workers', () => {
   const aliveDaemonCount = (cell: VirtualCell): number =>
     cell.daemons.filter(({ isAlive }) => isAlive).length;
 
@@ -169,7 +169,7 @@
       cell.addDaemon(`f${step}-${aliveDaemonCount(cell)}`);
   };
 
-  // What a worker finishes unheard and tells too late may be completed again.
+  // A task that finishes on an unreachable worker and is reported too late may be completed again.
   const expectNoTaskInTwoPlaces = (cell: VirtualCell): void => {
     const verdict = cell.judge.verdict();
     expect(verdict.doubleRuns).toEqual([]);
@@ -189,7 +189,7 @@
   };
 
   it.each(Array.from({ length: 30 }, (_, index) => index + 1))(
-    'never have a task run twice, and all tasks end, seed %i',
+    'let no task run in two places and let all tasks end, seed %i',
     (seed) => {
       const random = new SeededRandom(seed);
       const maximumRenewalWithoutTableMs = seed % 2 === 0 ? 60_000 : 4_000;
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -1,6 +1,6 @@
 /**
- * One cell, or a few, in virtual time: several daemons' state machines over one table and stand-ins of
- * workers, with message delays from a seed and faults that a test switches on.
+ * Simulates one or more cells in virtual time: the state machines of several daemons with one table
+ * and stand-ins of workers. Message delays come from a seed, and tests switch on faults.
  */
 import { left, right, type Either } from 'fp-ts/lib/Either.js';
 
@@ -49,26 +49,26 @@
 const CONFIGURATION_INTERVAL_MS = 700;
 const MAXIMUM_DELAY_MS = 20;
 const CALL_TIMEOUT_MS = 800;
-/** Starts may go on for this long after a withdrawal; docs/operations/SCHEDULING.md states it. */
+/** How long starts may continue after a withdrawal, as stated in docs/operations/SCHEDULING.md. */
 const WITHDRAWAL_BOUND_MS = 2_700;
 const DAEMON_CLOCK_STEP_MS = 5_000_011;
 const WORKER_CLOCK_STEP_MS = 1_000_003;
 const MAXIMUM_LATE_ARRIVAL_MS = 6_000;
 
-/** One daemon's state for the cell, with the faults it can have. */
+/** The state of one daemon for the cell, with its possible faults. */
 export interface VirtualDaemon {
   readonly id: string;
   state: CellState;
   isAlive: boolean;
-  /** Paused daemons keep what arrives and take it in when they go on. */
+  /** A paused daemon queues events and processes them when it resumes. */
   isPaused: boolean;
   isCutFromTable: boolean;
-  /** Its reads of the configuration fail while other calls of the table succeed. */
+  /** Whether its configuration reads fail while its other table calls succeed. */
   isConfigurationUnreadable: boolean;
   readonly inbox: CellEvent[];
-  /** Its monotonic clock beside the virtual time; no two daemons' clocks agree. */
+  /** The offset of its monotonic clock from virtual time. It differs between daemons. */
   readonly clockOffsetMs: number;
-  /** Effects carried out so far; it dies after the one with the number `diesAfterEffect`. */
+  /** The number of calls performed so far. The daemon dies after call number `diesAfterEffect`. */
   effectCount: number;
   diesAfterEffect: number;
 }
@@ -78,7 +78,7 @@
   readonly workerCount: number;
   readonly capacity: Resources;
   readonly timing?: Partial<CellTiming>;
-  /** The zones that the workers stand in by turns; just the one of `CELL` if not given. */
+  /** The zones to which the workers belong in turn; only `CELL` if undefined. */
   readonly zones?: readonly string[];
 }
 
@@ -97,29 +97,29 @@
 
   readonly counters = new Map<string, number>();
 
-  /** Workers that no message reaches. */
+  /** Ids of the workers that no command reaches. */
   readonly unreachableWorkers = new Set<string>();
 
   isTableDown = false;
 
-  /** The share of transactions whose answer is lost after they took effect. */
+  /** The share of transactions whose answer is lost after the table has processed them. */
   lostAnswerRatio = 0;
 
-  /** Transactions to be held back: their answer is lost, and they take effect on release. */
+  /** Selects transactions to delay: their answer is lost, and they reach the table on release. */
   shouldDelayTransaction: ((transaction: Transaction) => boolean) | undefined;
 
   readonly delayedTransactions: Transaction[] = [];
 
-  /** The share of workers' answers that are lost after the command was carried out. */
+  /** The share of worker answers that are lost after the command was executed. */
   lostCommandAnswerRatio = 0;
 
-  /** The share of commands that reach their worker long after the daemon gave them up. */
+  /** The share of commands that reach their worker after the daemon's call has timed out. */
   lateCommandRatio = 0;
 
-  /** How long every call of the table takes beyond its usual delay. */
+  /** How much longer than usual every table call takes. */
   tableSlownessMs = 0;
 
-  /** Chooses the workers; a test may put a broken one in its place. */
+  /** The placement policy. A test may replace it by a faulty one. */
   policy: PlacementPolicy = new SpreadAndPackPolicy();
 
   readonly timing: CellTiming;
@@ -161,7 +161,7 @@
     });
   }
 
-  /** Writes work rows as a confirmed plan does, which tells the owner what it added. */
+  /** Writes work rows as a confirmed plan does, and lists their keys in the owner's inbox. */
   addRows(rows: readonly { readonly key: string; readonly value: unknown }[]): void {
     const inboxKey = `cell/${CELL}/inbox`;
     const [inbox] = this.table.read({ keys: [inboxKey], prefixes: [] }).rows;
@@ -198,7 +198,10 @@
     return daemon;
   }
 
-  /** Shows all daemons a list of instances in which one worker is changed or, if null, gone. */
+  /**
+   * Delivers a new instance list to all daemons in which one worker is changed or, if null,
+   * removed.
+   */
   updateInstance(id: string, change: Partial<WorkerInstance> | null): void {
     const index = this.instances.findIndex((instance) => instance.id === id);
     const [instance] = this.instances.splice(index, 1);
@@ -210,7 +213,7 @@
     );
   }
 
-  /** Tells all daemons what their entries measured; instants are of the virtual time. */
+  /** Delivers latency samples with virtual times to all daemons. */
   measure(samples: readonly LatencySample[]): void {
     this.daemons.forEach((daemon) => {
       const { clockOffsetMs } = daemon;
@@ -223,7 +226,7 @@
     });
   }
 
-  /** Whether workers can write checkpoints. */
+  /** Sets whether the object store is down, so that workers cannot write checkpoints. */
   setObjectStoreDown(isDown: boolean): void {
     this.workers.forEach((worker) => {
       // The record is the harness's own.
@@ -236,7 +239,7 @@
     return this.counters.get(counter) ?? 0;
   }
 
-  /** The daemon that owns the cell now, as far as it knows itself. */
+  /** The live daemon that considers itself the owner of the cell. */
   owner(zone = CELL): VirtualDaemon | undefined {
     return this.daemons.find(
       ({ isAlive, state }) => isAlive && state.lease.isOwner && state.cell === zone,
@@ -250,7 +253,7 @@
     daemon.inbox.splice(0).forEach((event) => this.#deliver(daemon, event));
   }
 
-  /** Replaces a worker by one that remembers nothing, as after a restart. */
+  /** Replaces a worker by one without any state, as after a restart. */
   restartWorker(id: string): void {
     const old = this.workers.get(id);
     if (old === undefined) return;
@@ -267,7 +270,7 @@
     this.workers.forEach((worker, id) => worker.advance(this.#workerNowMs(id)));
   }
 
-  /** Each worker has a clock of its own. */
+  /** The time on the worker's own clock. */
   #workerNowMs(workerId: string): number {
     return this.nowMs + (1 + Number(workerId.slice(1))) * WORKER_CLOCK_STEP_MS;
   }
@@ -308,7 +311,7 @@
   #runEvery(intervalMs: number, daemon: VirtualDaemon, run: () => void): void {
     const step = (): void => {
       if (!daemon.isAlive) return;
-      // A paused process's timers do not fire.
+      // The timers of a paused process do not fire.
       if (!daemon.isPaused) run();
       this.#schedule(intervalMs, step);
     };
@@ -369,7 +372,7 @@
     }
   }
 
-  /** A call that reaches the table after a delay and whose answer takes another. */
+  /** Calls the table after a delay and delivers the answer after another delay. */
   #callTable<Answer>(
     daemon: VirtualDaemon,
     run: () => Either<Failure, Answer>,
@@ -387,7 +390,7 @@
     });
   }
 
-  /** Lets the transactions that were held back take effect, as far as their conditions hold. */
+  /** Sends the delayed transactions to the table. Those whose conditions hold commit. */
   releaseDelayedTransactions(): readonly TransactionResult[] {
     return this.delayedTransactions
       .splice(0)
@@ -397,7 +400,7 @@
   #transact(transaction: Transaction): Either<Failure, TransactionResult> {
     if (this.shouldDelayTransaction?.(transaction) === true) {
       this.delayedTransactions.push(transaction);
-      return left(failure(ErrorKind.StoreAnswerLost, 'held back'));
+      return left(failure(ErrorKind.StoreAnswerLost, 'delayed'));
     }
     const result = this.table.transact(transaction);
     const isLost = this.#random.nextFraction() < this.lostAnswerRatio;
@@ -410,7 +413,7 @@
       this.#deliver(daemon, call.toEvent(result));
     const timeOut = (): void =>
       this.#schedule(CALL_TIMEOUT_MS, () =>
-        answer(left(failure(ErrorKind.WorkerUnavailable, 'cut'))),
+        answer(left(failure(ErrorKind.WorkerUnavailable, 'unreachable'))),
       );
     const isLate = this.#random.nextFraction() < this.lateCommandRatio;
     const latenessMs = isLate
--- a/src/scheduler/test/zoneAndStore.test.ts
+++ b/src/scheduler/test/zoneAndStore.test.ts
@@ -19,7 +19,7 @@
 } from './cellFixtures.js';
 import { CELL, VirtualCell, type VirtualDaemon } from './virtualCell.js';
 
-/** A steady stream of short tasks, so that starts are under way at any moment. */
+/** Submits short jobs at a fixed interval, so that starts are in flight at any time. */
 const submitSteadily = (cell: VirtualCell, jobCount: number, intervalMs: number): void => {
   for (let job = 0; job < jobCount; job += 1) {
     submit(cell, shard(4, 2_000, `kitchen.job${job}-${cell.nowMs}`));
@@ -27,7 +27,7 @@
   }
 };
 
-/** Runs on and tells the most rows that were written within any second of it. */
+/** Runs the cell and returns the largest number of rows written within one second. */
 const peakRowsPerSecond = (cell: VirtualCell, seconds: number): number => {
   const perSecond = Array.from({ length: seconds }, () => {
     const before = cell.table.counts.writtenRowCount;
@@ -37,16 +37,18 @@
   return Math.max(...perSecond);
 };
 
-/** One transaction may fall into a second together with the budget of that second. */
+/** The write budget of a second, plus transactions that fall into the same second. */
 const maximumPeakRows = (cell: VirtualCell): number =>
   cell.timing.rowsPerSecond + 2 * cell.timing.maximumRowsPerRound;
 
 const startCountOf = (cell: VirtualCell): number => cell.judge.verdict().startCount;
 
 describe('a withdrawn zone', () => {
-  // The zone is withdrawn while starts are under way, by each path that could carry one late:
-  // the owner paused, its messages held up, its transactions' answers lost, itself cut off from
-  // the table and so unable to learn of it. The judge counts starts later than the stated bound.
+  // The zone is withdrawn while starts are in flight, with each fault that could delay one: a
+  // paused
+  // owner, late commands, lost answers to transactions, and an owner that cannot reach the table
+  // and
+  // so does not learn of the withdrawal. The judge counts starts after the stated bound.
   it.each([61, 62, 63, 64, 65, 66, 67, 68])('starts nothing after the bound, seed %i', (seed) => {
     const cell = startCell(seed);
     cell.lateCommandRatio = 0.2;
@@ -66,7 +68,7 @@
     submitSteadily(cell, 20, 300);
     cell.runFor(10_000);
     expectNoHarm(cell);
-    // Once it is back, all of the work gets done here, for there is no other zone.
+    // Once the zone is back in use, it completes all work, because there is no other zone.
     owner.isCutFromTable = false;
     setZone(cell, 'in-use');
     cell.runFor(120_000);
@@ -74,11 +76,11 @@
     expectNoHarm(cell);
   });
 
-  // Starts were committed for a worker that cannot be reached just then. The zone is withdrawn
-  // and the only daemon cannot learn of it, while it may go on writing. When the worker comes
-  // back, seconds later, nothing may be started on what was committed before.
+  // Assignments are committed for a worker that is unreachable. The zone is withdrawn and the only
+  // daemon cannot learn of it, although it may still be able to write. When the worker returns
+  // seconds later, the assignments committed before must not be started.
   it.each(['isConfigurationUnreadable', 'isCutFromTable'] as const)(
-    'starts nothing on an old proof, %s',
+    'starts nothing based on an expired proof of use, fault %s',
     (fault) => {
       const cell = new VirtualCell({ seed: 70, workerCount: 4, capacity: CAPACITY });
       setZone(cell, 'in-use');
@@ -98,8 +100,8 @@
     },
   );
 
-  // A reader gets an old answer after a newer one, in which the zone is still in use. Taken in,
-  // it would have starts go on in a zone that was withdrawn; the older version is refused.
+  // A daemon gets an older configuration, in which the zone is still in use, after a newer one.
+  // Applying it would allow starts in a withdrawn zone, so the older version is refused.
   it('stays withdrawn when an older configuration arrives late', () => {
     const cell = startCell(69);
     cell.runFor(3_000);
@@ -121,11 +123,11 @@
   });
 });
 
-describe('a cancellation wave', () => {
-  // Thousands of queued jobs are cancelled in one second, while some of them run. Each ends as
-  // cancelled or, where it was quicker, as done; the rows written stay within the cell's share
-  // of the table, and the cancellation's own row goes once nothing needs it.
-  it('ends each job in the right state within the write budget', () => {
+describe('the cancellation of jobs', () => {
+  // Thousands of queued jobs are cancelled in one second while some of them run. Each ends as
+  // cancelled, or as done if it finished first. The written rows stay within the cell's budget, and
+  // the cancellation row is removed once no shard needs it.
+  it('ends thousands of jobs in the right state within the write budget', () => {
     const cell = startCell(71);
     cell.runFor(2_000);
     const jobIds = Array.from({ length: 2_000 }, (_, index) => `kitchen.job${index}`);
@@ -145,10 +147,10 @@
     expectNoHarm(cell);
   });
 
-  // A shard is about to move to another zone when its job is cancelled. The mover has not read
-  // the cancellation yet: its transaction must fail, or the shard would arrive where the
-  // cancellation has been dealt with already, and run.
-  it('is not escaped by a shard that moves', () => {
+  // A shard is about to move to another zone when its job is cancelled. The owner that moves it has
+  // not read the cancellation yet. Its transaction must fail, or the shard would arrive in a zone
+  // that has already processed the cancellation, and run there.
+  it('also covers a shard that is about to move', () => {
     for (let delayMs = 0; delayMs < 1_200; delayMs += 40) {
       const cell = startCell(72);
       cell.writeRow('configuration/document/zone/zone-b', {
@@ -161,7 +163,7 @@
       cell.runFor(700);
       submit(cell, shard(4, 1_000));
       cell.runFor(delayMs);
-      // The plan writes the row for every cell; zone-b has dealt with its own by now.
+      // A plan writes a cancellation row for every cell. Here zone-b has already processed its row.
       const arrived = cell.table.read({ keys: [], prefixes: [workPrefix('zone-b')] }).rows.length;
       cell.writeRow(cancellationKey(CELL, 'plan'), { jobIds: ['kitchen.plan'] });
       cell.runFor(5_000);
@@ -171,11 +173,11 @@
   });
 });
 
-describe('the store', () => {
-  // The table is down for three minutes. What runs goes on under renewed leases, nothing is
-  // started that was not committed, and what queued up meanwhile is worked off within the
-  // budget of writes once the table is back.
-  it.each([81, 82, 83, 84])('may be down for minutes, seed %i', (seed) => {
+describe('a cell whose table fails', () => {
+  // The table is down for three minutes. Running tasks continue with renewed leases, nothing is
+  // started that was not committed, and the backlog is processed within the write budget once the
+  // table is back.
+  it.each([81, 82, 83, 84])('survives an outage of minutes, seed %i', (seed) => {
     const cell = startCell(seed, { timing: { maximumRenewalWithoutTableMs: 600_000 } });
     cell.lostAnswerRatio = 0.3;
     submit(cell, shard(30, 400_000, 'kitchen.long'));
@@ -200,8 +202,8 @@
     expectNoHarm(cell);
   });
 
-  // Every call of the table takes more than half a second. Work goes on, if more slowly.
-  it('may be slow', () => {
+  // Every table call takes more than half a second. Work continues, but more slowly.
+  it('completes work if table calls are slow', () => {
     const cell = startCell(85);
     cell.tableSlownessMs = 500;
     cell.runFor(6_000);
@@ -213,9 +215,10 @@
 });
 
 describe('the death of an owner', () => {
-  // Callers wait for starts that a dead owner will not make. Another daemon takes the cell over
-  // and starts the next task within five seconds, whenever in its heartbeat the owner died.
-  it('holds up the next start for less than five seconds', () => {
+  // Callers wait for starts that a dead owner does not send. Another daemon takes over the cell and
+  // starts the next task within five seconds, at whatever point of its heartbeat interval the owner
+  // died.
+  it('delays the next start by less than five seconds', () => {
     const delaysMs: number[] = [];
     for (let seed = 91; seed < 111; seed += 1) {
       const cell = startCell(seed);
--- a/src/scheduler/test/zoneReturn.test.ts
+++ b/src/scheduler/test/zoneReturn.test.ts
@@ -32,7 +32,7 @@
     .read({ keys: [], prefixes: ['endpoints/'] })
     .rows.reduce((sum, { value }) => sum + endpointRowSchema.parse(value).servers.length, 0);
 
-/** A service and much batch work in three zones, one of which has been out for a while. */
+/** A service and much batch work in three zones. One of them has been withdrawn for a while. */
 const startWithZoneOut = (seed: number): VirtualCell => {
   const cell = startCells(seed, ZONES);
   cell.writeRow(serviceKey('rounds'), {
@@ -53,11 +53,12 @@
   return cell;
 };
 
-describe('a zone that returns', () => {
-  // Its whole share of replicas and all the work that waits elsewhere used to start on it within
-  // a second or two. When it leaves again, as a zone just back is apt to, all of that is evicted
-  // once more. It has to fill by steps, while no service has fewer replicas than it should.
-  it.each([501, 502, 503])('fills by steps, seed %i', (seed) => {
+describe('a zone that returns to use', () => {
+  // Its whole share of replicas and all work that waits in other zones used to start in it within
+  // one
+  // or two seconds. If it is withdrawn again, as is likely shortly after a return, all of that is
+  // evicted again. The zone has to fill gradually while every service keeps all its replicas.
+  it.each([501, 502, 503])('fills gradually, seed %i', (seed) => {
     const cell = startWithZoneOut(seed);
     expect(servingCount(cell)).toBe(REPLICA_COUNT);
     setZone(cell, 'in-use', RETURNING);
@@ -70,15 +71,16 @@
       }
       most = Math.max(most, assignedIn(cell, RETURNING) - before);
     }
-    // Of 48 places, in any second; opened at once, 40 were taken in the second one.
+    // The limit is for any second, of 48 places. When the zone opened at once, 40 were filled in
+    // the
+    // second one.
     expect(most).toBeLessThanOrEqual(24);
     expect(assignedIn(cell, RETURNING)).toBeGreaterThan(40);
     expectNoHarm(cell);
   });
 
-  // Another zone is taken out while the first is on its way back. What that one ran has to go
-  // somewhere: the return is not drawn out any longer.
-  it('is used at once when another zone leaves', () => {
+  // Another zone is withdrawn during the return. Its tasks need room, so the gradual opening ends.
+  it('opens its whole capacity at once when another zone leaves', () => {
     const cell = startWithZoneOut(504);
     setZone(cell, 'in-use', RETURNING);
     cell.runFor(2_000);
@@ -89,8 +91,8 @@
     expectNoHarm(cell);
   });
 
-  // A job is urgent, and its place is in the zone that has just returned.
-  it('takes urgent work at once', () => {
+  // An urgent job is submitted to the zone that has just returned.
+  it('starts urgent work at once', () => {
     const cell = startWithZoneOut(505);
     setZone(cell, 'in-use', RETURNING);
     const urgent = { ...shard(30, 60_000, 'kitchen.urgent'), urgency: 'urgent' as const };
@@ -102,9 +104,9 @@
     expectNoHarm(cell);
   });
 
-  // The two zones that stayed lost workers meanwhile, so replicas are missing everywhere. The
-  // zone takes these at once: callers wait for them.
-  it('takes replicas at once that no zone serves', () => {
+  // The two remaining zones have too little capacity for all replicas, so some are missing in every
+  // zone. The returning zone starts these at once, because callers need them.
+  it('starts replicas that no zone serves at once', () => {
     const cell = startCells(506, ZONES);
     setZone(cell, 'withdrawn', RETURNING);
     cell.writeRow(serviceKey('rounds'), {
@@ -124,7 +126,7 @@
     expectNoHarm(cell);
   });
 
-  it('opens in a line from an eighth to all of its capacity', () => {
+  it('opens linearly from an eighth to all of its capacity', () => {
     const share = (atMs: number): number => openShare(0, 16_000, atMs);
     expect([share(0), share(2_000), share(8_000), share(16_000)]).toEqual([0.125, 0.125, 0.5, 1]);
     expect(openShare(undefined, 16_000, 0)).toBe(1);
