--- a/src/scheduler/common/assigning.ts
+++ b/src/scheduler/common/assigning.ts
@@ -177,8 +177,7 @@
   while (replicas.length < wantedCount) {
     const request = { size, isSpread: true };
     // A replica can wait if other zones serve it in the meantime. One that no zone serves is
-    // missing
-    // for callers.
+    // missing for callers.
     const canWait = replicas.length + elsewhereCount >= service.replicaCount;
     const nearCandidates = round.capacity.candidatesNear(replicas, canWait);
     const chosen = round.policy.choose(
--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -70,8 +70,8 @@
     .filter(([id]) => state.rows === undefined || state.rows.assignmentsByWorker.has(id))
     .map(([id, view]): [string, WorkerView] => [id, { ...view, isListed: false }]);
   const views = [...listed].map(([id, instance]): [string, WorkerView] => {
-    const known = state.workers.get(id) ?? unreachedWorker(instance, presumedLeaseEndMs(state));
-    return [id, { ...known, instance, isListed: true }];
+    const knownView = state.workers.get(id) ?? unreachedWorker(instance, presumedLeaseEndMs(state));
+    return [id, { ...knownView, instance, isListed: true }];
   });
   return withAllStale({ ...state, workers: new Map([...unlisted, ...views]) });
 };
@@ -285,8 +285,11 @@
       return withoutEffects(withInstances(state, event.workers));
     case 'latency-measured': {
       if (!state.lease.isOwner) return withoutEffects(state);
-      const own = event.samples.filter(({ workerId }) => state.workers.has(workerId));
-      return withoutEffects({ ...state, interference: withSamples(state.interference, own) });
+      const ownSamples = event.samples.filter(({ workerId }) => state.workers.has(workerId));
+      return withoutEffects({
+        ...state,
+        interference: withSamples(state.interference, ownSamples),
+      });
     }
     case 'lease-read':
       return withLeaseRead(state, event.result, event.sentAtMs, nowMs);
--- a/src/scheduler/common/fence.ts
+++ b/src/scheduler/common/fence.ts
@@ -22,7 +22,7 @@
 };
 
 /** True if a failed transaction may have committed or may still commit. */
-export const needsFence = (cause: Failure): boolean => cause.kind !== ErrorKind.StoreUnavailable;
+export const needsFence = (error: Failure): boolean => error.kind !== ErrorKind.StoreUnavailable;
 
 /**
  * Writes the fence if it is due. Fence writes have the same minimum interval as rounds, so that a
--- a/src/scheduler/common/invariants.ts
+++ b/src/scheduler/common/invariants.ts
@@ -90,8 +90,7 @@
   const isRequeued =
     before.state === BatchTaskState.Assigned && after.state === BatchTaskState.Queued;
   // A requeued task needs a new attempt number. Otherwise a late message could start the old
-  // attempt
-  // again.
+  // attempt again.
   if (isRequeued && after.attempt === before.attempt) return true;
   return before.checkpoint !== null && after.checkpoint === null;
 };
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -66,8 +66,7 @@
     const isRunning = row?.tasks.some((task) => task.state === BatchTaskState.Assigned) ?? true;
     if (row === undefined || isRunning || row.tasks.every(isEnded)) return;
     // The zone is derived from the shard id. In turn order, shards that move one at a time would
-    // all
-    // go to the first zone.
+    // all go to the first zone.
     const zoneIndex = Math.floor(fractionOf(shardId) * zones.length);
     draft.moveWork(shardId, zones[zoneIndex] as string);
   });
--- a/src/scheduler/common/taskTransfer.ts
+++ b/src/scheduler/common/taskTransfer.ts
@@ -41,29 +41,33 @@
   roomComputedAtMs: Number.NEGATIVE_INFINITY,
 };
 
-/** A short wait is normal, because a full cell completes several batch tasks a second. */
+/**
+ * How long a shard must have found no room before its tasks are transferred. A short wait is
+ * normal, because a full cell completes several batch tasks a second.
+ */
 const TRANSFER_DELAY_MS = 2_000;
 /**
- * Longer than a cell takes to read transferred tasks, assign them and publish its remaining room.
+ * Minimum time between two transfers to the same cell. It is longer than a cell takes to read
+ * transferred tasks, assign them and publish its remaining room.
  */
 const TRANSFER_INTERVAL_MS = 2_000;
 /** How long no task may have waited before the cell publishes room. */
 const ROOM_STABLE_MS = 5_000;
 /**
- * Summing the free capacity of all workers in each round would cost more than the rest of the
- * round.
+ * How often the room is computed. Summing the free capacity of all workers in each round would cost
+ * more than the rest of the round.
  */
 const ROOM_INTERVAL_MS = 1_000;
 /** Changes of room by less than this share of the cell's capacity are not published. */
 const MINIMUM_CHANGE_RATIO = 1 / 8;
 
-const isRoomChanged = (one: Resources, other: Resources, whole: Resources): boolean => {
-  const isLargeChange = (left: number, right: number, all: number): boolean =>
-    Math.abs(left - right) > all * MINIMUM_CHANGE_RATIO;
+const isRoomChanged = (room: Resources, published: Resources, total: Resources): boolean => {
+  const isLargeChange = (left: number, right: number, totalAmount: number): boolean =>
+    Math.abs(left - right) > totalAmount * MINIMUM_CHANGE_RATIO;
   return (
-    isLargeChange(one.processorMillis, other.processorMillis, whole.processorMillis) ||
-    isLargeChange(one.memoryBytes, other.memoryBytes, whole.memoryBytes) ||
-    isLargeChange(one.acceleratorCount, other.acceleratorCount, whole.acceleratorCount)
+    isLargeChange(room.processorMillis, published.processorMillis, total.processorMillis) ||
+    isLargeChange(room.memoryBytes, published.memoryBytes, total.memoryBytes) ||
+    isLargeChange(room.acceleratorCount, published.acceleratorCount, total.acceleratorCount)
   );
 };
 
@@ -87,8 +91,7 @@
   const isRoomStable = nowMs - state.taskTransfer.lastNoRoomAtMs >= ROOM_STABLE_MS;
   const isDue = isClosed || (isRoomStable && isRoomDue(state.taskTransfer, nowMs));
   if (!isDue || (!isClosed && capacity === undefined)) return;
-  // A worker whose capacity has shrunk below its usage has negative free capacity, which counts as
-  // 0.
+  // The negative free capacity of a worker that has shrunk below its usage counts as none.
   const room = isClosed
     ? NO_RESOURCES
     : sumResources(
--- a/src/scheduler/common/zoneReturn.ts
+++ b/src/scheduler/common/zoneReturn.ts
@@ -6,7 +6,7 @@
 } from '../../services/configuration/common/configurationView.js';
 
 /** The share that is open at once, so that replicas and batch tasks start to move without delay. */
-const FIRST_SHARE = 1 / 8;
+const INITIAL_OPEN_SHARE = 1 / 8;
 
 /**
  * The share of each worker's capacity that is open to tasks after the zone's return. It grows
@@ -23,7 +23,7 @@
   nowMs: number,
 ): number => {
   if (returnedAtMs === undefined) return 1;
-  return Math.min(1, Math.max(FIRST_SHARE, (nowMs - returnedAtMs) / zoneReturnMs));
+  return Math.min(1, Math.max(INITIAL_OPEN_SHARE, (nowMs - returnedAtMs) / zoneReturnMs));
 };
 
 /**
--- a/src/scheduler/test/arrivals.test.ts
+++ b/src/scheduler/test/arrivals.test.ts
@@ -8,7 +8,7 @@
 const SHORT_MS = 300;
 const JOB_COUNT = 40;
 
-const add = (cell: VirtualCell, jobId: string, workMs: number): void => {
+const addJob = (cell: VirtualCell, jobId: string, workMs: number): void => {
   const row = shard(1, workMs, jobId);
   cell.addRows([{ key: workKey(CELL, row.shardId), value: row }]);
 };
@@ -33,7 +33,7 @@
     const cell = busyCell(1);
     const before = cell.table.counts.readRowCount;
     Array.from({ length: 5 }, (_, index) => {
-      add(cell, `kitchen.new-${index}`, SHORT_MS);
+      addJob(cell, `kitchen.new-${index}`, SHORT_MS);
       return cell.runFor(1_000);
     });
     cell.runFor(2_000);
@@ -46,9 +46,9 @@
   // listing its row. The owner must find the unlisted row, or an accepted job would never run.
   it('is found although a writer lists no rows in the inbox', () => {
     const cell = busyCell(2);
-    add(cell, 'kitchen.named-1', SHORT_MS);
+    addJob(cell, 'kitchen.named-1', SHORT_MS);
     submit(cell, shard(1, SHORT_MS, 'kitchen.unnamed'));
-    add(cell, 'kitchen.named-2', SHORT_MS);
+    addJob(cell, 'kitchen.named-2', SHORT_MS);
     cell.runFor(4_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(3);
     expectNoHarm(cell);
@@ -60,7 +60,7 @@
     const cell = busyCell(seed);
     cell.lostAnswerRatio = 0.4;
     Array.from({ length: 10 }, (_, index) => {
-      add(cell, `kitchen.new-${index}`, SHORT_MS);
+      addJob(cell, `kitchen.new-${index}`, SHORT_MS);
       return cell.runFor(400);
     });
     cell.lostAnswerRatio = 0;
@@ -72,7 +72,7 @@
   it('is found after an outage of the table', () => {
     const cell = busyCell(7);
     cell.isTableDown = true;
-    add(cell, 'kitchen.new', SHORT_MS);
+    addJob(cell, 'kitchen.new', SHORT_MS);
     cell.runFor(3_000);
     cell.isTableDown = false;
     cell.runFor(5_000);
@@ -84,7 +84,7 @@
 describe('a cancellation', () => {
   it('is applied to existing work and to work that arrives with it', () => {
     const cell = busyCell(8);
-    add(cell, 'kitchen.late', LONG_MS);
+    addJob(cell, 'kitchen.late', LONG_MS);
     const jobIds = ['kitchen.0', 'kitchen.late'];
     cell.addRows([{ key: cancellationKey(CELL, 'plan'), value: { jobIds } }]);
     cell.runFor(5_000);
--- a/src/scheduler/test/cellScheduler.test.ts
+++ b/src/scheduler/test/cellScheduler.test.ts
@@ -24,8 +24,7 @@
 
   // The owner dies while tasks run. Services must not be interrupted and no task may run again. The
   // next owner reads the ledger, asks the workers and renews the leases of running tasks. It may
-  // take
-  // over only after the heartbeat has been unchanged for a whole lease.
+  // take over only after the heartbeat has been unchanged for a whole lease.
   it('is taken over within five seconds without restarting running tasks', () => {
     const cell = startCell(2);
     cell.writeRow(workKey(CELL, `kitchen.plan~${CELL}`), shard(80, 20_000));
@@ -58,8 +57,7 @@
   });
 
   // Answers to transactions are lost after the commit. The owner cannot know which transactions
-  // have
-  // committed, reads the rows again and must reach the same result as without the loss.
+  // have committed, reads the rows again and must reach the same result as without the loss.
   it('completes all tasks while answers of the table are lost', () => {
     const cell = startCell(4);
     cell.lostAnswerRatio = 0.3;
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -62,8 +62,7 @@
   });
 
   // The cell is full of batch tasks that run for minutes when an urgent job arrives. The owner
-  // evicts
-  // as few tasks as possible, which resume later, and the urgent job starts in time.
+  // evicts as few tasks as possible, which resume later, and the urgent job starts in time.
   it('starts urgent work within 3.5 seconds in a full cell', () => {
     const cell = startCell(202);
     submit(cell, shard(200, 60_000));
@@ -82,9 +81,8 @@
   });
 
   // A team submits far more than its quota while another team submits too. The team may use only
-  // this
-  // cell's part of its quota, which is half because two zones are in use. The other team's work
-  // starts at once.
+  // this cell's part of its quota, which is half because two zones are in use. The other team's
+  // work starts at once.
   it('limits a team to the part of its quota for this cell', () => {
     const cell = startCell(203);
     cell.writeRow(zoneKey('zone-b'), { name: 'zone-b', region: 'r', state: 'in-use' });
@@ -139,10 +137,9 @@
   });
 
   // In a cell of four workers, one worker fails every task. Its first failure may be the job's
-  // fault.
-  // Once another job has failed there too, failures count against neither job, and both are tried
-  // on
-  // other workers. Otherwise good jobs would be given up after five attempts on that worker.
+  // fault. Once another job has failed there too, failures count against neither job, and both are
+  // tried on other workers. Otherwise good jobs would be given up after five attempts on that
+  // worker.
   it('does not count failures against jobs on a worker where others fail too', () => {
     const fail = (health: WorkerHealth, job: string): WorkerHealth =>
       health.withFailure('w1', job, 4, 0);
@@ -184,10 +181,10 @@
       Array.from({ length: 4 }, (__, job) => [`w${worker}`, `job${worker}-${job}`] as const),
     ).flat();
     const health = failures(new WorkerHealth(), pairs);
-    const aside = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
+    const excluded = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
       health.isSetAside(worker, 1_000),
     );
-    expect(aside.length).toBe(10);
+    expect(excluded.length).toBe(10);
   });
 });
 
@@ -195,8 +192,8 @@
   const rounds = { name: 'rounds', team: 'kitchen', replicaCount: 8, size: SIZE };
 
   // Another zone returns, so half of the replicas belong there. This cell must not stop its
-  // replicas
-  // before those of the other zone serve, or half of the service would be missing for seconds.
+  // replicas before those of the other zone serve, or half of the service would be missing for
+  // seconds.
   it('are kept until the returning zone serves its share', () => {
     const cell = startCell(211);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
@@ -235,10 +232,8 @@
   });
 
   // A worker with replicas moves to another rack and its capacity shrinks. Its tasks are not
-  // started
-  // again. The first round once ran before half of the workers had answered and put four replicas
-  // on
-  // each of two workers, so draining one of them moved half of the service.
+  // started again. The first round once ran before half of the workers had answered and put four
+  // replicas on each of two workers, so draining one of them moved half of the service.
   it('stay on a worker that moves to another rack', () => {
     const cell = startCell(213);
     cell.writeRow(serviceKey('rounds'), { ...rounds, urgency: 'urgent' });
--- a/src/scheduler/test/lateTransactions.test.ts
+++ b/src/scheduler/test/lateTransactions.test.ts
@@ -34,11 +34,10 @@
 
 describe('a transaction whose answer is lost and that commits late', () => {
   // A task is assigned, its worker becomes unreachable before the start arrives, and after the
-  // lease
-  // the owner removes the assignment. The store is slow: the answer is lost, and the rows read
-  // again
-  // still contain the assignment. The worker returns and gets the start based on these rows. If the
-  // old transaction then committed and queued the next attempt, the task would run twice.
+  // lease the owner removes the assignment. The store is slow: the answer is lost, and the rows
+  // read again still contain the assignment. The worker returns and gets the start based on these
+  // rows. If the old transaction then committed and queued the next attempt, the task would run
+  // twice.
   it('does not remove an assignment that has been started since', () => {
     const cell = startCell(21, { workerCount: 2, capacity: ONE_TASK_CAPACITY });
     cell.runFor(3_000);
--- a/src/scheduler/test/runsOnce.test.ts
+++ b/src/scheduler/test/runsOnce.test.ts
@@ -77,9 +77,9 @@
 
 describe('answers of an earlier ownership', () => {
   // A daemon loses the cell and regains it while its command to a worker is in flight. The old
-  // answer
-  // names short leases, but the owner in between granted longer ones. If the answer counted as the
-  // worker's first report, the worker's tasks would be given up while they run, and run twice.
+  // answer names short leases, but the owner in between granted longer ones. If the answer counted
+  // as the worker's first report, the worker's tasks would be given up while they run, and run
+  // twice.
   it('do not count as the first report of a worker', () => {
     const { state, nowMs } = ownedState();
     const regained = loseAndRegain(state, nowMs);
@@ -168,10 +168,9 @@
 
 describe('a task', () => {
   // The owner is paused for longer than the workers' leases while another daemon renews them. When
-  // it
-  // resumes, every lease it knows of has expired. It would give up all tasks and start them again,
-  // and the rows it changes still have the versions that it read. The condition on the owner row
-  // makes that transaction fail.
+  // it resumes, every lease it knows of has expired. It would give up all tasks and start them
+  // again, and the rows it changes still have the versions that it read. The condition on the owner
+  // row makes that transaction fail.
   it('is not given up by an owner that was paused for longer than the leases', () => {
     const cell = startCell(30);
     submit(cell, shard(60, 60_000));
@@ -187,11 +186,9 @@
   });
 
   // Commands arrive after their call has timed out, answers of workers and of the table are lost,
-  // and
-  // a worker is unreachable for longer than its leases and returns. Each of these once made tasks
-  // run
-  // twice. The tasks outlast the disconnection, because a task that finishes while its worker is
-  // unreachable has an unknown outcome and runs again.
+  // and a worker is unreachable for longer than its leases and returns. Each of these once made
+  // tasks run twice. The tasks outlast the disconnection, because a task that finishes while its
+  // worker is unreachable has an unknown outcome and runs again.
   it.each([31, 32, 33, 34, 35, 36])('runs in one place at a time, seed %i', (seed) => {
     const cell = startCell(seed);
     cell.lateCommandRatio = 0.1;
@@ -210,10 +207,8 @@
   });
 
   // A worker becomes unreachable, finishes its tasks and returns while the next attempts run on
-  // other
-  // workers. The finished tasks count, and the next attempts are stopped so that the work is not
-  // done
-  // twice.
+  // other workers. The finished tasks count, and the next attempts are stopped so that the work is
+  // not done twice.
   it('that finished on an unreachable worker is not finished again', () => {
     const cell = startCell(39);
     submit(cell, shard(40, 12_000));
@@ -230,9 +225,8 @@
 
   // A worker has been idle for longer than a lease, so it holds none. Its next task was then
   // considered lost before its start was sent. The start was sent nevertheless, and the next
-  // attempt
-  // went to another worker. In the demo the number of evictions varied between runs, because the
-  // first attempt had to be evicted.
+  // attempt went to another worker. In the demo the number of evictions varied between runs,
+  // because the first attempt had to be evicted.
   it('is not given up on an idle worker before it was started', () => {
     const cell = startCell(37);
     cell.runFor(15_000);
@@ -251,9 +245,8 @@
   });
 
   // A worker leaves the instance list and all daemons are replaced, so the next owner never sees
-  // the
-  // worker. Its tasks used to stay assigned forever. They have to run again once all leases have
-  // expired.
+  // the worker. Its tasks used to stay assigned forever. They have to run again once all leases
+  // have expired.
   it('runs again if its worker is not known to any owner any more', () => {
     const cell = startCell(38, { timing: { maximumRenewalWithoutTableMs: 20_000 } });
     submit(cell, shard(64, 60_000));
@@ -285,12 +278,9 @@
 
 describe('an owner that dies after any of its calls', () => {
   // The owner dies right after its n-th call or command, for every n until the work is done:
-  // between
-  // checkpoint and transaction, between transaction and start, and so on. The next owner has only
-  // the
-  // table and the workers as sources. Each task must complete once, continue from its checkpoint
-  // and
-  // never run in two places.
+  // between checkpoint and transaction, between transaction and start, and so on. The next owner
+  // has only the table and the workers as sources. Each task must complete once, continue from its
+  // checkpoint and never run in two places.
   it('leaves work that the next owner completes once', async () => {
     const probe = startCell(41);
     runWithEvictions(probe);
@@ -318,8 +308,7 @@
 describe('work to be evicted', () => {
   // Checkpoints cannot be written while the object store is down. A task to be evicted then runs on
   // with renewed leases and is evicted once the store is back. No work is lost, and the worker is
-  // not
-  // flooded with evictions.
+  // not flooded with evictions.
   it('runs on while the object store is down', () => {
     const cell = startCell(51);
     submit(cell, shard(40, 60_000));
@@ -342,8 +331,7 @@
   });
 
   // The zone is withdrawn while tasks run. Each task is evicted once, and its shard moves to
-  // exactly
-  // one other cell with its checkpoints.
+  // exactly one other cell with its checkpoints.
   it('moves to exactly one other zone with its checkpoints', () => {
     const cell = startCell(52);
     cell.writeRow('configuration/document/zone/zone-b', {
--- a/src/scheduler/test/taskTransfer.test.ts
+++ b/src/scheduler/test/taskTransfer.test.ts
@@ -47,8 +47,7 @@
   });
 
   // Two full cells transfer tasks to a third one at the same time, based on the same published
-  // room.
-  // The third cell must not get more tasks than it has room for, nor send tasks back.
+  // room. The third cell must not get more tasks than it has room for, nor send tasks back.
   it('is not transferred beyond the room of the receiving cell, nor back and forth', () => {
     const cell = startCells(403, ZONES);
     cell.runFor(8_000);
@@ -67,8 +66,7 @@
   });
 
   // Jobs arrive in random cells, some are cancelled while their tasks are transferred, answers of
-  // the
-  // table and of workers are lost, and a zone leaves and returns. Each task ends exactly once.
+  // the table and of workers are lost, and a zone leaves and returns. Each task ends exactly once.
   it.each([411, 412, 413, 414, 415, 416])('ends once under random faults, seed %i', (seed) => {
     const cell = startCells(seed, ZONES);
     const random = new SeededRandom(seed);
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -53,7 +53,7 @@
 const WITHDRAWAL_BOUND_MS = 2_700;
 const DAEMON_CLOCK_STEP_MS = 5_000_011;
 const WORKER_CLOCK_STEP_MS = 1_000_003;
-const MAXIMUM_LATE_ARRIVAL_MS = 6_000;
+const MAXIMUM_LATENESS_MS = 6_000;
 
 /** The state of one daemon for the cell, with its possible faults. */
 export interface VirtualDaemon {
@@ -416,9 +416,7 @@
         answer(left(failure(ErrorKind.WorkerUnavailable, 'unreachable'))),
       );
     const isLate = this.#random.nextFraction() < this.lateCommandRatio;
-    const latenessMs = isLate
-      ? CALL_TIMEOUT_MS + this.#random.nextIndex(MAXIMUM_LATE_ARRIVAL_MS)
-      : 0;
+    const latenessMs = isLate ? CALL_TIMEOUT_MS + this.#random.nextIndex(MAXIMUM_LATENESS_MS) : 0;
     if (isLate) timeOut();
     this.#schedule(this.#delayMs() + latenessMs, () => {
       const report = this.#executeCommand(workerId, command);
--- a/src/scheduler/test/zoneAndStore.test.ts
+++ b/src/scheduler/test/zoneAndStore.test.ts
@@ -45,10 +45,8 @@
 
 describe('a withdrawn zone', () => {
   // The zone is withdrawn while starts are in flight, with each fault that could delay one: a
-  // paused
-  // owner, late commands, lost answers to transactions, and an owner that cannot reach the table
-  // and
-  // so does not learn of the withdrawal. The judge counts starts after the stated bound.
+  // paused owner, late commands, lost answers to transactions, and an owner that cannot reach the
+  // table and so does not learn of the withdrawal. The judge counts starts after the stated bound.
   it.each([61, 62, 63, 64, 65, 66, 67, 68])('starts nothing after the bound, seed %i', (seed) => {
     const cell = startCell(seed);
     cell.lateCommandRatio = 0.2;
--- a/src/scheduler/test/zoneReturn.test.ts
+++ b/src/scheduler/test/zoneReturn.test.ts
@@ -55,26 +55,23 @@
 
 describe('a zone that returns to use', () => {
   // Its whole share of replicas and all work that waits in other zones used to start in it within
-  // one
-  // or two seconds. If it is withdrawn again, as is likely shortly after a return, all of that is
-  // evicted again. The zone has to fill gradually while every service keeps all its replicas.
+  // one or two seconds. If it is withdrawn again, as is likely shortly after a return, all of that
+  // is evicted again. The zone has to fill gradually while every service keeps all its replicas.
   it.each([501, 502, 503])('fills gradually, seed %i', (seed) => {
     const cell = startWithZoneOut(seed);
     expect(servingCount(cell)).toBe(REPLICA_COUNT);
     setZone(cell, 'in-use', RETURNING);
-    let most = 0;
+    let maximumPerSecond = 0;
     for (let second = 0; second < 40; second += 1) {
       const before = assignedIn(cell, RETURNING);
       for (let part = 0; part < 10; part += 1) {
         cell.runFor(100);
         expect(servingCount(cell)).toBeGreaterThanOrEqual(REPLICA_COUNT);
       }
-      most = Math.max(most, assignedIn(cell, RETURNING) - before);
+      maximumPerSecond = Math.max(maximumPerSecond, assignedIn(cell, RETURNING) - before);
     }
-    // The limit is for any second, of 48 places. When the zone opened at once, 40 were filled in
-    // the
-    // second one.
-    expect(most).toBeLessThanOrEqual(24);
+    // The zone has 48 places. When it opened at once, 40 of them were filled from 1 s to 2 s later.
+    expect(maximumPerSecond).toBeLessThanOrEqual(24);
     expect(assignedIn(cell, RETURNING)).toBeGreaterThan(40);
     expectNoHarm(cell);
   });
