--- a/src/scheduler/test/runsOnce.test.ts
+++ b/src/scheduler/test/runsOnce.test.ts
@@ -254,7 +254,7 @@
     cell.unreachableWorkers.add('w3');
     cell.updateInstance('w3', null);
     cell.daemons.forEach((daemon) => {
-      // The record is the harness's own.
+      // The test harness mutates its own record.
       // eslint-disable-next-line no-param-reassign
       daemon.isAlive = false;
     });
@@ -290,7 +290,7 @@
     for (let step = 1; step <= stepCount; step += 1) {
       const cell = startCell(41);
       cell.daemons.forEach((daemon) => {
-        // The record is the harness's own.
+        // The test harness mutates its own record.
         // eslint-disable-next-line no-param-reassign
         daemon.diesAfterEffect = daemon.id === 'd1' ? step : daemon.diesAfterEffect;
       });
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -229,7 +229,7 @@
   /** Sets whether the object store is down, so that workers cannot write checkpoints. */
   setObjectStoreDown(isDown: boolean): void {
     this.workers.forEach((worker) => {
-      // The record is the harness's own.
+      // The test harness mutates its own record.
       // eslint-disable-next-line no-param-reassign
       worker.isObjectStoreDown = isDown;
     });
@@ -247,7 +247,7 @@
   }
 
   resume(daemon: VirtualDaemon): void {
-    // The record is the harness's own.
+    // The test harness mutates its own record.
     // eslint-disable-next-line no-param-reassign
     daemon.isPaused = false;
     daemon.inbox.splice(0).forEach((event) => this.#deliver(daemon, event));
@@ -339,7 +339,7 @@
     if (!daemon.isAlive) return;
     this.#perform(daemon, effect);
     if (effect.kind === 'count' || effect.kind === 'log') return;
-    // The record is the harness's own.
+    // The test harness mutates its own record.
     /* eslint-disable no-param-reassign */
     daemon.effectCount += 1;
     if (daemon.effectCount >= daemon.diesAfterEffect) daemon.isAlive = false;
