--- a/src/scheduler/common/cellLease.ts
+++ b/src/scheduler/common/cellLease.ts
@@ -118,8 +118,8 @@
     ...(timing.writesCellClock === true && { cellMs: Math.floor(cellMs) }),
   };
   if (lease.tableClock === undefined) return heartbeat;
-  // Counted from when the clock was requested. Counted from an answer that was processed late, the
-  // heartbeat would look older than it is.
+  // Adds the time since the clock was requested. With the time since an answer that was processed
+  // late, the heartbeat would look older than it is.
   const { tableMs, askedAtMs } = lease.tableClock;
   return { ...heartbeat, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
 };
@@ -330,9 +330,7 @@
   unchangedSinceMs: nowMs,
 });
 
-/**
- * For an owner that has yielded but is still in the owner row: it has to acquire the cell again.
- */
+/** Applies a yield. The daemon is still in the owner row but has to acquire the cell again. */
 export const withLeaseGivenUp = (lease: CellLease): CellLease => ({
   ...lease,
   isOwner: false,
--- a/src/scheduler/common/invariants.ts
+++ b/src/scheduler/common/invariants.ts
@@ -96,8 +96,8 @@
 };
 
 /**
- * True if a task regresses or leaves its shard other than unchanged in a split of the same
- * transaction.
+ * True if a task of the shard regresses, is lost or is duplicated. A task may leave the shard only
+ * by a split of the same transaction, which keeps its record.
  */
 const hasRegression = (
   before: WorkRow | undefined,
--- a/src/scheduler/common/staleness.ts
+++ b/src/scheduler/common/staleness.ts
@@ -1,7 +1,4 @@
-/**
- * Marks which workers' commands have to be computed again after a change, and whether the round
- * has.
- */
+/** Marks the round and worker commands as stale after a change, so that they are computed again. */
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
 import { surplusTaskIds } from './wantedEvictions.js';
