--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -35,9 +35,9 @@
 } from './taskRecords.js';
 
 /** Rows that one transaction may write; a call of the table takes a hundred entries in all. */
-const MAXIMUM_ROWS = 40;
+const MAXIMUM_ROWS_PER_TRANSACTION = 40;
 /** Submissions whose assignments one transaction stores; the rest of it is for others' progress. */
-const MAXIMUM_ASSIGNED = 12;
+const MAXIMUM_ASSIGNMENT_ROWS = 12;
 /** One that has ended removes its assignments as well. */
 const ROWS_PER_PROGRESS = 2;
 /** Least interval between writes of learnt interference; a successor may miss that much. */
@@ -131,37 +131,41 @@
     if (this.#status !== CommitStatus.Idle || nowMs < this.#nextCommitAtMs) return undefined;
     const { book, owner } = input;
     const views = [...input.views];
-    const shared = this.#sharedWrites(input, views, nowMs);
-    if (book.dirty.size === 0 && book.unrecorded.size === 0 && shared.length === 0) {
+    const sharedWrites = this.#sharedWrites(input, views, nowMs);
+    if (book.dirty.size === 0 && book.unrecorded.size === 0 && sharedWrites.length === 0) {
       // Ends that changed nothing, of persistent or forgotten tasks, need no transaction.
       views.forEach((view) => {
         view.recordedSequence = view.takenSequence;
       });
       return undefined;
     }
-    const assigned = book.takeUnrecorded(MAXIMUM_ASSIGNED);
+    const assigned = book.takeUnrecorded(MAXIMUM_ASSIGNMENT_ROWS);
     // Runs that have ended are in no assignments any more: a successor must learn of both together,
     // or it would start tasks anew whose ends are not stored.
-    const changed = book.takeDirtyOf(assigned);
-    const leftRows = MAXIMUM_ROWS - assigned.length - changed.length;
-    const records = [...changed, ...book.takeDirty(Math.floor(leftRows / ROWS_PER_PROGRESS))];
+    const assignedProgress = book.takeDirtyOf(assigned);
+    const remainingRowCount =
+      MAXIMUM_ROWS_PER_TRANSACTION - assigned.length - assignedProgress.length;
+    const records = [
+      ...assignedProgress,
+      ...book.takeDirty(Math.floor(remainingRowCount / ROWS_PER_PROGRESS)),
+    ];
     const writes = [
       ...assigned.map((record) => ({
         key: assignmentsKey(record.submission.id),
         value: toAssignments(record),
       })),
       ...records.flatMap((record) => this.#progressWrites(record)),
-      ...shared,
+      ...sharedWrites,
     ];
     this.#operationCount += 1;
     this.#status = CommitStatus.InFlight;
     this.#nextCommitAtMs = nowMs + input.intervalMs;
-    const isWhole = book.dirty.size === 0;
+    const includesAllProgress = book.dirty.size === 0;
     this.#pending = {
       records,
       writes,
-      sequences: isWhole ? views.map(toSequence) : [],
-      hasRoster: shared.some(({ key }) => key === ROSTER_KEY),
+      sequences: includesAllProgress ? views.map(toSequence) : [],
+      hasRoster: sharedWrites.some(({ key }) => key === ROSTER_KEY),
       assigned,
       runs: runsToStart(assigned),
     };
--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionBook.ts
@@ -9,7 +9,7 @@
 import { SizeBalance } from './sizeBalance.js';
 import {
   allOccurrencesDone,
-  begunOccurrenceCount,
+  startedOccurrenceCount,
   countOnce,
   type InheritedRun,
   isOpen,
@@ -28,7 +28,7 @@
 import { WaitingTasks } from './waitingTasks.js';
 
 /** How long a task that failed waits: long enough that a sick worker does not use its tries up. */
-const FAILED_RETRY_MS = 200;
+const FAILED_RETRY_DELAY_MS = 200;
 
 /** A task of a submission that a former owner gave to a worker. */
 export interface InheritedTask {
@@ -41,7 +41,7 @@
   balance: new SizeBalance(),
 });
 
-const noteOver = (record: SubmissionRecord): void => {
+const recordEndInSizeBalance = (record: SubmissionRecord): void => {
   const { queueWork, sizeClass, isReserved } = record;
   if (record.state === SubmissionState.Complete) {
     countOnce(record);
@@ -65,7 +65,7 @@
   #inherited: InheritedTask[] = [];
 
   /** Submissions with occurrences that are not open yet. */
-  readonly #timed = new Set<SubmissionRecord>();
+  readonly #recurring = new Set<SubmissionRecord>();
 
   readonly #queueWorks = new Map<string, QueueWork>();
 
@@ -107,22 +107,22 @@
     queueWork.processorMs += record.processorMs;
     this.#records.set(submission.id, record);
     if (!isOpen(record)) {
-      noteOver(record);
+      recordEndInSizeBalance(record);
       return;
     }
     if (this.#cancelledIds.has(submission.id)) {
       this.#end(record, SubmissionState.Cancelled);
       return;
     }
-    if (submission.occurrenceCount === 0) this.#open(record, 0, nowMs);
-    else this.#addTimed(record, nowMs);
+    if (submission.occurrenceCount === 0) this.#openOccurrence(record, 0, nowMs);
+    else this.#addRecurring(record, nowMs);
   }
 
   /** What a former owner has begun goes on, also if it is not due by this process's time of day. */
-  #addTimed(record: SubmissionRecord, nowMs: number): void {
-    this.#timed.add(record);
-    while (record.nextOccurrence < begunOccurrenceCount(record)) {
-      this.#open(record, record.nextOccurrence, nowMs);
+  #addRecurring(record: SubmissionRecord, nowMs: number): void {
+    this.#recurring.add(record);
+    while (record.nextOccurrence < startedOccurrenceCount(record)) {
+      this.#openOccurrence(record, record.nextOccurrence, nowMs);
       record.nextOccurrence += 1;
     }
   }
@@ -137,17 +137,17 @@
 
   /** Opens the occurrences that are due by the time of day. */
   openDue(wallNowMs: number, nowMs: number): void {
-    this.#timed.forEach((record) => {
+    this.#recurring.forEach((record) => {
       const { submission } = record;
       const count = runsOfSteps(submission);
       while (record.nextOccurrence < count) {
         const dueWallMs =
           submission.firstDueWallMs + record.nextOccurrence * submission.occurrenceIntervalMs;
         if (wallNowMs < dueWallMs) return;
-        this.#open(record, record.nextOccurrence, nowMs);
+        this.#openOccurrence(record, record.nextOccurrence, nowMs);
         record.nextOccurrence += 1;
       }
-      this.#timed.delete(record);
+      this.#recurring.delete(record);
     });
   }
 
@@ -188,7 +188,7 @@
     const { task } = run;
     const index = task.runs.indexOf(run);
     if (index >= 0) task.runs.splice(index, 1);
-    this.#queue(task, nowMs);
+    this.#enqueue(task, nowMs);
   }
 
   /**
@@ -244,10 +244,10 @@
     return isOpen(record) ? this.#end(record, SubmissionState.Failed) : [];
   }
 
-  #open(record: SubmissionRecord, occurrence: number, nowMs: number): void {
+  #openOccurrence(record: SubmissionRecord, occurrence: number, nowMs: number): void {
     const opened = openOccurrence(record, occurrence, nowMs);
     opened.tasks.flat().forEach((task) => this.#noteInherited(task));
-    opened.tasks.forEach((_, stepIndex) => this.#queueStep(opened, stepIndex, nowMs));
+    opened.tasks.forEach((_, stepIndex) => this.#enqueueStep(opened, stepIndex, nowMs));
     this.#finishOccurrence(record, opened);
   }
 
@@ -261,12 +261,12 @@
     runs.filter(mayRun).forEach((inherited) => this.#inherited.push({ task, inherited }));
   }
 
-  #queueStep(opened: OccurrenceRecord, stepIndex: number, nowMs: number): void {
+  #enqueueStep(opened: OccurrenceRecord, stepIndex: number, nowMs: number): void {
     if (!isStepReady(opened, stepIndex)) return;
-    opened.tasks[stepIndex]?.forEach((task) => this.#queue(task, nowMs));
+    opened.tasks[stepIndex]?.forEach((task) => this.#enqueue(task, nowMs));
   }
 
-  #queue(task: TaskRecord, nowMs: number): void {
+  #enqueue(task: TaskRecord, nowMs: number): void {
     const opened = task.submission.occurrences.get(task.occurrence);
     const isReady = opened !== undefined && isStepReady(opened, task.stepIndex);
     if (!isReady || task.isDone || task.runs.length > 0 || !isOpen(task.submission)) return;
@@ -278,14 +278,14 @@
   #noteDone(task: TaskRecord, nowMs: number): readonly TaskRun[] {
     const opened = task.submission.occurrences.get(task.occurrence);
     const tasks = task.step.isGang ? (opened?.tasks[task.stepIndex] ?? []) : [task];
-    const others = tasks.flatMap((one) => this.#markDone(one, opened));
+    const remainingRuns = tasks.flatMap((member) => this.#markDone(member, opened));
     this.#dirty.add(task.submission);
     if (opened !== undefined && opened.openCounts[task.stepIndex] === 0) {
-      opened.tasks.forEach((_, stepIndex) => this.#queueStep(opened, stepIndex, nowMs));
+      opened.tasks.forEach((_, stepIndex) => this.#enqueueStep(opened, stepIndex, nowMs));
       this.#finishOccurrence(task.submission, opened);
     }
     // The members of a gang end by themselves; only copies have to be stopped.
-    return task.step.isGang ? [] : others;
+    return task.step.isGang ? [] : remainingRuns;
   }
 
   #markDone(task: TaskRecord, opened: OccurrenceRecord | undefined): readonly TaskRun[] {
@@ -310,17 +310,17 @@
     const members = task.step.isGang ? (opened?.tasks[task.stepIndex] ?? []) : [task];
     if (members.some(({ failedRuns }) => failedRuns.includes(run))) return [];
     task.failedRuns.push(run);
-    task.notBeforeMs = nowMs + FAILED_RETRY_MS;
+    task.notBeforeMs = nowMs + FAILED_RETRY_DELAY_MS;
     this.#dirty.add(task.submission);
     return [];
   }
 
   #end(record: SubmissionRecord, state: SubmissionState): readonly TaskRun[] {
     record.state = state;
-    noteOver(record);
+    recordEndInSizeBalance(record);
     this.#dirty.add(record);
     this.#unrecorded.delete(record);
-    this.#timed.delete(record);
+    this.#recurring.delete(record);
     const tasks = [...record.occurrences.values()].flatMap((opened) => opened.tasks.flat());
     tasks.forEach((task) => this.#waiting.delete(task));
     return tasks.flatMap((task) => task.runs);
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -110,7 +110,7 @@
   readonly queueWork: QueueWork;
   readonly sizeClass: SizeClass;
   /** Whether its queue's balance of sizes counts it. */
-  isCounted: boolean;
+  isInSizeBalance: boolean;
   /** Comes first in its queue, as too few of its size are served. */
   isReserved: boolean;
 }
@@ -198,15 +198,15 @@
     processorMs,
     queueWork,
     sizeClass: queueWork.balance.classify(processorMs),
-    isCounted: false,
+    isInSizeBalance: false,
     isReserved: false,
   };
 };
 
 /** Counts the submission in its queue's balance of sizes. */
 export const countOnce = (record: SubmissionRecord): void => {
-  if (record.isCounted) return;
-  record.isCounted = true;
+  if (record.isInSizeBalance) return;
+  record.isInSizeBalance = true;
   record.queueWork.balance.count(record.sizeClass);
 };
 
@@ -214,7 +214,7 @@
   submission.steps.reduce((sum, step) => sum + step.taskCount, 0);
 
 /** Occurrences of which the stored progress or assignments name a task, and those before them. */
-export const begunOccurrenceCount = (record: SubmissionRecord): number => {
+export const startedOccurrenceCount = (record: SubmissionRecord): number => {
   const { submission, initial, inheritedRuns } = record;
   const failedPlaces = Object.keys(initial.failedRuns).map(Number);
   const places = [...initial.done, ...failedPlaces, ...inheritedRuns.keys()];
--- a/src/scheduler/common/fleet/waitReport.ts
+++ b/src/scheduler/common/fleet/waitReport.ts
@@ -17,15 +17,15 @@
 
 const REPORT_INTERVAL_MS = 1_000;
 /** A task that has waited for less is told of when it starts. */
-const NOTABLE_WAIT_MS = 1_000;
+const MINIMUM_REPORTED_WAIT_MS = 1_000;
 /** Workers named in one line; the count tells of the others. */
-const NAMED_WORKERS = 20;
+const MAXIMUM_NAMED_WORKERS = 20;
 
 /** Kinds of tasks that wait for different reasons, the most urgent one first. */
 export const WaitingKind = {
   /** Lasts, and has run before: its users are without service. */
   Interrupted: 'interrupted',
-  Lasting: 'lasting',
+  Persistent: 'lasting',
   Batch: 'batch',
   Filler: 'filler',
 } as const;
@@ -36,7 +36,7 @@
 
 const kindOf = (task: TaskRecord): WaitingKind => {
   if (isInterrupted(task)) return WaitingKind.Interrupted;
-  if (task.step.isPersistent) return WaitingKind.Lasting;
+  if (task.step.isPersistent) return WaitingKind.Persistent;
   return task.step.isFiller ? WaitingKind.Filler : WaitingKind.Batch;
 };
 
@@ -74,7 +74,7 @@
   ): readonly LogFields[] {
     if (nowMs < this.#nextTasksAtMs || counts.size === 0) return [];
     const notable = [...waitingByKind(waiting)].filter(
-      ([, { oldest }]) => nowMs - oldest.waitingSinceMs >= NOTABLE_WAIT_MS,
+      ([, { oldest }]) => nowMs - oldest.waitingSinceMs >= MINIMUM_REPORTED_WAIT_MS,
     );
     if (notable.length === 0) return [];
     this.#nextTasksAtMs = nowMs + REPORT_INTERVAL_MS;
@@ -96,7 +96,7 @@
     );
     if (awaited.length === 0) return undefined;
     this.#nextWorkersAtMs = nowMs + REPORT_INTERVAL_MS;
-    const named = awaited.slice(0, NAMED_WORKERS).map(({ id }) => id);
+    const named = awaited.slice(0, MAXIMUM_NAMED_WORKERS).map(({ id }) => id);
     const longestMs = Math.max(...awaited.map(({ leasesOverAtMs }) => leasesOverAtMs - nowMs));
     return { count: awaited.length, workers: named.join(' '), atMostMs: Math.round(longestMs) };
   }
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -30,11 +30,11 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { FleetTask } from '../../node/fleetTask.js';
 import { CONFIGURATION, STOP_MS, TIMING, WORKER_CAPACITY } from './fleetFixtures.js';
-import { type LoopModel, LoopWorld } from './loopModel.js';
+import { type SimulatedEventLoop, EventLoopSimulator } from './eventLoopSimulator.js';
 
-const WAY_MS = 1;
-const TABLE_MS = 4;
-const POLL_MS = 20;
+const ONE_WAY_MS = 1;
+const TABLE_LATENCY_MS = 4;
+const POLL_INTERVAL_MS = 20;
 /** How long a daemon waits for an answer of the table. */
 const TABLE_TIMEOUT_MS = 700;
 
@@ -56,11 +56,11 @@
 
 type IsTransactionLost = (transaction: Transaction) => boolean;
 
-const NOTHING_LOST: IsTransactionLost = () => false;
+const NO_TRANSACTION_LOST: IsTransactionLost = () => false;
 
 /** A call that is never answered. */
 const noAnswer =
-  (loop: LoopModel): TaskEither<Failure, never> =>
+  (loop: SimulatedEventLoop): TaskEither<Failure, never> =>
   () =>
     new Promise((resolve) => {
       loop.after(TABLE_TIMEOUT_MS, () =>
@@ -69,7 +69,7 @@
     });
 
 export class BusyFleet {
-  readonly world = new LoopWorld();
+  readonly world = new EventLoopSimulator();
 
   readonly table = new TableStandIn();
 
@@ -87,9 +87,9 @@
   stepCount = 0;
 
   /** Tells which transactions never reach the table, and get no answer. */
-  isTransactionLost = NOTHING_LOST;
+  isTransactionLost = NO_TRANSACTION_LOST;
 
-  readonly #fed: Submission[] = [];
+  readonly #submissions: Submission[] = [];
 
   readonly #workMs: (taskName: string) => number;
 
@@ -105,7 +105,11 @@
     for (let index = 0; index < workerCount; index += 1) this.#addWorker(`worker-${index}`);
   }
 
-  addDaemon(name: string, costs: Costs, acquireDelayMs = 0): { loop: LoopModel; task: FleetTask } {
+  addDaemon(
+    name: string,
+    costs: Costs,
+    acquireDelayMs = 0,
+  ): { loop: SimulatedEventLoop; task: FleetTask } {
     const loop = this.world.newLoop();
     const services = {
       table: this.#tableFor(loop, costs),
@@ -130,7 +134,7 @@
   }
 
   submit(submission: Submission): void {
-    this.#fed.push(submission);
+    this.#submissions.push(submission);
     const value = submission as unknown as JsonValue;
     this.table.transact({
       operationId: submission.id,
@@ -164,7 +168,7 @@
     this.workers.set(id, model);
   }
 
-  #logOf(daemon: string, loop: LoopModel): Log {
+  #logOf(daemon: string, loop: SimulatedEventLoop): Log {
     const note = (event: LogEvent, fields: LogFields = {}): void => {
       if (event !== 'fleet-acquired') return;
       this.owners.push({ epoch: Number(fields.epoch), daemon, atMs: loop.nowMs() });
@@ -174,33 +178,33 @@
 
   /** A call that arrives outside, is answered there and is taken in on the loop. */
   #call<Answer>(
-    loop: LoopModel,
-    answerMs: () => number,
+    loop: SimulatedEventLoop,
+    answerCostMs: () => number,
     serve: (reply: (answer: Answer) => void) => void,
   ): TaskEither<Failure, Answer> {
     return () =>
       new Promise((resolve) => {
         const { outside } = this.world;
         const reply = (answer: Answer): void => {
-          this.world.add(loop, outside.nowMs() + WAY_MS, () => {
-            loop.spend(answerMs());
+          this.world.add(loop, outside.nowMs() + ONE_WAY_MS, () => {
+            loop.spend(answerCostMs());
             resolve(right(answer));
           });
         };
-        this.world.add(outside, loop.nowMs() + WAY_MS, () => serve(reply));
+        this.world.add(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
       });
   }
 
-  #tableFor(loop: LoopModel, costs: Costs): TableService {
-    const serve = <Answer>(answer: () => Answer, costMs: (of: Answer) => number) => {
-      let costOfMs = 0;
+  #tableFor(loop: SimulatedEventLoop, costs: Costs): TableService {
+    const serve = <Answer>(answer: () => Answer, costOf: (of: Answer) => number) => {
+      let costMs = 0;
       return this.#call<Answer>(
         loop,
-        () => costOfMs,
+        () => costMs,
         (reply) =>
-          this.world.outside.after(TABLE_MS, () => {
+          this.world.outside.after(TABLE_LATENCY_MS, () => {
             const answered = answer();
-            costOfMs = costMs(answered);
+            costMs = costOf(answered);
             reply(answered);
           }),
       );
@@ -208,7 +212,7 @@
     const stamped = <Answer extends object>(answer: Answer) => ({
       ...answer,
       tableNowMs: this.world.outside.nowMs(),
-      position: this.#fed.length,
+      position: this.#submissions.length,
     });
     return {
       read: (request) =>
@@ -226,7 +230,7 @@
     };
   }
 
-  #feedFor(loop: LoopModel): TableFeed {
+  #feedFor(loop: SimulatedEventLoop): TableFeed {
     return {
       follow: (_, afterPosition, waitMs) =>
         this.#call(
@@ -235,18 +239,18 @@
           (reply) => {
             const untilMs = this.world.outside.nowMs() + waitMs;
             const poll = (): void => {
-              const isDue = this.#fed.length > afterPosition;
+              const isDue = this.#submissions.length > afterPosition;
               if (!isDue && this.world.outside.nowMs() < untilMs) {
-                this.world.outside.after(POLL_MS, poll);
+                this.world.outside.after(POLL_INTERVAL_MS, poll);
                 return;
               }
-              const rows = this.#fed.slice(afterPosition).map((submission) => ({
+              const rows = this.#submissions.slice(afterPosition).map((submission) => ({
                 key: specKey(submission.id),
                 version: 1,
                 value: submission as unknown as JsonValue,
                 operationId: submission.id,
               }));
-              reply({ kind: FeedKind.Changes, rows, position: this.#fed.length });
+              reply({ kind: FeedKind.Changes, rows, position: this.#submissions.length });
             };
             poll();
           },
@@ -254,7 +258,7 @@
     };
   }
 
-  #directoryFor(loop: LoopModel, costs: Costs): FleetDirectory {
+  #directoryFor(loop: SimulatedEventLoop, costs: Costs): FleetDirectory {
     return {
       operatorChanges: (afterPosition) =>
         this.#call(
@@ -286,7 +290,7 @@
     }));
   }
 
-  #clientFor(loop: LoopModel, costs: Costs): FleetClient {
+  #clientFor(loop: SimulatedEventLoop, costs: Costs): FleetClient {
     const connected = new Set<string>();
     const call = <Answer>(workerId: string, serve: (reply: (answer: Answer) => void) => void) => {
       const connectMs = connected.has(workerId) ? 0 : costs.connectMs;
@@ -314,7 +318,7 @@
       const isDue =
         outside.nowMs() >= untilMs || worker.hasNews(request.acknowledgedSequence, outside.nowMs());
       if (isDue) reply(worker.hold(request, outside.nowMs()));
-      else outside.after(POLL_MS, poll);
+      else outside.after(POLL_INTERVAL_MS, poll);
     };
     worker.hold(request, outside.nowMs());
     poll();
--- a/src/scheduler/test/fleet/loopModel.ts
+++ b/src/scheduler/test/fleet/eventLoopSimulator.ts
@@ -6,29 +6,29 @@
 
 import type { Clock } from '../../../base/common/clock.js';
 
-interface Due {
-  readonly loop: LoopModel;
+interface ScheduledCallback {
+  readonly loop: SimulatedEventLoop;
   readonly atMs: number;
   readonly order: number;
   readonly run: () => void;
 }
 
 /** The real one; a turn of it runs all that was promised. */
-const realImmediate = setImmediate;
+const nodeSetImmediate = setImmediate;
 const promisesSettled = (): Promise<void> =>
   new Promise((resolve) => {
-    realImmediate(resolve);
+    nodeSetImmediate(resolve);
   });
 
-export class LoopModel implements Clock {
-  readonly #world: LoopWorld;
+export class SimulatedEventLoop implements Clock {
+  readonly #simulator: EventLoopSimulator;
 
   #nowMs: number;
 
   #longestDelayMs = 0;
 
-  constructor(world: LoopWorld, nowMs: number) {
-    this.#world = world;
+  constructor(simulator: EventLoopSimulator, nowMs: number) {
+    this.#simulator = simulator;
     this.#nowMs = nowMs;
   }
 
@@ -47,7 +47,7 @@
   }
 
   after(delayMs: number, run: () => void): object {
-    return this.#world.add(this, this.#nowMs + delayMs, run);
+    return this.#simulator.add(this, this.#nowMs + delayMs, run);
   }
 
   begin(dueAtMs: number): void {
@@ -56,55 +56,57 @@
   }
 }
 
-const startMs = ({ loop, atMs }: Due): number => Math.max(atMs, loop.nowMs());
+const startMs = ({ loop, atMs }: ScheduledCallback): number => Math.max(atMs, loop.nowMs());
 
-const isBefore = (one: Due, other: Due): boolean => {
+const isBefore = (one: ScheduledCallback, other: ScheduledCallback): boolean => {
   const laterMs = startMs(one) - startMs(other) || one.atMs - other.atMs;
   return laterMs < 0 || (laterMs === 0 && one.order < other.order);
 };
 
-export class LoopWorld {
+export class EventLoopSimulator {
   /** For what is no process of the product: takes no time. */
-  readonly outside = new LoopModel(this, 0);
+  readonly outside = new SimulatedEventLoop(this, 0);
 
-  readonly #due = new Set<Due>();
+  readonly #scheduled = new Set<ScheduledCallback>();
 
-  #running = this.outside;
+  #currentLoop = this.outside;
 
   #order = 0;
 
-  newLoop(): LoopModel {
-    return new LoopModel(this, this.outside.nowMs());
+  newLoop(): SimulatedEventLoop {
+    return new SimulatedEventLoop(this, this.outside.nowMs());
   }
 
-  add(loop: LoopModel, atMs: number, run: () => void): object {
+  add(loop: SimulatedEventLoop, atMs: number, run: () => void): object {
     this.#order += 1;
-    const due: Due = { loop, atMs, order: this.#order, run };
-    this.#due.add(due);
-    return due;
+    const scheduled: ScheduledCallback = { loop, atMs, order: this.#order, run };
+    this.#scheduled.add(scheduled);
+    return scheduled;
   }
 
   /** Puts the timers of the running loop in place of Node's. */
   stubTimers(): void {
     const after = (run: () => void, delayMs = 0): object =>
-      this.#running.after(Math.max(1, delayMs), run);
+      this.#currentLoop.after(Math.max(1, delayMs), run);
     vi.stubGlobal('setTimeout', after);
-    vi.stubGlobal('clearTimeout', (due: Due) => this.#due.delete(due));
-    vi.stubGlobal('setImmediate', (run: () => void) => this.#running.after(0, run));
+    vi.stubGlobal('clearTimeout', (scheduled: ScheduledCallback) =>
+      this.#scheduled.delete(scheduled),
+    );
+    vi.stubGlobal('setImmediate', (run: () => void) => this.#currentLoop.after(0, run));
   }
 
   /** Runs something as part of a loop, such as the start of a process. */
-  as<Result>(loop: LoopModel, run: () => Result): Result {
-    this.#running = loop;
+  as<Result>(loop: SimulatedEventLoop, run: () => Result): Result {
+    this.#currentLoop = loop;
     return run();
   }
 
   async runUntil(untilMs: number): Promise<void> {
     for (let next = this.#next(); next !== undefined; next = this.#next()) {
       if (startMs(next) > untilMs) break;
-      this.#due.delete(next);
+      this.#scheduled.delete(next);
       next.loop.begin(next.atMs);
-      this.#running = next.loop;
+      this.#currentLoop = next.loop;
       next.run();
       // One after the other, as on one processor.
       // eslint-disable-next-line no-await-in-loop
@@ -114,10 +116,10 @@
   }
 
   /** What starts first; on one loop, what was due first. */
-  #next(): Due | undefined {
-    let first: Due | undefined;
-    this.#due.forEach((due) => {
-      if (first === undefined || isBefore(due, first)) first = due;
+  #next(): ScheduledCallback | undefined {
+    let first: ScheduledCallback | undefined;
+    this.#scheduled.forEach((scheduled) => {
+      if (first === undefined || isBefore(scheduled, first)) first = scheduled;
     });
     return first;
   }
--- a/src/scheduler/test/fleet/explore/explorer.test.ts
+++ b/src/scheduler/test/fleet/explore/explorer.test.ts
@@ -5,7 +5,7 @@
 import { FAULT_NAMES } from './faults.js';
 
 /** Workers take an acknowledged number over a restart and forget ends that nobody has stored. */
-const keepAcknowledged = ({ workers }: FleetWorld): void =>
+const keepAcknowledgedAcrossRestarts = ({ workers }: FleetWorld): void =>
   workers.forEach((worker) => {
     const hold = worker.hold.bind(worker);
     let highestSequence = 0;
@@ -29,7 +29,7 @@
       seed: 1,
       stepCount: 40,
       faults: ['worker-restart'],
-      prepare: keepAcknowledged,
+      prepare: keepAcknowledgedAcrossRestarts,
     });
     expect(finding?.broken).not.toEqual([]);
     expect(finding?.steps.length).toBeLessThanOrEqual(4);
--- a/src/scheduler/test/fleet/explore/explorer.ts
+++ b/src/scheduler/test/fleet/explore/explorer.ts
@@ -3,17 +3,17 @@
 
 import type { FleetWorld } from '../fleetWorld.js';
 import { type ExplorationStep, type FaultName } from './faults.js';
-import { type Exploration, playSteps, SEAT_COUNT, WORKER_COUNT } from './playSteps.js';
+import { type PlayResult, playSteps, SCHEDULER_COUNT, WORKER_COUNT } from './playSteps.js';
 
 const STEPS_PER_RUN = 60;
 const LARGEST_SEED = 0x7fffffff;
 /** Plays that the simplification of steps may take. */
-const MOST_PLAYS = 150;
+const MAXIMUM_PLAY_COUNT = 150;
 /** A process that is back sooner is a fault that is known. */
 const SHORTEST_FAULT_MS = 300;
 const LONGEST_FAULT_MS = 9_000;
 const LARGEST_SHARE_PERCENT = 30;
-const MOST_TASKS = 3;
+const MAXIMUM_TASK_COUNT = 3;
 const LONGEST_WORK_MS = 5_000;
 const LONGEST_SPAN_MS = 1_500;
 
@@ -32,7 +32,7 @@
   readonly broken: readonly string[];
 }
 
-export interface Report {
+export interface ExplorationReport {
   readonly orderCount: number;
   readonly finding: Finding | undefined;
 }
@@ -44,24 +44,24 @@
   fc.record({
     fault: fc.constantFrom<FaultName>('calm', ...faults.filter((name) => name !== 'calm')),
     workerIndexes: indexesBelow(WORKER_COUNT),
-    seatIndexes: indexesBelow(SEAT_COUNT),
-    lastsMs: fc.integer({ min: SHORTEST_FAULT_MS, max: LONGEST_FAULT_MS }),
+    schedulerIndexes: indexesBelow(SCHEDULER_COUNT),
+    durationMs: fc.integer({ min: SHORTEST_FAULT_MS, max: LONGEST_FAULT_MS }),
     sharePercent: fc.integer({ min: 0, max: LARGEST_SHARE_PERCENT }),
-    taskCount: fc.integer({ min: 0, max: MOST_TASKS }),
+    taskCount: fc.integer({ min: 0, max: MAXIMUM_TASK_COUNT }),
     workMs: fc.integer({ min: 100, max: LONGEST_WORK_MS }),
     spanMs: fc.integer({ min: 10, max: LONGEST_SPAN_MS }),
   });
 
-interface Run {
+interface ExplorationRun {
   readonly playedCount: number;
   readonly orderCount: number;
   readonly finding: Finding | undefined;
 }
 
-type Play = (steps: readonly ExplorationStep[]) => Promise<Exploration>;
+type Play = (steps: readonly ExplorationStep[]) => Promise<PlayResult>;
 
 /** Leaves out what the failure does without: halves first, single steps in the end. */
-const withoutNeedless = async (
+const removeUnneededSteps = async (
   play: Play,
   failing: readonly ExplorationStep[],
 ): Promise<readonly ExplorationStep[]> => {
@@ -90,15 +90,18 @@
   play: Play,
   failing: readonly ExplorationStep[],
 ): Promise<Finding> => {
-  const needed = await withoutNeedless(play, failing);
+  const neededSteps = await removeUnneededSteps(play, failing);
   let playCount = 0;
   const property = fc.asyncProperty(lists, async (list) => {
     playCount += 1;
-    return playCount > MOST_PLAYS || (await play(list)).broken.length === 0;
+    return playCount > MAXIMUM_PLAY_COUNT || (await play(list)).broken.length === 0;
+  });
+  const { counterexample } = await fc.check(property, {
+    numRuns: 1,
+    examples: [[[...neededSteps]]],
   });
-  const { counterexample } = await fc.check(property, { numRuns: 1, examples: [[[...needed]]] });
   // Simpler steps need fewer others beside them.
-  const steps = await withoutNeedless(play, counterexample?.[0] ?? needed);
+  const steps = await removeUnneededSteps(play, counterexample?.[0] ?? neededSteps);
   return { seed, steps, broken: (await play(steps)).broken };
 };
 
@@ -106,7 +109,7 @@
   seed: number,
   lists: fc.Arbitrary<ExplorationStep[]>,
   play: Play,
-): Promise<Run> => {
+): Promise<ExplorationRun> => {
   const [steps = []] = fc.sample(lists, { seed, numRuns: 1, unbiased: true });
   const { orderCount, broken } = await play(steps);
   const finding = broken.length > 0 ? await shrink(seed, lists, play, steps) : undefined;
@@ -118,19 +121,19 @@
   stepCount,
   faults,
   prepare,
-}: ExplorerOptions): Promise<Report> => {
+}: ExplorerOptions): Promise<ExplorationReport> => {
   const step = stepOf(faults);
   const play: Play = (list) => playSteps(list, prepare);
   let orderCount = 0;
-  let leftCount = stepCount;
-  for (let round = 0; leftCount > 0; round += 1) {
+  let remainingStepCount = stepCount;
+  for (let round = 0; remainingStepCount > 0; round += 1) {
     const runSeed = (seed + round) % (LARGEST_SEED + 1);
-    const maxLength = Math.min(STEPS_PER_RUN, leftCount);
+    const maxLength = Math.min(STEPS_PER_RUN, remainingStepCount);
     const lists = fc.array(step, { minLength: 1, maxLength, size: 'max' });
     // eslint-disable-next-line no-await-in-loop -- one run at a time
     const run = await exploreOnce(runSeed, lists, play);
     orderCount += run.orderCount;
-    leftCount -= run.playedCount;
+    remainingStepCount -= run.playedCount;
     if (run.finding !== undefined) return { orderCount, finding: run.finding };
   }
   return { orderCount, finding: undefined };
--- a/src/scheduler/test/fleet/explore/found.test.ts
+++ b/src/scheduler/test/fleet/explore/explorerRegressions.test.ts
@@ -10,8 +10,8 @@
       {
         fault: 'calm',
         workerIndexes: [],
-        seatIndexes: [],
-        lastsMs: 300,
+        schedulerIndexes: [],
+        durationMs: 300,
         sharePercent: 0,
         taskCount: 1,
         workMs: 551,
@@ -20,8 +20,8 @@
       {
         fault: 'owner-stopped',
         workerIndexes: [1, 2, 3, 5, 0],
-        seatIndexes: [2],
-        lastsMs: 8762,
+        schedulerIndexes: [2],
+        durationMs: 8762,
         sharePercent: 10,
         taskCount: 2,
         workMs: 307,
@@ -30,8 +30,8 @@
       {
         fault: 'entry-lapse',
         workerIndexes: [4, 0, 1, 2, 5, 3],
-        seatIndexes: [0, 3],
-        lastsMs: 6498,
+        schedulerIndexes: [0, 3],
+        durationMs: 6498,
         sharePercent: 7,
         taskCount: 2,
         workMs: 206,
@@ -40,8 +40,8 @@
       {
         fault: 'owner-stopped',
         workerIndexes: [1, 4],
-        seatIndexes: [1, 3, 0, 2],
-        lastsMs: 347,
+        schedulerIndexes: [1, 3, 0, 2],
+        durationMs: 347,
         sharePercent: 13,
         taskCount: 1,
         workMs: 2457,
@@ -50,8 +50,8 @@
       {
         fault: 'calls-repeated',
         workerIndexes: [4, 2, 3, 5],
-        seatIndexes: [1],
-        lastsMs: 4006,
+        schedulerIndexes: [1],
+        durationMs: 4006,
         sharePercent: 29,
         taskCount: 2,
         workMs: 3415,
@@ -60,8 +60,8 @@
       {
         fault: 'worker-restart',
         workerIndexes: [5, 4, 3],
-        seatIndexes: [2],
-        lastsMs: 5212,
+        schedulerIndexes: [2],
+        durationMs: 5212,
         sharePercent: 16,
         taskCount: 2,
         workMs: 3867,
@@ -70,8 +70,8 @@
       {
         fault: 'zone-silent',
         workerIndexes: [4, 0, 3, 1, 2, 5],
-        seatIndexes: [2, 1],
-        lastsMs: 2180,
+        schedulerIndexes: [2, 1],
+        durationMs: 2180,
         sharePercent: 16,
         taskCount: 0,
         workMs: 431,
@@ -80,8 +80,8 @@
       {
         fault: 'zone-silent',
         workerIndexes: [5],
-        seatIndexes: [2, 1, 0, 3],
-        lastsMs: 3069,
+        schedulerIndexes: [2, 1, 0, 3],
+        durationMs: 3069,
         sharePercent: 0,
         taskCount: 0,
         workMs: 4243,
@@ -90,8 +90,8 @@
       {
         fault: 'worker-restart',
         workerIndexes: [5, 0, 4, 1, 2],
-        seatIndexes: [],
-        lastsMs: 825,
+        schedulerIndexes: [],
+        durationMs: 825,
         sharePercent: 6,
         taskCount: 1,
         workMs: 4409,
@@ -100,8 +100,8 @@
       {
         fault: 'zone-refusing',
         workerIndexes: [4, 5, 3],
-        seatIndexes: [],
-        lastsMs: 4582,
+        schedulerIndexes: [],
+        durationMs: 4582,
         sharePercent: 8,
         taskCount: 1,
         workMs: 4620,
@@ -110,8 +110,8 @@
       {
         fault: 'zone-refusing',
         workerIndexes: [1, 3, 2, 5],
-        seatIndexes: [],
-        lastsMs: 8523,
+        schedulerIndexes: [],
+        durationMs: 8523,
         sharePercent: 26,
         taskCount: 1,
         workMs: 778,
@@ -120,8 +120,8 @@
       {
         fault: 'table-cut',
         workerIndexes: [4, 3, 1],
-        seatIndexes: [3, 1, 0],
-        lastsMs: 3896,
+        schedulerIndexes: [3, 1, 0],
+        durationMs: 3896,
         sharePercent: 12,
         taskCount: 0,
         workMs: 2163,
@@ -130,8 +130,8 @@
       {
         fault: 'orders-late',
         workerIndexes: [],
-        seatIndexes: [],
-        lastsMs: 5427,
+        schedulerIndexes: [],
+        durationMs: 5427,
         sharePercent: 5,
         taskCount: 3,
         workMs: 1738,
@@ -144,20 +144,26 @@
   // Seed 904560: a process that restarts between two calls is told of its predecessor's ends while it runs a task.
   it('starts nothing twice whose end a restarted worker may forget', async () => {
     const calm: ExplorationStep = {
-      ...{ fault: 'calm', workerIndexes: [], seatIndexes: [], lastsMs: 300, sharePercent: 0 },
+      ...{
+        fault: 'calm',
+        workerIndexes: [],
+        schedulerIndexes: [],
+        durationMs: 300,
+        sharePercent: 0,
+      },
       ...{ taskCount: 0, workMs: 100, spanMs: 551 },
     };
     const { broken } = await playSteps([
       calm,
       { ...calm, spanMs: 1301 },
-      { ...calm, seatIndexes: [1, 0, 2], lastsMs: 6343, workMs: 3994, spanMs: 1230 },
+      { ...calm, schedulerIndexes: [1, 0, 2], durationMs: 6343, workMs: 3994, spanMs: 1230 },
       {
-        ...{ fault: 'zone-silent', workerIndexes: [3, 0], seatIndexes: [2, 1, 3, 0] },
-        ...{ lastsMs: 8068, sharePercent: 4, taskCount: 2, workMs: 3059, spanMs: 954 },
+        ...{ fault: 'zone-silent', workerIndexes: [3, 0], schedulerIndexes: [2, 1, 3, 0] },
+        ...{ durationMs: 8068, sharePercent: 4, taskCount: 2, workMs: 3059, spanMs: 954 },
       },
       {
-        ...{ fault: 'worker-restart', workerIndexes: [2, 1, 0, 5], seatIndexes: [2] },
-        ...{ lastsMs: 688, sharePercent: 8, taskCount: 1, workMs: 1453, spanMs: 12 },
+        ...{ fault: 'worker-restart', workerIndexes: [2, 1, 0, 5], schedulerIndexes: [2] },
+        ...{ durationMs: 688, sharePercent: 8, taskCount: 1, workMs: 1453, spanMs: 12 },
       },
     ]);
     expect(broken).toEqual([]);
--- a/src/scheduler/test/fleet/explore/faults.ts
+++ b/src/scheduler/test/fleet/explore/faults.ts
@@ -1,5 +1,5 @@
 /** The faults that an exploration may choose from; each lasts for the time that its step names. */
-import type { ZoneFaults } from '../randomFaults.js';
+import type { FaultInjector } from '../randomFaults.js';
 import type { WorldFaults } from '../worldFaults.js';
 import type { FleetWorld } from '../fleetWorld.js';
 
@@ -8,8 +8,8 @@
 export interface ExplorationStep {
   readonly fault: FaultName;
   readonly workerIndexes: readonly number[];
-  readonly seatIndexes: readonly number[];
-  readonly lastsMs: number;
+  readonly schedulerIndexes: readonly number[];
+  readonly durationMs: number;
   readonly sharePercent: number;
   /** Tasks that are submitted with the fault; none for 0. */
   readonly taskCount: number;
@@ -18,28 +18,28 @@
   readonly spanMs: number;
 }
 
-type Fault = (world: FleetWorld, zones: ZoneFaults, step: ExplorationStep) => void;
+type Fault = (world: FleetWorld, injector: FaultInjector, step: ExplorationStep) => void;
 
 export const workerIdOf = (index: number): string => `worker-${index}`;
 
-const cut =
+const cutZone =
   (doCutsRefuse: boolean): Fault =>
-  (_, zones, { workerIndexes, seatIndexes, lastsMs }) =>
-    zones.cut(workerIndexes.map(workerIdOf), seatIndexes, doCutsRefuse, lastsMs);
+  (_, injector, { workerIndexes, schedulerIndexes, durationMs }) =>
+    injector.cut(workerIndexes.map(workerIdOf), schedulerIndexes, doCutsRefuse, durationMs);
 
-const share =
+const setShareFor =
   (name: keyof WorldFaults): Fault =>
-  ({ faults, time }, _, { sharePercent, lastsMs }) => {
+  ({ faults, time }, _, { sharePercent, durationMs }) => {
     Object.assign(faults, { [name]: sharePercent / WHOLE_PERCENT });
-    time.later(lastsMs, () => void Object.assign(faults, { [name]: 0 }));
+    time.later(durationMs, () => void Object.assign(faults, { [name]: 0 }));
   };
 
-const endOwner =
+const endSchedulers =
   (end: (world: FleetWorld, index: number) => void): Fault =>
-  (world, _, { seatIndexes, lastsMs }) =>
-    seatIndexes.forEach((index) => {
+  (world, _, { schedulerIndexes, durationMs }) =>
+    schedulerIndexes.forEach((index) => {
       end(world, index);
-      world.time.later(lastsMs, () => {
+      world.time.later(durationMs, () => {
         if (world.seats[index]?.scheduler === undefined) world.startScheduler(index);
       });
     });
@@ -47,28 +47,31 @@
 /** Shrinking prefers the names that come first. */
 export const FAULTS = {
   calm: () => undefined,
-  'zone-refusing': cut(true),
-  'zone-silent': cut(false),
-  'worker-restart': (_, zones, { workerIndexes, lastsMs }) =>
-    workerIndexes.forEach((index) => zones.restart(workerIdOf(index), lastsMs)),
-  'entry-lapse': (_, zones, { workerIndexes, lastsMs }) =>
-    workerIndexes.forEach((index) => zones.lapse(workerIdOf(index), lastsMs)),
-  'owner-killed': endOwner((world, index) => world.killScheduler(index)),
-  'owner-stopped': endOwner((world, index) => world.stopScheduler(index)),
-  'table-down': ({ faults, time }, _, { lastsMs }) => {
+  'zone-refusing': cutZone(true),
+  'zone-silent': cutZone(false),
+  'worker-restart': (_, injector, { workerIndexes, durationMs }) =>
+    workerIndexes.forEach((index) => injector.restart(workerIdOf(index), durationMs)),
+  'entry-lapse': (_, injector, { workerIndexes, durationMs }) =>
+    workerIndexes.forEach((index) => injector.lapse(workerIdOf(index), durationMs)),
+  'owner-killed': endSchedulers((world, index) => world.killScheduler(index)),
+  'owner-stopped': endSchedulers((world, index) => world.stopScheduler(index)),
+  'table-down': ({ faults, time }, _, { durationMs }) => {
     Object.assign(faults, { isTableDown: true });
-    time.later(lastsMs, () => void Object.assign(faults, { isTableDown: false }));
+    time.later(durationMs, () => void Object.assign(faults, { isTableDown: false }));
   },
-  'table-cut': ({ seats, time }, _, { seatIndexes, lastsMs }) =>
-    seatIndexes.forEach((index) => {
+  'table-cut': ({ seats, time }, _, { schedulerIndexes, durationMs }) =>
+    schedulerIndexes.forEach((index) => {
       Object.assign(seats[index] ?? {}, { isCutFromTable: true });
-      time.later(lastsMs, () => void Object.assign(seats[index] ?? {}, { isCutFromTable: false }));
+      time.later(
+        durationMs,
+        () => void Object.assign(seats[index] ?? {}, { isCutFromTable: false }),
+      );
     }),
-  'answers-lost': share('lostAnswerShare'),
-  'orders-late': share('lateOrderShare'),
-  'holds-late': share('lateHoldShare'),
-  'order-answers-lost': share('lostOrderAnswerShare'),
-  'calls-repeated': share('repeatedCallShare'),
+  'answers-lost': setShareFor('lostAnswerShare'),
+  'orders-late': setShareFor('lateOrderShare'),
+  'holds-late': setShareFor('lateHoldShare'),
+  'order-answers-lost': setShareFor('lostOrderAnswerShare'),
+  'calls-repeated': setShareFor('repeatedCallShare'),
 } as const satisfies Readonly<Record<string, Fault>>;
 
 export type FaultName = keyof typeof FAULTS;
--- a/src/scheduler/test/fleet/explore/main.ts
+++ b/src/scheduler/test/fleet/explore/main.ts
@@ -14,13 +14,13 @@
   faults: { type: 'string', default: FAULT_NAMES.join(','), description: 'names with commas' },
 } as const satisfies ArgsDef;
 
-const settingsFault = (message: string): Error => new SettingsError(message);
+const settingsError = (message: string): Error => new SettingsError(message);
 
-const wholeNumber = (text: string, name: string, least: number): number => {
+const wholeNumber = (text: string, name: string, minimum: number): number => {
   const value = Number(text);
-  const isWhole = /^\d+$/.test(text) && value >= least && value <= LARGEST_NUMBER;
+  const isWhole = /^\d+$/.test(text) && value >= minimum && value <= LARGEST_NUMBER;
   if (isWhole) return value;
-  throw settingsFault(`--${name} takes a whole number from ${least} to ${LARGEST_NUMBER}`);
+  throw settingsError(`--${name} takes a whole number from ${minimum} to ${LARGEST_NUMBER}`);
 };
 
 const main = defineCommand({
@@ -31,14 +31,14 @@
       (name) => name !== '_' && !Object.hasOwn(ARGUMENTS, name),
     );
     if (unknown !== undefined || args._.length > 0) {
-      throw settingsFault(`unknown argument: ${unknown ?? args._[0]}`);
+      throw settingsError(`unknown argument: ${unknown ?? args._[0]}`);
     }
     const seed = wholeNumber(args.seed, 'seed', 0);
     const stepCount = wholeNumber(args.steps, 'steps', 1);
     const names = args.faults.split(',');
     const faults = names.filter(isFaultName);
     if (faults.length < names.length) {
-      throw settingsFault(`--faults takes names of ${FAULT_NAMES.join(', ')}`);
+      throw settingsError(`--faults takes names of ${FAULT_NAMES.join(', ')}`);
     }
     const { orderCount, finding } = await explore({ seed, stepCount, faults });
     if (finding !== undefined) {
--- a/src/scheduler/test/fleet/explore/playSteps.ts
+++ b/src/scheduler/test/fleet/explore/playSteps.ts
@@ -2,21 +2,21 @@
 import { RunEnd } from '../../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from '../fleetFixtures.js';
 import { FleetWorld } from '../fleetWorld.js';
-import { ZoneFaults } from '../randomFaults.js';
+import { FaultInjector } from '../randomFaults.js';
 import { type ExplorationStep, FAULTS, workerIdOf } from './faults.js';
 
 export const WORKER_COUNT = 6;
-export const SEAT_COUNT = 4;
+export const SCHEDULER_COUNT = 4;
 const WORLD_SEED = 1;
 /** All that is late has arrived by then. */
-const LEAST_QUIET_MS = 15_000;
-const MOST_QUIET_MS = 45_000;
-const LOOK_MS = 1_000;
-const LASTING_ID = 'e'.repeat(16);
-const LASTING_COUNT = 4;
-const LASTING_MS = 10_000_000;
+const MINIMUM_SETTLE_MS = 15_000;
+const MAXIMUM_SETTLE_MS = 45_000;
+const CHECK_INTERVAL_MS = 1_000;
+const PERSISTENT_ID = 'e'.repeat(16);
+const PERSISTENT_TASK_COUNT = 4;
+const PERSISTENT_WORK_MS = 10_000_000;
 
-export interface Exploration {
+export interface PlayResult {
   readonly broken: readonly string[];
   /** Calls that reached a worker. */
   readonly orderCount: number;
@@ -37,35 +37,37 @@
   const unfinished = submittedIds
     .filter((id) => world.progress(id)?.state !== 'complete')
     .map((id) => `${id} is not complete`);
-  for (let index = 0; index < LASTING_COUNT; index += 1) {
-    const name = `${LASTING_ID}.0.0.${index}`;
+  for (let index = 0; index < PERSISTENT_TASK_COUNT; index += 1) {
+    const name = `${PERSISTENT_ID}.0.0.${index}`;
     const runCount = world.runsOf(name).length;
     if (runCount !== 1) unfinished.push(`${name} runs ${runCount} times in the end`);
   }
   return unfinished;
 };
 
-const endedOf = (world: FleetWorld, unfinished: readonly string[]): Exploration => ({
+const resultOf = (world: FleetWorld, unfinished: readonly string[]): PlayResult => ({
   broken: [...world.judge.broken, ...unfinished],
-  orderCount: world.carriedCallCount,
+  orderCount: world.deliveredCallCount,
 });
 
 /** `prepare` may seed a defect before anything happens. */
 export const playSteps = async (
   steps: readonly ExplorationStep[],
   prepare: (world: FleetWorld) => void = () => undefined,
-): Promise<Exploration> => {
+): Promise<PlayResult> => {
   const workMsOf = new Map(steps.map(({ workMs }, index) => [idOf(index), workMs]));
   const world = new FleetWorld(WORLD_SEED, (name) => ({
-    workMs: workMsOf.get(name.slice(0, LASTING_ID.length)) ?? LASTING_MS,
+    workMs: workMsOf.get(name.slice(0, PERSISTENT_ID.length)) ?? PERSISTENT_WORK_MS,
     end: RunEnd.Done,
   }));
   for (let index = 0; index < WORKER_COUNT; index += 1) world.addWorker(workerIdOf(index));
-  for (let index = 0; index < SEAT_COUNT; index += 1) world.addScheduler();
+  for (let index = 0; index < SCHEDULER_COUNT; index += 1) world.addScheduler();
   prepare(world);
-  const zones = new ZoneFaults(world);
+  const injector = new FaultInjector(world);
   world.submit(
-    submissionOf(LASTING_ID, [{ ...STEP, taskCount: LASTING_COUNT, isPersistent: true }]),
+    submissionOf(PERSISTENT_ID, [
+      { ...STEP, taskCount: PERSISTENT_TASK_COUNT, isPersistent: true },
+    ]),
   );
   const submittedIds: string[] = [];
   for (let index = 0; index < steps.length; index += 1) {
@@ -74,17 +76,17 @@
       submittedIds.push(idOf(index));
       submit(world, idOf(index), step.taskCount);
     }
-    FAULTS[step.fault](world, zones, step);
+    FAULTS[step.fault](world, injector, step);
     // eslint-disable-next-line no-await-in-loop -- time goes by between the steps
     await world.runFor(step.spanMs);
-    if (world.judge.broken.length > 0) return endedOf(world, []);
+    if (world.judge.broken.length > 0) return resultOf(world, []);
   }
-  zones.heal();
-  await world.runFor(LEAST_QUIET_MS);
-  const untilMs = world.nowMs + MOST_QUIET_MS - LEAST_QUIET_MS;
+  injector.heal();
+  await world.runFor(MINIMUM_SETTLE_MS);
+  const untilMs = world.nowMs + MAXIMUM_SETTLE_MS - MINIMUM_SETTLE_MS;
   while (unfinishedOf(world, submittedIds).length > 0 && world.nowMs < untilMs) {
     // eslint-disable-next-line no-await-in-loop
-    await world.runFor(LOOK_MS);
+    await world.runFor(CHECK_INTERVAL_MS);
   }
-  return endedOf(world, unfinishedOf(world, submittedIds));
+  return resultOf(world, unfinishedOf(world, submittedIds));
 };
--- a/src/scheduler/test/fleet/fleetRandom.test.ts
+++ b/src/scheduler/test/fleet/fleetRandom.test.ts
@@ -3,7 +3,13 @@
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
-import { changeOwners, disturb, heal, replaceByPlan, replaceWorker } from './randomFaults.js';
+import {
+  toggleScheduler,
+  injectBasicFault,
+  heal,
+  drainAndReplaceWorker,
+  replaceWorker,
+} from './randomFaults.js';
 
 /** Seeds of runs in CI; one that ever failed stays here. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
@@ -31,7 +37,7 @@
           { ...STEP, after: [0] },
         ]),
       );
-      disturb(world);
+      injectBasicFault(world);
       // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
       await world.runFor(STEP_MS);
     }
@@ -45,20 +51,20 @@
   it.each(SEEDS)(
     'keeps its promises while workers and owners are replaced, seed %i',
     async (seed) => {
-      const lasting = 'e'.repeat(16);
+      const persistentId = 'e'.repeat(16);
       const world = new FleetWorld(seed, (taskName) =>
-        taskName.startsWith(lasting) ? { workMs: 90_000, end: RunEnd.Done } : taskOf(taskName),
+        taskName.startsWith(persistentId) ? { workMs: 90_000, end: RunEnd.Done } : taskOf(taskName),
       );
       for (let index = 0; index < 4; index += 1) world.addWorker(`worker-${index}`);
       for (let index = 0; index < 4; index += 1) world.addScheduler();
-      world.submit(submissionOf(lasting, [{ ...STEP, taskCount: 4, isPersistent: true }]));
+      world.submit(submissionOf(persistentId, [{ ...STEP, taskCount: 4, isPersistent: true }]));
       const ids: string[] = [];
       for (let step = 0; step < STEPS; step += 1) {
         const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
         ids.push(id);
         world.submit(submissionOf(id, [STEP, { ...STEP, after: [0] }]));
-        disturb(world);
-        if (step % 3 === 0) changeOwners(world);
+        injectBasicFault(world);
+        if (step % 3 === 0) toggleScheduler(world);
         // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
         if (step % 5 === 0) await replaceWorker(world, step);
         // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
@@ -68,7 +74,9 @@
       await world.runFor(45_000);
       expect(world.judge.broken).toEqual([]);
       expect(ids.map((id) => world.progress(id)?.state)).toEqual(ids.map(() => 'complete'));
-      const running = [0, 1, 2, 3].map((index) => world.runsOf(`${lasting}.0.0.${index}`).length);
+      const running = [0, 1, 2, 3].map(
+        (index) => world.runsOf(`${persistentId}.0.0.${index}`).length,
+      );
       expect(running).toEqual([1, 1, 1, 1]);
     },
   );
@@ -76,9 +84,9 @@
   it.each(SEEDS)(
     'keeps its promises while workers leave at the time that they tell, seed %i',
     async (seed) => {
-      const lasting = 'e'.repeat(16);
+      const persistentId = 'e'.repeat(16);
       const world = new FleetWorld(seed, (taskName) =>
-        taskName.startsWith(lasting)
+        taskName.startsWith(persistentId)
           ? { workMs: 90_000, end: RunEnd.Done }
           : {
               ...taskOf(taskName),
@@ -88,16 +96,16 @@
       );
       for (let index = 0; index < 4; index += 1) world.addWorker(`worker-${index}`);
       for (let index = 0; index < 3; index += 1) world.addScheduler();
-      world.submit(submissionOf(lasting, [{ ...STEP, taskCount: 4, isPersistent: true }]));
+      world.submit(submissionOf(persistentId, [{ ...STEP, taskCount: 4, isPersistent: true }]));
       const batch = { ...STEP, taskCount: 3, estimateMs: 1_500, savesProgress: true };
       const ids: string[] = [];
       for (let step = 0; step < STEPS; step += 1) {
         const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
         ids.push(id);
         world.submit(submissionOf(id, [batch, { ...STEP, after: [0] }]));
-        if (step % 2 === 0) disturb(world);
-        if (step % 4 === 0) replaceByPlan(world, step);
-        if (step % 9 === 0) changeOwners(world);
+        if (step % 2 === 0) injectBasicFault(world);
+        if (step % 4 === 0) drainAndReplaceWorker(world, step);
+        if (step % 9 === 0) toggleScheduler(world);
         if (step % 10 === 0) world.cancel(ids[Math.max(0, step - 3)] as string);
         // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
         await world.runFor(STEP_MS);
@@ -107,7 +115,9 @@
       expect(world.judge.broken).toEqual([]);
       const states = ids.map((id) => world.progress(id)?.state);
       expect(states.filter((state) => state !== 'complete' && state !== 'cancelled')).toEqual([]);
-      const running = [0, 1, 2, 3].map((index) => world.runsOf(`${lasting}.0.0.${index}`).length);
+      const running = [0, 1, 2, 3].map(
+        (index) => world.runsOf(`${persistentId}.0.0.${index}`).length,
+      );
       expect(running).toEqual([1, 1, 1, 1]);
     },
   );
--- a/src/scheduler/test/fleet/fleetScheduling.test.ts
+++ b/src/scheduler/test/fleet/fleetScheduling.test.ts
@@ -5,7 +5,7 @@
 import { FleetWorld } from './fleetWorld.js';
 
 const ID = '00000000000000a1';
-const name = (step: number, index: number): string => `${ID}.0.${step}.${index}`;
+const taskNameOf = (step: number, index: number): string => `${ID}.0.${step}.${index}`;
 
 const worldOf = async (
   workerCount: number,
@@ -28,8 +28,8 @@
       ]),
     );
     await world.runFor(400);
-    expect(world.runsOf(name(0, 0))).toHaveLength(1);
-    expect(world.runsOf(name(1, 0))).toHaveLength(0);
+    expect(world.runsOf(taskNameOf(0, 0))).toHaveLength(1);
+    expect(world.runsOf(taskNameOf(1, 0))).toHaveLength(0);
     await world.runFor(1_500);
     expect(world.progress(ID)?.state).toBe('complete');
     expect(world.judge.broken).toEqual([]);
@@ -52,7 +52,7 @@
     const world = await worldOf(2, () => ({ workMs: 100, end: RunEnd.Failed }));
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(5_000);
-    expect(world.judge.startsOf.get(name(0, 0))).toBe(3);
+    expect(world.judge.startsOf.get(taskNameOf(0, 0))).toBe(3);
     expect(world.progress(ID)?.state).toBe('failed');
   });
 
@@ -60,7 +60,7 @@
     const world = await worldOf(2, () => ({ workMs: 300, end: RunEnd.Failed }));
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(4_000);
-    expect(world.judge.startsOf.get(name(0, 0))).toBeGreaterThan(4);
+    expect(world.judge.startsOf.get(taskNameOf(0, 0))).toBeGreaterThan(4);
     expect(world.progress(ID)?.state).toBe('running');
   });
 
@@ -88,7 +88,7 @@
     await world.runFor(500);
     world.cancel(ID);
     await world.runFor(1_500);
-    expect(world.runsOf(name(0, 0))).toEqual([]);
+    expect(world.runsOf(taskNameOf(0, 0))).toEqual([]);
     expect(world.progress(ID)?.state).toBe('cancelled');
   });
 
@@ -112,8 +112,8 @@
         ? { workMs: 100, end: RunEnd.Failed }
         : { workMs: 60_000, end: RunEnd.Done },
     );
-    const whole = { ...STEP, taskCount: 3, size: WORKER_CAPACITY };
-    world.submit(submissionOf('00000000000000f1', [whole]));
+    const wholeWorker = { ...STEP, taskCount: 3, size: WORKER_CAPACITY };
+    world.submit(submissionOf('00000000000000f1', [wholeWorker]));
     await world.runFor(500);
     ['00000000000000e1', '00000000000000e2', '00000000000000e3'].forEach((id) =>
       world.submit(submissionOf(id, [STEP])),
@@ -121,7 +121,7 @@
     await world.runFor(3_000);
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(2_500);
-    expect(world.runsOf(name(0, 0))).toHaveLength(1);
+    expect(world.runsOf(taskNameOf(0, 0))).toHaveLength(1);
   });
 });
 
@@ -140,7 +140,7 @@
     };
     for (let count = 0; count < 40; count += 1) submit();
     const inTime = new Set<string>();
-    const look = (): void =>
+    const countCompletedInTime = (): void =>
       sentAtMs.forEach((atMs, id) => {
         const isDone = world.progress(id)?.state === 'complete';
         if (isDone && world.nowMs - atMs <= OBJECTIVE_MS + 200) inTime.add(id);
@@ -149,7 +149,7 @@
       if ((tick * 6) % 10 < 6) submit();
       // eslint-disable-next-line no-await-in-loop -- virtual time goes on step by step
       await world.runFor(100);
-      look();
+      countCompletedInTime();
     }
     expect(sentAtMs.size).toBe(160);
     expect(inTime.size).toBeGreaterThan(110);
--- a/src/scheduler/test/fleet/fleetWorld.ts
+++ b/src/scheduler/test/fleet/fleetWorld.ts
@@ -26,13 +26,13 @@
 import { DEFAULT_FLEET_POLICY } from '../../common/fleet/fleetPolicy.js';
 import { StoredStateReader } from '../../node/storedStateReader.js';
 import { CONFIGURATION, entryOf, STOP_MS, TIMING, WORKER_CAPACITY } from './fleetFixtures.js';
-import { FleetJudge } from './fleetJudge.js';
-import { DrawnFates } from './messageFates.js';
+import { InvariantChecker } from './invariantChecker.js';
+import { RandomDeliveries } from './messageDelivery.js';
 import { TICK_MS, VirtualTime } from './virtualTime.js';
 import { WorkerLinks } from './workerLinks.js';
-import { CALL_MS, emptySeat, noFaults, replyTo, type SchedulerSeat } from './worldFaults.js';
+import { CALL_MS, emptySlot, noFaults, replyTo, type SchedulerSeat } from './worldFaults.js';
 
-const LIST_MS = 1_000;
+const WORKER_LIST_INTERVAL_MS = 1_000;
 /** The table's clock began earlier than that of the test. */
 const TABLE_CLOCK_AHEAD_MS = 1_000_000;
 
@@ -67,22 +67,29 @@
 
   readonly #submissions = new Map<string, Submission>();
 
-  readonly judge = new FleetJudge(this.#submissions, (id) => this.progress(id));
+  readonly judge = new InvariantChecker(this.#submissions, (id) => this.progress(id));
 
   readonly #taskOf: (taskName: string) => ModelTask;
 
   readonly #links: WorkerLinks;
 
-  #lastFedOperation = 0;
+  #deliveredChangeCount = 0;
 
-  readonly #fed: { readonly id: string; readonly isCancellation: boolean }[] = [];
+  readonly #changes: { readonly id: string; readonly isCancellation: boolean }[] = [];
 
   constructor(seed: number, taskOf: (taskName: string) => ModelTask) {
     this.#random = new SeededRandom(seed);
     this.#taskOf = taskOf;
     const { time, workers, cutWorkers, seats, faults } = this;
-    const fates = new DrawnFates(faults, this.#random);
-    this.#links = new WorkerLinks({ time, workers, cutWorkers, seats, faults, fates });
+    const deliveries = new RandomDeliveries(faults, this.#random);
+    this.#links = new WorkerLinks({
+      time,
+      workers,
+      cutWorkers,
+      seats,
+      faults,
+      deliveries,
+    });
   }
 
   get nowMs(): number {
@@ -93,18 +100,18 @@
     return this.#random;
   }
 
-  get carriedCallCount(): number {
-    return this.#links.carriedCount;
+  get deliveredCallCount(): number {
+    return this.#links.deliveredCount;
   }
 
   get owners(): readonly FleetScheduler[] {
     return this.seats
       .map(({ scheduler }) => scheduler)
-      .filter((one): one is FleetScheduler => one?.epoch !== undefined);
+      .filter((scheduler): scheduler is FleetScheduler => scheduler?.epoch !== undefined);
   }
 
   addWorker(id: string, maximumLeaseMs = TIMING.maximumLeaseMs): void {
-    const lifeKey = (): string => `${id}/${this.workers.get(id)?.incarnation ?? 0}`;
+    const processKey = (): string => `${id}/${this.workers.get(id)?.incarnation ?? 0}`;
     const model = new WorkerModel(
       {
         id,
@@ -114,9 +121,10 @@
         clockRate: 0.98 + this.#random.nextFraction() * 0.03,
         taskOf: this.#taskOf,
         onStart: (taskName, run, nowMs) => this.judge.noteStart(id, taskName, run, nowMs),
-        onEnd: (finished, endedAtMs) => this.judge.noteEnd(lifeKey(), finished, endedAtMs),
-        onLapse: () => this.judge.noteLapse(lifeKey()),
-        onAcknowledge: (sequence, nowMs) => this.judge.noteAcknowledged(lifeKey(), sequence, nowMs),
+        onEnd: (finished, endedAtMs) => this.judge.noteEnd(processKey(), finished, endedAtMs),
+        onLapse: () => this.judge.noteLapse(processKey()),
+        onAcknowledge: (sequence, nowMs) =>
+          this.judge.noteAcknowledged(processKey(), sequence, nowMs),
       },
       this.nowMs,
     );
@@ -125,18 +133,18 @@
   }
 
   addScheduler(): number {
-    this.seats.push(emptySeat());
+    this.seats.push(emptySlot());
     const index = this.seats.length - 1;
     this.startScheduler(index);
     return index;
   }
 
   startScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    seat.generation += 1;
-    const selfId = `daemon-${index}#${seat.generation}`;
-    seat.scheduler = new FleetScheduler(selfId, TIMING, 0, DEFAULT_FLEET_POLICY, this.nowMs);
-    seat.scheduler.handleOperatorState({
+    const slot = this.seats[index] as SchedulerSeat;
+    slot.generation += 1;
+    const selfId = `daemon-${index}#${slot.generation}`;
+    slot.scheduler = new FleetScheduler(selfId, TIMING, 0, DEFAULT_FLEET_POLICY, this.nowMs);
+    slot.scheduler.handleOperatorState({
       configuration: CONFIGURATION,
       withdrawnZones: new Set(),
     });
@@ -144,15 +152,15 @@
 
   /** Ends a process at once; what it has sent still arrives. */
   killScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    seat.generation += 1;
-    seat.scheduler = undefined;
+    const slot = this.seats[index] as SchedulerSeat;
+    slot.generation += 1;
+    slot.scheduler = undefined;
   }
 
   /** Ends a process in order: it hands the fleet over first, if it owns it. */
   stopScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    const transaction = seat.scheduler?.release();
+    const slot = this.seats[index] as SchedulerSeat;
+    const transaction = slot.scheduler?.release();
     this.killScheduler(index);
     if (transaction !== undefined)
       this.time.later(CALL_MS, () => void this.table.transact(transaction));
@@ -175,12 +183,12 @@
   submit(submission: Submission): void {
     this.#submissions.set(submission.id, submission);
     this.#write(specKey(submission.id), submission as unknown as JsonValue);
-    this.#fed.push({ id: submission.id, isCancellation: false });
+    this.#changes.push({ id: submission.id, isCancellation: false });
   }
 
   cancel(id: string): void {
     this.#write(cancelKey(id), {});
-    this.#fed.push({ id, isCancellation: true });
+    this.#changes.push({ id, isCancellation: true });
   }
 
   progress(id: string): Progress | undefined {
@@ -201,23 +209,27 @@
       this.workers.forEach((worker) => worker.isUp && worker.advance(this.nowMs));
       // eslint-disable-next-line no-await-in-loop -- time goes by step by step
       await this.time.runDue();
-      this.#feed();
-      this.seats.forEach((seat, index) => this.#stepSeat(seat, index));
-      this.judge.look(this.workers.values(), this.nowMs);
+      this.#deliverChanges();
+      this.seats.forEach((slot, index) => this.#stepScheduler(slot, index));
+      this.judge.checkRunningTasks(this.workers.values(), this.nowMs);
     }
   }
 
-  #stepSeat(seat: SchedulerSeat, index: number): void {
-    const { scheduler } = seat;
+  #stepScheduler(slot: SchedulerSeat, index: number): void {
+    const { scheduler } = slot;
     if (scheduler === undefined) return;
-    if (this.nowMs % LIST_MS === 0 && scheduler.epoch !== undefined && this.#reachesTable(seat)) {
+    if (
+      this.nowMs % WORKER_LIST_INTERVAL_MS === 0 &&
+      scheduler.epoch !== undefined &&
+      this.#reachesTable(slot)
+    ) {
       scheduler.handleWorkers(scheduler.epoch, this.#entries(), this.nowMs, this.nowMs);
     }
     scheduler.step(this.nowMs, this.nowMs).forEach((effect) => this.#perform(index, effect));
   }
 
-  #reachesTable(seat: SchedulerSeat): boolean {
-    return !this.faults.isTableDown && !seat.isCutFromTable;
+  #reachesTable(slot: SchedulerSeat): boolean {
+    return !this.faults.isTableDown && !slot.isCutFromTable;
   }
 
   #entries(): readonly FleetWorkerEntry[] {
@@ -237,18 +249,20 @@
     return { remainingMs: Math.max(0, sinceMs + stayMs - (this.nowMs - ageMs)) };
   }
 
-  #feed(): void {
-    const owners = this.seats.filter(
-      (seat) => seat.scheduler?.epoch !== undefined && this.#reachesTable(seat),
+  #deliverChanges(): void {
+    const owningSlots = this.seats.filter(
+      (slot) => slot.scheduler?.epoch !== undefined && this.#reachesTable(slot),
+    );
+    if (owningSlots.length === 0 || this.faults.isFeedSilent) return;
+    owningSlots.forEach(({ scheduler }) =>
+      scheduler?.handleCaughtUp(scheduler.epoch ?? 0, this.nowMs),
     );
-    if (owners.length === 0 || this.faults.isFeedSilent) return;
-    owners.forEach(({ scheduler }) => scheduler?.handleCaughtUp(scheduler.epoch ?? 0, this.nowMs));
     // A new owner has read the rows, so being told of them again must change nothing.
-    const news = this.#fed.slice(this.#lastFedOperation);
-    this.#lastFedOperation = this.#fed.length;
-    news.forEach(({ id, isCancellation }) => {
+    const newChanges = this.#changes.slice(this.#deliveredChangeCount);
+    this.#deliveredChangeCount = this.#changes.length;
+    newChanges.forEach(({ id, isCancellation }) => {
       const submission = this.#submissions.get(id);
-      owners.forEach(({ scheduler }) => {
+      owningSlots.forEach(({ scheduler }) => {
         const epoch = scheduler?.epoch;
         if (scheduler === undefined || epoch === undefined) return;
         if (isCancellation) {
@@ -342,8 +356,8 @@
       this.time.later(this.#random.nextIndex(3_000), () => {
         this.table.transact(transaction);
       });
-      const lost = left(failure(ErrorKind.StoreAnswerLost, 'no answer'));
-      this.#reply(index, 1_000, (scheduler) => reply(lost, scheduler));
+      const lostAnswer = left(failure(ErrorKind.StoreAnswerLost, 'no answer'));
+      this.#reply(index, 1_000, (scheduler) => reply(lostAnswer, scheduler));
       return;
     }
     const delayMs = this.faults.transactionMs;
@@ -351,11 +365,11 @@
   }
 
   #load(index: number, epoch: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    const { generation } = seat;
+    const slot = this.seats[index] as SchedulerSeat;
+    const { generation } = slot;
     const table = {
       read: (request) => async () =>
-        this.#reachesTable(seat)
+        this.#reachesTable(slot)
           ? right(this.table.read(request))
           : left(failure(ErrorKind.StoreUnavailable, 'out of reach')),
     } as TableService;
@@ -366,8 +380,8 @@
     const reader = new StoredStateReader(table, directory, silentLog);
     this.time.later(CALL_MS, async () => {
       const loaded = await reader.readAll();
-      if (seat.generation !== generation) return;
-      seat.scheduler?.handleLoaded(epoch, loaded?.stored, this.nowMs);
+      if (slot.generation !== generation) return;
+      slot.scheduler?.handleLoaded(epoch, loaded?.stored, this.nowMs);
     });
   }
 
--- a/src/scheduler/test/fleet/interruptedTasks.test.ts
+++ b/src/scheduler/test/fleet/interruptedTasks.test.ts
@@ -12,12 +12,12 @@
 /** The users' bound on how long a task that lasts may be away while there is capacity for it. */
 const LONGEST_AWAY_MS = 9_000;
 
-const hex = (value: number): string => value.toString(16).padStart(16, '0');
+const toId = (value: number): string => value.toString(16).padStart(16, '0');
 
 /** Batch tasks come faster than the workers take them. */
 const runWithBacklog = async (world: FleetWorld, durationMs: number): Promise<void> => {
   for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += 100) {
-    world.submit(submissionOf(hex(1_000_000 + world.nowMs), [{ ...STEP, taskCount: 4 }]));
+    world.submit(submissionOf(toId(1_000_000 + world.nowMs), [{ ...STEP, taskCount: 4 }]));
     // eslint-disable-next-line no-await-in-loop -- time goes by step by step
     await world.runFor(100);
   }
@@ -48,16 +48,16 @@
 describe('a task that lasts, which waits while another of its step starts again', () => {
   it('is known to a successor as one that has run', () => {
     const submission = submissionOf(SERVICE_ID, [{ ...STEP, taskCount: 2, isPersistent: true }]);
-    const book = new SubmissionBook();
-    book.add(submission, undefined, NO_ASSIGNMENTS, 0);
-    const [first, second] = [0, 1].map((index) => book.find(`${SERVICE_ID}.0.0.${index}`)) as [
+    const registry = new SubmissionBook();
+    registry.add(submission, undefined, NO_ASSIGNMENTS, 0);
+    const [first, second] = [0, 1].map((index) => registry.find(`${SERVICE_ID}.0.0.${index}`)) as [
       TaskRecord,
       TaskRecord,
     ];
     const runs = [first, second].map((task) => newRun(task, 1, 'worker-0', 0));
-    runs.forEach((run) => book.noteRun(run));
-    runs.forEach((run) => book.noteRunGone(run, 100));
-    book.noteRun(newRun(first, 2, 'worker-1', 200));
+    runs.forEach((run) => registry.noteRun(run));
+    runs.forEach((run) => registry.noteRunGone(run, 100));
+    registry.noteRun(newRun(first, 2, 'worker-1', 200));
     const successor = new SubmissionBook();
     successor.add(submission, undefined, toAssignments(first.submission), 300);
     const waiting = [...successor.waiting].find(({ name }) => name === second.name);
--- a/src/scheduler/test/fleet/fleetJudge.ts
+++ b/src/scheduler/test/fleet/invariantChecker.ts
@@ -7,14 +7,14 @@
 import { parseTaskName } from '../../common/fleet/taskRecords.js';
 import { WORKER_CAPACITY } from './fleetFixtures.js';
 
-export class FleetJudge {
+export class InvariantChecker {
   readonly broken: string[] = [];
 
   readonly startsOf = new Map<string, number>();
 
   readonly #ends = new EndRecords();
 
-  readonly #lastStartsMs = new Map<string, number>();
+  readonly #lastStartAtMs = new Map<string, number>();
 
   readonly #submissions: ReadonlyMap<string, Submission>;
 
@@ -34,61 +34,66 @@
     const address = parseTaskName(taskName);
     const submission = address === undefined ? undefined : this.#submissions.get(address.id);
     const step = submission?.steps[address?.stepIndex ?? -1];
-    const told = `${taskName} run ${run} on ${workerId} at ${nowMs}`;
+    const description = `${taskName} run ${run} on ${workerId} at ${nowMs}`;
     if (address === undefined || step === undefined) {
-      this.broken.push(`${told}: nobody asked for it`);
+      this.broken.push(`${description}: nobody asked for it`);
       return;
     }
     const progress = this.#progressOf(address.id);
-    const place = submission?.steps
+    const position = submission?.steps
       .slice(0, address.stepIndex)
       .reduce((sum, { taskCount }) => sum + taskCount, address.index);
-    if (!step.isPersistent && place !== undefined && progress?.done.includes(place) === true) {
-      this.broken.push(`${told}: started after its end was recorded`);
+    if (
+      !step.isPersistent &&
+      position !== undefined &&
+      progress?.done.includes(position) === true
+    ) {
+      this.broken.push(`${description}: started after its end was recorded`);
     }
-    if (progress?.state === 'complete') this.broken.push(`${told}: started after it was complete`);
+    if (progress?.state === 'complete')
+      this.broken.push(`${description}: started after it was complete`);
     if (this.#ends.hasRecordedDone(taskName)) {
-      this.broken.push(`${told}: started after its end was acknowledged`);
+      this.broken.push(`${description}: started after its end was acknowledged`);
     }
-    this.#lastStartsMs.set(taskName, nowMs);
+    this.#lastStartAtMs.set(taskName, nowMs);
   }
 
   /** A run has ended; `lifeKey` names the process of the worker. */
-  noteEnd(lifeKey: string, { taskName, sequence, end }: FinishedRun, endedAtMs: number): void {
+  noteEnd(processKey: string, { taskName, sequence, end }: FinishedRun, endedAtMs: number): void {
     if (end !== RunEnd.Done) return;
-    this.#ends.noteDone(lifeKey, taskName, endedAtMs);
-    this.#ends.noteListed(lifeKey, sequence, taskName);
+    this.#ends.noteDone(processKey, taskName, endedAtMs);
+    this.#ends.noteListed(processKey, sequence, taskName);
   }
 
   /** Ends from before a lapse of the lease are not owed any more. */
-  noteLapse(lifeKey: string): void {
-    this.#ends.noteLeaseLapsed(lifeKey);
+  noteLapse(processKey: string): void {
+    this.#ends.noteLeaseLapsed(processKey);
   }
 
-  noteAcknowledged(lifeKey: string, sequence: number, nowMs: number): void {
-    this.#ends.acknowledge(lifeKey, sequence).forEach(({ taskName, endedAtMs }) => {
-      if ((this.#lastStartsMs.get(taskName) ?? 0) <= endedAtMs) return;
+  noteAcknowledged(processKey: string, sequence: number, nowMs: number): void {
+    this.#ends.acknowledge(processKey, sequence).forEach(({ taskName, endedAtMs }) => {
+      if ((this.#lastStartAtMs.get(taskName) ?? 0) <= endedAtMs) return;
       this.broken.push(`${taskName} at ${nowMs}: started after the end that is acknowledged now`);
     });
   }
 
   /** Looks at everything that runs now. */
-  look(workers: Iterable<WorkerModel>, nowMs: number): void {
-    const running = new Map<string, string>();
+  checkRunningTasks(workers: Iterable<WorkerModel>, nowMs: number): void {
+    const workerIdByTask = new Map<string, string>();
     [...workers].forEach((worker) => {
       if (!worker.isUp) return;
-      let used = 0;
+      let usedProcessorMillis = 0;
       worker.runs.forEach(({ taskName }) => {
-        const other = running.get(taskName);
-        if (other !== undefined) {
-          this.broken.push(`${taskName} on ${other} and ${worker.id} at ${nowMs}`);
+        const otherWorkerId = workerIdByTask.get(taskName);
+        if (otherWorkerId !== undefined) {
+          this.broken.push(`${taskName} on ${otherWorkerId} and ${worker.id} at ${nowMs}`);
         }
-        running.set(taskName, worker.id);
+        workerIdByTask.set(taskName, worker.id);
         const address = parseTaskName(taskName);
         const steps = this.#submissions.get(address?.id ?? '')?.steps;
-        used += steps?.[address?.stepIndex ?? -1]?.size.processorMillis ?? 0;
+        usedProcessorMillis += steps?.[address?.stepIndex ?? -1]?.size.processorMillis ?? 0;
       });
-      if (used > WORKER_CAPACITY.processorMillis) {
+      if (usedProcessorMillis > WORKER_CAPACITY.processorMillis) {
         this.broken.push(`${worker.id} over its capacity at ${nowMs}`);
       }
     });
--- a/src/scheduler/test/fleet/progressCommits.test.ts
+++ b/src/scheduler/test/fleet/progressCommits.test.ts
@@ -18,25 +18,25 @@
 const idOf = (index: number): string => index.toString(16).padStart(16, '0');
 
 /** Submissions of one task each, all given to a worker; the first ones have been cancelled. */
-const bookOf = (cancelledCount: number, assignedCount: number): SubmissionBook => {
-  const book = new SubmissionBook();
+const registryOf = (cancelledCount: number, assignedCount: number): SubmissionBook => {
+  const registry = new SubmissionBook();
   for (let index = 0; index < cancelledCount + assignedCount; index += 1) {
-    book.add(submissionOf(idOf(index), [STEP]), undefined, NO_ASSIGNMENTS, 0);
+    registry.add(submissionOf(idOf(index), [STEP]), undefined, NO_ASSIGNMENTS, 0);
   }
-  [...book.waiting].forEach((task) => {
-    book.noteRun(newRun(task, 1, 'worker', 0));
-    book.markUnrecorded(task.submission);
+  [...registry.waiting].forEach((task) => {
+    registry.noteRun(newRun(task, 1, 'worker', 0));
+    registry.markUnrecorded(task.submission);
   });
-  for (let index = 0; index < cancelledCount; index += 1) book.cancel(idOf(index));
-  return book;
+  for (let index = 0; index < cancelledCount; index += 1) registry.cancel(idOf(index));
+  return registry;
 };
 
-const commitsOf = (book: SubmissionBook) => {
+const commitsOf = (registry: SubmissionBook) => {
   const commits = new ProgressCommits();
   const roster = new Roster(1);
   const owner = { condition: { key: 'owner', version: 1 }, id: 'self', epoch: 1 };
   const input = {
-    book,
+    book: registry,
     views: [],
     owner,
     interference: new LearningInterferenceControl(),
@@ -45,36 +45,36 @@
   };
   const next = (nowMs: number): Transaction | undefined =>
     commits.next({ ...input, toTableMs: (atMs) => atMs }, nowMs);
-  const store = (version: number): number => {
+  const commit = (version: number): number => {
     const result = right({ outcome: TransactionOutcome.Committed, version });
-    return commits.handleCommitted(result, book, roster).recorded.length;
+    return commits.handleCommitted(result, registry, roster).recorded.length;
   };
-  return { next, store };
+  return { next, commit };
 };
 
 describe('the transactions of the owner', () => {
   it('hold no start back while more ends wait than one of them takes', () => {
-    const book = bookOf(100, 3);
-    const { next, store } = commitsOf(book);
+    const registry = registryOf(100, 3);
+    const { next, commit } = commitsOf(registry);
     const keys = next(0)?.writes.map(({ key }) => key) ?? [];
     [100, 101, 102].forEach((index) => expect(keys).toContain(assignmentsKey(idOf(index))));
-    expect(store(5)).toBe(3);
+    expect(commit(5)).toBe(3);
   });
 
   it('store no assignments without the ends that have changed them', () => {
-    const book = bookOf(100, 0);
+    const registry = registryOf(100, 0);
     const id = 'e'.repeat(16);
-    book.add(submissionOf(id, [{ ...STEP, taskCount: 2 }]), undefined, NO_ASSIGNMENTS, 0);
-    const [ended, retried] = [...book.waiting];
+    registry.add(submissionOf(id, [{ ...STEP, taskCount: 2 }]), undefined, NO_ASSIGNMENTS, 0);
+    const [ended, retried] = [...registry.waiting];
     if (ended === undefined || retried === undefined) throw new Error('no tasks wait');
     const run = newRun(ended, 1, 'worker', 0);
-    book.noteRun(run);
-    book.noteEnd(ended, 1, RunEnd.Done, 10);
-    book.noteRunGone(run, 10);
-    book.noteRun(newRun(retried, 2, 'worker', 20));
-    book.markUnrecorded(retried.submission);
+    registry.noteRun(run);
+    registry.noteEnd(ended, 1, RunEnd.Done, 10);
+    registry.noteRunGone(run, 10);
+    registry.noteRun(newRun(retried, 2, 'worker', 20));
+    registry.markUnrecorded(retried.submission);
     const keys =
-      commitsOf(book)
+      commitsOf(registry)
         .next(30)
         ?.writes.map(({ key }) => key) ?? [];
     expect(keys).toContain(assignmentsKey(id));
@@ -82,12 +82,12 @@
   });
 
   it('name no more rows than a call of the table takes', () => {
-    const { next, store } = commitsOf(bookOf(200, 200));
+    const { next, commit } = commitsOf(registryOf(200, 200));
     for (let round = 1; round < 12; round += 1) {
       const { conditions = [], writes = [] } = next(round * 1_000) ?? {};
       expect(conditions.length + writes.length).toBeLessThanOrEqual(100);
       expect(new Set(writes.map(({ key }) => key)).size).toBe(writes.length);
-      store(round);
+      commit(round);
     }
   });
 });
--- a/src/scheduler/test/fleet/randomCuts.test.ts
+++ b/src/scheduler/test/fleet/randomCuts.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
 
-import { playRandomCuts } from './randomCuts.js';
+import { runRandomCuts } from './randomCuts.js';
 
 /** Seeds that failed while workers that were out of reach were taken for gone. */
 const SEEDS = [2, 4, 7, 9, 11, 17, 29, 37];
 
 describe('a fleet under random cuts between zones', () => {
   it.each(SEEDS)('keeps its promises with seed %i', async (seed) => {
-    const { broken, unfinished } = await playRandomCuts(seed, true);
+    const { broken, unfinished } = await runRandomCuts(seed, true);
     expect(broken).toEqual([]);
     expect(unfinished).toEqual([]);
   });
--- a/src/scheduler/test/fleet/randomCuts.ts
+++ b/src/scheduler/test/fleet/randomCuts.ts
@@ -2,39 +2,39 @@
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
-import { ZoneFaults } from './randomFaults.js';
+import { FaultInjector } from './randomFaults.js';
 
 const STEPS = 75;
 const STEP_MS = 400;
-const QUIET_MS = 45_000;
+const SETTLE_MS = 45_000;
 const WORKERS = 6;
 const SCHEDULERS = 4;
-const LASTING_ID = 'e'.repeat(16);
-const LASTING_MS = 120_000;
+const PERSISTENT_ID = 'e'.repeat(16);
+const PERSISTENT_WORK_MS = 120_000;
 
-export interface RandomRun {
+export interface RandomRunResult {
   readonly broken: readonly string[];
   /** Submissions that are not complete although all faults ended long ago. */
   readonly unfinished: readonly string[];
 }
 
 const workMsOf = (taskName: string): number => {
-  if (taskName.startsWith(LASTING_ID)) return LASTING_MS;
+  if (taskName.startsWith(PERSISTENT_ID)) return PERSISTENT_WORK_MS;
   const digit = Number.parseInt(taskName[15] ?? '0', 16) + Number(taskName.at(-1));
   return 300 + digit * 250;
 };
 
 /** `doCallsNameProcess` tells whether a late order may reach the next process under the id. */
-export const playRandomCuts = async (
+export const runRandomCuts = async (
   seed: number,
   doCallsNameProcess: boolean,
-): Promise<RandomRun> => {
+): Promise<RandomRunResult> => {
   const world = new FleetWorld(seed, (name) => ({ workMs: workMsOf(name), end: RunEnd.Done }));
   for (let index = 0; index < WORKERS; index += 1) world.addWorker(`worker-${index}`);
   for (let index = 0; index < SCHEDULERS; index += 1) world.addScheduler();
   Object.assign(world.faults, { doCallsNameProcess });
-  const faults = new ZoneFaults(world);
-  world.submit(submissionOf(LASTING_ID, [{ ...STEP, taskCount: 4, isPersistent: true }]));
+  const injector = new FaultInjector(world);
+  world.submit(submissionOf(PERSISTENT_ID, [{ ...STEP, taskCount: 4, isPersistent: true }]));
   const ids: string[] = [];
   for (let step = 0; step < STEPS; step += 1) {
     const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
@@ -44,15 +44,15 @@
       { ...STEP, after: [0] },
     ];
     world.submit(submissionOf(id, steps));
-    faults.disturb();
+    injector.injectRandomFault();
     // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
     await world.runFor(STEP_MS);
   }
-  faults.heal();
-  await world.runFor(QUIET_MS);
+  injector.heal();
+  await world.runFor(SETTLE_MS);
   const unfinished = ids.filter((id) => world.progress(id)?.state !== 'complete');
   for (let index = 0; index < 4; index += 1) {
-    const name = `${LASTING_ID}.0.0.${index}`;
+    const name = `${PERSISTENT_ID}.0.0.${index}`;
     if (world.runsOf(name).length !== 1) unfinished.push(name);
   }
   return { broken: world.judge.broken, unfinished };
--- a/src/scheduler/test/fleet/randomFaults.ts
+++ b/src/scheduler/test/fleet/randomFaults.ts
@@ -10,11 +10,11 @@
 /** An entry that is back within this time belongs to a worker that was there all along. */
 const SHORT_LAPSE_MS = 2_000;
 
-export const disturb = (world: FleetWorld): void => {
+export const injectBasicFault = (world: FleetWorld): void => {
   const { random } = world;
-  const worker = `worker-${random.nextIndex(4)}`;
-  const seat = random.nextIndex(3);
-  const model = world.workers.get(worker);
+  const workerId = `worker-${random.nextIndex(4)}`;
+  const slotIndex = random.nextIndex(3);
+  const model = world.workers.get(workerId);
   switch (random.nextIndex(12)) {
     case 0:
       model?.crash();
@@ -23,17 +23,17 @@
       if (model?.isUp === false) model.restart(world.nowMs);
       break;
     case 2:
-      world.cutWorkers.add(worker);
+      world.cutWorkers.add(workerId);
       break;
     case 3:
     case 4:
       world.cutWorkers.clear();
       break;
     case 5:
-      world.killScheduler(seat);
+      world.killScheduler(slotIndex);
       break;
     case 6:
-      if (world.seats[seat]?.scheduler === undefined) world.startScheduler(seat);
+      if (world.seats[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
       break;
     case 7:
       Object.assign(world.faults, { isTableDown: !world.faults.isTableDown });
@@ -45,7 +45,7 @@
       Object.assign(world.faults, { lostAnswerShare: random.nextFraction() * 0.3 });
       break;
     case 10:
-      Object.assign(world.seats[seat] ?? {}, { isCutFromTable: random.nextIndex(2) === 0 });
+      Object.assign(world.seats[slotIndex] ?? {}, { isCutFromTable: random.nextIndex(2) === 0 });
       break;
     default:
   }
@@ -67,7 +67,7 @@
 const LONGEST_LINGER_MS = 4_000;
 
 /** A worker says how long it stays, and leaves some time after that; a new one comes at once. */
-export const replaceByPlan = (world: FleetWorld, round: number): void => {
+export const drainAndReplaceWorker = (world: FleetWorld, round: number): void => {
   const { random, drainingWorkers } = world;
   const ids = [...world.listedWorkers].filter((id) => !drainingWorkers.has(id));
   const id = ids[random.nextIndex(ids.length)];
@@ -77,11 +77,11 @@
 };
 
 /** Lets owners change in order and not, one soon after the other. */
-export const changeOwners = (world: FleetWorld): void => {
-  const seat = world.random.nextIndex(world.seats.length);
-  if (world.seats[seat]?.scheduler === undefined) world.startScheduler(seat);
-  else if (world.random.nextIndex(2) === 0) world.stopScheduler(seat);
-  else world.killScheduler(seat);
+export const toggleScheduler = (world: FleetWorld): void => {
+  const slotIndex = world.random.nextIndex(world.seats.length);
+  if (world.seats[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
+  else if (world.random.nextIndex(2) === 0) world.stopScheduler(slotIndex);
+  else world.killScheduler(slotIndex);
 };
 
 export const heal = (world: FleetWorld): void => {
@@ -91,14 +91,14 @@
   world.workers.forEach((model) => {
     if (!model.isUp && world.listedWorkers.has(model.id)) model.restart(world.nowMs);
   });
-  world.seats.forEach((seat, index) => {
-    Object.assign(seat, { isCutFromTable: false });
-    if (seat.scheduler === undefined) world.startScheduler(index);
+  world.seats.forEach((slot, index) => {
+    Object.assign(slot, { isCutFromTable: false });
+    if (slot.scheduler === undefined) world.startScheduler(index);
   });
 };
 
 /** Cuts, restarts and lapses of entries, beside all other faults. */
-export class ZoneFaults {
+export class FaultInjector {
   readonly #world: FleetWorld;
 
   readonly #checkIns: CheckIns;
@@ -112,7 +112,7 @@
     this.#checkIns = new CheckIns(world, (id) => !this.#cutOff.has(id));
   }
 
-  disturb(): void {
+  injectRandomFault(): void {
     const { random, faults } = this.#world;
     switch (random.nextIndex(10)) {
       case 0:
@@ -125,7 +125,7 @@
         break;
       case 4:
         this.lapse(
-          this.#anyWorker(),
+          this.#randomWorkerId(),
           random.nextIndex(2) === 0
             ? random.nextIndex(SHORT_LAPSE_MS)
             : random.nextIndex(LONGEST_LAPSE_MS),
@@ -139,23 +139,23 @@
         });
         break;
       case 6:
-        changeOwners(this.#world);
+        toggleScheduler(this.#world);
         break;
       default:
-        disturb(this.#world);
+        injectBasicFault(this.#world);
     }
   }
 
   /** Does nothing while another cut lasts. */
   cut(
     workerIds: readonly string[],
-    seatIndexes: readonly number[],
+    schedulerIndexes: readonly number[],
     doCutsRefuse: boolean,
     durationMs: number,
   ): void {
     if (this.#cut !== undefined) return;
     Object.assign(this.#world.faults, { doCutsRefuse });
-    const cut = new ZoneCut(this.#world, workerIds, seatIndexes);
+    const cut = new ZoneCut(this.#world, workerIds, schedulerIndexes);
     this.#cut = cut;
     workerIds.forEach((id) => this.#cutOff.add(id));
     this.#world.time.later(durationMs, () => {
@@ -189,7 +189,7 @@
     workers.forEach((worker) => worker.isUp || worker.restart(nowMs));
   }
 
-  #anyWorker(): string {
+  #randomWorkerId(): string {
     const ids = [...this.#world.workers.keys()];
     return ids[this.#world.random.nextIndex(ids.length)] as string;
   }
@@ -200,13 +200,13 @@
     const { random, workers, seats } = this.#world;
     const isInside = (): boolean => random.nextIndex(2) === 0;
     const workerIds = [...workers.keys()].filter(isInside);
-    const seatIndexes = [...seats.keys()].filter(isInside);
+    const schedulerIndexes = [...seats.keys()].filter(isInside);
     const doCutsRefuse = random.nextIndex(3) > 0;
-    this.cut(workerIds, seatIndexes, doCutsRefuse, random.nextIndex(LONGEST_CUT_MS));
+    this.cut(workerIds, schedulerIndexes, doCutsRefuse, random.nextIndex(LONGEST_CUT_MS));
   }
 
   #restartSoon(): void {
-    const id = this.#anyWorker();
+    const id = this.#randomWorkerId();
     this.restart(id, this.#world.random.nextIndex(LONGEST_RESTART_MS));
   }
 }
--- a/src/scheduler/test/fleet/virtualTime.ts
+++ b/src/scheduler/test/fleet/virtualTime.ts
@@ -3,7 +3,7 @@
 /** How far time moves at once. */
 export const TICK_MS = 10;
 
-interface Timed {
+interface ScheduledEvent {
   readonly atMs: number;
   readonly order: number;
   readonly run: () => void | Promise<void>;
@@ -12,7 +12,7 @@
 export class VirtualTime {
   nowMs = 0;
 
-  #events: Timed[] = [];
+  #events: ScheduledEvent[] = [];
 
   #order = 0;
 
--- a/src/scheduler/test/fleet/workerLinks.ts
+++ b/src/scheduler/test/fleet/workerLinks.ts
@@ -10,7 +10,7 @@
 } from '../../../services/fleet/common/fleetWorker.js';
 import type { WorkerModel } from '../../../../standIns/fleet/workerModel.js';
 import type { FleetScheduler } from '../../common/fleet/fleetScheduler.js';
-import { type MessageFate, MessageKind, type MessageFates } from './messageFates.js';
+import { type MessageDelivery, MessageKind, type MessageDeliveries } from './messageDelivery.js';
 import type { VirtualTime } from './virtualTime.js';
 import {
   CALL_MS,
@@ -35,69 +35,72 @@
   readonly cutWorkers: ReadonlySet<string>;
   readonly seats: readonly SchedulerSeat[];
   readonly faults: WorldFaults;
-  readonly fates: MessageFates;
+  readonly deliveries: MessageDeliveries;
 }
 
 export class WorkerLinks {
   readonly #world: LinkedWorld;
 
-  #carriedCount = 0;
+  #deliveredCount = 0;
 
   constructor(world: LinkedWorld) {
     this.#world = world;
   }
 
   /** Calls that have reached a worker. */
-  get carriedCount(): number {
-    return this.#carriedCount;
+  get deliveredCount(): number {
+    return this.#deliveredCount;
   }
 
-  hold(index: number, epoch: number, request: HoldRequest): void {
-    const { time, workers, faults, fates } = this.#world;
+  hold(schedulerIndex: number, epoch: number, request: HoldRequest): void {
+    const { time, workers, faults, deliveries } = this.#world;
     const { workerId } = request;
-    const sentTo = workers.get(workerId)?.incarnation;
+    const sentToIncarnation = workers.get(workerId)?.incarnation;
     const sentAtMs = time.nowMs;
-    const fate = fates.next(MessageKind.Hold);
+    const delivery = deliveries.next(MessageKind.Hold);
     const timeoutMs = request.waitMs + ORDER_TIMEOUT_MS;
-    const settle = this.#settle<HoldOutcome>(index, fate, timeoutMs, (result, scheduler) =>
-      scheduler.handleHeld(epoch, workerId, result, sentAtMs, time.nowMs),
+    const settle = this.#settle<HoldOutcome>(
+      schedulerIndex,
+      delivery,
+      timeoutMs,
+      (result, scheduler) => scheduler.handleHeld(epoch, workerId, result, sentAtMs, time.nowMs),
     );
     const poll = (untilMs: number, incarnation: number | undefined): void => {
-      const worker = this.#reachable(index, workerId);
+      const worker = this.#reachable(schedulerIndex, workerId);
       // The connection ends with the process that has taken the call.
       if (worker !== undefined && worker.incarnation !== incarnation) {
         settle(NO_ANSWER, CALL_MS);
         return;
       }
       if (worker === undefined) {
-        const passedMs = time.nowMs - sentAtMs;
-        if (faults.doHeldCallsHang && passedMs > fate.callMs) {
-          settle(NO_ANSWER, timeoutMs - passedMs);
-        } else this.#settleUnreached(index, workerId, settle);
+        const elapsedMs = time.nowMs - sentAtMs;
+        if (faults.doHeldCallsHang && elapsedMs > delivery.callDelayMs) {
+          settle(NO_ANSWER, timeoutMs - elapsedMs);
+        } else this.#settleUnreachable(schedulerIndex, workerId, settle);
         return;
       }
       const isDue =
         time.nowMs >= untilMs || worker.hasNews(request.acknowledgedSequence, time.nowMs);
       if (!isDue) time.later(POLL_MS, () => poll(untilMs, incarnation));
       else {
-        const held = right(worker.hold(request, time.nowMs));
-        if (fate.answerMs !== undefined) settle(held, fate.answerMs);
+        const heldResult = right(worker.hold(request, time.nowMs));
+        if (delivery.answerDelayMs !== undefined) settle(heldResult, delivery.answerDelayMs);
       }
     };
-    time.later(fate.callMs, () => {
-      const worker = this.#reachedBy(index, workerId, sentTo);
+    time.later(delivery.callDelayMs, () => {
+      const worker = this.#deliveredTo(schedulerIndex, workerId, sentToIncarnation);
       // The lease is granted when the call arrives, the lists are made when it is answered.
       const arrive = (): void => void worker?.hold(request, time.nowMs);
       arrive();
       poll(time.nowMs + request.waitMs, worker?.incarnation);
-      this.#repeat(index, worker, fate, arrive);
+      this.#repeat(schedulerIndex, worker, delivery, arrive);
     });
   }
 
-  start(index: number, epoch: number, request: StartRequest): void {
+  start(schedulerIndex: number, epoch: number, request: StartRequest): void {
     const { time } = this.#world;
-    this.#give(
-      index,
+    this.#sendOrder(
+      schedulerIndex,
       MessageKind.Start,
       request.workerId,
       (worker) => worker.start(request, time.nowMs),
@@ -105,10 +108,10 @@
     );
   }
 
-  stop(index: number, epoch: number, reference: RunReference): void {
+  stop(schedulerIndex: number, epoch: number, reference: RunReference): void {
     const { time } = this.#world;
-    this.#give(
-      index,
+    this.#sendOrder(
+      schedulerIndex,
       MessageKind.Stop,
       reference.workerId,
       (worker) => worker.stop(reference, time.nowMs),
@@ -116,90 +119,97 @@
     );
   }
 
-  #give<Answer>(
-    index: number,
+  #sendOrder<Answer>(
+    schedulerIndex: number,
     kind: MessageKind,
     workerId: string,
-    order: (worker: WorkerModel) => Answer,
+    carryOut: (worker: WorkerModel) => Answer,
     reply: Reply<Answer>,
   ): void {
-    const { time, workers, fates } = this.#world;
-    const fate = fates.next(kind);
-    const settle = this.#settle(index, fate, ORDER_TIMEOUT_MS, reply);
-    const sentTo = workers.get(workerId)?.incarnation;
-    time.later(fate.callMs, () => {
-      const worker = this.#reachedBy(index, workerId, sentTo);
+    const { time, workers, deliveries } = this.#world;
+    const delivery = deliveries.next(kind);
+    const settle = this.#settle(schedulerIndex, delivery, ORDER_TIMEOUT_MS, reply);
+    const sentToIncarnation = workers.get(workerId)?.incarnation;
+    time.later(delivery.callDelayMs, () => {
+      const worker = this.#deliveredTo(schedulerIndex, workerId, sentToIncarnation);
       if (worker === undefined) {
-        this.#settleUnreached(index, workerId, settle);
+        this.#settleUnreachable(schedulerIndex, workerId, settle);
         return;
       }
-      const answer = order(worker);
-      if (fate.answerMs !== undefined) settle(right(answer), fate.answerMs);
-      this.#repeat(index, worker, fate, () => order(worker));
+      const answer = carryOut(worker);
+      if (delivery.answerDelayMs !== undefined) settle(right(answer), delivery.answerDelayMs);
+      this.#repeat(schedulerIndex, worker, delivery, () => carryOut(worker));
     });
   }
 
   /** A call that has arrived may do so once more, as long as the process that took it lives. */
   #repeat(
-    index: number,
+    schedulerIndex: number,
     worker: WorkerModel | undefined,
-    { repeatAfterMs }: MessageFate,
+    { repeatAfterMs }: MessageDelivery,
     arrive: () => void,
   ): void {
     const incarnation = worker?.incarnation;
     if (worker === undefined || repeatAfterMs === undefined) return;
     this.#world.time.later(repeatAfterMs, () => {
-      const reached = this.#reachable(index, worker.id);
+      const reached = this.#reachable(schedulerIndex, worker.id);
       if (reached === worker && reached.incarnation === incarnation) arrive();
     });
   }
 
   #settle<Answer>(
-    index: number,
-    fate: MessageFate,
+    schedulerIndex: number,
+    delivery: MessageDelivery,
     timeoutMs: number,
     reply: Reply<Answer>,
   ): Settle<Answer> {
     const { time, seats } = this.#world;
-    const seat = seats[index] as SchedulerSeat;
+    const slot = seats[schedulerIndex] as SchedulerSeat;
     let isSettled = false;
     const settle: Settle<Answer> = (result, delayMs) =>
-      replyTo(time, seat, delayMs, (scheduler) => {
+      replyTo(time, slot, delayMs, (scheduler) => {
         if (isSettled) return;
         isSettled = true;
         reply(result, scheduler);
       });
-    const isOnTime = fate.answerMs !== undefined && fate.callMs + fate.answerMs < ORDER_TIMEOUT_MS;
+    const isOnTime =
+      delivery.answerDelayMs !== undefined &&
+      delivery.callDelayMs + delivery.answerDelayMs < ORDER_TIMEOUT_MS;
     if (!isOnTime) settle(NO_ANSWER, timeoutMs);
     return settle;
   }
 
-  #settleUnreached(index: number, workerId: string, settle: Settle<never>): void {
-    if (this.#isRefused(index, workerId)) settle(REFUSED, CALL_MS);
+  #settleUnreachable(schedulerIndex: number, workerId: string, settle: Settle<never>): void {
+    if (this.#refusesConnection(schedulerIndex, workerId)) settle(REFUSED, CALL_MS);
     else settle(NO_ANSWER, ORDER_TIMEOUT_MS);
   }
 
   /** The worker that a call reaches which was sent while `sentTo` was its process. */
-  #reachedBy(index: number, workerId: string, sentTo: number | undefined): WorkerModel | undefined {
-    const reached = this.#reachable(index, workerId);
-    const isMeant = !this.#world.faults.doCallsNameProcess || reached?.incarnation === sentTo;
-    if (isMeant && reached !== undefined) this.#carriedCount += 1;
-    return isMeant ? reached : undefined;
+  #deliveredTo(
+    schedulerIndex: number,
+    workerId: string,
+    sentToIncarnation: number | undefined,
+  ): WorkerModel | undefined {
+    const reached = this.#reachable(schedulerIndex, workerId);
+    const isIntendedProcess =
+      !this.#world.faults.doCallsNameProcess || reached?.incarnation === sentToIncarnation;
+    if (isIntendedProcess && reached !== undefined) this.#deliveredCount += 1;
+    return isIntendedProcess ? reached : undefined;
   }
 
-  #reachable(index: number, workerId: string): WorkerModel | undefined {
+  #reachable(schedulerIndex: number, workerId: string): WorkerModel | undefined {
     const worker = this.#world.workers.get(workerId);
-    return worker?.isUp === true && !this.#isCut(index, workerId) ? worker : undefined;
+    return worker?.isUp === true && !this.#isCut(schedulerIndex, workerId) ? worker : undefined;
   }
 
-  #isCut(index: number, workerId: string): boolean {
+  #isCut(schedulerIndex: number, workerId: string): boolean {
     const { seats, cutWorkers } = this.#world;
-    const isUnreachable = seats[index]?.unreachableWorkers.has(workerId) === true;
+    const isUnreachable = seats[schedulerIndex]?.unreachableWorkers.has(workerId) === true;
     return isUnreachable || cutWorkers.has(workerId);
   }
 
-  #isRefused(index: number, workerId: string): boolean {
-    if (this.#isCut(index, workerId)) return this.#world.faults.doCutsRefuse;
+  #refusesConnection(schedulerIndex: number, workerId: string): boolean {
+    if (this.#isCut(schedulerIndex, workerId)) return this.#world.faults.doCutsRefuse;
     return this.#world.workers.get(workerId)?.isUp === false;
   }
 }
--- a/src/scheduler/test/fleet/worldFaults.ts
+++ b/src/scheduler/test/fleet/worldFaults.ts
@@ -68,7 +68,7 @@
   doCallsNameProcess: true,
 });
 
-export const emptySeat = (): SchedulerSeat => ({
+export const emptySlot = (): SchedulerSeat => ({
   scheduler: undefined,
   generation: 0,
   isCutFromTable: false,
@@ -78,12 +78,12 @@
 /** Calls back unless the process that asked has ended since. */
 export const replyTo = (
   time: VirtualTime,
-  seat: SchedulerSeat,
+  slot: SchedulerSeat,
   delayMs: number,
   run: (scheduler: FleetScheduler) => void,
 ): void => {
-  const { generation } = seat;
+  const { generation } = slot;
   time.later(delayMs, () => {
-    if (seat.generation === generation && seat.scheduler !== undefined) run(seat.scheduler);
+    if (slot.generation === generation && slot.scheduler !== undefined) run(slot.scheduler);
   });
 };
