--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -1,4 +1,4 @@
-/** Stores what must survive the scheduler: many submissions' progress in one transaction. */
+/** Writes the state that must survive the scheduler, for many submissions in one transaction. */
 import { isRight, type Either } from 'fp-ts/lib/Either.js';
 
 import type { JsonValue } from '../../../base/common/json.js';
@@ -34,15 +34,15 @@
   toProgress,
 } from './taskRecords.js';
 
-/** Rows that one transaction may write; a call of the table takes a hundred entries in all. */
+/** The table accepts a hundred entries per call, conditions and writes together. */
 const MAXIMUM_ROWS_PER_TRANSACTION = 40;
-/** Submissions whose assignments one transaction stores; the rest of it is for others' progress. */
+/** Leaves space in a transaction for the progress of other submissions. */
 const MAXIMUM_ASSIGNMENT_ROWS = 12;
-/** One that has ended removes its assignments as well. */
+/** A submission that has ended writes its progress row and deletes its assignments row. */
 const ROWS_PER_PROGRESS = 2;
-/** Least interval between writes of learnt interference; a successor may miss that much. */
+/** Minimum interval between writes of learnt interference; a new owner may miss the last one. */
 const INTERFERENCE_INTERVAL_MS = 3_000;
-/** How often the counts of waiting submissions are written at most. */
+/** Minimum interval between writes of the counts of waiting submissions. */
 const COUNTS_INTERVAL_MS = 500;
 
 interface RecordedSequence {
@@ -60,15 +60,16 @@
 interface PendingCommit {
   readonly records: readonly SubmissionRecord[];
   readonly writes: readonly RowWrite[];
-  /** Ends that are recorded once the transaction is committed, by worker and incarnation. */
+  /** Sequences up to which run ends are recorded once the transaction is committed. */
   readonly sequences: readonly RecordedSequence[];
   readonly hasRoster: boolean;
-  /** Submissions whose assignments are written, and the runs that may start once they are. */
+  /** Submissions whose assignments are written. */
   readonly assigned: readonly SubmissionRecord[];
+  /** Runs that may start once their assignments are stored. */
   readonly runs: readonly TaskRun[];
 }
 
-/** What a commit is made of. */
+/** The state that a commit is built from. */
 export interface CommitInput {
   readonly book: SubmissionBook;
   readonly views: Iterable<FleetWorkerView>;
@@ -79,11 +80,11 @@
   readonly intervalMs: number;
 }
 
-/** What follows from the answer to a commit. */
+/** What the owner has to do after the answer to a commit. */
 export interface CommitOutcome {
-  /** Rows to be read, since the transaction's fate is unknown or it was refused. */
+  /** Rows to read because the transaction got no answer or was refused. */
   readonly request?: ReadRequest;
-  /** Runs whose assignments are stored now. */
+  /** Runs whose assignments are now stored. */
   readonly recorded: readonly TaskRun[];
 }
 
@@ -98,10 +99,11 @@
 export type CommitStatus = (typeof CommitStatus)[keyof typeof CommitStatus];
 
 /**
- * Each row is written under the version last known of it. A transaction without an answer may
- * land later and would otherwise bring an older state of a submission back: one that callers have
- * been told is complete would be shown as running. Its rows are read before they are written
- * again; whichever of the two transactions lands first then stops the other.
+ * Builds the owner's transactions and handles their results. Each write is conditional on the last
+ * known version of its row. A transaction whose answer was lost may be applied late; without the
+ * condition it would restore an older state, for example show a submission as running after callers
+ * were told that it is complete. After a lost answer, the rows are read before they are written
+ * again. Whichever of the two transactions is applied first then makes the other one fail.
  */
 export class ProgressCommits {
   readonly #versions = new Map<string, number>();
@@ -126,22 +128,22 @@
     this.#versions.set(key, version);
   }
 
-  /** The next transaction, when one is due. */
+  /** Returns the next transaction, or undefined while none is due. */
   next(input: CommitInput, nowMs: number): Transaction | undefined {
     if (this.#status !== CommitStatus.Idle || nowMs < this.#nextCommitAtMs) return undefined;
     const { book, owner } = input;
     const views = [...input.views];
     const sharedWrites = this.#sharedWrites(input, views, nowMs);
     if (book.dirty.size === 0 && book.unrecorded.size === 0 && sharedWrites.length === 0) {
-      // Ends that changed nothing, of persistent or forgotten tasks, need no transaction.
+      // Ends of runs of persistent tasks or of unknown submissions change nothing that is stored.
       views.forEach((view) => {
         view.recordedSequence = view.takenSequence;
       });
       return undefined;
     }
     const assigned = book.takeUnrecorded(MAXIMUM_ASSIGNMENT_ROWS);
-    // Runs that have ended are in no assignments any more: a successor must learn of both together,
-    // or it would start tasks anew whose ends are not stored.
+    // Assignments don't list runs that have ended. They are stored together with the ends: a new
+    // owner that read only the assignments would start those tasks again.
     const assignedProgress = book.takeDirtyOf(assigned);
     const remainingRowCount =
       MAXIMUM_ROWS_PER_TRANSACTION - assigned.length - assignedProgress.length;
@@ -179,7 +181,7 @@
     };
   }
 
-  /** Takes in the answer. */
+  /** Handles the table's answer to the transaction. */
   handleCommitted(
     result: Either<Failure, TransactionResult>,
     book: SubmissionBook,
@@ -208,7 +210,10 @@
     return { request: { keys: pending.writes.map(({ key }) => key), prefixes: [] }, recorded: [] };
   }
 
-  /** Takes in the rows of a transaction in doubt; returns false when they must be read again. */
+  /**
+   * Handles the rows that were read after a transaction in doubt. Returns false if the read failed
+   * and has to be repeated.
+   */
   handleResolved(result: Either<Failure, ReadResult>): boolean {
     const pending = this.#pending;
     if (pending === undefined || !isRight(result)) return false;
@@ -221,7 +226,7 @@
     return true;
   }
 
-  /** What concerns no single submission. */
+  /** Writes of rows that don't belong to a single submission. */
   #sharedWrites(
     { book, owner, interference, roster, toTableMs }: CommitInput,
     views: readonly FleetWorkerView[],
@@ -235,7 +240,7 @@
     return rows.flatMap(({ key, value }) => (value === undefined ? [] : [{ key, value }]));
   }
 
-  /** A submission that has ended needs its assignments no more. */
+  /** Deletes the assignments row of a submission that has ended. */
   #progressWrites(record: SubmissionRecord): readonly RowWrite[] {
     const { id } = record.submission;
     const progress = { key: progressKey(id), value: toProgress(record) };
--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionBook.ts
@@ -1,4 +1,4 @@
-/** All submissions that have not ended, with the tasks that wait and what is yet to be stored. */
+/** The owner's submissions in memory, with their waiting tasks and the changes yet to be stored. */
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import {
   runsOfSteps,
@@ -27,10 +27,10 @@
 } from './taskRecords.js';
 import { WaitingTasks } from './waitingTasks.js';
 
-/** How long a task that failed waits: long enough that a sick worker does not use its tries up. */
+/** Delay before a failed task is retried, so that a faulty worker does not use up its attempts. */
 const FAILED_RETRY_DELAY_MS = 200;
 
-/** A task of a submission that a former owner gave to a worker. */
+/** A task that a former owner assigned to a worker. */
 export interface InheritedTask {
   readonly task: TaskRecord;
   readonly inherited: InheritedRun;
@@ -61,7 +61,7 @@
   /** Submissions with runs that are not in their stored assignments. */
   readonly #unrecorded = new Set<SubmissionRecord>();
 
-  /** Tasks that former owners gave to workers and that no worker's list has been asked for yet. */
+  /** Tasks that former owners assigned to workers and that `takeInherited` has yet to return. */
   #inherited: InheritedTask[] = [];
 
   /** Submissions with occurrences that are not open yet. */
@@ -87,7 +87,7 @@
     return this.#records.has(id);
   }
 
-  /** Takes in a stored submission; a second time changes nothing. */
+  /** Adds a stored submission; does nothing if it is already known. */
   add(
     submission: Submission,
     progress: Progress | undefined,
@@ -118,7 +118,7 @@
     else this.#addRecurring(record, nowMs);
   }
 
-  /** What a former owner has begun goes on, also if it is not due by this process's time of day. */
+  /** Opens what a former owner has started, even if it is not due by this process's wall clock. */
   #addRecurring(record: SubmissionRecord, nowMs: number): void {
     this.#recurring.add(record);
     while (record.nextOccurrence < startedOccurrenceCount(record)) {
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Cancels a submission, also one that is not known yet. Returns the runs to be stopped. */
+  /** Cancels a submission, even one that is not known yet. Returns the runs to stop. */
   cancel(id: string): readonly TaskRun[] {
     this.#cancelledIds.add(id);
     const record = this.#records.get(id);
@@ -135,7 +135,7 @@
     return this.#end(record, SubmissionState.Cancelled);
   }
 
-  /** Opens the occurrences that are due by the time of day. */
+  /** Opens the occurrences that are due by the wall clock. */
   openDue(wallNowMs: number, nowMs: number): void {
     this.#recurring.forEach((record) => {
       const { submission } = record;
@@ -151,7 +151,7 @@
     });
   }
 
-  /** The task of a name, when its submission is open and its occurrence has begun. */
+  /** Returns the task with this name, or undefined if its occurrence has not been opened. */
   find(name: string): TaskRecord | undefined {
     const address = parseTaskName(name);
     if (address === undefined) return undefined;
@@ -159,7 +159,7 @@
     return opened?.tasks[address.stepIndex]?.[address.index];
   }
 
-  /** A run has been given to a worker, or has been found on one. */
+  /** Records a run that has been assigned to a worker or found on one. */
   noteRun(run: TaskRun): void {
     const { task } = run;
     task.runs.push(run);
@@ -167,14 +167,14 @@
     this.#waiting.delete(task);
   }
 
-  /** Takes the tasks that may still run where former owners started them. */
+  /** Returns, once, the tasks that may still run on the workers that former owners chose. */
   takeInherited(): readonly InheritedTask[] {
     const taken = this.#inherited;
     this.#inherited = [];
     return taken;
   }
 
-  /** The first task is known to have started. */
+  /** Marks a submission as running when its first task is known to have started. */
   noteStarted(record: SubmissionRecord): void {
     if (record.hasStarted) return;
     record.hasStarted = true;
@@ -183,7 +183,7 @@
     this.#dirty.add(record);
   }
 
-  /** A run is over; the task waits again unless it has ended well or its submission is over. */
+  /** Removes a run that is over. Its task waits again unless it is done or its submission ended. */
   noteRunGone(run: TaskRun, nowMs: number): void {
     const { task } = run;
     const index = task.runs.indexOf(run);
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Takes in an end that a worker lists, before the run itself is taken off. Returns other runs
-   * that are to be stopped: copies of a task that is done, or all of a submission that failed.
+   * Handles a run end that a worker lists; called before the run is removed. Returns the runs to
+   * stop: copies of a task that is done.
    */
   noteEnd(task: TaskRecord, run: number, end: RunEnd, nowMs: number): readonly TaskRun[] {
     if (task.step.isPersistent || !isOpen(task.submission) || task.isDone) return [];
@@ -202,14 +202,14 @@
     return [];
   }
 
-  /** What has been stored needs no further write; called with what a transaction carried. */
+  /** Takes submissions whose progress is yet to be stored, for the next transaction. */
   takeDirty(limit: number): readonly SubmissionRecord[] {
     const taken = [...this.#dirty].slice(0, limit);
     taken.forEach((record) => this.#dirty.delete(record));
     return taken;
   }
 
-  /** Those of the submissions that are yet to be stored. */
+  /** Takes those of the submissions whose progress is yet to be stored. */
   takeDirtyOf(records: readonly SubmissionRecord[]): readonly SubmissionRecord[] {
     return records.filter((record) => this.#dirty.delete(record));
   }
@@ -228,7 +228,7 @@
     if (isOpen(record)) this.#unrecorded.add(record);
   }
 
-  /** How many submissions without occurrences wait for their first start, by queue. */
+  /** Counts the submissions that wait for their first start, by queue. */
   waitingCounts(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     this.#records.forEach((record) => {
@@ -239,7 +239,7 @@
     return counts;
   }
 
-  /** Fails a submission of which a task has used up its attempts. Returns the runs to stop. */
+  /** Fails a submission after a task has used up its attempts. Returns the runs to stop. */
   fail(record: SubmissionRecord): readonly TaskRun[] {
     return isOpen(record) ? this.#end(record, SubmissionState.Failed) : [];
   }
@@ -254,7 +254,7 @@
   #noteInherited(task: TaskRecord): void {
     if (task.isDone) return;
     const runs = task.submission.inheritedRuns.get(task.place) ?? [];
-    // Also where the run is over by now: the task has been interrupted and is no new one.
+    // Runs that are over count as well: their task has been interrupted and is not a new one.
     task.lastRun = Math.max(task.lastRun, ...runs.map(({ run }) => run));
     const mayRun = ({ run, workerId }: InheritedRun): boolean =>
       workerId !== NO_WORKER_ID && !task.failedRuns.includes(run);
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -1,4 +1,4 @@
-/** Records of the tasks of one submission, as the scheduler keeps them in memory. */
+/** The scheduler's in-memory records of a submission, its tasks and their runs. */
 import {
   type Submission,
   SubmissionState,
@@ -11,41 +11,41 @@
 import type { SizeBalance, SizeClass } from './sizeBalance.js';
 
 export const RunState = {
-  /** Has room on its worker; the start is sent once the assignment is stored. */
+  /** Capacity on the worker is taken; the start is sent once the assignment is stored. */
   Assigned: 'assigned',
   /** The start has been sent and has no answer yet. */
   Starting: 'starting',
-  /** The start got no answer: it may have been carried out, or may yet be. */
+  /** The start got no answer: the worker may have carried it out, or may still do so. */
   Unanswered: 'unanswered',
   Running: 'running',
-  /** A stop is wanted; the run keeps its room until the worker no longer lists it. */
+  /** The run is to be stopped; it keeps its capacity until the worker no longer lists it. */
   Stopping: 'stopping',
 } as const;
 export type RunState = (typeof RunState)[keyof typeof RunState];
 
-/** One run of a task on one worker. Its room is taken for as long as the record exists. */
+/** One run of a task on one worker. It takes capacity there as long as the record exists. */
 export interface TaskRun {
   readonly task: TaskRecord;
   readonly run: number;
   readonly workerId: string;
   state: RunState;
-  /** When the last order about the run was answered; a list asked for earlier may lack it. */
+  /** When the last order about the run was answered; a list requested earlier may lack the run. */
   settledAtMs: number;
   startedAtMs: number;
   isStopInFlight: boolean;
   isStopConfirmed: boolean;
   workedPercent: number;
-  /** What the worker listed of it first. */
+  /** The progress that the worker first listed for the run, and when. */
   firstListed: { readonly percent: number; readonly atMs: number } | undefined;
   /** Since when `workedPercent` has not changed. */
   percentSinceMs: number;
   recentFigure: number;
-  /** How far the tail of a serving task is from its target, smoothed; see `headroom.ts`. */
+  /** How far the tail latency of a serving task is from its target, smoothed; see `headroom.ts`. */
   headroom: number;
-  /** Since when the tail is likely over its target. */
+  /** Since when the tail latency has likely been over its target. */
   overSinceMs: number | undefined;
   pacePercent: number;
-  /** The pace planned at placement, or the highest one set since. */
+  /** The pace planned at placement, or the highest pace set since then. */
   plannedPercent: number;
   /** When the pace was last lowered. */
   pacedSinceMs: number;
@@ -57,7 +57,7 @@
   readonly stepIndex: number;
   readonly index: number;
   readonly step: Step;
-  /** The task's place among all tasks of all occurrences; names it in the stored progress. */
+  /** Index among all tasks of all occurrences; identifies the task in the stored progress. */
   readonly place: number;
   readonly name: string;
   isDone: boolean;
@@ -77,7 +77,7 @@
   readonly openCounts: number[];
 }
 
-/** A run of a former owner, as its assignment is stored. */
+/** A run that a former owner assigned, as read from the stored assignments. */
 export interface InheritedRun {
   readonly workerId: string;
   readonly run: number;
@@ -92,16 +92,16 @@
 
 export interface SubmissionRecord {
   readonly submission: Submission;
-  /** Rises in the order in which the scheduler learnt of submissions. */
+  /** Increases in the order in which the scheduler learnt of the submissions. */
   readonly order: number;
   readonly occurrences: Map<number, OccurrenceRecord>;
   readonly initial: Progress;
-  /** Occurrences of which every task has ended well. */
+  /** Occurrences whose tasks are all done. */
   readonly finishedOccurrences: Set<number>;
   nextOccurrence: number;
   state: SubmissionState;
   hasStarted: boolean;
-  /** Runs that former owners may have started, by the task's place. */
+  /** Runs that former owners may have started, by the index of their task. */
   readonly inheritedRuns: ReadonlyMap<number, readonly InheritedRun[]>;
   learntAtMs: number;
   /** Estimated processor time of all tasks of one occurrence. */
@@ -109,9 +109,9 @@
   /** Totals over the submissions of its queue. */
   readonly queueWork: QueueWork;
   readonly sizeClass: SizeClass;
-  /** Whether its queue's balance of sizes counts it. */
+  /** Whether the size balance of its queue counts it. */
   isInSizeBalance: boolean;
-  /** Comes first in its queue, as too few of its size are served. */
+  /** Whether it comes first in its queue because too few submissions of its size are served. */
   isReserved: boolean;
 }
 
@@ -122,7 +122,7 @@
   index: number,
 ): string => `${id}.${occurrence}.${stepIndex}.${index}`;
 
-/** Names the tasks of one step in one occurrence. */
+/** Identifies one step in one occurrence of a submission. */
 export const stepName = ({ submission, occurrence, stepIndex }: TaskRecord): string =>
   `${submission.submission.id}.${occurrence}.${stepIndex}`;
 
@@ -133,7 +133,7 @@
   readonly index: number;
 }
 
-/** The parts of a task's name, or undefined for what is no task's name. */
+/** Returns the parts of a task's name, or undefined if the text is not a task's name. */
 export const parseTaskName = (name: string): TaskAddress | undefined => {
   const [id, ...rest] = name.split('.');
   const [occurrence, stepIndex, index] = rest.map(Number);
@@ -153,7 +153,7 @@
 
 export const NO_ASSIGNMENTS: Assignments = {};
 
-/** Stands in stored assignments for the worker of a task that lasts and waits to start again. */
+/** The id under which stored assignments list persistent tasks that wait to start again. */
 export const NO_WORKER_ID = '';
 
 const toInheritedRuns = (assignments: Assignments): SubmissionRecord['inheritedRuns'] => {
@@ -203,7 +203,7 @@
   };
 };
 
-/** Counts the submission in its queue's balance of sizes. */
+/** Counts the submission in the size balance of its queue, once. */
 export const countOnce = (record: SubmissionRecord): void => {
   if (record.isInSizeBalance) return;
   record.isInSizeBalance = true;
@@ -213,7 +213,7 @@
 const tasksOfOccurrence = (submission: Submission): number =>
   submission.steps.reduce((sum, step) => sum + step.taskCount, 0);
 
-/** Occurrences of which the stored progress or assignments name a task, and those before them. */
+/** Counts the occurrences up to the last one with a task in the stored progress or assignments. */
 export const startedOccurrenceCount = (record: SubmissionRecord): number => {
   const { submission, initial, inheritedRuns } = record;
   const failedPlaces = Object.keys(initial.failedRuns).map(Number);
@@ -222,7 +222,7 @@
   return Math.ceil((last + 1) / Math.max(1, tasksOfOccurrence(submission)));
 };
 
-/** Makes the tasks of an occurrence, with what is stored of them. */
+/** Creates the task records of an occurrence from its stored progress. */
 export const openOccurrence = (
   record: SubmissionRecord,
   occurrence: number,
@@ -259,7 +259,7 @@
   return opened;
 };
 
-/** Whether all tasks of the steps that a step waits for have ended well. */
+/** Whether all tasks of the steps that this step waits for are done. */
 export const isStepReady = (opened: OccurrenceRecord, stepIndex: number): boolean => {
   const step = opened.tasks[stepIndex]?.[0]?.step;
   return step !== undefined && step.after.every((earlier) => opened.openCounts[earlier] === 0);
@@ -270,11 +270,11 @@
 export const allOccurrencesDone = (record: SubmissionRecord): boolean =>
   record.finishedOccurrences.size >= runsOfSteps(record.submission);
 
-/** What a run takes of the worker's room: a filler's processors are not counted. */
+/** The capacity that a run takes on its worker; a filler's processors are not counted. */
 export const countedSize = (step: Step): Resources =>
   step.isFiller ? { ...step.size, processorMillis: 0 } : step.size;
 
-/** The progress as it is stored. */
+/** Returns the progress in its stored form. */
 export const toProgress = (record: SubmissionRecord): Progress => {
   const done = new Set(record.initial.done);
   const failedRuns: Record<string, number[]> = {};
@@ -289,7 +289,7 @@
       }
     }),
   );
-  // What has ended needs no list of its tasks any more: the state says it all.
+  // For a submission that has ended, the state is enough; its tasks are not listed.
   const isFinal = isFinalState(record.state);
   return {
     state: record.state,
@@ -298,11 +298,11 @@
   };
 };
 
-/** Whether the task waits although its users have been served before. */
+/** Whether a persistent task that has run before is not running, so that users lack its service. */
 export const isInterrupted = ({ step, runs, lastRun }: TaskRecord): boolean =>
   step.isPersistent && runs.length === 0 && lastRun > 0;
 
-/** The assignments as they are stored. */
+/** Returns the assignments in their stored form. */
 export const toAssignments = (record: SubmissionRecord): Assignments => {
   const assignments: Record<string, number[]> = {};
   const add = (workerId: string, { place }: TaskRecord, run: number): void => {
@@ -317,7 +317,7 @@
   return assignments;
 };
 
-/** Failed runs of a task, or of the whole gang that it belongs to. */
+/** Counts the failed runs of a task, or of its whole gang if it belongs to one. */
 export const failureCount = (task: TaskRecord): number => {
   if (!task.step.isGang) return task.failedRuns.length;
   const opened = task.submission.occurrences.get(task.occurrence);
--- a/src/scheduler/common/fleet/waitReport.ts
+++ b/src/scheduler/common/fleet/waitReport.ts
@@ -1,4 +1,4 @@
-/** Tells the log, in a bounded number of lines, what waits longer than it should and why. */
+/** Logs which tasks and workers are waited for too long and why, in a bounded number of lines. */
 import type { LogFields } from '../../../services/log/common/log.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { PlacementObstacle } from './placementObstacle.js';
@@ -6,9 +6,9 @@
 
 /** Why a task that is due was not placed in a round. */
 export const WaitReason = {
-  /** No usable worker has room for it. */
+  /** No usable worker has enough free capacity. */
   NoRoom: 'no-room',
-  /** The limit of starts in one round was reached before its turn. */
+  /** The round reached its limit of starts before the task's turn. */
   RoundFull: 'round-full',
 } as const;
 export type WaitReason = (typeof WaitReason)[keyof typeof WaitReason];
@@ -16,22 +16,23 @@
 export type WaitCounts = ReadonlyMap<WaitReason, number>;
 
 const REPORT_INTERVAL_MS = 1_000;
-/** A task that has waited for less is told of when it starts. */
+/** Shorter waits are logged when the task starts. */
 const MINIMUM_REPORTED_WAIT_MS = 1_000;
-/** Workers named in one line; the count tells of the others. */
+/** Workers named in one line; the count in the line includes the others. */
 const MAXIMUM_NAMED_WORKERS = 20;
 
-/** Kinds of tasks that wait for different reasons, the most urgent one first. */
+/** Kinds of tasks that wait for different reasons, the most urgent kind first. */
 export const WaitingKind = {
-  /** Lasts, and has run before: its users are without service. */
+  /** A persistent task that has run before: its users are without service. */
   Interrupted: 'interrupted',
+  /** A persistent task that has never run. */
   Persistent: 'lasting',
   Batch: 'batch',
   Filler: 'filler',
 } as const;
 export type WaitingKind = (typeof WaitingKind)[keyof typeof WaitingKind];
 
-/** What stands against the workers of a task, by how many. */
+/** Returns, for each obstacle to placing a task, the number of workers that it affects. */
 export type ObstaclesOf = (task: TaskRecord) => ReadonlyMap<PlacementObstacle, number>;
 
 const kindOf = (task: TaskRecord): WaitingKind => {
@@ -45,7 +46,7 @@
   readonly count: number;
 }
 
-/** What waits of each kind. */
+/** The longest-waiting task of each kind, and the number of tasks of that kind. */
 const waitingByKind = (tasks: Iterable<TaskRecord>): ReadonlyMap<WaitingKind, Waiting> => {
   const byKind = new Map<WaitingKind, Waiting>();
   [...tasks].forEach((task) => {
@@ -65,7 +66,7 @@
 
   #nextWorkersAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The fields of lines on tasks that wait, one for each kind, when they are due. */
+  /** Returns the fields of a log line for each kind of waiting task, or none while not due. */
   tasks(
     waiting: Iterable<TaskRecord>,
     counts: WaitCounts,
@@ -88,7 +89,7 @@
     }));
   }
 
-  /** The fields of a line on workers whose runs are not known yet, when one is due. */
+  /** Returns the fields of a log line on workers whose runs are unknown; undefined if not due. */
   workers(views: Iterable<FleetWorkerView>, nowMs: number): LogFields | undefined {
     if (nowMs < this.#nextWorkersAtMs) return undefined;
     const awaited = [...views].filter(
