--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -1,4 +1,4 @@
-/** Daemons on processors of their own beside a table and workers, with work for all of them. */
+/** Simulates daemons whose work takes time on their processors, with a table and workers. */
 import { left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
@@ -35,14 +35,14 @@
 const ONE_WAY_MS = 1;
 const TABLE_LATENCY_MS = 4;
 const POLL_INTERVAL_MS = 20;
-/** How long a daemon waits for an answer of the table. */
+/** How long a daemon waits for an answer from the table. */
 const TABLE_TIMEOUT_MS = 700;
 
-/** What work takes on a daemon's processor. */
+/** Time that work takes on a daemon's processor. */
 export interface Costs {
   readonly sendMs: number;
   readonly answerMs: number;
-  /** On top of a send and of its answer, for the connection that the first call to a worker makes. */
+  /** Added to the send and the answer of the first call to a worker, which opens a connection. */
   readonly connectMs: number;
   readonly stepMs: number;
   readonly rowMs: number;
@@ -58,7 +58,7 @@
 
 const NO_TRANSACTION_LOST: IsTransactionLost = () => false;
 
-/** A call that is never answered. */
+/** A call to the table that gets no answer and fails at its timeout. */
 const noAnswer =
   (loop: SimulatedEventLoop): TaskEither<Failure, never> =>
   () =>
@@ -77,16 +77,16 @@
 
   readonly owners: Owner[] = [];
 
-  /** Runs that ended since the leases of their workers were over. */
+  /** Runs that ended because the leases of their workers had ended. */
   lapseCount = 0;
 
-  /** Starts by the name of the task. */
+  /** Number of starts by task name. */
   readonly startCounts = new Map<string, number>();
 
-  /** Steps of daemons to which they cost something. */
+  /** Steps of those daemons whose steps take processor time. */
   stepCount = 0;
 
-  /** Tells which transactions never reach the table, and get no answer. */
+  /** Selects the transactions that never reach the table and get no answer. */
   isTransactionLost = NO_TRANSACTION_LOST;
 
   readonly #submissions: Submission[] = [];
@@ -118,7 +118,7 @@
       client: this.#clientFor(loop, costs),
       clock: loop,
       wallNowMs: () => {
-        // Each step asks for the time of day once.
+        // Each step of the daemon reads the wall clock once, so the time of the step is spent here.
         if (costs.stepMs > 0) this.stepCount += 1;
         loop.spend(costs.stepMs);
         return loop.nowMs();
@@ -176,7 +176,7 @@
     return { ...silentLog, info: note };
   }
 
-  /** A call that arrives outside, is answered there and is taken in on the loop. */
+  /** A call that is served outside the daemons; its answer is handled on the daemon's loop. */
   #call<Answer>(
     loop: SimulatedEventLoop,
     answerCostMs: () => number,
--- a/src/scheduler/test/fleet/eventLoopSimulator.ts
+++ b/src/scheduler/test/fleet/eventLoopSimulator.ts
@@ -1,6 +1,6 @@
 /**
- * Event loops in virtual time, each on a processor of its own: what one spends delays everything
- * that is due on it, and nothing on the others. The loop that runs answers the global timers.
+ * Simulates event loops in virtual time, each on its own processor: work on one loop delays
+ * everything due on that loop and nothing on the others. Global timers belong to the running loop.
  */
 import { vi } from 'vitest';
 
@@ -13,7 +13,7 @@
   readonly run: () => void;
 }
 
-/** The real one; a turn of it runs all that was promised. */
+/** Node's own `setImmediate`, which tests stub; one turn of it settles all pending promises. */
 const nodeSetImmediate = setImmediate;
 const promisesSettled = (): Promise<void> =>
   new Promise((resolve) => {
@@ -36,12 +36,12 @@
     return this.#nowMs;
   }
 
-  /** The longest time that something due had to wait for the processor. */
+  /** The longest time that a due callback had to wait for the processor. */
   get longestDelayMs(): number {
     return this.#longestDelayMs;
   }
 
-  /** Work that takes this long on the loop's processor. */
+  /** Simulates work that takes this long on the loop's processor. */
   spend(durationMs: number): void {
     this.#nowMs += durationMs;
   }
@@ -50,6 +50,7 @@
     return this.#simulator.add(this, this.#nowMs + delayMs, run);
   }
 
+  /** Moves the clock to the start of a callback that is due at `dueAtMs`. */
   begin(dueAtMs: number): void {
     this.#longestDelayMs = Math.max(this.#longestDelayMs, this.#nowMs - dueAtMs);
     this.#nowMs = Math.max(this.#nowMs, dueAtMs);
@@ -64,7 +65,7 @@
 };
 
 export class EventLoopSimulator {
-  /** For what is no process of the product: takes no time. */
+  /** The loop for everything outside the daemons; work on it takes no time. */
   readonly outside = new SimulatedEventLoop(this, 0);
 
   readonly #scheduled = new Set<ScheduledCallback>();
@@ -84,7 +85,7 @@
     return scheduled;
   }
 
-  /** Puts the timers of the running loop in place of Node's. */
+  /** Replaces Node's timers by those of the running loop. */
   stubTimers(): void {
     const after = (run: () => void, delayMs = 0): object =>
       this.#currentLoop.after(Math.max(1, delayMs), run);
@@ -95,7 +96,7 @@
     vi.stubGlobal('setImmediate', (run: () => void) => this.#currentLoop.after(0, run));
   }
 
-  /** Runs something as part of a loop, such as the start of a process. */
+  /** Runs a function as part of a loop, such as the start of a process. */
   as<Result>(loop: SimulatedEventLoop, run: () => Result): Result {
     this.#currentLoop = loop;
     return run();
@@ -108,14 +109,14 @@
       next.loop.begin(next.atMs);
       this.#currentLoop = next.loop;
       next.run();
-      // One after the other, as on one processor.
+      // Callbacks run one after the other, as on a single processor.
       // eslint-disable-next-line no-await-in-loop
       await promisesSettled();
     }
     this.outside.begin(untilMs);
   }
 
-  /** What starts first; on one loop, what was due first. */
+  /** The callback that starts first; on one loop, the one that was due first. */
   #next(): ScheduledCallback | undefined {
     let first: ScheduledCallback | undefined;
     this.#scheduled.forEach((scheduled) => {
--- a/src/scheduler/test/fleet/fleetFixtures.ts
+++ b/src/scheduler/test/fleet/fleetFixtures.ts
@@ -1,4 +1,4 @@
-/** What tests of the fleet's scheduler share: a configuration, steps, limits. */
+/** Fixtures for tests of the fleet scheduler: a configuration, steps, timing, worker entries. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
 import { type FleetWorkerEntry, RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import type { Step, Submission } from '../../../services/submissions/common/submission.js';
@@ -60,7 +60,7 @@
   },
 };
 
-/** How long a worker of the tests takes to stop a task. */
+/** How long a worker in the tests takes to stop a task. */
 export const STOP_MS = 500;
 
 export const TIMING: FleetTiming = {
@@ -79,7 +79,7 @@
 
 export const DONE_AFTER_500_MS = (): ModelTask => ({ workMs: 500, end: RunEnd.Done });
 
-/** What the table lists of a worker. */
+/** Returns a worker's entry as the table lists it. */
 export const entryOf = (
   id: string,
   isDraining: boolean,
--- a/src/scheduler/test/fleet/fleetWorld.ts
+++ b/src/scheduler/test/fleet/fleetWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Several schedulers, a table and workers in virtual time, with faults between them, and a judge
- * that sees what the workers see.
+ * A simulated fleet in virtual time: several schedulers, a table and workers, faults between them,
+ * and a checker that observes the workers directly.
  */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
@@ -33,7 +33,7 @@
 import { CALL_MS, emptySlot, noFaults, replyTo, type SchedulerSeat } from './worldFaults.js';
 
 const WORKER_LIST_INTERVAL_MS = 1_000;
-/** The table's clock began earlier than that of the test. */
+/** The table's clock started earlier than the clock of the test. */
 const TABLE_CLOCK_AHEAD_MS = 1_000_000;
 
 export class FleetWorld {
@@ -41,12 +41,12 @@
 
   readonly workers = new Map<string, WorkerModel>();
 
-  /** Workers that nobody can call. */
+  /** Workers that no scheduler can reach. */
   readonly cutWorkers = new Set<string>();
 
   readonly seats: SchedulerSeat[] = [];
 
-  /** What the schedulers have told the log. */
+  /** The log entries of all schedulers. */
   readonly logged: FleetNote[] = [];
 
   readonly faults = noFaults();
@@ -55,10 +55,10 @@
 
   readonly drainingWorkers = new Set<string>();
 
-  /** Since when workers drain, and for how long they say that they go on at the least. */
+  /** When each worker began to drain, and for how long it announced to stay at least. */
   readonly #drains = new Map<string, { readonly sinceMs: number; readonly stayMs: number }>();
 
-  /** What workers list as their room, where it is not that of all. */
+  /** The capacity that a worker lists, if it differs from `WORKER_CAPACITY`. */
   readonly capacities = new Map<string, Resources>();
 
   readonly time = new VirtualTime();
@@ -150,14 +150,14 @@
     });
   }
 
-  /** Ends a process at once; what it has sent still arrives. */
+  /** Kills a scheduler process; calls that it has sent still arrive. */
   killScheduler(index: number): void {
     const slot = this.seats[index] as SchedulerSeat;
     slot.generation += 1;
     slot.scheduler = undefined;
   }
 
-  /** Ends a process in order: it hands the fleet over first, if it owns it. */
+  /** Shuts a scheduler process down gracefully: if it owns the fleet, it first releases it. */
   stopScheduler(index: number): void {
     const slot = this.seats[index] as SchedulerSeat;
     const transaction = slot.scheduler?.release();
@@ -166,14 +166,14 @@
       this.time.later(CALL_MS, () => void this.table.transact(transaction));
   }
 
-  /** Takes a worker away with its machine: calls to it are neither answered nor refused. */
+  /** Removes a worker with its machine: calls to it are neither answered nor refused. */
   removeWorker(id: string): void {
     this.workers.get(id)?.crash();
     this.cutWorkers.add(id);
     this.listedWorkers.delete(id);
   }
 
-  /** The worker says that it goes on for `remainingMs` at least, and leaves `lingerMs` later. */
+  /** The worker announces that it stays at least `remainingMs`; it leaves `lingerMs` after that. */
   drainWorker(id: string, remainingMs: number, lingerMs: number): void {
     this.drainingWorkers.add(id);
     this.#drains.set(id, { sinceMs: this.nowMs, stayMs: remainingMs });
@@ -207,7 +207,7 @@
     while (this.nowMs < untilMs) {
       this.time.nowMs += TICK_MS;
       this.workers.forEach((worker) => worker.isUp && worker.advance(this.nowMs));
-      // eslint-disable-next-line no-await-in-loop -- time goes by step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await this.time.runDue();
       this.#deliverChanges();
       this.seats.forEach((slot, index) => this.#stepScheduler(slot, index));
@@ -240,7 +240,7 @@
     }));
   }
 
-  /** As of the worker's last check-in. */
+  /** The remaining time that the worker reported at its last check-in. */
   #remainingOf(id: string): Pick<FleetWorkerEntry, 'remainingMs'> {
     const drain = this.#drains.get(id);
     if (drain === undefined) return {};
@@ -257,7 +257,7 @@
     owningSlots.forEach(({ scheduler }) =>
       scheduler?.handleCaughtUp(scheduler.epoch ?? 0, this.nowMs),
     );
-    // A new owner has read the rows, so being told of them again must change nothing.
+    // A new owner has already read the rows, so receiving them again must change nothing.
     const newChanges = this.#changes.slice(this.#deliveredChangeCount);
     this.#deliveredChangeCount = this.#changes.length;
     newChanges.forEach(({ id, isCancellation }) => {
@@ -352,7 +352,7 @@
   ): void {
     const isReached = this.#reachesTable(this.seats[index] as SchedulerSeat);
     if (isReached && this.#random.nextFraction() < this.faults.lostAnswerShare) {
-      // Carried out now or seconds later, if its conditions still hold.
+      // The transaction is applied now or seconds later, if its conditions still hold.
       this.time.later(this.#random.nextIndex(3_000), () => {
         this.table.transact(transaction);
       });
--- a/src/scheduler/test/fleet/invariantChecker.ts
+++ b/src/scheduler/test/fleet/invariantChecker.ts
@@ -1,4 +1,4 @@
-/** Sees what the workers see, and keeps a sentence on everything that must never happen. */
+/** Observes the workers directly and records a sentence for each violated invariant. */
 import { type FinishedRun, RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import type { Submission } from '../../../services/submissions/common/submission.js';
 import type { Progress } from '../../../services/submissions/common/submissionRows.js';
@@ -28,7 +28,7 @@
     this.#progressOf = progressOf;
   }
 
-  /** A worker has begun a run. */
+  /** Records that a worker has started a run. */
   noteStart(workerId: string, taskName: string, run: number, nowMs: number): void {
     this.startsOf.set(taskName, (this.startsOf.get(taskName) ?? 0) + 1);
     const address = parseTaskName(taskName);
@@ -58,14 +58,14 @@
     this.#lastStartAtMs.set(taskName, nowMs);
   }
 
-  /** A run has ended; `lifeKey` names the process of the worker. */
+  /** Records that a run has ended; `processKey` identifies the process of the worker. */
   noteEnd(processKey: string, { taskName, sequence, end }: FinishedRun, endedAtMs: number): void {
     if (end !== RunEnd.Done) return;
     this.#ends.noteDone(processKey, taskName, endedAtMs);
     this.#ends.noteListed(processKey, sequence, taskName);
   }
 
-  /** Ends from before a lapse of the lease are not owed any more. */
+  /** Ends from before a lapse of the lease need not be recorded: their tasks may run once more. */
   noteLapse(processKey: string): void {
     this.#ends.noteLeaseLapsed(processKey);
   }
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Looks at everything that runs now. */
+  /** Checks that no task runs twice and that no worker exceeds its capacity. */
   checkRunningTasks(workers: Iterable<WorkerModel>, nowMs: number): void {
     const workerIdByTask = new Map<string, string>();
     [...workers].forEach((worker) => {
--- a/src/scheduler/test/fleet/messageDelivery.ts
+++ b/src/scheduler/test/fleet/messageDelivery.ts
@@ -1,4 +1,4 @@
-/** What becomes of a message between a scheduler and a worker. */
+/** Decides how messages between schedulers and workers are delayed, lost or repeated. */
 import type { RandomSource } from '../../../base/common/random.js';
 import { CALL_MS, type WorldFaults } from './worldFaults.js';
 
@@ -6,11 +6,11 @@
 export type MessageKind = (typeof MessageKind)[keyof typeof MessageKind];
 
 export interface MessageDelivery {
-  /** How long the call is under way. */
+  /** Time until the call arrives. */
   readonly callDelayMs: number;
-  /** How long the answer is under way; undefined for one that is lost. */
+  /** Time until the answer arrives; undefined if the answer is lost. */
   readonly answerDelayMs: number | undefined;
-  /** How long after the call it arrives once more; undefined for one that does not. */
+  /** Time from the call's arrival until it arrives again; undefined if it arrives only once. */
   readonly repeatAfterMs: number | undefined;
 }
 
@@ -24,12 +24,12 @@
   repeatAfterMs: undefined,
 };
 
-/** Later than any caller waits. */
+/** Longer than any caller waits for an answer. */
 const MINIMUM_LATE_MS = 1_000;
 const LATE_SPREAD_MS = 9_000;
 const REPEAT_SPREAD_MS = 4_000;
 
-/** Drawn anew for each message, by the shares of the faults. */
+/** Chooses the delivery of each message at random, with the shares set in the faults. */
 export class RandomDeliveries implements MessageDeliveries {
   readonly #faults: WorldFaults;
 
@@ -55,7 +55,7 @@
     };
   }
 
-  /** Faults that a test does without draw nothing, so that its seeds keep their meaning. */
+  /** A share of 0 draws no random number: new faults must not change the runs of other seeds. */
   #occurs(share: number): boolean {
     return share > 0 && this.#random.nextFraction() < share;
   }
--- a/src/scheduler/test/fleet/randomCuts.ts
+++ b/src/scheduler/test/fleet/randomCuts.ts
@@ -1,4 +1,4 @@
-/** A random run with cuts between zones beside all other faults, the same for each seed. */
+/** Random runs with network cuts between zones and all other faults, reproducible by seed. */
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
@@ -14,7 +14,7 @@
 
 export interface RandomRunResult {
   readonly broken: readonly string[];
-  /** Submissions that are not complete although all faults ended long ago. */
+  /** Submissions not complete, and persistent tasks not running once, long after the last fault. */
   readonly unfinished: readonly string[];
 }
 
@@ -24,7 +24,7 @@
   return 300 + digit * 250;
 };
 
-/** `doCallsNameProcess` tells whether a late order may reach the next process under the id. */
+/** Unless `doCallsNameProcess` is set, a late order may reach the worker's next process. */
 export const runRandomCuts = async (
   seed: number,
   doCallsNameProcess: boolean,
@@ -45,7 +45,7 @@
     ];
     world.submit(submissionOf(id, steps));
     injector.injectRandomFault();
-    // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
+    // eslint-disable-next-line no-await-in-loop -- time passes between the faults
     await world.runFor(STEP_MS);
   }
   injector.heal();
--- a/src/scheduler/test/fleet/randomFaults.ts
+++ b/src/scheduler/test/fleet/randomFaults.ts
@@ -1,4 +1,4 @@
-/** Faults of random runs, drawn from the seed of the world that they disturb. */
+/** Injects random faults into a simulated fleet, drawn from the fleet's random source. */
 import { CheckIns } from './checkIns.js';
 import type { FleetWorld } from './fleetWorld.js';
 import { noFaults } from './worldFaults.js';
@@ -7,7 +7,7 @@
 const LONGEST_CUT_MS = 9_000;
 const LONGEST_RESTART_MS = 1_000;
 const LONGEST_LAPSE_MS = 12_000;
-/** An entry that is back within this time belongs to a worker that was there all along. */
+/** An entry that is back within this time belongs to a worker that never went away. */
 const SHORT_LAPSE_MS = 2_000;
 
 export const injectBasicFault = (world: FleetWorld): void => {
@@ -51,7 +51,7 @@
   }
 };
 
-/** Takes a worker away for good, in order or not, and puts a new one in its place. */
+/** Removes a worker for good, drained before or not, and adds a new one. */
 export const replaceWorker = async (world: FleetWorld, round: number): Promise<void> => {
   const ids = [...world.listedWorkers];
   const id = ids[world.random.nextIndex(ids.length)] as string;
@@ -66,7 +66,7 @@
 const LONGEST_STAY_MS = 5_000;
 const LONGEST_LINGER_MS = 4_000;
 
-/** A worker says how long it stays, and leaves some time after that; a new one comes at once. */
+/** A worker announces how long it stays and leaves later than that; a new one joins at once. */
 export const drainAndReplaceWorker = (world: FleetWorld, round: number): void => {
   const { random, drainingWorkers } = world;
   const ids = [...world.listedWorkers].filter((id) => !drainingWorkers.has(id));
@@ -76,7 +76,7 @@
   world.addWorker(`next-${round}`);
 };
 
-/** Lets owners change in order and not, one soon after the other. */
+/** Starts, stops or kills a random scheduler, so that the owner changes gracefully or abruptly. */
 export const toggleScheduler = (world: FleetWorld): void => {
   const slotIndex = world.random.nextIndex(world.seats.length);
   if (world.seats[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
@@ -97,7 +97,7 @@
   });
 };
 
-/** Cuts, restarts and lapses of entries, beside all other faults. */
+/** Injects network cuts, worker restarts and lapses of worker entries, besides all other faults. */
 export class FaultInjector {
   readonly #world: FleetWorld;
 
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Does nothing while another cut lasts. */
+  /** Cuts off the given workers and schedulers; does nothing while another cut lasts. */
   cut(
     workerIds: readonly string[],
     schedulerIndexes: readonly number[],
@@ -166,7 +166,7 @@
     });
   }
 
-  /** Ends the worker's process; the next one begins after `durationMs`. */
+  /** Ends the worker's process; the next one starts after `durationMs`. */
   restart(workerId: string, durationMs: number): void {
     const { workers, time } = this.#world;
     const worker = workers.get(workerId);
@@ -194,7 +194,7 @@
     return ids[this.#world.random.nextIndex(ids.length)] as string;
   }
 
-  /** Cuts off each worker and each scheduler with even odds, for some seconds. */
+  /** Cuts off each worker and each scheduler with a probability of one half, for some seconds. */
   #cutZone(): void {
     if (this.#cut !== undefined) return;
     const { random, workers, seats } = this.#world;
--- a/src/scheduler/test/fleet/virtualTime.ts
+++ b/src/scheduler/test/fleet/virtualTime.ts
@@ -1,6 +1,6 @@
-/** Time that passes only as a test lets it, and what is due in it. */
+/** A clock that only the test advances, with the events scheduled on it. */
 
-/** How far time moves at once. */
+/** How far the clock moves in one step. */
 export const TICK_MS = 10;
 
 interface ScheduledEvent {
@@ -21,12 +21,12 @@
     this.#events.push({ atMs: this.nowMs + delayMs, order: this.#order, run });
   }
 
-  /** Lets everything happen that is due. */
+  /** Runs all events that are due. */
   async runDue(): Promise<void> {
     const due = this.#events.filter(({ atMs }) => atMs <= this.nowMs);
     this.#events = this.#events.filter(({ atMs }) => atMs > this.nowMs);
     due.sort((one, other) => one.atMs - other.atMs || one.order - other.order);
-    // Events of one instant happen one after the other, as in the real order.
+    // Events that are due at the same time run one after the other, in the order of scheduling.
     // eslint-disable-next-line no-restricted-syntax
     for (const event of due) {
       // eslint-disable-next-line no-await-in-loop
--- a/src/scheduler/test/fleet/workerLinks.ts
+++ b/src/scheduler/test/fleet/workerLinks.ts
@@ -1,4 +1,4 @@
-/** Carries the schedulers' calls to the workers, and the answers back. */
+/** Delivers the schedulers' calls to the workers, and the answers back. */
 import { type Either, right } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../../services/errors/common/errorKinds.js';
@@ -26,7 +26,7 @@
 
 type Reply<Answer> = (result: Either<Failure, Answer>, scheduler: FleetScheduler) => void;
 
-/** Settles a call with what comes first, its answer or the caller's time limit. */
+/** Settles a call with its answer or the caller's timeout, whichever comes first. */
 type Settle<Answer> = (result: Either<Failure, Answer>, delayMs: number) => void;
 
 export interface LinkedWorld {
@@ -47,7 +47,7 @@
     this.#world = world;
   }
 
-  /** Calls that have reached a worker. */
+  /** Number of calls that have reached a worker. */
   get deliveredCount(): number {
     return this.#deliveredCount;
   }
@@ -67,7 +67,7 @@
     );
     const poll = (untilMs: number, incarnation: number | undefined): void => {
       const worker = this.#reachable(schedulerIndex, workerId);
-      // The connection ends with the process that has taken the call.
+      // The connection closes when the process that received the call ends.
       if (worker !== undefined && worker.incarnation !== incarnation) {
         settle(NO_ANSWER, CALL_MS);
         return;
@@ -88,8 +88,8 @@
       }
     };
     time.later(delivery.callDelayMs, () => {
-      const worker = this.#deliveredTo(schedulerIndex, workerId, sentToIncarnation);
-      // The lease is granted when the call arrives, the lists are made when it is answered.
+      const worker = this.#receiverOf(schedulerIndex, workerId, sentToIncarnation);
+      // The lease is granted when the call arrives; the lists are made when it is answered.
       const arrive = (): void => void worker?.hold(request, time.nowMs);
       arrive();
       poll(time.nowMs + request.waitMs, worker?.incarnation);
@@ -131,7 +131,7 @@
     const settle = this.#settle(schedulerIndex, delivery, ORDER_TIMEOUT_MS, reply);
     const sentToIncarnation = workers.get(workerId)?.incarnation;
     time.later(delivery.callDelayMs, () => {
-      const worker = this.#deliveredTo(schedulerIndex, workerId, sentToIncarnation);
+      const worker = this.#receiverOf(schedulerIndex, workerId, sentToIncarnation);
       if (worker === undefined) {
         this.#settleUnreachable(schedulerIndex, workerId, settle);
         return;
@@ -142,7 +142,7 @@
     });
   }
 
-  /** A call that has arrived may do so once more, as long as the process that took it lives. */
+  /** Delivers a call a second time, if the process that received it still runs. */
   #repeat(
     schedulerIndex: number,
     worker: WorkerModel | undefined,
@@ -184,8 +184,8 @@
     else settle(NO_ANSWER, ORDER_TIMEOUT_MS);
   }
 
-  /** The worker that a call reaches which was sent while `sentTo` was its process. */
-  #deliveredTo(
+  /** Returns the worker that receives a call sent to its process `sentToIncarnation`, if any. */
+  #receiverOf(
     schedulerIndex: number,
     workerId: string,
     sentToIncarnation: number | undefined,
--- a/src/scheduler/test/fleet/worldFaults.ts
+++ b/src/scheduler/test/fleet/worldFaults.ts
@@ -1,4 +1,4 @@
-/** What may go wrong between the schedulers, the table and the workers of a test. */
+/** Faults between the schedulers, the table and the workers of a simulated fleet. */
 import { type Either, left } from 'fp-ts/lib/Either.js';
 
 import {
@@ -10,47 +10,48 @@
 import type { FleetScheduler } from '../../common/fleet/fleetScheduler.js';
 import type { VirtualTime } from './virtualTime.js';
 
-/** How long a call takes that nothing delays. */
+/** How long a call takes if nothing delays it. */
 export const CALL_MS = 2;
 
 export const NO_ANSWER: Either<Failure, never> = left(failure(ErrorKind.AnswerLost, 'no answer'));
 
-/** The connection was refused, so that the call surely never left. */
+/** The connection was refused, so the call cannot have been carried out. */
 export const REFUSED: Either<Failure, never> = left({
   ...failure(ErrorKind.AnswerLost, 'refused'),
   workOutcome: WorkOutcome.NotRun,
 });
 
-/** What may go wrong with calls, decided anew for each. */
+/** The faults in force. Shares are probabilities, drawn for each call. */
 export interface WorldFaults {
-  /** Share of orders that get no answer and are carried out late, and how late at most. */
+  /** Share of orders that get no answer and are carried out late. */
   lateOrderShare: number;
-  /** Share of transactions that take effect and get no answer. */
+  /** Share of transactions that get no answer and are applied, at once or later. */
   lostAnswerShare: number;
   isTableDown: boolean;
-  /** Owners are told nothing of what callers have done since they read what is stored. */
+  /** The feed tells owners nothing of what callers do after the owners read the stored state. */
   isFeedSilent: boolean;
-  /** How long each transaction takes until its answer is there. */
+  /** How long each transaction takes until it is answered. */
   transactionMs: number;
   /** Calls to workers that are cut off are refused at once, as if no process listened there. */
   doCutsRefuse: boolean;
-  /** Calls for lists that a worker holds when it is cut off fail at their time limit, no sooner. */
+  /** Hold calls that a worker has received before it is cut off fail only at their timeout. */
   doHeldCallsHang: boolean;
-  /** Share of calls for lists and leases that arrive late and get no answer. */
+  /** Share of hold calls that arrive late and get no answer. */
   lateHoldShare: number;
-  /** Share of calls to workers that are carried out and get no answer. */
+  /** Share of calls to workers that are carried out but get no answer. */
   lostOrderAnswerShare: number;
-  /** Share of calls to workers that arrive once more. */
+  /** Share of calls to workers that arrive twice. */
   repeatedCallShare: number;
-  /** Orders reach only the process that they were sent to, not the next one under its id. */
+  /** Calls reach only the process that they were sent to, not the worker's next process. */
   doCallsNameProcess: boolean;
 }
 
+/** Runs one scheduler process at a time; `generation` rises with each start and end. */
 export interface SchedulerSeat {
   scheduler: FleetScheduler | undefined;
   generation: number;
   isCutFromTable: boolean;
-  /** Workers that this daemon cannot call. */
+  /** Workers that this scheduler cannot reach. */
   readonly unreachableWorkers: Set<string>;
 }
 
@@ -75,7 +76,7 @@
   unreachableWorkers: new Set(),
 });
 
-/** Calls back unless the process that asked has ended since. */
+/** Delivers a reply after the delay, unless the process that made the call has ended. */
 export const replyTo = (
   time: VirtualTime,
   slot: SchedulerSeat,
