--- a/src/scheduler/test/fleet/explore/explorer.test.ts
+++ b/src/scheduler/test/fleet/explore/explorer.test.ts
@@ -4,7 +4,7 @@
 import { explore, replayOf } from './explorer.js';
 import { FAULT_NAMES } from './faults.js';
 
-/** Workers take an acknowledged number over a restart and forget ends that nobody has stored. */
+/** A defect: workers keep the acknowledged sequence over a restart and forget unstored run ends. */
 const keepAcknowledgedAcrossRestarts = ({ workers }: FleetWorld): void =>
   workers.forEach((worker) => {
     const hold = worker.hold.bind(worker);
@@ -18,13 +18,13 @@
   });
 
 describe('the explorer', () => {
-  it('finds nothing in a short run of all faults', async () => {
+  it('finds no violation in a short run with all faults', async () => {
     const { finding, orderCount } = await explore({ seed: 1, stepCount: 120, faults: FAULT_NAMES });
     expect(finding).toBeUndefined();
     expect(orderCount).toBeGreaterThan(1_000);
   });
 
-  it('finds workers that keep an acknowledged number over a restart, and shrinks the run', async () => {
+  it('finds workers that keep the acknowledged sequence over a restart, and shrinks the run', async () => {
     const { finding } = await explore({
       seed: 1,
       stepCount: 40,
--- a/src/scheduler/test/fleet/explore/explorer.ts
+++ b/src/scheduler/test/fleet/explore/explorer.ts
@@ -1,4 +1,4 @@
-/** Draws lists of steps until enough steps were played, and shrinks the first list that fails. */
+/** Plays random lists of steps until enough were played, and shrinks the first list that fails. */
 import fc from 'fast-check';
 
 import type { FleetWorld } from '../fleetWorld.js';
@@ -7,9 +7,9 @@
 
 const STEPS_PER_RUN = 60;
 const LARGEST_SEED = 0x7fffffff;
-/** Plays that the simplification of steps may take. */
+/** Limits the plays that fast-check may use to simplify steps. */
 const MAXIMUM_PLAY_COUNT = 150;
-/** A process that is back sooner is a fault that is known. */
+/** Processes that restart sooner than this hit a fault that is already known. */
 const SHORTEST_FAULT_MS = 300;
 const LONGEST_FAULT_MS = 9_000;
 const LARGEST_SHARE_PERCENT = 30;
@@ -21,12 +21,12 @@
   readonly seed: number;
   readonly stepCount: number;
   readonly faults: readonly FaultName[];
-  /** May seed a defect before a run. */
+  /** Called before each run; a test may introduce a defect with it. */
   readonly prepare?: (world: FleetWorld) => void;
 }
 
 export interface Finding {
-  /** Of the run that failed. */
+  /** Seed of the run that failed. */
   readonly seed: number;
   readonly steps: readonly ExplorationStep[];
   readonly broken: readonly string[];
@@ -60,7 +60,7 @@
 
 type Play = (steps: readonly ExplorationStep[]) => Promise<PlayResult>;
 
-/** Leaves out what the failure does without: halves first, single steps in the end. */
+/** Removes steps that the failure does not need: halves first, single steps last. */
 const removeUnneededSteps = async (
   play: Play,
   failing: readonly ExplorationStep[],
@@ -73,7 +73,7 @@
     isSmaller = false;
     for (let end = steps.length; end > 0; end -= size) {
       const shorter = [...steps.slice(0, Math.max(0, end - size)), ...steps.slice(end)];
-      // eslint-disable-next-line no-await-in-loop -- each list follows from the one before
+      // eslint-disable-next-line no-await-in-loop -- each list depends on the previous result
       if (shorter.length > 0 && (await play(shorter)).broken.length > 0) {
         steps = shorter;
         isSmaller = true;
@@ -83,7 +83,7 @@
   return steps;
 };
 
-/** Leaves out steps, then lets the library simplify those that are left. */
+/** Removes unneeded steps, then lets fast-check simplify the others. */
 const shrink = async (
   seed: number,
   lists: fc.Arbitrary<ExplorationStep[]>,
@@ -100,7 +100,7 @@
     numRuns: 1,
     examples: [[[...neededSteps]]],
   });
-  // Simpler steps need fewer others beside them.
+  // Simplified steps may need fewer other steps.
   const steps = await removeUnneededSteps(play, counterexample?.[0] ?? neededSteps);
   return { seed, steps, broken: (await play(steps)).broken };
 };
@@ -139,7 +139,7 @@
   return { orderCount, finding: undefined };
 };
 
-/** The text of a test that plays the steps again. */
+/** Returns the source of a test that replays the steps. */
 export const replayOf = ({ seed, steps, broken }: Finding): string =>
   [
     ...broken.map((sentence) => `// ${sentence}`),
--- a/src/scheduler/test/fleet/explore/explorerRegressions.test.ts
+++ b/src/scheduler/test/fleet/explore/explorerRegressions.test.ts
@@ -3,9 +3,10 @@
 import type { ExplorationStep } from './faults.js';
 import { playSteps } from './playSteps.js';
 
-describe('explorations that failed', () => {
-  // Seed 5277: a silent cut hides the restart, and the next call acknowledges ends of the new process.
-  it('keeps the ends of a worker that restarts during a silent cut', async () => {
+describe('a run in which the explorer found a violation', () => {
+  // Seed 5277: a silent cut hides the restart, so the next call wrongly acknowledges run ends of
+  // the new process.
+  it('loses no run end of a worker that restarts during a silent cut', async () => {
     const { broken } = await playSteps([
       {
         fault: 'calm',
@@ -141,8 +142,9 @@
     expect(broken).toEqual([]);
   });
 
-  // Seed 904560: a process that restarts between two calls is told of its predecessor's ends while it runs a task.
-  it('starts nothing twice whose end a restarted worker may forget', async () => {
+  // Seed 904560: a process that restarts between two calls receives the acknowledgement of its
+  // predecessor's run ends while it runs a task.
+  it('starts no task again whose end a restarted worker may have forgotten', async () => {
     const calm: ExplorationStep = {
       ...{
         fault: 'calm',
--- a/src/scheduler/test/fleet/explore/faults.ts
+++ b/src/scheduler/test/fleet/explore/faults.ts
@@ -1,4 +1,4 @@
-/** The faults that an exploration may choose from; each lasts for the time that its step names. */
+/** The faults that the explorer chooses from; each lasts for the `durationMs` of its step. */
 import type { FaultInjector } from '../randomFaults.js';
 import type { WorldFaults } from '../worldFaults.js';
 import type { FleetWorld } from '../fleetWorld.js';
@@ -11,10 +11,10 @@
   readonly schedulerIndexes: readonly number[];
   readonly durationMs: number;
   readonly sharePercent: number;
-  /** Tasks that are submitted with the fault; none for 0. */
+  /** Tasks submitted together with the fault; with 0, nothing is submitted. */
   readonly taskCount: number;
   readonly workMs: number;
-  /** Until the next step. */
+  /** Time until the next step. */
   readonly spanMs: number;
 }
 
@@ -44,7 +44,7 @@
       });
     });
 
-/** Shrinking prefers the names that come first. */
+/** Shrinking prefers faults that are listed first. */
 export const FAULTS = {
   calm: () => undefined,
   'zone-refusing': cutZone(true),
--- a/src/scheduler/test/fleet/explore/playSteps.ts
+++ b/src/scheduler/test/fleet/explore/playSteps.ts
@@ -1,4 +1,4 @@
-/** Plays a list of steps in virtual time and tells what broke; the same for each list. */
+/** Plays a list of steps in virtual time and returns the violations; reproducible for each list. */
 import { RunEnd } from '../../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from '../fleetFixtures.js';
 import { FleetWorld } from '../fleetWorld.js';
@@ -8,7 +8,7 @@
 export const WORKER_COUNT = 6;
 export const SCHEDULER_COUNT = 4;
 const WORLD_SEED = 1;
-/** All that is late has arrived by then. */
+/** By then, all delayed messages have arrived. */
 const MINIMUM_SETTLE_MS = 15_000;
 const MAXIMUM_SETTLE_MS = 45_000;
 const CHECK_INTERVAL_MS = 1_000;
@@ -32,7 +32,7 @@
   world.submit(submissionOf(id, steps));
 };
 
-/** What is not as it was asked for. */
+/** Describes submissions that are not complete and persistent tasks that do not run once. */
 const unfinishedOf = (world: FleetWorld, submittedIds: readonly string[]): readonly string[] => {
   const unfinished = submittedIds
     .filter((id) => world.progress(id)?.state !== 'complete')
@@ -50,7 +50,7 @@
   orderCount: world.deliveredCallCount,
 });
 
-/** `prepare` may seed a defect before anything happens. */
+/** `prepare` may introduce a defect before the first step. */
 export const playSteps = async (
   steps: readonly ExplorationStep[],
   prepare: (world: FleetWorld) => void = () => undefined,
@@ -77,7 +77,7 @@
       submit(world, idOf(index), step.taskCount);
     }
     FAULTS[step.fault](world, injector, step);
-    // eslint-disable-next-line no-await-in-loop -- time goes by between the steps
+    // eslint-disable-next-line no-await-in-loop -- time passes between the steps
     await world.runFor(step.spanMs);
     if (world.judge.broken.length > 0) return resultOf(world, []);
   }
--- a/src/scheduler/test/fleet/fleetFailures.test.ts
+++ b/src/scheduler/test/fleet/fleetFailures.test.ts
@@ -20,11 +20,11 @@
 const ownerIndex = (world: FleetWorld): number =>
   world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
-describe('a fleet under failure', () => {
-  it('goes on with what runs when the owner dies', async () => {
-    // The caller sees its submission run on. The owner is killed; another daemon takes the lease,
-    // holds the workers under a higher fence and finds the run there, before the worker's lease
-    // has lapsed. A successor that started the task anew would run it twice.
+describe('a fleet with failures', () => {
+  it('keeps tasks running when the owner dies', async () => {
+    // The owner is killed. Another daemon takes the owner's lease, holds the workers under a higher
+    // fence and finds the run there before the worker's lease has lapsed. The caller sees no
+    // interruption. A new owner that started the task again would run it twice.
     const world = await worldOf(LONG);
     world.addScheduler();
     world.submit(submissionOf(ID, [STEP]));
@@ -36,9 +36,9 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('takes an end that nobody had recorded over from the owner that died', async () => {
-    // The task ends while no owner lives. The worker lists the end until it is acknowledged, so
-    // the successor records it and the caller sees its submission complete after one run.
+  it('records the end of a task that ended after the owner died', async () => {
+    // The task ends while there is no owner. The worker lists the end until it is acknowledged, so
+    // the new owner records it and the caller sees its submission complete after one run.
     const world = await worldOf(SHORT);
     world.addScheduler();
     world.submit(submissionOf(ID, [STEP]));
@@ -50,8 +50,8 @@
   });
 
   it('does not start a task elsewhere while an unanswered start may still be carried out', async () => {
-    // Every order stays unanswered and is carried out up to ten seconds late. A scheduler that
-    // took silence for refusal would start the task on the other worker, and both would run it.
+    // Every order gets no answer and is carried out up to ten seconds late. A scheduler that took
+    // silence for a refusal would start the task on the other worker, and both would run it.
     const world = await worldOf(LONG);
     world.faults.lateOrderShare = 1;
     world.submit(submissionOf(ID, [STEP]));
@@ -62,9 +62,9 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('waits for the lease of a worker that is cut off before it starts its tasks elsewhere', async () => {
-    // The worker runs on behind a cut until its lease lapses by its own clock, which may be two in
-    // a hundred slow. Only then is the task started on the other worker.
+  it('starts the tasks of an unreachable worker elsewhere only after its lease is over', async () => {
+    // The worker is cut off and runs its task until its lease lapses by its own clock, which may be
+    // two percent slow. Only then is the task started on the other worker.
     const world = await worldOf(LONG);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
@@ -75,7 +75,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('starts the tasks of a worker that came back empty again at once', async () => {
+  it('restarts tasks at once when their worker comes back without them', async () => {
     const world = await worldOf(LONG);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
@@ -88,7 +88,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('keeps what runs alive through an outage of the table of four seconds', async () => {
+  it('keeps tasks running through a table outage of four seconds', async () => {
     const world = await worldOf(LONG);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
@@ -100,16 +100,16 @@
     expect(world.runsOf(TASK)).toHaveLength(1);
   });
 
-  it('lets only one of two daemons that both believe they own the fleet start anything', async () => {
-    // The owner loses the table and goes on for seconds; its successor holds the workers under a
-    // higher fence, and they refuse the former owner from then on.
+  it('lets only one of two daemons start tasks when both believe they own the fleet', async () => {
+    // The owner is cut off from the table and goes on for seconds. The new owner holds the workers
+    // under a higher fence, and they refuse the former owner from then on.
     const world = await worldOf(SHORT);
     world.addScheduler();
     const former = ownerIndex(world);
     (world.seats[former] as { isCutFromTable: boolean }).isCutFromTable = true;
     for (let index = 0; index < 20; index += 1) {
       world.submit(submissionOf(`00000000000001${index.toString().padStart(2, '0')}`, [STEP]));
-      // eslint-disable-next-line no-await-in-loop -- the submissions come one after the other
+      // eslint-disable-next-line no-await-in-loop -- the submissions arrive one after the other
       await world.runFor(300);
     }
     await world.runFor(6_000);
@@ -118,15 +118,15 @@
     expect(world.judge.startsOf.size).toBe(20);
   });
 
-  it('never brings an older state of a submission back by a transaction that lands late', async () => {
-    // Transactions lose their answers and land up to three seconds later. Were a submission's row
-    // written under no version, one shown as complete could be shown as running again.
+  it('never restores an older state of a submission when a transaction is applied late', async () => {
+    // Transactions get no answer and are applied up to three seconds later. If writes of a row were
+    // not conditional on its version, a complete submission could be shown as running again.
     const world = await worldOf(SHORT);
     world.faults.lostAnswerShare = 0.4;
     world.submit(submissionOf(ID, [STEP, { ...STEP, after: [0] }]));
     let wasComplete = false;
     for (let index = 0; index < 200; index += 1) {
-      // eslint-disable-next-line no-await-in-loop -- looks at the state as time goes by
+      // eslint-disable-next-line no-await-in-loop -- checks the state as time passes
       await world.runFor(100);
       const isComplete = world.progress(ID)?.state === 'complete';
       expect(isComplete || !wasComplete).toBe(true);
@@ -136,11 +136,12 @@
   });
 });
 
-describe('a successor of the fleet', () => {
-  it('does not wait for the leases of a worker that left and listens no more', async () => {
-    // A worker leaves in order; its entry goes and nobody listens at its address. Then the owner
-    // dies before it has written the roster anew. The successor finds the worker in the roster,
-    // cannot hold it, and must not keep all other tasks waiting for its last possible lease.
+describe('a new owner of the fleet', () => {
+  it('does not wait for the leases of a worker that has shut down', async () => {
+    // A worker shuts down gracefully: its entry is removed and nothing listens at its address. Then
+    // the owner dies before it has updated the roster. The new owner finds the worker in the roster
+    // and cannot hold it. It must not keep all other tasks waiting for the worker's last possible
+    // lease.
     const world = await worldOf(LONG);
     world.addScheduler();
     world.faults.isTableDown = true;
@@ -155,7 +156,7 @@
 });
 
 describe('a task whose assignment is being stored', () => {
-  it('does not start once its submission has been cancelled meanwhile', async () => {
+  it('does not start if its submission is cancelled in the meantime', async () => {
     const world = await worldOf(LONG);
     world.faults.transactionMs = 600;
     world.submit(submissionOf(ID, [STEP]));
@@ -165,7 +166,7 @@
     expect(world.judge.startsOf.get(TASK)).toBeUndefined();
   });
 
-  it('does not start once its worker has become another process meanwhile', async () => {
+  it('starts exactly once if its worker restarts in the meantime', async () => {
     const world = await worldOf(LONG);
     world.removeWorker('worker-1');
     await world.runFor(3_000);
--- a/src/scheduler/test/fleet/fleetRandom.test.ts
+++ b/src/scheduler/test/fleet/fleetRandom.test.ts
@@ -11,19 +11,19 @@
   replaceWorker,
 } from './randomFaults.js';
 
-/** Seeds of runs in CI; one that ever failed stays here. */
+/** Seeds that CI runs; a seed that has ever failed stays in the list. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const STEPS = 90;
 const STEP_MS = 400;
 
-/** Ends drawn from the task's name, so that a run elsewhere may end in another way. */
+/** Derives the work time from the task's name. */
 const taskOf = (taskName: string): { workMs: number; end: RunEnd } => {
   const digit = Number(taskName.at(-1)) + Number(taskName.at(-3) ?? 0);
   return { workMs: 300 + digit * 150, end: RunEnd.Done };
 };
 
 describe('a fleet under random failures', () => {
-  it.each(SEEDS)('keeps its promises with seed %i', async (seed) => {
+  it.each(SEEDS)('violates no invariant with seed %i', async (seed) => {
     const world = new FleetWorld(seed, taskOf);
     for (let index = 0; index < 4; index += 1) world.addWorker(`worker-${index}`);
     for (let index = 0; index < 3; index += 1) world.addScheduler();
@@ -38,7 +38,7 @@
         ]),
       );
       injectBasicFault(world);
-      // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
+      // eslint-disable-next-line no-await-in-loop -- time passes between the faults
       await world.runFor(STEP_MS);
     }
     heal(world);
@@ -49,7 +49,7 @@
   });
 
   it.each(SEEDS)(
-    'keeps its promises while workers and owners are replaced, seed %i',
+    'violates no invariant while workers and owners are replaced, with seed %i',
     async (seed) => {
       const persistentId = 'e'.repeat(16);
       const world = new FleetWorld(seed, (taskName) =>
@@ -65,9 +65,9 @@
         world.submit(submissionOf(id, [STEP, { ...STEP, after: [0] }]));
         injectBasicFault(world);
         if (step % 3 === 0) toggleScheduler(world);
-        // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
+        // eslint-disable-next-line no-await-in-loop -- time passes between the faults
         if (step % 5 === 0) await replaceWorker(world, step);
-        // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
+        // eslint-disable-next-line no-await-in-loop -- time passes between the faults
         await world.runFor(STEP_MS);
       }
       heal(world);
@@ -82,7 +82,7 @@
   );
 
   it.each(SEEDS)(
-    'keeps its promises while workers leave at the time that they tell, seed %i',
+    'violates no invariant while workers announce how long they stay, with seed %i',
     async (seed) => {
       const persistentId = 'e'.repeat(16);
       const world = new FleetWorld(seed, (taskName) =>
@@ -107,7 +107,7 @@
         if (step % 4 === 0) drainAndReplaceWorker(world, step);
         if (step % 9 === 0) toggleScheduler(world);
         if (step % 10 === 0) world.cancel(ids[Math.max(0, step - 3)] as string);
-        // eslint-disable-next-line no-await-in-loop -- time goes by between the disturbances
+        // eslint-disable-next-line no-await-in-loop -- time passes between the faults
         await world.runFor(STEP_MS);
       }
       heal(world);
--- a/src/scheduler/test/fleet/fleetScheduling.test.ts
+++ b/src/scheduler/test/fleet/fleetScheduling.test.ts
@@ -18,8 +18,8 @@
   return world;
 };
 
-describe('the scheduler of a fleet', () => {
-  it('runs the steps of a submission in their order and stores that it is complete', async () => {
+describe('the fleet scheduler', () => {
+  it('runs the steps of a submission in order and stores that it is complete', async () => {
     const world = await worldOf(2);
     world.submit(
       submissionOf(ID, [
@@ -35,9 +35,9 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('never gives a worker more than its room, also by what is being stopped', async () => {
-    // Workers start whatever they are told to. Tasks that are stopped keep their room for the time
-    // of the stop; a scheduler that gave it away at once would overload the worker meanwhile.
+  it('never exceeds the capacity of a worker, counting runs that are being stopped', async () => {
+    // Workers start every task they are given. A task that is being stopped uses its capacity until
+    // it has stopped; a scheduler that reused the capacity at once would overload the worker.
     const world = await worldOf(1, () => ({ workMs: 60_000, end: RunEnd.Done }));
     world.submit(submissionOf(ID, [{ ...STEP, taskCount: 4 }]));
     await world.runFor(500);
@@ -56,7 +56,7 @@
     expect(world.progress(ID)?.state).toBe('failed');
   });
 
-  it('starts a task that lasts again however it ends', async () => {
+  it('restarts a persistent task however it ends', async () => {
     const world = await worldOf(2, () => ({ workMs: 300, end: RunEnd.Failed }));
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(4_000);
@@ -75,14 +75,14 @@
     expect(world.judge.startsOf.size).toBe(5);
   });
 
-  it('keeps to the number of tasks of a step that one worker may run', async () => {
+  it('respects the maximum number of tasks of a step per worker', async () => {
     const world = await worldOf(2, () => ({ workMs: 60_000, end: RunEnd.Done }));
     world.submit(submissionOf(ID, [{ ...STEP, taskCount: 4, maximumPerWorker: 1 }]));
     await world.runFor(1_000);
     expect(world.judge.startsOf.size).toBe(2);
   });
 
-  it('stops a submission that is cancelled and stores that it is', async () => {
+  it('stops a submission that is cancelled and stores its state', async () => {
     const world = await worldOf(1, () => ({ workMs: 60_000, end: RunEnd.Done }));
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
@@ -92,9 +92,9 @@
     expect(world.progress(ID)?.state).toBe('cancelled');
   });
 
-  it('starts nothing of a submission that was cancelled before it came', async () => {
-    // The caller gives up on a submission whose answer is lost and cancels it; the submission
-    // lands seconds later and must not run, since its caller was told that it never will.
+  it('starts no task of a submission that was cancelled before it arrived', async () => {
+    // The caller gets no answer to its submission and cancels it. The submission is stored seconds
+    // later and must not run, since its caller was told that it never will.
     const world = await worldOf(1);
     world.cancel(ID);
     await world.runFor(200);
@@ -103,10 +103,10 @@
     expect(world.judge.startsOf.size).toBe(0);
   });
 
-  it('gives a task that lasts the room of a worker that is set aside, when there is no other', async () => {
+  it('places a persistent task on a worker that is set aside if no other has capacity', async () => {
     // Three workers are full. The fourth fails the tasks of three submissions and is set aside for
-    // half a minute, though it recovers at once. Users of a task that lasts and comes then wait for
-    // nothing all that time, though there is room for it.
+    // half a minute, although it recovers at once. Without this rule, the users of a persistent
+    // task that is submitted then would wait all that time although there is capacity for it.
     const world = await worldOf(4, (taskName) =>
       taskName.startsWith('00000000000000e')
         ? { workMs: 100, end: RunEnd.Failed }
@@ -125,11 +125,12 @@
   });
 });
 
-describe('a burst that exceeds the room', () => {
-  it('does not make the work after it late', async () => {
-    // Forty submissions come at once to a worker that ends eight a second, then six a second for
-    // twenty seconds. In the order of arrival the backlog lasts all that time, and nothing is done
-    // within its objective of two seconds. What is late already has to stand back.
+describe('a burst that exceeds the capacity', () => {
+  it('does not make later submissions late', async () => {
+    // Forty submissions arrive at once at a worker that completes eight a second, then six a second
+    // for twenty seconds. In order of arrival, the backlog would last all that time and nothing
+    // would be done within its objective of two seconds. Submissions that are already late must
+    // yield to the others.
     const OBJECTIVE_MS = 2_000;
     const world = await worldOf(1);
     const sentAtMs = new Map<string, number>();
@@ -147,7 +148,7 @@
       });
     for (let tick = 0; tick < 200; tick += 1) {
       if ((tick * 6) % 10 < 6) submit();
-      // eslint-disable-next-line no-await-in-loop -- virtual time goes on step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await world.runFor(100);
       countCompletedInTime();
     }
--- a/src/scheduler/test/fleet/interruptedTasks.test.ts
+++ b/src/scheduler/test/fleet/interruptedTasks.test.ts
@@ -9,22 +9,22 @@
 
 const SERVICE_ID = '00000000000000a1';
 const SERVICE_TASK = `${SERVICE_ID}.0.0.0`;
-/** The users' bound on how long a task that lasts may be away while there is capacity for it. */
+/** The users' limit on how long a persistent task may be away while there is capacity for it. */
 const LONGEST_AWAY_MS = 9_000;
 
 const toId = (value: number): string => value.toString(16).padStart(16, '0');
 
-/** Batch tasks come faster than the workers take them. */
+/** Submits batch tasks faster than the workers can run them. */
 const runWithBacklog = async (world: FleetWorld, durationMs: number): Promise<void> => {
   for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += 100) {
     world.submit(submissionOf(toId(1_000_000 + world.nowMs), [{ ...STEP, taskCount: 4 }]));
-    // eslint-disable-next-line no-await-in-loop -- time goes by step by step
+    // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
     await world.runFor(100);
   }
 };
 
-describe('a task that lasts, whose worker has left by the time of a new owner', () => {
-  it('does not wait behind batch work as one that has never run', async () => {
+describe('a persistent task whose worker has left before a new owner takes over', () => {
+  it('does not wait behind batch tasks, unlike a task that has never run', async () => {
     const world = new FleetWorld(1, (taskName) =>
       taskName.startsWith(SERVICE_ID)
         ? { workMs: 600_000, end: RunEnd.Done }
@@ -45,8 +45,8 @@
   });
 });
 
-describe('a task that lasts, which waits while another of its step starts again', () => {
-  it('is known to a successor as one that has run', () => {
+describe('a persistent task that waits while another task of its step runs again', () => {
+  it('is known to a new owner as one that has run', () => {
     const submission = submissionOf(SERVICE_ID, [{ ...STEP, taskCount: 2, isPersistent: true }]);
     const registry = new SubmissionBook();
     registry.add(submission, undefined, NO_ASSIGNMENTS, 0);
--- a/src/scheduler/test/fleet/progressCommits.test.ts
+++ b/src/scheduler/test/fleet/progressCommits.test.ts
@@ -17,7 +17,7 @@
 
 const idOf = (index: number): string => index.toString(16).padStart(16, '0');
 
-/** Submissions of one task each, all given to a worker; the first ones have been cancelled. */
+/** Submissions of one task each, all assigned to a worker; the first ones are cancelled. */
 const registryOf = (cancelledCount: number, assignedCount: number): SubmissionBook => {
   const registry = new SubmissionBook();
   for (let index = 0; index < cancelledCount + assignedCount; index += 1) {
@@ -53,7 +53,7 @@
 };
 
 describe('the transactions of the owner', () => {
-  it('hold no start back while more ends wait than one of them takes', () => {
+  it('do not delay starts while more run ends wait than fit into one of them', () => {
     const registry = registryOf(100, 3);
     const { next, commit } = commitsOf(registry);
     const keys = next(0)?.writes.map(({ key }) => key) ?? [];
@@ -61,7 +61,7 @@
     expect(commit(5)).toBe(3);
   });
 
-  it('store no assignments without the ends that have changed them', () => {
+  it('store assignments only together with the run ends that changed them', () => {
     const registry = registryOf(100, 0);
     const id = 'e'.repeat(16);
     registry.add(submissionOf(id, [{ ...STEP, taskCount: 2 }]), undefined, NO_ASSIGNMENTS, 0);
@@ -81,7 +81,7 @@
     expect(keys).toContain(progressKey(id));
   });
 
-  it('name no more rows than a call of the table takes', () => {
+  it('have no more entries than the table accepts in one call', () => {
     const { next, commit } = commitsOf(registryOf(200, 200));
     for (let round = 1; round < 12; round += 1) {
       const { conditions = [], writes = [] } = next(round * 1_000) ?? {};
--- a/src/scheduler/test/fleet/randomCuts.test.ts
+++ b/src/scheduler/test/fleet/randomCuts.test.ts
@@ -2,11 +2,11 @@
 
 import { runRandomCuts } from './randomCuts.js';
 
-/** Seeds that failed while workers that were out of reach were taken for gone. */
+/** Seeds that failed when the scheduler took unreachable workers for gone. */
 const SEEDS = [2, 4, 7, 9, 11, 17, 29, 37];
 
-describe('a fleet under random cuts between zones', () => {
-  it.each(SEEDS)('keeps its promises with seed %i', async (seed) => {
+describe('a fleet under random network cuts between zones', () => {
+  it.each(SEEDS)('violates no invariant with seed %i', async (seed) => {
     const { broken, unfinished } = await runRandomCuts(seed, true);
     expect(broken).toEqual([]);
     expect(unfinished).toEqual([]);
