--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionBook.ts
@@ -9,7 +9,6 @@
 import { SizeBalance } from './sizeBalance.js';
 import {
   allOccurrencesDone,
-  startedOccurrenceCount,
   countOnce,
   type InheritedRun,
   isOpen,
@@ -21,6 +20,7 @@
   type OccurrenceRecord,
   parseTaskName,
   type QueueWork,
+  startedOccurrenceCount,
   type SubmissionRecord,
   type TaskRecord,
   type TaskRun,
@@ -167,7 +167,7 @@
     this.#waiting.delete(task);
   }
 
-  /** Returns, once, the tasks that may still run on the workers that former owners chose. */
+  /** Returns and clears the tasks that may still run on workers that former owners chose. */
   takeInherited(): readonly InheritedTask[] {
     const taken = this.#inherited;
     this.#inherited = [];
--- a/src/scheduler/common/fleet/waitReport.ts
+++ b/src/scheduler/common/fleet/waitReport.ts
@@ -1,4 +1,4 @@
-/** Logs which tasks and workers are waited for too long and why, in a bounded number of lines. */
+/** Reports long waits for placement or for workers, in a bounded number of log lines. */
 import type { LogFields } from '../../../services/log/common/log.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { PlacementObstacle } from './placementObstacle.js';
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -30,7 +30,7 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { FleetTask } from '../../node/fleetTask.js';
 import { CONFIGURATION, STOP_MS, TIMING, WORKER_CAPACITY } from './fleetFixtures.js';
-import { type SimulatedEventLoop, EventLoopSimulator } from './eventLoopSimulator.js';
+import { EventLoopSimulator, type SimulatedEventLoop } from './eventLoopSimulator.js';
 
 const ONE_WAY_MS = 1;
 const TABLE_LATENCY_MS = 4;
@@ -186,12 +186,12 @@
       new Promise((resolve) => {
         const { outside } = this.world;
         const reply = (answer: Answer): void => {
-          this.world.add(loop, outside.nowMs() + ONE_WAY_MS, () => {
+          this.world.schedule(loop, outside.nowMs() + ONE_WAY_MS, () => {
             loop.spend(answerCostMs());
             resolve(right(answer));
           });
         };
-        this.world.add(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
+        this.world.schedule(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
       });
   }
 
--- a/src/scheduler/test/fleet/eventLoopSimulator.ts
+++ b/src/scheduler/test/fleet/eventLoopSimulator.ts
@@ -47,7 +47,7 @@
   }
 
   after(delayMs: number, run: () => void): object {
-    return this.#simulator.add(this, this.#nowMs + delayMs, run);
+    return this.#simulator.schedule(this, this.#nowMs + delayMs, run);
   }
 
   /** Moves the clock to the start of a callback that is due at `dueAtMs`. */
@@ -78,7 +78,7 @@
     return new SimulatedEventLoop(this, this.outside.nowMs());
   }
 
-  add(loop: SimulatedEventLoop, atMs: number, run: () => void): object {
+  schedule(loop: SimulatedEventLoop, atMs: number, run: () => void): object {
     this.#order += 1;
     const scheduled: ScheduledCallback = { loop, atMs, order: this.#order, run };
     this.#scheduled.add(scheduled);
--- a/src/scheduler/test/fleet/fleetRandom.test.ts
+++ b/src/scheduler/test/fleet/fleetRandom.test.ts
@@ -13,7 +13,7 @@
 
 /** Seeds that CI runs; a seed that has ever failed stays in the list. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
-const STEPS = 90;
+const STEP_COUNT = 90;
 const STEP_MS = 400;
 
 /** Derives the work time from the task's name. */
@@ -28,7 +28,7 @@
     for (let index = 0; index < 4; index += 1) world.addWorker(`worker-${index}`);
     for (let index = 0; index < 3; index += 1) world.addScheduler();
     const ids: string[] = [];
-    for (let step = 0; step < STEPS; step += 1) {
+    for (let step = 0; step < STEP_COUNT; step += 1) {
       const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
       ids.push(id);
       world.submit(
@@ -59,7 +59,7 @@
       for (let index = 0; index < 4; index += 1) world.addScheduler();
       world.submit(submissionOf(persistentId, [{ ...STEP, taskCount: 4, isPersistent: true }]));
       const ids: string[] = [];
-      for (let step = 0; step < STEPS; step += 1) {
+      for (let step = 0; step < STEP_COUNT; step += 1) {
         const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
         ids.push(id);
         world.submit(submissionOf(id, [STEP, { ...STEP, after: [0] }]));
@@ -99,7 +99,7 @@
       world.submit(submissionOf(persistentId, [{ ...STEP, taskCount: 4, isPersistent: true }]));
       const batch = { ...STEP, taskCount: 3, estimateMs: 1_500, savesProgress: true };
       const ids: string[] = [];
-      for (let step = 0; step < STEPS; step += 1) {
+      for (let step = 0; step < STEP_COUNT; step += 1) {
         const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
         ids.push(id);
         world.submit(submissionOf(id, [batch, { ...STEP, after: [0] }]));
--- a/src/scheduler/test/fleet/messageDelivery.ts
+++ b/src/scheduler/test/fleet/messageDelivery.ts
@@ -55,7 +55,7 @@
     };
   }
 
-  /** A share of 0 draws no random number: new faults must not change the runs of other seeds. */
+  /** Draws no number for a share of 0, so that tests without a fault keep the runs of their seeds. */
   #occurs(share: number): boolean {
     return share > 0 && this.#random.nextFraction() < share;
   }
--- a/src/scheduler/test/fleet/randomCuts.ts
+++ b/src/scheduler/test/fleet/randomCuts.ts
@@ -4,11 +4,11 @@
 import { FleetWorld } from './fleetWorld.js';
 import { FaultInjector } from './randomFaults.js';
 
-const STEPS = 75;
+const STEP_COUNT = 75;
 const STEP_MS = 400;
 const SETTLE_MS = 45_000;
-const WORKERS = 6;
-const SCHEDULERS = 4;
+const WORKER_COUNT = 6;
+const SCHEDULER_COUNT = 4;
 const PERSISTENT_ID = 'e'.repeat(16);
 const PERSISTENT_WORK_MS = 120_000;
 
@@ -30,13 +30,13 @@
   doCallsNameProcess: boolean,
 ): Promise<RandomRunResult> => {
   const world = new FleetWorld(seed, (name) => ({ workMs: workMsOf(name), end: RunEnd.Done }));
-  for (let index = 0; index < WORKERS; index += 1) world.addWorker(`worker-${index}`);
-  for (let index = 0; index < SCHEDULERS; index += 1) world.addScheduler();
+  for (let index = 0; index < WORKER_COUNT; index += 1) world.addWorker(`worker-${index}`);
+  for (let index = 0; index < SCHEDULER_COUNT; index += 1) world.addScheduler();
   Object.assign(world.faults, { doCallsNameProcess });
   const injector = new FaultInjector(world);
   world.submit(submissionOf(PERSISTENT_ID, [{ ...STEP, taskCount: 4, isPersistent: true }]));
   const ids: string[] = [];
-  for (let step = 0; step < STEPS; step += 1) {
+  for (let step = 0; step < STEP_COUNT; step += 1) {
     const id = (seed * 1_000 + step).toString(16).padStart(16, '0');
     ids.push(id);
     const steps = [
--- a/src/scheduler/test/fleet/randomFaults.ts
+++ b/src/scheduler/test/fleet/randomFaults.ts
@@ -103,13 +103,13 @@
 
   readonly #checkIns: CheckIns;
 
-  readonly #cutOff = new Set<string>();
+  readonly #cutOffWorkerIds = new Set<string>();
 
   #cut: ZoneCut | undefined;
 
   constructor(world: FleetWorld) {
     this.#world = world;
-    this.#checkIns = new CheckIns(world, (id) => !this.#cutOff.has(id));
+    this.#checkIns = new CheckIns(world, (id) => !this.#cutOffWorkerIds.has(id));
   }
 
   injectRandomFault(): void {
@@ -157,12 +157,12 @@
     Object.assign(this.#world.faults, { doCutsRefuse });
     const cut = new ZoneCut(this.#world, workerIds, schedulerIndexes);
     this.#cut = cut;
-    workerIds.forEach((id) => this.#cutOff.add(id));
+    workerIds.forEach((id) => this.#cutOffWorkerIds.add(id));
     this.#world.time.later(durationMs, () => {
       if (this.#cut !== cut) return;
       cut.heal();
       this.#cut = undefined;
-      this.#cutOff.clear();
+      this.#cutOffWorkerIds.clear();
     });
   }
 
@@ -183,7 +183,7 @@
   heal(): void {
     this.#cut?.heal();
     this.#cut = undefined;
-    this.#cutOff.clear();
+    this.#cutOffWorkerIds.clear();
     heal(this.#world);
     const { workers, nowMs } = this.#world;
     workers.forEach((worker) => worker.isUp || worker.restart(nowMs));
--- a/src/scheduler/test/fleet/workerLinks.ts
+++ b/src/scheduler/test/fleet/workerLinks.ts
@@ -10,7 +10,7 @@
 } from '../../../services/fleet/common/fleetWorker.js';
 import type { WorkerModel } from '../../../../standIns/fleet/workerModel.js';
 import type { FleetScheduler } from '../../common/fleet/fleetScheduler.js';
-import { type MessageDelivery, MessageKind, type MessageDeliveries } from './messageDelivery.js';
+import { type MessageDeliveries, type MessageDelivery, MessageKind } from './messageDelivery.js';
 import type { VirtualTime } from './virtualTime.js';
 import {
   CALL_MS,
@@ -22,7 +22,7 @@
 } from './worldFaults.js';
 
 const ORDER_TIMEOUT_MS = 800;
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 
 type Reply<Answer> = (result: Either<Failure, Answer>, scheduler: FleetScheduler) => void;
 
@@ -81,7 +81,7 @@
       }
       const isDue =
         time.nowMs >= untilMs || worker.hasNews(request.acknowledgedSequence, time.nowMs);
-      if (!isDue) time.later(POLL_MS, () => poll(untilMs, incarnation));
+      if (!isDue) time.later(POLL_INTERVAL_MS, () => poll(untilMs, incarnation));
       else {
         const heldResult = right(worker.hold(request, time.nowMs));
         if (delivery.answerDelayMs !== undefined) settle(heldResult, delivery.answerDelayMs);
