--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -1,4 +1,4 @@
-/** Moves runs off workers that are about to leave, into room that is kept for their tasks. */
+/** Moves runs off workers that are about to leave, into room reserved for their tasks. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
 import { assignRun, nextRunNumber } from './fleetRound.js';
 import type { FleetTiming } from './fleetTiming.js';
@@ -8,20 +8,22 @@
 import { isUsable, type RoundInput, UsableWorkers } from './usableWorkers.js';
 import { type PlacementChoice, WorkerSearch } from './workerSearch.js';
 
-/** A step of the scheduler, a call and its answer, and a few looks for room. */
+/** Covers a scheduler step, a call with its response, and a few searches for room. */
 const STOP_SLACK_MS = 400;
-/** How much longer than it says a worker is likely to stay. */
+/** A worker is likely to stay this much longer than it announced. */
 const LIKELY_LINGER_MS = 1_000;
 
 const isLeaving = (view: FleetWorkerView): boolean =>
   view.isListed && view.entry.isDraining && view.isHeard && !view.isSilent;
 
 /**
- * Whether the run is to be stopped now. A task that lasts is away for as long as it takes to find
- * out that its worker has left, several seconds, or for the time of a stop and a start. Any other
- * run works on up to the last moment, and is stopped only if its end is likely to come after the
- * worker has left. One that saves no progress loses all by the stop, so a worker that stays a little
- * longer than it says may do more for it.
+ * Whether the run should be stopped now.
+ *
+ * A persistent task is stopped at once: it is then unavailable only for a stop and a start, while
+ * detecting that its worker has left takes several seconds. Any other run continues as long as
+ * possible and is stopped only if it will probably not end before the worker leaves. A run that
+ * saves no progress loses all its work when it is stopped, so it also gets the time that the worker
+ * is likely to stay beyond its announcement.
  */
 const isMoveDue = (
   run: TaskRun,
@@ -41,24 +43,27 @@
     : workMs > leftMs + LIKELY_LINGER_MS;
 };
 
-/** Whether the task of a run that is being stopped is to start elsewhere. */
+/** Whether the task must start on another worker once its only run has stopped. */
 const startsAgain = ({ submission, isDone, runs }: TaskRecord): boolean =>
   isOpen(submission) && !isDone && runs.length === 1;
 
-/** Whether the run is one to move, or is being moved already. */
+/** Whether the run should be moved or is already being moved. */
 const isMovable = (
   run: TaskRun,
   view: FleetWorkerView,
   timing: FleetTiming,
   nowMs: number,
 ): boolean => {
-  // A gang would have to be moved whole.
+  // All tasks of a gang would have to move together.
   if (run.task.step.isGang) return false;
   if (run.state === RunState.Stopping) return startsAgain(run.task);
   return run.state === RunState.Running && isMoveDue(run, view, timing, nowMs);
 };
 
-/** What a filler uses is not counted, so that the room of several cannot be told. */
+/**
+ * A worker takes one reservation for a filler at a time: reservations don't count the processors of
+ * fillers, so the room left for a second one is unknown.
+ */
 const keepsNoFiller = ({ keptTasks }: FleetWorkerView): boolean =>
   ![...keptTasks].some(({ step }) => step.isFiller);
 
@@ -76,14 +81,14 @@
 const isAtWork = ({ state }: TaskRun): boolean => state === RunState.Running;
 
 export class DrainMoves {
-  /** Room that is kept on workers for the tasks of runs that are being stopped. */
+  /** Workers with room reserved for the tasks of runs that are being stopped. */
   readonly #kept = new Map<TaskRun, FleetWorkerView>();
 
   clear(): void {
     this.#kept.clear();
   }
 
-  /** Gives the room that was kept for them to tasks whose runs are over. */
+  /** Assigns tasks whose runs have ended to the room reserved for them. */
   placeMoved(input: RoundInput, nowMs: number): void {
     const { configuration } = input.operator;
     if (configuration === undefined || this.#kept.size === 0) return;
@@ -93,7 +98,7 @@
       const isUnderWay = view?.hasRun(run) === true;
       const isTargetUsable =
         input.views.get(target.id) === target && isUsable(target, input, nowMs);
-      // A worker that is out of reach may keep its run for as long as its leases last.
+      // An unreachable worker may continue its run until its leases expire.
       const isWanted = isTargetUsable && startsAgain(run.task);
       if (isUnderWay && isWanted && isLeaving(view)) return;
       this.#giveBack(run, target);
@@ -107,12 +112,15 @@
     });
   }
 
-  /** Tasks that last, to be stopped; room is kept for each from now on, others stay where they are. */
+  /** Reserves room for persistent tasks on leaving workers; returns the runs to stop now. */
   nextLasting(input: RoundInput, nowMs: number): readonly TaskRun[] {
     return this.#next(input, ({ task }) => task.step.isPersistent, nowMs);
   }
 
-  /** Other runs that cannot end before their workers leave, to be stopped in the same way. */
+  /**
+   * Reserves room for the other runs that cannot end before their workers leave; returns the runs
+   * to stop now.
+   */
   nextUnfinishable(input: RoundInput, nowMs: number): readonly TaskRun[] {
     return this.#next(input, ({ task }) => !task.step.isPersistent, nowMs);
   }
@@ -130,7 +138,7 @@
     return this.#keepRoom(runs, input, configuration, nowMs).filter(isAtWork);
   }
 
-  /** Keeps room for what is being stopped already, then for the others. */
+  /** Reserves room, first for runs that already stop; returns the runs that got room. */
   #keepRoom(
     runs: readonly TaskRun[],
     input: RoundInput,
--- a/src/scheduler/common/fleet/drainNotice.ts
+++ b/src/scheduler/common/fleet/drainNotice.ts
@@ -1,12 +1,12 @@
-/** Until when a worker that drains surely goes on, by what it says in the table. */
+/** Estimates the earliest time at which a draining worker leaves, from its entry in the table. */
 import type { FleetWorkerEntry } from '../../../services/fleet/common/fleetWorker.js';
 
 type Notice = Pick<FleetWorkerEntry, 'isDraining' | 'remainingMs' | 'incarnation'>;
 
 /**
- * An entry tells how much time was left when it was written, and not when that was. It was written
- * after the reading before the one that shows it first, and no longer ago than the time between two
- * reports of a worker.
+ * An entry holds the time that was left when the worker wrote it, but not the time of the write.
+ * The write happened after the last read that did not show the entry, and at most one report
+ * interval before the first read that shows it.
  */
 export class DrainNotice {
   #known: Notice | undefined;
@@ -15,14 +15,14 @@
 
   #staysUntilMs: number | undefined;
 
-  /** Undefined for a worker that does not drain, or does not tell. */
+  /** Undefined if the worker is not draining or does not report its remaining time. */
   get staysUntilMs(): number | undefined {
     return this.#staysUntilMs;
   }
 
-  /** Takes in what was read no earlier than `readAtMs`. */
+  /** Processes an entry that was read at `readAtMs` or later. */
   note(entry: Notice, reportIntervalMs: number, readAtMs: number): void {
-    // Lists may be answered in another order than they were asked for.
+    // Responses to list requests may arrive out of order.
     if (readAtMs < this.#readAtMs) return;
     const { isDraining, remainingMs, incarnation } = entry;
     const isSameLife = this.#known?.incarnation === incarnation;
--- a/src/scheduler/common/fleet/faultAvoidance.ts
+++ b/src/scheduler/common/fleet/faultAvoidance.ts
@@ -1,18 +1,21 @@
-/** Keeps tasks away from workers that fail what they start. */
+/** Keeps tasks away from workers that fail the tasks they start. */
 import type { WorkerHealth } from '../workerHealth.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import { failureCount, type TaskRecord } from './taskRecords.js';
 
-/** How long a retry waits for room on a worker that does not fail, before it takes any other. */
+/** How long a retry waits for room on a healthy worker before it accepts a failing one. */
 const RETRY_PATIENCE_MS = 1_500;
-/** How long a task that lasts waits before it takes a worker that gets probes only. */
+/** How long a persistent task waits before it accepts a worker that is limited to probes. */
 const PERSISTENT_PATIENCE_MS = 1_500;
-/** With more than this share of workers tripped, or one, the fault is likely elsewhere. */
+/**
+ * If more than one worker and more than this share of the workers are tripped, the cause of the
+ * failures is likely not in the workers.
+ */
 const MAXIMUM_TRIPPED_SHARE = 0.34;
 
 type Views = readonly FleetWorkerView[];
 
-/** Whether the task has failed before, so that a further failure may fail its submission. */
+/** Whether the task has failed before, so another failure may fail its submission. */
 const isRetry = (task: TaskRecord): boolean => !task.step.isPersistent && failureCount(task) > 0;
 
 const lastStartMs = (view: FleetWorkerView): number => {
@@ -23,23 +26,28 @@
   return lastMs;
 };
 
-/** Which workers a task is given to first: those of the lowest rank. */
+/** Ranks workers for a task; workers of the lowest rank are tried first. */
 export interface FaultRanking {
-  /** Undefined for a worker that the task must not be given to now. */
+  /** Returns undefined if the task must not start on the worker now. */
   rankOf(task: TaskRecord, view: FleetWorkerView): number | undefined;
 }
 
-/** Steers tasks away from workers that are likely to fail them. */
 export interface FaultAvoidance {
-  /** Sums up what is known of the workers of a service, once for all tasks of a round. */
+  /** Creates the ranking of a service's workers for all tasks of one round. */
   newRanking(views: Views, health: WorkerHealth, nowMs: number): FaultRanking;
 }
 
 export const NO_FAULTS: FaultRanking = { rankOf: () => 0 };
 
-/** Ranks of first tries: others, workers that failed this submission, and probes. */
+/**
+ * Ranks for a task's first attempt: any other worker, a failing worker on which the submission has
+ * failed before, and a tripped worker that is due for a probe.
+ */
 const FIRST_TRY = { Sound: 0, FailedBefore: 1, Probe: 2 } as const;
-/** Ranks of retries. */
+/**
+ * Ranks for retries: a healthy worker on which the submission has not failed, a healthy worker on
+ * which it has, and a failing worker.
+ */
 const RETRY = { Elsewhere: 0, FailedBefore: 1, Failing: 2 } as const;
 
 class CircuitBreakerRanking implements FaultRanking {
@@ -51,7 +59,7 @@
 
   readonly #failing = new Set<FleetWorkerView>();
 
-  /** Whether tripped workers get probes only. */
+  /** Whether tripped workers are limited to probes. */
   readonly #isLimited: boolean;
 
   readonly #hasSound: boolean;
@@ -99,10 +107,11 @@
 }
 
 /**
- * Made for workers that fail within moments all that they start: they are always free, so that a
- * full fleet would give them every task that waits. Once jobs of two submissions have failed, such a
- * worker gets one first try at a time, with growing pauses. A retry takes a worker that does not
- * fail, and waits a little for its room: a second faulty worker would use up its last attempt.
+ * Limits the damage of workers that quickly fail every task they start: they always have room, so a
+ * full fleet would give them every waiting task. Once jobs of two submissions have failed on such a
+ * worker, it gets one first attempt at a time, with growing delays in between. A retry prefers a
+ * healthy worker and waits briefly for room there, because a failure on a second faulty worker
+ * would use up the task's last attempt.
  */
 export class CircuitBreakerAvoidance implements FaultAvoidance {
   newRanking(views: Views, health: WorkerHealth, nowMs: number): FaultRanking {
--- a/src/scheduler/common/fleet/fillerPacing.ts
+++ b/src/scheduler/common/fleet/fillerPacing.ts
@@ -1,4 +1,7 @@
-/** Issues pace orders for fillers: interference control decisions and starts at a reduced pace. */
+/**
+ * Sends pace changes for fillers to their workers: decisions of the interference control, and the
+ * reduced pace of runs that start slowed down. The pace is the percentage of full speed.
+ */
 import type { FleetEffect } from './fleetEffects.js';
 import { paceEffect } from './fleetCalls.js';
 import { StopReason } from './fleetNotes.js';
@@ -17,7 +20,7 @@
     if (run.plannedPercent < run.pacePercent) this.#reducedStarts.add(run);
   }
 
-  /** Handles the response to a pace order, whether it succeeded or not. */
+  /** Handles the response to a pace command, whether it succeeded or not. */
   handleAnswered(run: TaskRun): void {
     this.#inFlight.delete(run);
   }
@@ -34,7 +37,7 @@
     this.#reducedStarts.clear();
   }
 
-  /** Returns the pace orders that are due and requests stops for runs that must move. */
+  /** Returns the pace commands that are due and requests stops for runs that must move. */
   effects(tenure: Tenure, nowMs: number): readonly FleetEffect[] {
     const effects = this.#startEffects(tenure);
     tenure.views.forEach((view) => {
