--- a/src/scheduler/common/fleet/fleetOrder.ts
+++ b/src/scheduler/common/fleet/fleetOrder.ts
@@ -1,4 +1,4 @@
-/** In which order waiting tasks are given room. */
+/** Determines the order in which waiting tasks are placed. */
 import {
   findQueueByName,
   type FleetConfiguration,
@@ -7,17 +7,17 @@
 import { countOnce, isInterrupted, taskProcessorMs, type TaskRecord } from './taskRecords.js';
 import type { TaskGroup } from './waitingTasks.js';
 
-/** An answer after this many times the objective is worth nothing to its caller. */
+/** A result that takes longer than this many times the objective is worthless to its caller. */
 const WORTHLESS_FACTOR = 3;
 /** The share of a submission's value that does not depend on its amount of work. */
 const FIXED_VALUE_SHARE = 0.3;
-/** A task that has waited for this share of the time that it can wait is held up by a backlog. */
+/** A task that has waited for this share of its slack is considered held up by a backlog. */
 const HELD_UP_SHARE = 0.15;
 
-/** What is left to do from the start of each step on, by the callers' estimates. */
+/** For each step, the longest chain of work that starts with it, by the callers' estimates. */
 const chainsOf = (submission: Submission): readonly number[] => {
   const chains = submission.steps.map(({ estimateMs }) => estimateMs);
-  // Steps name earlier ones only, so that those that follow are known when their turn comes.
+  // Steps depend only on earlier steps, so a step's successors are complete when it is reached.
   for (let index = submission.steps.length - 1; index >= 0; index -= 1) {
     const { after } = submission.steps[index] as Step;
     after.forEach((earlier) => {
@@ -28,7 +28,7 @@
   return chains;
 };
 
-/** Chains of submissions that wait; each is asked for in every round. */
+/** Cached chains of waiting submissions, because every round needs them. */
 const knownChains = new WeakMap<Submission, readonly number[]>();
 
 const chainsFor = (submission: Submission): readonly number[] => {
@@ -39,15 +39,15 @@
   return chains;
 };
 
-/** The longest chain of work by the callers' estimates. */
+/** The duration of the submission's longest chain of work, by the callers' estimates. */
 export const chainEstimateMs = (submission: Submission): number =>
   Math.max(0, ...chainsFor(submission));
 
-/** What callers still have of a task that is started now. */
+/** How useful the result of a task that starts now is to its caller. */
 const Use = { InTime: 0, Late: 1, None: 2 } as const;
 type Use = (typeof Use)[keyof typeof Use];
 
-/** Persistent tasks that have run before, batch tasks, and persistent tasks that have not run yet. */
+/** Persistent tasks that have run before, batch tasks, and persistent tasks that are new. */
 const TaskClass = { Interrupted: 0, Batch: 1, New: 2 } as const;
 type TaskClass = (typeof TaskClass)[keyof typeof TaskClass];
 
@@ -56,7 +56,7 @@
   readonly priority: number;
   readonly taskClass: TaskClass;
   readonly isHeldUp: boolean;
-  /** Whether a place is reserved for the submission, as too few of its size are served. */
+  /** Whether the submission has a reservation because too few of its size are served. */
   readonly isReserved: boolean;
   /** The value of the submission per unit of remaining work. */
   readonly valueDensity: number;
@@ -74,7 +74,7 @@
   const { submission, learntAtMs } = task.submission;
   const endsAtMs = nowMs + (chainsFor(submission)[task.stepIndex] ?? 0);
   if (endsAtMs <= learntAtMs + objectiveMs) return Use.InTime;
-  // By its own estimate alone: chains are rough, and work that is nearly done is not given up.
+  // Only the task's own estimate counts: chains are imprecise, and work near its end is not dropped.
   const ownEndMs = nowMs + task.step.estimateMs;
   return ownEndMs <= learntAtMs + WORTHLESS_FACTOR * objectiveMs ? Use.Late : Use.None;
 };
@@ -96,7 +96,7 @@
   return value / Math.max(1, leftMs);
 };
 
-/** A task that waits for so long is held up by a backlog. */
+/** The waiting time from which a task counts as held up by a backlog. */
 const heldUpAfterMs = (chainMs: number, objectiveMs: number): number =>
   HELD_UP_SHARE * (objectiveMs - chainMs);
 
@@ -115,7 +115,7 @@
   };
 };
 
-/** Reserves service for large submissions of which too few are served, the best ranked first. */
+/** Gives reservations to large submissions if too few of their size are served, in rank order. */
 const reserveForLarge = (ranked: readonly RankedGroup[]): readonly RankedGroup[] =>
   ranked.map((one) => {
     const { first, rank } = one;
@@ -160,13 +160,15 @@
 }
 
 /**
- * Made for bursts that exceed the room for seconds. What can no longer be of use to its caller
- * goes behind what can, and what will be late in any case behind what of its urgency can still be
- * in time: in the order of arrival one burst makes everything after it late as well, until the
- * backlog is gone. Among equals, the highest value per unit of remaining work comes first, which
- * leaves few submissions unfinished in a backlog. That alone would starve the largest ones, so
- * that they come first while too few of them are served. Persistent tasks never release their
- * room and come after batch tasks, except for interrupted ones, whose users are without service.
+ * Handles bursts that exceed the fleet's capacity for seconds. In order of arrival, one burst would
+ * make everything after it late as well until the backlog is gone.
+ *
+ * Tasks whose result is worthless by now come last. Within a priority, tasks that will be late come
+ * after tasks that can still be in time. After that, the highest value per unit of remaining work
+ * comes first, which leaves few submissions unfinished in a backlog. This alone would starve the
+ * largest submissions, so they get reservations and come first while too few of them are served.
+ * Persistent tasks come after batch tasks because they never release their room. Interrupted
+ * persistent tasks come before everything else because their users are without service.
  */
 export class UtilityOrder implements QueueOrder {
   sort(
--- a/src/scheduler/common/fleet/fleetPlacement.ts
+++ b/src/scheduler/common/fleet/fleetPlacement.ts
@@ -1,4 +1,4 @@
-/** How good each worker is for a task that waits. */
+/** Rates how well each worker suits a waiting task. */
 import type { Resources } from '../../../services/worker/common/resources.js';
 import type { PlacementCandidate } from '../placement.js';
 import type { FaultRanking } from './faultAvoidance.js';
@@ -10,38 +10,39 @@
 import type { SubmissionRecord, TaskRecord } from './taskRecords.js';
 
 /**
- * The share of its processors that a serving task is taken to use until fillers beside it show
- * less or more. Half is a prior and no measurement: the tail latency corrects it within seconds.
+ * The share of its requested processors that a serving task is assumed to use. This is a prior:
+ * once fillers run beside the task, its tail latency corrects the assumption within seconds.
  */
 const SERVING_USE_SHARE = 0.5;
 /**
- * A filler starts only where at least this share of its processors is likely to be idle. It works
- * on at part of its speed where the others use more, which is sooner done than waiting for room:
- * with a half, the worth of batch work on a calm day of 33 workers was 0.88, and is 0.98.
+ * A filler starts only where at least this share of its requested processors is likely to be idle.
+ * Where the other tasks use more, it runs at part of its speed, which is still sooner done than
+ * waiting for room: on a lightly loaded day of 33 workers, half as the share reduced the value of
+ * batch work from 0.98 to 0.88.
  */
 const FILLER_IDLE_SHARE = 0.2;
 
-/** How long a filler waits for a worker where it can run at full pace. */
+/** How long a filler waits for a worker that allows full pace before it accepts a reduced pace. */
 const FULL_PACE_PATIENCE_MS = 2_500;
 /** Weight of the pace in a filler's score; it outweighs the other terms. */
 const PACE_WEIGHT = 10;
 const FULL_PERCENT = 100;
 
-/** Headroom of serving tasks beyond this makes a place no better. */
+/** More headroom of the serving tasks than this does not improve a filler's score. */
 const AMPLE_HEADROOM = 2;
 
 /**
- * Costs of a serving task's place. Filling up a worker that serves the same image costs at most
- * one, by what is left on it; taking one on which nothing serves yet comes next; each other image
- * on a worker costs more than both.
+ * Placement costs of a serving task. The free share of the worker costs at most one. A worker
+ * without serving tasks adds the first cost, and each other serving image on the worker adds the
+ * second, which exceeds both together.
  */
 const OPENING_COST = 1;
 const MIXING_COST = 3;
 
-/** A worker that has room for a task. Ratings are compared by their fields in this order. */
+/** The rating of a worker that has room for a task. Ratings compare by their fields in order. */
 export interface Rating {
   readonly faultRank: number;
-  /** Whether the data of the task's step is on another rack. */
+  /** Whether the worker is on another rack than the data of the task's step. */
   readonly isFar: boolean;
   readonly cost: number;
   /** The pace at which the task can run there. */
@@ -53,16 +54,16 @@
     Number(one.isFar) - Number(other.isFar) ||
     one.cost - other.cost) < 0;
 
-/** What placing goes by of all that runs on a worker. */
+/** The properties of a worker's runs that placement depends on. */
 interface Occupancy {
   readonly changeCount: number;
-  /** Processors that it is likely to use, with all that its fillers would. */
+  /** The likely processor use of all tasks, with the fillers at full speed. */
   readonly usedProcessorMillis: number;
-  /** Distinct images of the tasks that serve. */
+  /** Distinct images of the serving tasks. */
   readonly servingImages: ReadonlySet<string>;
 }
 
-/** Each round asks every worker for each task that waits, and few workers change in between. */
+/** Cached because each round checks every worker for each waiting task, and few workers change. */
 const knownOccupancies = new WeakMap<FleetWorkerView, Occupancy>();
 
 const newOccupancy = (view: FleetWorkerView): Occupancy => {
@@ -90,7 +91,7 @@
   one.stepIndex === other.stepIndex &&
   one.occurrence === other.occurrence;
 
-/** Tasks of the step that run on the worker or are to start in room that is kept there. */
+/** The number of the step's tasks that run on the worker or have room reserved there. */
 const sameStepCount = (view: FleetWorkerView, task: TaskRecord): number => {
   let count = 0;
   view.runs.forEach((run) => {
@@ -118,13 +119,13 @@
   sameServiceInRackCount: 0,
 });
 
-/** Whether any task of the submission has a run on a worker. */
+/** Whether any task of the submission has a run. */
 const hasRuns = ({ occurrences }: SubmissionRecord): boolean =>
   [...occurrences.values()].some(({ tasks }) =>
     tasks.some((step) => step.some(({ runs }) => runs.length > 0)),
   );
 
-/** Whether the filler has waited for so long that it starts at a reduced pace. */
+/** Whether the filler has waited long enough to start at a reduced pace. */
 export const allowsReducedPace = (task: TaskRecord, nowMs: number): boolean =>
   nowMs - task.waitingSinceMs >= FULL_PACE_PATIENCE_MS && !hasRuns(task.submission);
 
@@ -133,17 +134,19 @@
 
 /** Chooses workers for serving tasks. */
 export interface ServingPlacement {
-  /** Lower is better, among workers that the task fits on. */
+  /** The cost of the task on a worker where it fits; lower is better. */
   costOf(task: TaskRecord, view: FleetWorkerView): number;
 }
 
 /**
- * Made for services that take most of the room beside batch work of many images. Whether batch
- * work slows a service depends on the two images, and for two in five pairs of a heavy day one
- * batch task at full pace brings a tail over its target (60 to 170 ms for a worker full of it, at
- * a tail of 9 and a target of 18 ms). So tasks that serve are put beside their like: each kind of
- * batch work then finds workers where all that serve can bear it. Among equals the fullest one is
- * taken, which keeps large gaps.
+ * Places serving tasks beside serving tasks of the same image, for fleets where services take most
+ * of the room beside batch work of many images.
+ *
+ * Whether batch work slows a service depends on both images. For two in five pairs of a heavy day,
+ * one batch task at full pace raises the tail latency over its target: a worker full of it raises a
+ * tail of 9 ms to 60 to 170 ms, where the target is 18 ms. With few serving images on each worker,
+ * each batch image finds workers whose services all tolerate it. Among workers that are otherwise
+ * equal, the fullest one is chosen, which keeps large gaps on the others.
  */
 export class ImageAffinityPlacement implements ServingPlacement {
   costOf(task: TaskRecord, view: FleetWorkerView): number {
@@ -155,7 +158,7 @@
   }
 }
 
-/** What the rating of workers goes by, apart from the workers themselves. */
+/** The inputs of a rating apart from the task and the worker. */
 export interface RatingContext {
   readonly policy: Pick<FleetPolicy, 'servingPlacement' | 'placement'>;
   readonly interference: InterferenceControl;
@@ -167,7 +170,7 @@
 export const isObstacle = (one: object | PlacementObstacle): one is PlacementObstacle =>
   typeof one === 'string';
 
-/** What of its room the worker lacks for the task; a filler's processors are not counted. */
+/** The first resource that the worker lacks for the task. Fillers don't need free processors. */
 const missingRoom = (task: TaskRecord, free: Resources): PlacementObstacle | undefined => {
   const { isFiller, size } = task.step;
   if (!isFiller && size.processorMillis > free.processorMillis) {
@@ -179,9 +182,10 @@
 };
 
 /**
- * Made for long batch tasks that use what services leave idle. A filler goes where most is idle
- * and the tasks that serve are furthest from their targets with it; where too little is idle it
- * waits, for it would only make the others' work slower. Memory is counted like any task's.
+ * Rates a worker for a filler: a long batch task that uses processors which services leave idle.
+ * Workers with more idle processors and more headroom of their serving tasks are better. Where too
+ * little is idle the filler waits, because it would only slow the other tasks. Its memory counts
+ * like that of any other task.
  */
 const placeForFiller = (
   task: TaskRecord,
@@ -217,7 +221,7 @@
   return policy.placement.costOf(request, toCandidate(view, task));
 };
 
-/** Rates the worker for the task, or tells why the task must not be started there now. */
+/** Rates the worker for the task, or returns why the task must not start there now. */
 export const rateWorker = (
   task: TaskRecord,
   view: FleetWorkerView,
@@ -226,7 +230,7 @@
   nowMs: number,
 ): Rating | PlacementObstacle => {
   const { isFiller, dataRack } = task.step;
-  // What most workers lack is checked first: most tasks that wait find no room on most of them.
+  // The room is checked first because most workers have no room for most waiting tasks.
   const missing = missingRoom(task, view.free);
   if (missing !== undefined) return missing;
   if (!isAllowed(view, task)) return PlacementObstacle.NotAllowed;
--- a/src/scheduler/common/fleet/placementObstacle.ts
+++ b/src/scheduler/common/fleet/placementObstacle.ts
@@ -1,25 +1,25 @@
-/** Why a worker is not given a waiting task. */
+/** The reasons why a waiting task is not placed on a worker. */
 
 export const PlacementObstacle = {
-  /** The table does not list the worker, or only a former process under its id. */
+  /** The table does not list the worker, or lists only a previous process under its id. */
   Unlisted: 'unlisted',
   Draining: 'draining',
-  /** It has not answered lately, or not since it was found to be another process. */
+  /** The worker has not answered recently, or not since it was found to be a new process. */
   Unanswered: 'unanswered',
-  /** It runs tasks that nobody asked for, or may forget ends. */
+  /** The worker lists runs that are not wanted any more, or may lose records of ended runs. */
   Unsettled: 'unsettled',
-  /** The stored roster does not allow leases without a limit yet. */
+  /** The stored roster does not yet allow leases without a limit to the worker. */
   LeasesLimited: 'leases-limited',
   ZoneWithdrawn: 'zone-withdrawn',
   OtherService: 'other-service',
   NoProcessors: 'no-processors',
   NoMemory: 'no-memory',
   NoAccelerators: 'no-accelerators',
-  /** A required label is missing, or the step has as many tasks there as it may. */
+  /** The worker lacks a required label or already has the step's maximum number of tasks. */
   NotAllowed: 'not-allowed',
-  /** It has failed tasks. */
+  /** The worker has failed tasks. */
   SetAside: 'set-aside',
-  /** Services there would miss their targets, or leave the task too little to work with. */
+  /** Services on the worker would miss their targets, or would leave the task too low a pace. */
   Interference: 'interference',
 } as const;
 export type PlacementObstacle = (typeof PlacementObstacle)[keyof typeof PlacementObstacle];
--- a/src/scheduler/common/fleet/roomMisses.ts
+++ b/src/scheduler/common/fleet/roomMisses.ts
@@ -1,8 +1,8 @@
-/** Records steps that found no room, so that later rounds check only workers changed since then. */
+/** Records steps that found no room, so that later rounds check only workers that changed since. */
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { OccurrenceRecord } from './taskRecords.js';
 
-/** Interval of full searches, as loads and waiting times change without a change of a worker. */
+/** Interval of full searches, because loads and waiting times change even if workers don't. */
 const FULL_SEARCH_INTERVAL_MS = 500;
 
 interface Miss {
@@ -36,10 +36,10 @@
 
   #current: readonly ViewState[] = [];
 
-  /** Of `#current`, by the round of their last change, latest first; undefined until asked for. */
+  /** `#current` sorted by the round of the last change, latest first; computed when needed. */
   #byChange: readonly ViewState[] | undefined;
 
-  /** Workers changed since a round, by service and round; many steps missed in the same one. */
+  /** Workers changed since a round, by round and service; many steps miss in the same round. */
   readonly #changed = new Map<string, readonly FleetWorkerView[]>();
 
   #round = 0;
--- a/src/scheduler/common/fleet/sizeBalance.ts
+++ b/src/scheduler/common/fleet/sizeBalance.ts
@@ -1,21 +1,24 @@
 /**
- * Whether large submissions of one queue are served nearly as often as others. An order by value for
- * each unit of work puts them behind all smaller ones for as long as a backlog lasts.
+ * Makes sure that large submissions of one queue are served nearly as often as others. An order by
+ * value per unit of work puts them behind all smaller ones for as long as a backlog lasts.
  */
 
-/** By amount of work: the largest tenth, the fifth below it, and the others. */
+/** Classes by amount of work: the largest tenth, the fifth below it, and the others. */
 export const SizeClass = { Largest: 0, NextLargest: 1, Other: 2 } as const;
 export type SizeClass = (typeof SizeClass)[keyof typeof SizeClass];
 
 const NEXT_LARGEST_RANK = 0.7;
 const LARGEST_RANK = 0.9;
-/** Sizes that a new submission is compared with. */
+/** The number of recent sizes that a new submission is compared with. */
 const KNOWN_SIZES = 256;
-/** Fewer sizes say nothing of what is large. */
+/** With fewer sizes, no submission is classified as large. */
 const FEWEST_SIZES = 10;
-/** Counts are halved when there are so many, so that recent ones weigh most. */
+/** Counts are halved at this limit, so that recent submissions weigh most. */
 const COUNT_LIMIT = 1_024;
-/** Reservations are made below this share of how often all are served; some come too late. */
+/**
+ * A size class gets reservations if its served share is below this fraction of the served share of
+ * all submissions. The fraction is below one because some reserved submissions still end too late.
+ */
 const LEAST_SHARE = 0.7;
 
 interface Counts {
@@ -46,7 +49,7 @@
     return sizeClass;
   }
 
-  /** Counts a submission that is held up or complete; others say nothing of how often any are served. */
+  /** Counts a submission that is held up or complete; others don't affect the served share yet. */
   count(sizeClass: SizeClass): void {
     if (this.#all.counted >= COUNT_LIMIT) [this.#all, ...this.#classes].forEach(halve);
     this.#all.counted += 1;
@@ -58,7 +61,7 @@
     if (!isReserved) this.#countsOf(sizeClass).served += 1;
   }
 
-  /** Reserves service for a submission if too few of its size are served. */
+  /** Makes a reservation if too few submissions of the size are served; returns whether it did. */
   reserve(sizeClass: SizeClass): boolean {
     const counts = this.#countsOf(sizeClass);
     const servedShare = this.#all.served / Math.max(1, this.#all.counted);
@@ -68,7 +71,7 @@
     return isDue;
   }
 
-  /** A submission with a reservation will not be served. */
+  /** Releases the reservation of a submission that will not be served. */
   release(sizeClass: SizeClass): void {
     this.#countsOf(sizeClass).served -= 1;
   }
--- a/src/scheduler/common/fleet/usableWorkers.ts
+++ b/src/scheduler/common/fleet/usableWorkers.ts
@@ -1,4 +1,4 @@
-/** Which workers tasks may be started on, and what stands against the others. */
+/** Determines which workers tasks may start on, and the obstacles on the others. */
 import {
   findQueueByName,
   type FleetConfiguration,
@@ -16,7 +16,7 @@
 import type { SubmissionBook } from './submissionBook.js';
 import type { TaskRecord } from './taskRecords.js';
 
-/** What a round of placing goes by. */
+/** The inputs of a placement round. */
 export interface RoundInput {
   readonly book: SubmissionBook;
   readonly views: ReadonlyMap<string, FleetWorkerView>;
@@ -30,7 +30,7 @@
   readonly misses: RoomMisses;
 }
 
-/** Why no task may be started on the worker now; undefined if tasks may be. */
+/** Returns why no task may start on the worker now, or undefined if tasks may. */
 const useObstacle = (
   view: FleetWorkerView,
   { timing, roster, operator }: RoundInput,
@@ -47,7 +47,7 @@
     : undefined;
 };
 
-/** Whether tasks may be started on the worker now. */
+/** Whether tasks may start on the worker now. */
 export const isUsable = (view: FleetWorkerView, input: RoundInput, nowMs: number): boolean =>
   useObstacle(view, input, nowMs) === undefined;
 
@@ -58,7 +58,7 @@
   readonly context: RatingContext;
 }
 
-/** What is worked out once for all tasks that are to be placed at `nowMs`. */
+/** The usable workers at `nowMs`, computed once for all tasks that are placed then. */
 export class UsableWorkers {
   readonly all: readonly FleetWorkerView[];
 
@@ -82,7 +82,7 @@
     });
   }
 
-  /** The workers that may run the task, by the configuration in force. */
+  /** The usable workers of the service that runs the task, by the configuration in force. */
   poolOf(task: TaskRecord, configuration: FleetConfiguration): ServicePool {
     const { submission } = task.submission;
     const queue = findQueueByName(configuration, submission.queueName);
@@ -102,7 +102,7 @@
   }
 }
 
-/** What stands against each worker for a task that waits; workers that would take it are left out. */
+/** Counts the obstacles of a waiting task, one for each worker that would not take it. */
 export const obstaclesOf = (
   task: TaskRecord,
   input: RoundInput,
--- a/src/scheduler/common/fleet/workerSearch.ts
+++ b/src/scheduler/common/fleet/workerSearch.ts
@@ -1,4 +1,4 @@
-/** Finds workers for the tasks of one step, one after the other. */
+/** Finds workers for the tasks of one step, one task after the other. */
 import {
   allowsReducedPace,
   isBetter,
@@ -24,8 +24,8 @@
 }
 
 /**
- * Made for steps of dozens of tasks on hundreds of workers. Tasks of a step want the same, so
- * each worker is rated once, and again only when it has taken one of them.
+ * Keeps the search fast for steps of dozens of tasks on hundreds of workers. All tasks of a step
+ * have the same requirements, so each worker is rated once, and again only after it has taken one.
  */
 export class WorkerSearch {
   readonly #context: RatingContext;
@@ -38,7 +38,7 @@
 
   #mayBeSlow = false;
 
-  /** How many workers have been rated. */
+  /** The number of ratings computed so far. */
   ratingCount = 0;
 
   constructor(views: readonly FleetWorkerView[], context: RatingContext, nowMs: number) {
@@ -47,7 +47,7 @@
     this.#nowMs = nowMs;
   }
 
-  /** The best worker for the next task of the step, or undefined if none has room for it. */
+  /** Returns the best worker for the next task of the step, or undefined if none has room. */
   next(task: TaskRecord): PlacementChoice | undefined {
     const mayBeSlow = task.step.isFiller && allowsReducedPace(task, this.#nowMs);
     if (this.#rated === undefined || mayBeSlow !== this.#mayBeSlow) this.#rateAll(task, mayBeSlow);
@@ -69,7 +69,7 @@
     const rated: Rated[] = [];
     this.#views.forEach((view) => {
       const rating = this.#rate(task, view);
-      // Room does not come back within a round.
+      // Workers without room are left out because no room is released within a round.
       if (rating !== undefined) rated.push({ view, changeCount: view.changeCount, rating });
     });
     this.#rated = rated;
