--- a/src/scheduler/common/fleet/headroom.ts
+++ b/src/scheduler/common/fleet/headroom.ts
@@ -1,33 +1,34 @@
 /**
- * How far the tails of serving tasks are from their targets.
+ * Computes the headroom of serving tasks: how far their tail latency is from its target.
  *
- * Headroom is the target divided by the tail: one at the target, less above it. Tails grow like
- * waiting times, as one over the capacity that is left, so that their inverse falls in proportion
- * to a task's own load and to what works beside it, and both add up. Of 2,400 figures without
- * batch work the inverse followed the load within 5 %, where the tail itself went from 5 to 16 ms.
+ * Headroom is the target divided by the tail latency: one at the target, less than one above it.
+ * Tail latencies grow like waiting times, in inverse proportion to the remaining capacity. Their
+ * inverse therefore falls linearly with a task's own load and with the work beside it, and both
+ * effects add up. In 2,400 samples without batch work, the inverse followed the load within 5 %
+ * while the tail latency itself ranged from 5 to 16 ms.
  */
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import { RunState, stepName, type TaskRecord, type TaskRun } from './taskRecords.js';
 
-/** A tail far below its target tells no more; it bounds what one figure can weigh. */
+/** Limits the effect of one sample: a tail far below its target carries no more information. */
 const GREATEST_HEADROOM = 10;
-/** Weight of a task's own newest figure, which scatters more than the mean over its like. */
+/** Weight of the newest sample in a task's own headroom; it is noisier than the group's median. */
 const OWN_WEIGHT = 0.6;
 /**
- * A task's own smoothed tail counts as over its target below the first headroom until it rises
- * above the second. Figures of a tail a fifth over the target scatter so that one in four is below
- * it; with one limit, and at the target itself, such a task was hardly ever seen to be over it.
+ * Hysteresis of a task's own smoothed headroom: the task counts as over its target from below the
+ * first limit until above the second. If a tail is a fifth over its target, noise puts one in four
+ * samples below the target; a single limit at the target itself would hardly ever detect it.
  */
 const OVER_HEADROOM = 1 / 0.93;
 const RELIEVED_HEADROOM = 1 / 0.8;
 
-/** Whether the task serves users of its own. */
+/** Whether the task serves users, that is, has a latency target. */
 export const isServing = ({ step }: TaskRecord): boolean => step.targetLatencyMs > 0;
 
 export const servingRuns = (view: FleetWorkerView): readonly TaskRun[] =>
   [...view.runs.values()].filter(({ task }) => isServing(task));
 
-/** Whether the tail of any serving task there is likely over its target. */
+/** Whether the tail latency of any serving task on the worker is likely over its target. */
 export const isAnyOverTarget = (view: FleetWorkerView): boolean =>
   servingRuns(view).some(({ overSinceMs }) => overSinceMs !== undefined);
 
@@ -43,18 +44,18 @@
   Math.min(GREATEST_HEADROOM, task.step.targetLatencyMs / recentFigure);
 
 /**
- * The tasks of one step on one worker, as their newest figures show them. They share their users,
- * and so their load.
+ * The newest samples of the tasks of one step on one worker. These tasks share their users and
+ * therefore their load.
  */
 export interface ServingGroup {
-  /** The step's. */
+  /** The name of the step. */
   readonly name: string;
   readonly image: string;
   readonly headroom: number;
   readonly count: number;
 }
 
-/** The middle one, since single tasks suffer for a second now and then whatever is beside them. */
+/** A median, because single tasks are slow for a second at times whatever runs beside them. */
 const medianOf = (values: readonly number[]): number => {
   const sorted = [...values].sort((left, right) => left - right);
   const middle = sorted.length / 2;
@@ -62,7 +63,7 @@
   return sorted.length % 2 === 1 ? upper : (upper + (sorted[middle - 1] ?? upper)) / 2;
 };
 
-/** Groups of the worker's serving tasks of which there are figures. */
+/** Groups the worker's serving tasks that have a sample. */
 export const servingGroups = (view: FleetWorkerView): readonly ServingGroup[] => {
   const runsByName = new Map<string, TaskRun[]>();
   servingRuns(view).forEach((run) => {
@@ -78,7 +79,7 @@
   }));
 };
 
-/** Takes a task's newest figure into its own smoothed headroom. */
+/** Updates a task's own smoothed headroom with its newest sample. */
 export const noteOwnHeadroom = (run: TaskRun, nowMs: number): void => {
   if (run.recentFigure <= 0) return;
   run.headroom += (headroomOf(run) - run.headroom) * OWN_WEIGHT;
--- a/src/scheduler/common/fleet/imagePairs.ts
+++ b/src/scheduler/common/fleet/imagePairs.ts
@@ -1,23 +1,23 @@
-/** How much headroom each image of batch work takes from each image that serves, as learnt. */
+/** Estimates how much headroom each batch image takes from each serving image. */
 import type { LearntInterference } from '../../../services/submissions/common/submissionRows.js';
 
 /**
- * What a worker full of an unknown image is taken to cost, as headroom, and how uncertain that is.
- * Of 45 pairs of one heavy day 29 cost up to 4, half of these about one or less, and 16 cost 8 to
- * 23.
+ * The prior of an unknown pair: the headroom that a worker full of the batch image takes, and its
+ * variance. Of 45 pairs of one heavy day, 29 cost up to 4, half of these about one or less, and 16
+ * cost 8 to 23.
  */
 const UNKNOWN_LOSS = 3;
 const UNKNOWN_VARIANCE = 36;
 const GREATEST_LOSS = 25;
-/** Variance that a known pair gains in a second, as the amounts change with time. */
+/** Variance added to a pair per second, because the loss changes over time. */
 const PAIR_VARIANCE_PER_S = 0.05;
-/** A pair below this deviation is known well enough to be placed by. */
+/** Below this standard deviation, placement relies on the estimate of a pair. */
 const KNOWN_DEVIATION = 3;
 const INHERITED_VARIANCE = 2;
 /**
- * Callers name images as they like. The pairs seen last are kept, and of these as many are handed
- * to a successor as fit well into one row of the table: one more byte than a row holds, and no
- * commit would be taken any more.
+ * Callers choose image names freely, so the number of pairs is unbounded. Only the most recently
+ * seen pairs are kept. As many of them are stored for the next owner as safely fit into one row of
+ * the table: the table rejects a commit with a row that is a single byte too large.
  */
 const MAXIMUM_PAIRS = 2_000;
 const MAXIMUM_LEARNT = 200;
@@ -27,9 +27,9 @@
 export interface PairEstimate {
   readonly servingImage: string;
   readonly fillerImage: string;
-  /** Headroom that a worker full of the filler takes. */
+  /** The headroom that a worker full of the filler image takes. */
   loss: number;
-  /** Of `loss`. */
+  /** The variance of `loss`. */
   variance: number;
   seenAtMs: number;
 }
@@ -45,7 +45,7 @@
 export const isKnownPair = ({ variance }: PairEstimate): boolean =>
   Math.sqrt(variance) < KNOWN_DEVIATION;
 
-/** Takes in what one figure tells of a pair. */
+/** Corrects the estimate of a pair by its share of one sample's error. */
 export const correctPair = (pair: PairEstimate, change: number, varianceShare: number): void => {
   pair.loss = Math.min(GREATEST_LOSS, Math.max(0, pair.loss + change));
   pair.variance *= varianceShare;
@@ -55,15 +55,15 @@
   Math.max(servingImage.length, fillerImage.length) <= LONGEST_IMAGE_NAME;
 
 export class ImagePairs {
-  /** In the order in which they were seen last. */
+  /** The pairs, least recently seen first. */
   readonly #bySeen = new Set<PairEstimate>();
 
-  /** By serving image, then by filler image: each rating of a worker asks for several. */
+  /** By serving image, then by filler image; each rating of a worker looks up several pairs. */
   readonly #byImages = new Map<string, Map<string, PairEstimate>>();
 
   /**
-   * Takes over what a former owner has learnt. Without it each change of owner let every kind of
-   * batch work loose on every service once more.
+   * Loads the estimates of the previous owner. Without them, each change of owner would try every
+   * batch image beside every service again.
    */
   inherit(pairs: LearntInterference, nowMs: number): void {
     pairs.forEach(({ servingImage, fillerImage, headroomLoss: loss }) => {
@@ -72,7 +72,7 @@
     });
   }
 
-  /** The pairs that are known by now, for a successor. */
+  /** Returns the known pairs, to be stored for the next owner. */
   learnt(): LearntInterference {
     const known = [...this.#bySeen].filter(isKnownPair).filter(hasShortNames);
     return known.slice(-MAXIMUM_LEARNT).map(({ servingImage, fillerImage, loss }) => ({
@@ -82,13 +82,16 @@
     }));
   }
 
-  /** What is known or else assumed of a pair. */
+  /** Returns the estimate of a pair, or the prior if there is none. */
   estimate(servingImage: string, fillerImage: string): PairEstimate {
     const known = this.#byImages.get(servingImage)?.get(fillerImage);
     return known ?? unknownPair(servingImage, fillerImage, 0);
   }
 
-  /** The pair, seen beside one another now: it is kept, and has become less certain since. */
+  /**
+   * Returns the estimate of a pair that runs on one worker now, with the variance added since it
+   * was last seen. Keeps it as the most recently seen pair.
+   */
   seen(servingImage: string, fillerImage: string, nowMs: number): PairEstimate {
     const known = this.#byImages.get(servingImage)?.get(fillerImage);
     const pair = known ?? unknownPair(servingImage, fillerImage, nowMs);
@@ -101,7 +104,7 @@
     return pair;
   }
 
-  /** Takes the pair for the one seen last, in place of what was known of its images. */
+  /** Stores the pair as the most recently seen one and replaces a previous estimate. */
   #keep(pair: PairEstimate): void {
     const { servingImage, fillerImage } = pair;
     const byFiller = this.#byImages.get(servingImage) ?? new Map<string, PairEstimate>();
--- a/src/scheduler/common/fleet/interferenceControl.ts
+++ b/src/scheduler/common/fleet/interferenceControl.ts
@@ -1,4 +1,4 @@
-/** Decides which fillers may run beside services, and at which pace. */
+/** Decides which fillers may run beside services, and at which pace (percentage of full speed). */
 import type { LearntInterference } from '../../../services/submissions/common/submissionRows.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { TaskRecord, TaskRun } from './taskRecords.js';
@@ -16,10 +16,10 @@
   readonly headroom: number;
 }
 
-/** What is to be done about the fillers of one worker. */
+/** The changes to make to the fillers of one worker. */
 export interface InterferenceAnswer {
   readonly paces: readonly PaceChange[];
-  /** Runs to stop, so that their tasks can continue where they slow no service. */
+  /** Runs to stop so that their tasks can continue where they slow no service. */
   readonly moves: readonly TaskRun[];
 }
 
@@ -29,15 +29,15 @@
   /** Loads the estimates of the previous owner. */
   inherit(pairs: LearntInterference, nowMs: number): void;
 
-  /** What is known of pairs of images, for a successor. */
+  /** Returns the estimates for image pairs, to be stored for the next owner. */
   learnt(): LearntInterference;
 
-  /** Takes the worker's newest figures in. */
+  /** Processes the worker's newest samples. */
   observe(view: FleetWorkerView, nowMs: number): void;
 
   /** Returns undefined if the filler should not be started on the worker now. */
   admit(view: FleetWorkerView, filler: TaskRecord, nowMs: number): Admission | undefined;
 
-  /** What is to work faster or slower on the worker from now on. */
+  /** Decides which fillers on the worker change their pace or move away. */
   answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer;
 }
--- a/src/scheduler/common/fleet/interferenceModel.ts
+++ b/src/scheduler/common/fleet/interferenceModel.ts
@@ -1,4 +1,4 @@
-/** Learns which images of batch work take how much headroom from which images that serve. */
+/** Learns how much headroom each batch image takes from each serving image. */
 import type { LearntInterference } from '../../../services/submissions/common/submissionRows.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import {
@@ -16,57 +16,65 @@
 import { ServiceLoad } from './serviceLoad.js';
 import type { TaskRecord, TaskRun } from './taskRecords.js';
 
-/** A listed figure covers the last half second; a sooner one repeats it. */
+/** A sample covers the last half second, so reading it more often would count it twice. */
 const SAMPLE_INTERVAL_MS = 450;
 const FULL_PERCENT = 100;
 
-/** Batch work costs this much more or less than its mean at any moment. */
+/** Relative deviation of the headroom loss from its mean at any moment. */
 const LOSS_SCATTER = 0.3;
-/** Single figures scatter by a tenth. */
+/** Relative deviation of a single sample. */
 const FIGURE_SCATTER = 0.1;
-/** Figures are whole milliseconds. */
+/** Rounding error: samples are whole milliseconds. */
 const LEAST_VARIANCE = 0.01;
-/** Far over the target the tail no longer tells by how much: requests queue up, and drain after. */
+/**
+ * Below this headroom requests queue up, and the queue drains later. The tail latency then does not
+ * show how large the overload is.
+ */
 const QUEUEING_HEADROOM = 0.6;
-/** How much less a figure counts while requests that have queued up are served. */
+/** Variance added to a sample while queued requests are being served. */
 const QUEUEING_VARIANCE = 4;
-/** Headroom of a load at its highest, where nothing is known of it: two thirds of the target. */
+/** Prior of the headroom at the highest load; the tail latency is then two thirds of the target. */
 const USUAL_LOW = 1.5;
-/** Weight of a load's lowest headroom in that of its image. */
+/** Weight of one load's lowest headroom in the average of its image. */
 const LOW_WEIGHT = 0.1;
+
+/** A batch image that runs beside a serving image, and its share of the worker's processors. */
 interface Exposure {
   readonly pair: PairEstimate;
   readonly share: number;
 }
 
-/** What the tasks of one step on one worker can bear. */
+/** Forecast headroom of the serving tasks of one step on one worker, beside its batch work. */
 export interface Bearing {
   readonly image: string;
-  /** Headroom that batch work leaves them when their load is highest. */
+  /** The headroom at the highest load of the tasks. */
   readonly atWorst: number;
-  /** The same in the next seconds. */
+  /** The lowest headroom in the next seconds. */
   readonly soon: number;
-  /** The same in the next seconds, if all that is uncertain is as bad as it may be. */
+  /** The lowest headroom in the next seconds if each filler costs its worst case. */
   readonly soonAtWorst: number;
-  /** Whether batch work of an unknown kind is beside them, whose effect is yet to be seen. */
+  /** Whether a filler of an unknown image runs beside the tasks; its effect is not known yet. */
   readonly isOnTrial: boolean;
 }
 
-/** Headroom that a filler takes at full pace. */
+/** The headroom that a filler takes at full pace. */
 export interface FillerLoss {
   readonly isKnown: boolean;
   readonly loss: number;
-  /** What it may be for all that is known. */
+  /** `loss` plus one standard deviation of its uncertainty. */
   readonly worstLoss: number;
 }
 
-/** The range of `Bearing.soon`: from when a start takes effect, over two polls and a change of pace. */
+/**
+ * The time range of `Bearing.soon`. It begins when a start takes effect and covers two polls and a
+ * change of pace.
+ */
 const START_DELAY_MS = 300;
 const SOON_MS = 2_000;
-/** When a change of pace takes effect. */
+/** Time until a change of pace takes effect. */
 const PACE_DELAY_MS = 200;
 
-/** What a worker can bear, by its newest figures. */
+/** Forecast headroom of all serving tasks on a worker, from its newest samples. */
 export interface WorkerBearings {
   readonly isAnyOverTarget: boolean;
   readonly groups: readonly Bearing[];
@@ -92,7 +100,7 @@
   return { headroom, variance, loss, lossVariance: lossVarianceOf(exposures) };
 };
 
-/** Divides what was not expected among the load and the pairs, by how uncertain each was. */
+/** Divides the error of a forecast between the load and the pairs by their variances. */
 const learn = (
   load: ServiceLoad,
   group: ServingGroup,
@@ -104,7 +112,8 @@
   const reading = toReading(group, exposures, wasQueueing);
   load.isQueueing = group.headroom < QUEUEING_HEADROOM;
   const surprise = load.surprise(reading, nowMs);
-  // As bad as expected or worse tells nothing of how much worse it would have been.
+  // While requests queue up, the tail does not show how low the headroom really is, so a sample
+  // above the forecast carries no information.
   if (load.isQueueing && surprise.excess > 0) {
     load.stopSwing();
     return;
@@ -137,7 +146,7 @@
 
   readonly #options: InterferenceOptions;
 
-  /** The lowest headroom that loads of an image usually have. */
+  /** The usual lowest headroom of loads, by image. */
   readonly #lows = new Map<string, number>();
 
   readonly #cache = new WeakMap<FleetWorkerView, CachedBearings>();
@@ -151,12 +160,12 @@
     this.#pairs.inherit(pairs, nowMs);
   }
 
-  /** The pairs that are known by now, for a successor. */
+  /** Returns the known pairs, to be stored for the next owner. */
   learnt(): LearntInterference {
     return this.#pairs.learnt();
   }
 
-  /** Takes the worker's newest figures into what is known of its loads and of the pairs. */
+  /** Updates the estimates of the worker's loads and of the image pairs with its newest samples. */
   observe(view: FleetWorkerView, nowMs: number): void {
     if (nowMs - view.sampledAtMs < SAMPLE_INTERVAL_MS) return;
     view.sampledAtMs = nowMs;
@@ -171,7 +180,7 @@
     groups.forEach((group) => this.#observeGroup(view, group, nowMs));
   }
 
-  /** What each group of serving tasks on the worker can bear beside what is there. */
+  /** Forecasts the headroom of each group of serving tasks beside the batch work on the worker. */
   bearings(view: FleetWorkerView, nowMs: number): WorkerBearings {
     const { changeCount, sampledAtMs } = view;
     const known = this.#cache.get(view);
@@ -187,13 +196,13 @@
     return bearings;
   }
 
-  /** The lowest headroom expected within `aheadMs`, with batch work at its current pace. */
+  /** The lowest headroom of a load within `aheadMs`, with batch work at its current pace. */
   expected(view: FleetWorkerView, load: ServiceLoad, aheadMs: number, nowMs: number): number {
     const loss = fillerRuns(view).reduce((sum, run) => sum + this.lossOf(load.image, run, view), 0);
     return load.lowestWithin(PACE_DELAY_MS, aheadMs, nowMs) - loss;
   }
 
-  /** What a filler at full pace takes from the tasks of an image on the worker, and may take. */
+  /** Estimates the headroom that a filler at full pace takes from the tasks of a serving image. */
   exposure(servingImage: string, filler: TaskRecord, view: FleetWorkerView): FillerLoss {
     const pair = this.#pairs.estimate(servingImage, filler.step.image);
     const share = sizeShare(view, filler);
@@ -202,12 +211,12 @@
     return { isKnown, loss, worstLoss: loss + Math.sqrt(pair.variance) * share };
   }
 
-  /** Headroom that a filler takes at full pace. */
+  /** The headroom that a filler takes at full pace. */
   loss(servingImage: string, filler: TaskRecord, view: FleetWorkerView): number {
     return this.#pairs.estimate(servingImage, filler.step.image).loss * sizeShare(view, filler);
   }
 
-  /** Headroom that a filler takes at its pace. */
+  /** The headroom that a filler takes at its current pace. */
   lossOf(servingImage: string, { task, pacePercent }: TaskRun, view: FleetWorkerView): number {
     return (this.loss(servingImage, task, view) * pacePercent) / FULL_PERCENT;
   }
--- a/src/scheduler/common/fleet/learningInterferenceControl.ts
+++ b/src/scheduler/common/fleet/learningInterferenceControl.ts
@@ -16,11 +16,11 @@
 import { fillerRuns, isAnyOverTarget, servingRuns } from './headroom.js';
 import type { TaskRecord, TaskRun } from './taskRecords.js';
 
-/** Time for a change of pace to take effect and to be covered by a complete figure. */
+/** Time for a change of pace to take effect and to be covered by a complete sample. */
 const SETTLING_MS = 550;
-/** Forecast horizon: the time until a change of pace shows in the latency of users. */
+/** Forecast horizon: the time until a change of pace affects the latency of users. */
 const LEAD_MS = 1_200;
-/** Fillers are slowed below the first expected headroom, until the second is expected. */
+/** Below the first expected headroom, fillers are slowed until it reaches the second. */
 const TIGHT_HEADROOM = 1.05;
 const WANTED_HEADROOM = 1.1;
 /** Expected headroom that must remain when fillers are sped up again. */
@@ -29,12 +29,13 @@
 const PLACED_HEADROOM = 1.02;
 /** The lowest pace at which a filler is started. */
 const LEAST_START_PERCENT = 10;
-/** A filler that takes less headroom than this is not treated as an antagonist. */
+/** A filler that takes less headroom than this does not count as an antagonist. */
 const ANTAGONIST_LOSS = 0.05;
 /**
- * When a tail latency has been over its target for this long, every filler that may cause it is
- * suspended, and after the limit all fillers are: one task may be slowed more than others of its
- * image. Users notice after about four seconds, and two polls and a change of pace take 1.5 s.
+ * If a tail latency is over its target for the first duration, every filler that may be the cause
+ * is suspended. After the second, all fillers are, because a task may be slowed more than other
+ * tasks of its image. Users notice after about four seconds, and two polls and a change of pace
+ * take 1.5 s.
  */
 const OVER_PATIENCE_MS = 1_200;
 const OVER_LIMIT_MS = 1_800;
@@ -46,8 +47,8 @@
  */
 const MOVED_LOSS = 0.15;
 /**
- * A filler held below this pace for this long goes back into the queue, even if it loses unsaved
- * progress: at a higher pace it would slow the same tasks again.
+ * A filler that has been throttled below this pace for this long goes back into the queue, even if
+ * it loses unsaved progress: at a higher pace it would slow the same tasks again.
  */
 const HELD_PERCENT = 50;
 const HELD_LIMIT_MS = 2_500;
@@ -96,7 +97,7 @@
    */
   admit(view: FleetWorkerView, filler: TaskRecord, nowMs: number): Admission | undefined {
     const bearings = this.#model.bearings(view, nowMs);
-    // Its group's median hides one task that is slowed more than the others.
+    // Checked per task: the median of a group hides a task that is slowed more than the others.
     if (bearings.isAnyOverTarget) return undefined;
     let percent = FULL_PERCENT;
     let headroom = Number.POSITIVE_INFINITY;
@@ -139,7 +140,7 @@
     return { paces: this.#faster(view, fillers, nowMs), moves: [] };
   }
 
-  /** Fillers to suspend for tasks that have been over their targets for too long. */
+  /** The fillers to suspend because tasks have been over their targets for too long. */
   #relieved(
     view: FleetWorkerView,
     serving: readonly TaskRun[],
--- a/src/scheduler/common/fleet/loadEstimate.ts
+++ b/src/scheduler/common/fleet/loadEstimate.ts
@@ -1,23 +1,23 @@
 /**
- * What headroom the tasks of one step would have on one worker without batch work beside them.
- * Their load swings within seconds, so that a level and its slope are followed (a Kalman filter of
- * two states), and how low the level gets is remembered.
+ * Estimates the headroom (level) that the tasks of one step would have on one worker without batch
+ * work. Their load changes within seconds, so a Kalman filter with two states tracks the level and
+ * its slope. The lowest recent level is tracked as well.
  */
 
-/** Variance of the slope's change in a second: a load that swings by half within ten seconds. */
+/** Process noise of the slope, for a load that changes by half within ten seconds. */
 const SLOPE_VARIANCE_PER_S = 0.09;
 const LEVEL_VARIANCE_PER_S = 0.01;
 const FIRST_LEVEL_VARIANCE = 1;
 const FIRST_SLOPE_VARIANCE = 0.1;
-/** The lowest level is remembered for one to two of these, longer than loads usually swing. */
+/** The lowest level covers one to two of these windows, longer than a usual period of a load. */
 const LOW_WINDOW_MS = 15_000;
-/** A load that has not been followed for so long may not have been at its highest yet. */
+/** A load observed for a shorter time may not have reached its highest point yet. */
 const WATCHED_MS = 12_000;
-/** A pause in the figures after which the slope tells nothing any more. */
+/** After a longer gap between samples, the slope is not extrapolated further. */
 const LONGEST_STEP_S = 2;
 const MS_PER_S = 1_000;
 
-/** One figure: the headroom, how much it scatters, and what batch work takes of it. */
+/** A headroom reading with its variance, and the headroom loss caused by batch work. */
 export interface LoadReading {
   readonly headroom: number;
   readonly variance: number;
@@ -25,7 +25,7 @@
   readonly lossVariance: number;
 }
 
-/** How far a reading is from what was expected, and how far it was expected to be. */
+/** The difference between a reading and its forecast, and the expected variance of it. */
 export interface Surprise {
   readonly excess: number;
   readonly variance: number;
@@ -46,7 +46,7 @@
 
   #slopeVariance = FIRST_SLOPE_VARIANCE;
 
-  /** The lowest levels of this window and of the one before. */
+  /** The lowest level of the current window; the next field has that of the previous window. */
   #low: number;
 
   #lowBefore = Number.POSITIVE_INFINITY;
@@ -61,23 +61,23 @@
     this.#windowStartedAtMs = nowMs;
   }
 
-  /** The lowest level of late. */
+  /** The lowest recent level. */
   get low(): number {
     return Math.min(this.#low, this.#lowBefore);
   }
 
-  /** Whether it has been followed long enough for `low` to tell something. */
+  /** Whether the load has been observed long enough for `low` to be meaningful. */
   isWatched(nowMs: number): boolean {
     return nowMs - this.#firstSeenAtMs >= WATCHED_MS;
   }
 
-  /** The level expected after a while, no lower than it has been of late. */
+  /** The level expected in `aheadMs`, but no lower than the lowest recent level. */
   levelAfter(aheadMs: number): number {
     const expected = this.#level + (this.#slope * aheadMs) / MS_PER_S;
     return Math.max(expected, Math.min(this.low, this.#level));
   }
 
-  /** Moves the estimate on to `nowMs`. */
+  /** Advances the estimate to `nowMs`. */
   advance(nowMs: number): void {
     const seconds = Math.min(LONGEST_STEP_S, (nowMs - this.#seenAtMs) / MS_PER_S);
     this.#seenAtMs = nowMs;
@@ -94,7 +94,7 @@
     this.#low = this.#level;
   }
 
-  /** Where the figures tell nothing, the level is taken to stay where it is. */
+  /** Assumes a constant level while the samples carry no information. */
   stopSwing(): void {
     this.#slope = 0;
   }
@@ -105,7 +105,7 @@
     return { excess, variance };
   }
 
-  /** Takes its part of a surprise. */
+  /** Corrects the level and the slope by the forecast error of a reading. */
   correct({ excess, variance }: Surprise): void {
     const levelGain = this.#levelVariance / variance;
     const slopeGain = this.#crossVariance / variance;
--- a/src/scheduler/common/fleet/serviceLoad.ts
+++ b/src/scheduler/common/fleet/serviceLoad.ts
@@ -1,4 +1,4 @@
-/** Forecasts the load of one step's tasks on one worker by its trend or, if periodic, a harmonic. */
+/** Forecasts the load of a step on one worker by its trend or, if periodic, by a harmonic. */
 import type { HarmonicLoad } from './harmonicLoad.js';
 import type { LoadDynamics } from './loadDynamics.js';
 import { LoadEstimate, type LoadReading, type Surprise } from './loadEstimate.js';
@@ -8,13 +8,13 @@
 /** Number of standard deviations subtracted from a harmonic forecast. */
 const FORECAST_DEVIATIONS = 0.3;
 const FORECAST_STEP_MS = 400;
-/** A trend says nothing of when a load turns; its forecasts are taken to be lower by this much. */
+/** Subtracted from trend forecasts, because a trend does not predict when a load turns. */
 const TREND_MARGIN = 0.15;
 
 export class ServiceLoad {
   readonly image: string;
 
-  /** Whether requests were queued at the last figure; the next figures then reflect the queue. */
+  /** Whether requests were queued at the last sample; the next samples then reflect the queue. */
   isQueueing = false;
 
   readonly #name: string;
@@ -61,7 +61,7 @@
     this.#trend.advance(nowMs);
   }
 
-  /** Assumes a constant level while the figures carry no information. */
+  /** Assumes a constant level while the samples carry no information. */
   stopSwing(): void {
     this.#trend.stopSwing();
   }
