--- a/src/scheduler/test/fleet/drainMoves.test.ts
+++ b/src/scheduler/test/fleet/drainMoves.test.ts
@@ -12,7 +12,7 @@
 const BACKLOG_ID = '00000000000000e3';
 const WORK_MS = 6_000;
 const SAVES_EACH_MS = 1_000;
-/** A stop, a start, and a step of the scheduler for each. */
+/** Bound for a stop and a start, with one scheduler step for each. */
 const MOVE_MS = STOP_MS + 300;
 const CHECKPOINTED_STEP = { ...STEP, estimateMs: WORK_MS, savesProgress: true };
 const LASTING_STEP = { ...STEP, isPersistent: true };
@@ -42,11 +42,11 @@
 const holderOf = (world: FleetWorld, taskName: string): string =>
   world.runsOf(taskName)[0] as string;
 
-/** Runs until the submission has ended well, and returns how long that took. */
+/** Runs until the submission is complete and returns how long that took. */
 const untilDoneMs = async (world: FleetWorld, id: string): Promise<number> => {
   const sinceMs = world.nowMs;
   while (world.progress(id)?.state !== 'complete' && world.nowMs - sinceMs < 40_000) {
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
     await world.runFor(50);
   }
   return world.nowMs - sinceMs;
@@ -55,8 +55,8 @@
 const loggedReasons = (world: FleetWorld, event: string): readonly unknown[] =>
   world.logged.filter((note) => note.event === event).map(({ fields }) => fields.reason);
 
-describe('a run on a worker that drains', () => {
-  it('is not lost with the worker when it cannot end in time, and goes on from its stop', async () => {
+describe('a run on a draining worker', () => {
+  it('is moved with its saved progress if it cannot end before the worker leaves', async () => {
     const world = await worldOf(2, CHECKPOINTED);
     world.submit(submissionOf(BATCH_ID, [CHECKPOINTED_STEP]));
     await world.runFor(500);
@@ -69,7 +69,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('is left alone when it ends before the worker leaves', async () => {
+  it('is not stopped if it ends before the worker leaves', async () => {
     const world = await worldOf(2, { ...CHECKPOINTED, workMs: 3_000 });
     world.submit(submissionOf(BATCH_ID, [{ ...CHECKPOINTED_STEP, estimateMs: 3_000 }]));
     await world.runFor(500);
@@ -78,7 +78,7 @@
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
-  it('is stopped by what it has worked where the estimate is far too short', async () => {
+  it('is moved by its measured progress if the estimate is far too short', async () => {
     const world = await worldOf(2, CHECKPOINTED);
     world.submit(submissionOf(BATCH_ID, [{ ...CHECKPOINTED_STEP, estimateMs: 2_000 }]));
     await world.runFor(500);
@@ -87,7 +87,7 @@
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
   });
 
-  it('is left alone when no other worker has room for it', async () => {
+  it('is not stopped if no other worker has room for it', async () => {
     const world = await worldOf(1, CHECKPOINTED);
     world.submit(submissionOf(BATCH_ID, [sized(CHECKPOINTED_STEP, 3_000)]));
     await world.runFor(500);
@@ -102,7 +102,7 @@
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
-  it('that loses all by a stop is left alone while the worker may stay for long enough', async () => {
+  it('is not stopped if it saves no progress and the worker may stay long enough', async () => {
     const world = await worldOf(2, { ...UNSAVED, workMs: 4_500 });
     world.submit(submissionOf(BATCH_ID, [{ ...STEP, estimateMs: 4_500 }]));
     await world.runFor(500);
@@ -111,7 +111,7 @@
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
-  it('that loses all by a stop starts elsewhere when the worker leaves long before its end', async () => {
+  it('is restarted on another worker if it cannot end in time and saves no progress', async () => {
     const world = await worldOf(2, UNSAVED);
     world.submit(submissionOf(BATCH_ID, [{ ...STEP, estimateMs: WORK_MS }]));
     await world.runFor(500);
@@ -121,7 +121,7 @@
     expect(world.nowMs - startedAtMs).toBeLessThan(500 + 3_000 + WORK_MS + MOVE_MS);
   });
 
-  it('that is a member of a gang is left alone', async () => {
+  it('is not stopped if its task belongs to a gang', async () => {
     const world = await worldOf(3, CHECKPOINTED);
     const gang = { ...sized(CHECKPOINTED_STEP, 3_000, 2), isGang: true };
     world.submit(submissionOf(BATCH_ID, [gang]));
@@ -132,11 +132,11 @@
   });
 });
 
-describe('room that is kept for a task that is moved', () => {
+describe('room reserved for a moved task', () => {
   const LASTING_TASK = `${LASTING_ID}.0.0.0`;
   const BACKLOG_TASK = `${BACKLOG_ID}.0.0.0`;
 
-  /** A task that lasts is being stopped on worker-0, with room for it on worker-1 only. */
+  /** A persistent task is being stopped on worker-0, and only worker-1 has room for it. */
   const movingWorld = async (): Promise<FleetWorld> => {
     const world = await worldOf(1, CHECKPOINTED);
     world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 3_000)]));
@@ -145,13 +145,13 @@
     await world.runFor(1_500);
     world.drainWorker('worker-0', 8_000, 100);
     while (!loggedReasons(world, 'runs-stopped').includes('draining')) {
-      // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
       await world.runFor(10);
     }
     return world;
   };
 
-  it('is not taken by a batch task that comes meanwhile', async () => {
+  it('is not taken by a batch task that arrives during the move', async () => {
     const world = await movingWorld();
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(MOVE_MS);
@@ -160,7 +160,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('is not kept for the leases of a worker that can be reached no more', async () => {
+  it('is released before the leases of an unreachable draining worker expire', async () => {
     const world = await movingWorld();
     world.removeWorker('worker-0');
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
@@ -169,7 +169,7 @@
     expect(world.runsOf(LASTING_TASK)).toEqual([]);
   });
 
-  it('is not kept for a task whose submission is cancelled', async () => {
+  it('is released if the submission of the task is cancelled', async () => {
     const world = await movingWorld();
     world.cancel(LASTING_ID);
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
@@ -179,7 +179,7 @@
     expect(world.runsOf(LASTING_TASK)).toEqual([]);
   });
 
-  it('is found on another worker when the first one drains as well', async () => {
+  it('is reserved on another worker if the chosen worker starts to drain as well', async () => {
     const world = await movingWorld();
     world.drainWorker('worker-1', 8_000, 100);
     world.addWorker('worker-2');
@@ -188,7 +188,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('is for one filler a worker, as what these use is not counted', async () => {
+  it('is reserved for at most one filler on each worker', async () => {
     const world = await worldOf(2, CHECKPOINTED);
     const filler = { ...sized(CHECKPOINTED_STEP, 4_000, 2), isFiller: true };
     world.submit(submissionOf(BATCH_ID, [filler]));
@@ -203,10 +203,10 @@
   });
 });
 
-describe('tasks that last on a worker that drains', () => {
+describe('persistent tasks on a draining worker', () => {
   const names = Array.from({ length: 7 }, (_, index) => `${LASTING_ID}.0.0.${index}`);
 
-  /** Runs until all run on workers that stay, and returns how long that took. */
+  /** Runs until all tasks run on workers that stay, and returns how long that took. */
   const untilMovedMs = async (world: FleetWorld): Promise<number> => {
     const sinceMs = world.nowMs;
     const isMoved = (name: string): boolean => {
@@ -214,13 +214,13 @@
       return holder !== undefined && !world.drainingWorkers.has(holder);
     };
     while (!names.every(isMoved) && world.nowMs - sinceMs < 20_000) {
-      // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
       await world.runFor(50);
     }
     return world.nowMs - sinceMs;
   };
 
-  it('do not wait for one another where one worker has room for all', async () => {
+  it('move at the same time if one worker has room for all of them', async () => {
     const world = await worldOf(1, UNSAVED);
     world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 500, 7)]));
     await world.runFor(1_000);
@@ -231,7 +231,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('are not stopped for room on a worker that their step allows no more of them', async () => {
+  it('are not stopped if the maximum per worker of their step leaves no room', async () => {
     const world = await worldOf(2, UNSAVED);
     const step = { ...sized(LASTING_STEP, 500, 4), maximumPerWorker: 2 };
     world.submit(submissionOf(LASTING_ID, [step]));
@@ -245,7 +245,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('are not kept from the room that comes free by batch tasks that wait', async () => {
+  it('get the room that becomes free before waiting batch tasks do', async () => {
     const world = await worldOf(1, UNSAVED);
     world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 500, 7)]));
     await world.runFor(1_000);
--- a/src/scheduler/test/fleet/drainNotice.test.ts
+++ b/src/scheduler/test/fleet/drainNotice.test.ts
@@ -19,26 +19,26 @@
   return notice.staysUntilMs;
 };
 
-describe('the time for which a worker that drains surely goes on', () => {
-  it('is not known of a worker that does not drain, or does not tell', () => {
+describe('the earliest time at which a draining worker leaves', () => {
+  it('is unknown if the worker is not draining or reports no remaining time', () => {
     expect(staysUntilMs([10_000, READY])).toBeUndefined();
     expect(staysUntilMs([10_000, draining()])).toBeUndefined();
   });
 
-  it('counts from a report interval before the first reading', () => {
+  it('counts from one report interval before the first read', () => {
     expect(staysUntilMs([10_000, draining(4_000)])).toBe(12_500);
   });
 
-  it('counts from the reading before, which showed another report', () => {
+  it('counts from the previous read if that showed an older report', () => {
     expect(staysUntilMs([10_000, READY], [11_000, draining(4_000)])).toBe(14_000);
   });
 
-  it('is not put off by reading the same report again', () => {
+  it('is not postponed by reading the same report again', () => {
     const readings = [10_000, 11_000, 12_000].map((atMs) => [atMs, draining(4_000)] as const);
     expect(staysUntilMs([9_000, READY], ...readings)).toBe(13_000);
   });
 
-  it('is the latest that any report tells', () => {
+  it('is the latest time of all reports', () => {
     expect(
       staysUntilMs([10_000, READY], [11_000, draining(4_000)], [12_000, draining(3_900)]),
     ).toBe(14_900);
@@ -47,20 +47,20 @@
     ).toBe(14_000);
   });
 
-  it('stands while later reports do not tell it', () => {
+  it('is kept if later reports contain no remaining time', () => {
     expect(staysUntilMs([10_000, READY], [11_000, draining(4_000)], [12_000, draining()])).toBe(
       14_000,
     );
   });
 
-  it('is not taken over by another process of the worker', () => {
+  it('is not carried over to a new process of the worker', () => {
     expect(
       staysUntilMs([10_000, draining(9_000)], [11_000, draining(4_000, 2)], [11_500, READY]),
     ).toBeUndefined();
     expect(staysUntilMs([10_000, draining(9_000)], [11_000, draining(4_000, 2)])).toBe(13_500);
   });
 
-  it('does not count from a later reading whose answer came first', () => {
+  it('ignores an earlier read whose response arrives late', () => {
     expect(
       staysUntilMs([10_000, READY], [12_000, draining(2_500)], [11_000, draining(3_500)]),
     ).toBe(13_000);
--- a/src/scheduler/test/fleet/faultyWorkers.test.ts
+++ b/src/scheduler/test/fleet/faultyWorkers.test.ts
@@ -6,7 +6,7 @@
 import { FleetWorld } from './fleetWorld.js';
 
 const TICK_MS = 10;
-/** A faulty worker ends what it is given after this time. */
+/** A faulty worker fails each run after this time. */
 const FAILS_AFTER_MS = 100;
 const WORK_MS = 800;
 
@@ -15,13 +15,13 @@
   readonly workerId: string;
 }
 
-/** A world in which some workers fail all that is started on them. */
+/** A world in which some workers fail every run that starts on them. */
 class FaultyWorld {
   readonly world: FleetWorld;
 
   readonly faultyIds = new Set<string>();
 
-  /** Runs that were started on a faulty worker. */
+  /** Runs that started on a faulty worker. */
   readonly failed: Ended[] = [];
 
   readonly #seen = new Set<string>();
@@ -35,7 +35,7 @@
   async runFor(durationMs: number): Promise<void> {
     const untilMs = this.world.nowMs + durationMs;
     while (this.world.nowMs < untilMs) {
-      // eslint-disable-next-line no-await-in-loop -- virtual time goes on step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await this.world.runFor(TICK_MS);
       this.faultyIds.forEach((id) => this.#failNew(id));
     }
@@ -54,8 +54,8 @@
 
 const idOf = (index: number): string => (0xd000 + index).toString(16).padStart(16, '0');
 
-describe('a worker that fails all it starts', () => {
-  it('does not draw task after task while the others are full', async () => {
+describe('a worker that fails every task it starts', () => {
+  it('does not get task after task while the other workers are full', async () => {
     const faulty = new FaultyWorld(9);
     await faulty.runFor(1_500);
     const faultyIds = ['worker-0', 'worker-4', 'worker-8'];
@@ -66,14 +66,14 @@
     await faulty.runFor(6_000);
     faultyIds.forEach((id) => {
       const drawn = faulty.failed.filter(({ workerId }) => workerId === id).length;
-      // What fits into it at once, twice, and a probe each second at most.
+      // Twice the number of tasks that fit on it at once, and at most one probe per second.
       expect(drawn).toBeLessThanOrEqual(2 * 4 + 6);
     });
     expect(faulty.failed.length).toBeGreaterThan(0);
     expect(faulty.world.judge.broken).toEqual([]);
   });
 
-  it('is not trusted again for a task that it had begun before it failed', () => {
+  it('stays tripped after the success of a task that started before the failed ones', () => {
     const atMs = 10_000;
     const failed = new WorkerHealth()
       .withFailure('w1', 'a', 10, atMs, atMs - 100)
@@ -83,7 +83,7 @@
     expect(failed.withSuccess('w1', atMs - 50).isTripped('w1', atMs)).toBe(false);
   });
 
-  it('gets one task at a time, later after each further failure', () => {
+  it('gets one probe at a time, with a longer delay after each further failure', () => {
     const tripped = new WorkerHealth()
       .withFailure('w1', 'a', 10, 1_000, 900)
       .withFailure('w1', 'b', 10, 1_000, 900);
@@ -115,7 +115,7 @@
     expect(states.filter((progress) => progress?.state !== 'complete')).toEqual([]);
   });
 
-  it('waits for no other worker where there is none', async () => {
+  it('does not wait for another worker if there is none', async () => {
     const faulty = new FaultyWorld(1, { workMs: 100, end: RunEnd.Failed });
     await faulty.runFor(1_500);
     faulty.world.submit(submissionOf(idOf(0), [STEP]));
@@ -123,7 +123,7 @@
     expect(faulty.world.progress(idOf(0))?.state).toBe('failed');
   });
 
-  it('goes soon to a worker where it failed, when all others stay full', async () => {
+  it('soon retries on the worker where it failed if all other workers stay full', async () => {
     const faulty = new FaultyWorld(2);
     await faulty.runFor(1_500);
     const whole = { ...STEP, size: WORKER_CAPACITY, isPersistent: true };
@@ -156,17 +156,17 @@
     return faulty.world.workers.get('worker-1')?.runs.size;
   };
 
-  it('is filled again within seconds', async () => {
+  it('is fully used again within seconds', async () => {
     expect(await runsAfterFault(300)).toBe(4);
   });
 
-  it('is filled again within seconds, however many submissions failed there', async () => {
+  it('is fully used again within seconds, even after failures of many submissions', async () => {
     expect(await runsAfterFault(3_000)).toBe(4);
   });
 });
 
-describe('submissions that fail by their own fault', () => {
-  it('count against no further worker once others succeed where they failed', () => {
+describe('submissions that fail on every worker', () => {
+  it('do not count against further workers once other tasks succeed where they failed', () => {
     const health = new WorkerHealth()
       .withFailure('w1', 'bad', 10, 1_000)
       .withSuccess('w1', 1_100)
@@ -175,7 +175,7 @@
     expect(health.isTripped('w2', 1_300)).toBe(false);
   });
 
-  it('leave the workers to others', async () => {
+  it('do not take workers away from other submissions', async () => {
     const world = new FleetWorld(1, (taskName) =>
       Number.parseInt(taskName.slice(0, 16), 16) >= 0xe000
         ? { workMs: 100, end: RunEnd.Failed }
@@ -184,14 +184,14 @@
     for (let index = 0; index < 8; index += 1) world.addWorker(`worker-${index}`);
     world.addScheduler();
     await world.runFor(1_500);
-    // Of 32 slots the good submissions need 26; each second brings two more that always fail.
+    // Good submissions need 26 of the 32 slots. Each second adds about two that always fail.
     for (let tick = 0; tick < 80; tick += 1) {
       const step = { ...STEP, taskCount: 4 };
       world.submit(submissionOf(idOf(tick), [step]));
       if (tick % 5 === 4) {
         world.submit(submissionOf((0xe000 + tick).toString(16).padStart(16, '0'), [step]));
       }
-      // eslint-disable-next-line no-await-in-loop -- virtual time goes on step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await world.runFor(125);
     }
     await world.runFor(1_500);
--- a/src/scheduler/test/fleet/fillerPlacement.test.ts
+++ b/src/scheduler/test/fleet/fillerPlacement.test.ts
@@ -20,8 +20,8 @@
 };
 const POLL_INTERVAL_MS = 600;
 
-describe('a filler that no service bears at full pace', () => {
-  it('does not wait without a bound, but starts at the pace that is borne', () => {
+describe('a filler that no service tolerates at full pace', () => {
+  it('starts at a tolerated lower pace after a limited wait', () => {
     // A tail latency of 11 ms leaves less headroom than the worst case of an unknown filler image.
     const book = new SubmissionBook();
     book.add(submissionOf('00000000000000d1', [SERVING, FILLER]), undefined, NO_ASSIGNMENTS, 0);
--- a/src/scheduler/test/fleet/fleetOrder.test.ts
+++ b/src/scheduler/test/fleet/fleetOrder.test.ts
@@ -18,7 +18,7 @@
   sortedTasks(book, nowMs)[0];
 
 describe('the order of waiting tasks', () => {
-  it('does not keep users of an interrupted task waiting behind a backlog of short work', () => {
+  it('puts an interrupted persistent task before a backlog of short tasks', () => {
     const book = new SubmissionBook();
     for (let index = 0; index < 300; index += 1) {
       book.add(submissionOf(idOf(index + 2), [STEP]), undefined, NO_ASSIGNMENTS, 0);
@@ -33,7 +33,7 @@
     expect(firstOf(book, 200)).toBe(task);
   });
 
-  it('does not leave submissions half done for new ones of the same size', () => {
+  it('puts partly done submissions before new ones of the same size', () => {
     const book = new SubmissionBook();
     const [fresh, begun] = [idOf(1), idOf(2)];
     [fresh, begun].forEach((id) =>
@@ -50,7 +50,7 @@
     expect(firstOf(book, 100)?.submission.submission.id).toBe(begun);
   });
 
-  it('does not let one large submission hold up many small ones that came with it', () => {
+  it('puts many small submissions before a large one that arrived with them', () => {
     const book = new SubmissionBook();
     const large = [{ ...STEP, taskCount: 40 }];
     book.add(submissionOf(idOf(1), large), undefined, NO_ASSIGNMENTS, 0);
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -10,9 +10,9 @@
 
 const TARGET_MS = 18;
 const LOOK_MS = 600;
-/** Users notice a tail that is over its target for so long. */
+/** Users notice a tail latency that is over its target for this long. */
 const NOTICED_MS = 4_000;
-/** How far single figures scatter around the tail that they stand for. */
+/** Relative noise of single samples around the actual tail latency. */
 const SCATTER = 0.3;
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000, acceleratorCount: 0 };
 
@@ -61,7 +61,7 @@
   };
 };
 
-/** Looks every 600 ms; `tailMs` is what each serving task really suffers. */
+/** Polls every 600 ms; `tailMs` returns the actual tail latency of each serving task. */
 const play = (
   scene: Scene,
   control: LearningInterferenceControl,
@@ -92,13 +92,13 @@
 
 const isAtWork = ({ pacePercent }: TaskRun): boolean => pacePercent > 0;
 
-describe('fillers beside tasks that serve', () => {
+describe('fillers beside serving tasks', () => {
   it.each([1, 2, 3, 4, 5, 6, 7, 8, 9, 10])(
-    'stand still before users notice one task a fifth over its target (seed %i)',
+    'are suspended before users notice that one task is a fifth over its target (seed %i)',
     (seed) => {
-      // One of six tasks of an image suffers, a fifth over its target, and its figures scatter so
-      // that one in four says that all is well. The mean over its like shows nothing. Its users
-      // notice after four seconds, and by then nothing may work beside it.
+      // The tail of one of six tasks of an image is a fifth over its target, and noise puts one in
+      // four of its samples below the target. The mean over the six tasks doesn't show it. Users
+      // notice after four seconds, so all fillers must be suspended by then.
       const scene = sceneOf(6, ['a', 'b', 'c']);
       const control = new LearningInterferenceControl();
       const random = new SeededRandom(seed);
@@ -121,15 +121,15 @@
     expect(control.admit(scene.view, filler.task, 4_200)).toBeUndefined();
   });
 
-  it('go on at full pace where the tails are well', () => {
+  it('keep full pace while the tail latencies are well below their targets', () => {
     const scene = sceneOf(4, ['a', 'b', 'c']);
     play(scene, new LearningInterferenceControl(), new SeededRandom(3), 0, 30_000, () => 8);
     expect(scene.fillers.every(({ pacePercent }) => pacePercent === 100)).toBe(true);
   });
 
-  it('slow down only if they are antagonists; benign ones keep their pace', () => {
-    // Two images work beside a service. Whenever the one works, tails rise from 8 to 20 ms; the
-    // other has run alone for long without slowing it. Only the first is slowed.
+  it('are slowed only if they are antagonists', () => {
+    // Fillers of two images run beside a service. The first raises the tails from 8 to 20 ms; the
+    // second has run beside it for a while without slowing it. Only the first one is slowed.
     const scene = sceneOf(4, ['antagonist', 'benign']);
     const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
@@ -142,9 +142,9 @@
     expect(benign.pacePercent).toBe(100);
   });
 
-  it('come back to full pace once a strain that they did not cause is over', () => {
-    // A burst of the service's own load strains it for two seconds. The filler stands still
-    // meanwhile and then returns to full pace, having long run there without interference.
+  it('return to full pace after an overload that they did not cause', () => {
+    // A burst of the service's own load overloads it for two seconds. The filler is slowed in the
+    // meantime, and then returns to full pace because it has run there without interference.
     const scene = sceneOf(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
@@ -155,7 +155,7 @@
     expect(scene.fillers[0]?.pacePercent).toBe(100);
   });
 
-  it('go back into the queue where they can only be held', () => {
+  it('go back into the queue if they stay throttled', () => {
     const scene = sceneOf(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
@@ -164,10 +164,10 @@
   });
 });
 
-describe('a successor', () => {
-  it('knows the interference that its predecessor has learnt', () => {
-    // The owner has learnt that one image slows a service and another does not. It dies, and its
-    // successor must not start the antagonist beside the service only to learn it once more.
+describe('a new owner', () => {
+  it('uses the interference estimates of the previous owner', () => {
+    // The previous owner has learnt that one image slows a service and another does not. After the
+    // takeover, the new owner must not start the antagonist beside the service to learn it again.
     const scene = sceneOf(4, ['antagonist', 'benign']);
     const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
@@ -179,7 +179,7 @@
       antagonist.pacePercent = 100;
       play(scene, control, random, 6_600 + round * 600, 6_600 + round * 600, () => 40);
     }
-    // Held still or moved, it leaves the other alone with the service, which is well again.
+    // Without the antagonist, only the benign filler runs beside the service, which recovers.
     scene.view.removeRun(antagonist);
     play(scene, control, random, 9_000, 15_000, () => 8);
     const successor = new LearningInterferenceControl();
@@ -196,10 +196,10 @@
   });
 });
 
-describe('what is learnt of many images', () => {
-  it('fits into one row of the table, the pairs seen last', () => {
-    // Callers name a new image with each submission. What the owner hands to its successor grows
-    // with them, until the row is larger than the table takes, and no progress is stored any more.
+describe('the stored estimates of many images', () => {
+  it('fit into one row of the table and hold the most recently seen pairs', () => {
+    // If callers use a new image for each submission, the estimates stored for the next owner could
+    // grow until the table rejects the row, and no progress could be stored any more.
     const ROW_BYTES = 65_536;
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(3);
@@ -215,11 +215,14 @@
   });
 });
 
-describe('services whose load swings', () => {
-  /** Waiting times: the tail without load, and what batch work adds to the work of a request. */
+describe('services with a periodic load', () => {
+  /**
+   * The tail latency without load. `tailOf` models waiting times, and `pressure` is the work that
+   * batch work adds to each request, as a fraction.
+   */
   const UNLOADED_TAIL_MS = 4;
   const SWING_MS = 10_000;
-  /** Figures of services that nothing disturbs scatter so little. */
+  /** Relative noise of samples of services that are not disturbed. */
   const MEAN_SCATTER = 0.1;
   const loadAt = (nowMs: number): number =>
     0.42 * (1 + 0.5 * Math.sin((nowMs / SWING_MS) * 2 * Math.PI));
@@ -230,12 +233,12 @@
   };
 
   it.each([1, 2, 3, 4, 5, 6, 7, 8])(
-    'suffer from no batch work at their crests (seed %i)',
+    'are not slowed by batch work at their peak load (seed %i)',
     (seed) => {
-      // A load swings within ten seconds. One image slows the service only at the crest: in the
-      // trough the tail stays well below the target with it. The owner must neither let it run into
-      // the crest, where users would see tails of several times the target, nor stop the other
-      // image, which is benign.
+      // The load has a period of ten seconds. One image slows the service only at peak load; at low
+      // load the tail stays well below the target beside it. The owner must not let it run into the
+      // peak, where the tail would be several times the target, and must not stop the other image,
+      // which is benign.
       const scene = sceneOf(4, ['antagonist', 'benign']);
       const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
       const control = new LearningInterferenceControl();
@@ -251,7 +254,7 @@
         if (nowMs > SWING_MS && tailMs > TARGET_MS) overMs += LOOK_MS;
         if (nowMs > SWING_MS) workedMs += (LOOK_MS * antagonist.pacePercent) / 100;
         play(scene, control, random, nowMs, nowMs, () => tailMs, MEAN_SCATTER);
-        // What is moved away comes back in the next trough, as the queue would have it.
+        // A moved filler returns at the next low load, as it would from the queue.
         const isAway = !scene.view.runs.has(`${antagonist.task.name}#1`);
         if (isAway && control.admit(scene.view, antagonist.task, nowMs)?.percent === 100) {
           antagonist.pacePercent = 100;
--- a/src/scheduler/test/fleet/largeSubmissions.test.ts
+++ b/src/scheduler/test/fleet/largeSubmissions.test.ts
@@ -10,20 +10,20 @@
 const WORKERS = 20;
 const SECONDS = 30;
 const TASK_MS = 500;
-/** Twice as much work as the workers carry. */
+/** Twice as much work as the workers can do. */
 const SUBMISSIONS_PER_S = 16;
 const STEP_COUNT = 2;
 const MEAN_TASKS = 10;
 const SIZE_SIGMA = 0.6;
 const MOST_TASKS = 40;
 const POLL_MS = 100;
-/** An answer after this many times the objective is of no use. */
+/** A result that takes longer than this many times the objective is worthless. */
 const LATE_FACTOR = 3;
 
 const [QUEUE] = CONFIGURATION.queues as [(typeof CONFIGURATION.queues)[number]];
 const OBJECTIVE_MS = QUEUE.objectiveStretch * STEP_COUNT * TASK_MS + QUEUE.objectiveMs;
 
-/** The tasks of each step. */
+/** Draws the number of tasks of each step. */
 const taskCountFrom = (random: SeededRandom): number => {
   const normal =
     Math.sqrt(-2 * Math.log(1 - random.nextFraction())) *
@@ -44,7 +44,7 @@
 const sizeOf = ({ steps }: Submission): number =>
   steps.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
-describe.each(SEEDS)('a backlog that lasts, seed %i,', (seed) => {
+describe.each(SEEDS)('a long backlog (seed %i)', (seed) => {
   const sentAtMs = new Map<Submission, number>();
   const served = new Set<Submission>();
 
@@ -70,7 +70,7 @@
     }
   };
 
-  /** The share served of the submissions between two ranks by size, the largest first. */
+  /** The served share of the submissions between two ranks by size, largest first. */
   const shareServed = (fromRank: number, toRank: number): number => {
     const bySize = [...sentAtMs.keys()].sort((one, other) => sizeOf(other) - sizeOf(one));
     const those = bySize.slice(bySize.length * fromRank, bySize.length * toRank);
@@ -88,7 +88,7 @@
     expect(shareServed(0.1, 0.3)).toBeGreaterThanOrEqual(0.5 * shareServed(0, 1));
   });
 
-  it('is worked off at the pace of the workers', () => {
+  it('is processed near the capacity of the workers', () => {
     const doneTasks = [...served].reduce((sum, submission) => sum + sizeOf(submission), 0);
     const carriedTasks = (WORKERS * 4 * SECONDS * 1_000) / TASK_MS;
     expect(doneTasks).toBeGreaterThanOrEqual(0.7 * carriedTasks);
--- a/src/scheduler/test/fleet/loadDynamics.test.ts
+++ b/src/scheduler/test/fleet/loadDynamics.test.ts
@@ -49,14 +49,14 @@
   (load: number, nowMs: number): number =>
     MEAN + AMPLITUDE * Math.sin((2 * Math.PI * nowMs) / periodMs + load);
 
-describe('loads that swing with one period', () => {
+describe('loads with a common period', () => {
   it.each([
     [7_000, 1],
     [10_000, 2],
     [14_000, 3],
     [14_000, 4],
     [22_000, 5],
-  ])('are forecast before they peak (period %i ms, seed %i)', (periodMs, seed) => {
+  ])('are forecast a quarter of a period ahead (period %i ms, seed %i)', (periodMs, seed) => {
     const dynamics = new LoadDynamics();
     const levelOf = sineOf(periodMs);
     const untilMs = 3 * periodMs;
--- a/src/scheduler/test/fleet/moveOrder.test.ts
+++ b/src/scheduler/test/fleet/moveOrder.test.ts
@@ -8,9 +8,9 @@
 const MOVED_ID = '00000000000000c2';
 const BATCH_ID = '00000000000000c3';
 const LASTING_STEP = { ...STEP, isPersistent: true };
-/** The users' bound on how long a task that lasts may be away while there is capacity for it. */
+/** The users' bound on how long a persistent task may be unavailable while there is capacity. */
 const LONGEST_AWAY_MS = 9_000;
-/** Far longer than anything here takes. */
+/** Much longer than any step of these tests takes. */
 const STAY_MS = 30_000;
 
 const isLasting = (taskName: string): boolean =>
@@ -28,7 +28,10 @@
   return world;
 };
 
-/** For how long a task is away whose worker is gone, while another worker drains and room is short. */
+/**
+ * Measures how long a task is unavailable whose worker is gone, while another worker drains and
+ * room is short.
+ */
 const awayBesideMovesMs = async (): Promise<number> => {
   const world = await worldWith('worker-0');
   world.capacities.set('worker-0', { ...WORKER_CAPACITY, processorMillis: 1_000 });
@@ -41,26 +44,26 @@
   await world.runFor(500);
   ['worker-2', 'worker-3'].forEach((id) => world.addWorker(id));
   await world.runFor(1_500);
-  // Fills both workers and ends one task after the other.
+  // The batch tasks fill both workers and end one after the other.
   world.submit(submissionOf(BATCH_ID, [{ ...STEP, taskCount: 8, estimateMs: 8_000 }]));
   await world.runFor(200);
   world.removeWorker('worker-0');
   world.drainWorker('worker-1', STAY_MS, 0);
   const sinceMs = world.nowMs;
   while (world.runsOf(`${LOST_ID}.0.0.0`).length === 0 && world.nowMs - sinceMs < STAY_MS) {
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
     await world.runFor(10);
   }
   expect(world.judge.broken).toEqual([]);
   return world.nowMs - sinceMs;
 };
 
-describe('moves off workers that drain', () => {
-  it('do not take the room that comes free from a task that is away', async () => {
+describe('moves off draining workers', () => {
+  it('leave the room that becomes free to an interrupted task', async () => {
     expect(await awayBesideMovesMs()).toBeLessThan(LONGEST_AWAY_MS);
   });
 
-  it('do not stop a task for a place that another one of its step is given meanwhile', async () => {
+  it('do not stop a task for room that another task of its step gets first', async () => {
     const world = await worldWith('worker-0');
     await world.runFor(1_500);
     const step = { ...LASTING_STEP, taskCount: 2, maximumPerWorker: 1 };
--- a/src/scheduler/test/fleet/roomMisses.test.ts
+++ b/src/scheduler/test/fleet/roomMisses.test.ts
@@ -25,7 +25,7 @@
   );
 
 describe('a step that has found no room', () => {
-  it('does not ask hundreds of unchanged workers in each round, and misses no change', () => {
+  it('checks only changed workers in each round, and all workers in each full search', () => {
     const book = new SubmissionBook();
     book.add(submissionOf(ID, [STEP]), undefined, NO_ASSIGNMENTS, 0);
     const task = book.find(`${ID}.0.0.0`) as TaskRecord;
--- a/src/scheduler/test/fleet/sizeBalance.test.ts
+++ b/src/scheduler/test/fleet/sizeBalance.test.ts
@@ -2,7 +2,7 @@
 
 import { SizeBalance, SizeClass } from '../../common/fleet/sizeBalance.js';
 
-/** A hundred submissions of different sizes, of which those below a size have been served. */
+/** A balance of a hundred submissions of different sizes; those below a size have been served. */
 const balanceOf = (servedBelow: number): SizeBalance => {
   const balance = new SizeBalance();
   for (let index = 0; index < 100; index += 1) {
@@ -17,27 +17,27 @@
 const reservationsOf = (balance: SizeBalance, sizeClass: SizeClass): number =>
   Array.from({ length: 100 }, () => balance.reserve(sizeClass)).filter(Boolean).length;
 
-describe('the balance of sizes', () => {
-  it('ranks a submission among recent ones of its queue', () => {
+describe('the size balance', () => {
+  it('classifies a submission by the recent sizes of its queue', () => {
     const balance = balanceOf(0);
     expect(balance.classify(95)).toBe(SizeClass.Largest);
     expect(balance.classify(80)).toBe(SizeClass.NextLargest);
     expect(balance.classify(50)).toBe(SizeClass.Other);
   });
 
-  it('reserves nothing while large submissions are served like others', () => {
+  it('makes no reservation while large submissions are served like others', () => {
     const balance = balanceOf(100);
     expect(balance.reserve(SizeClass.Largest)).toBe(false);
     expect(balance.reserve(SizeClass.NextLargest)).toBe(false);
   });
 
-  it('reserves no more than it takes while large submissions are starved', () => {
+  it('makes a limited number of reservations while large submissions are starved', () => {
     const count = reservationsOf(balanceOf(70), SizeClass.Largest);
     expect(count).toBeGreaterThan(0);
     expect(count).toBeLessThan(10);
   });
 
-  it('reserves again for what could not be served in time', () => {
+  it('makes a new reservation after one is released', () => {
     const balance = balanceOf(70);
     reservationsOf(balance, SizeClass.Largest);
     expect(balance.reserve(SizeClass.Largest)).toBe(false);
@@ -45,7 +45,7 @@
     expect(balance.reserve(SizeClass.Largest)).toBe(true);
   });
 
-  it('never reserves for small submissions', () => {
+  it('never makes a reservation for a small submission', () => {
     expect(balanceOf(0).reserve(SizeClass.Other)).toBe(false);
   });
 });
--- a/src/scheduler/test/fleet/workerSearch.test.ts
+++ b/src/scheduler/test/fleet/workerSearch.test.ts
@@ -30,7 +30,7 @@
   return new WorkerSearch(views, context, 0);
 };
 
-/** Gives each task the worker that is found for it; returns the workers' ids. */
+/** Places each task on the worker found for it and returns the ids of the workers. */
 const placeAll = (
   search: WorkerSearch,
   tasks: readonly TaskRecord[],
@@ -47,15 +47,15 @@
     return new FleetWorkerView(entry, 0, 0);
   });
 
-describe('the search for a step of dozens of tasks on hundreds of workers', () => {
-  it('rates each worker once, and again when it has taken a task', () => {
+describe('the worker search for the tasks of one step', () => {
+  it('rates each of hundreds of workers once, and again after it has taken a task', () => {
     const search = newSearch(viewsOf(WORKERS));
     const chosen = placeAll(search, tasksOf({ ...STEP, taskCount: TASKS }));
     expect(chosen).not.toContain(undefined);
     expect(search.ratingCount).toBeLessThanOrEqual(WORKERS + TASKS);
   });
 
-  it('gives a worker no more than its room', () => {
+  it('places no more tasks on a worker than it has room for', () => {
     const [view] = viewsOf(1);
     const search = newSearch([view as FleetWorkerView]);
     const size = { ...WORKER_CAPACITY, processorMillis: WORKER_CAPACITY.processorMillis / 2 };
@@ -64,7 +64,7 @@
     expect(chosen).toEqual(['worker-0', 'worker-0', undefined]);
   });
 
-  it('takes workers near the data first, and others when those are full', () => {
+  it('prefers workers on the rack of the data, and uses others when those are full', () => {
     const search = newSearch(viewsOf(2, 2));
     const size = { ...STEP.size, processorMillis: WORKER_CAPACITY.processorMillis };
     const chosen = placeAll(search, tasksOf({ ...STEP, taskCount: 2, size, dataRack: 'rack-1' }));
