--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -9,9 +9,9 @@
 import { type PlacementChoice, WorkerSearch } from './workerSearch.js';
 
 /** Covers a scheduler step, a call with its response, and a few searches for room. */
-const STOP_SLACK_MS = 400;
+const STOP_MARGIN_MS = 400;
 /** A worker is likely to stay this much longer than it announced. */
-const LIKELY_LINGER_MS = 1_000;
+const LIKELY_OVERSTAY_MS = 1_000;
 
 const isLeaving = (view: FleetWorkerView): boolean =>
   view.isListed && view.entry.isDraining && view.isHeard && !view.isSilent;
@@ -35,16 +35,16 @@
   if (step.isPersistent) return true;
   const { staysUntilMs, lastAnswerAtMs } = view;
   if (staysUntilMs === undefined || run.task.runs.length > 1) return false;
-  const leftMs = Math.max(0, staysUntilMs - nowMs);
-  if (leftMs > workerStopMs + STOP_SLACK_MS) return false;
-  const workMs = likelyRemainingMs(run, lastAnswerAtMs, nowMs);
+  const remainingStayMs = Math.max(0, staysUntilMs - nowMs);
+  if (remainingStayMs > workerStopMs + STOP_MARGIN_MS) return false;
+  const remainingWorkMs = likelyRemainingMs(run, lastAnswerAtMs, nowMs);
   return step.savesProgress
-    ? workMs > Math.max(leftMs, workerStopMs)
-    : workMs > leftMs + LIKELY_LINGER_MS;
+    ? remainingWorkMs > Math.max(remainingStayMs, workerStopMs)
+    : remainingWorkMs > remainingStayMs + LIKELY_OVERSTAY_MS;
 };
 
 /** Whether the task must start on another worker once its only run has stopped. */
-const startsAgain = ({ submission, isDone, runs }: TaskRecord): boolean =>
+const mustRestart = ({ submission, isDone, runs }: TaskRecord): boolean =>
   isOpen(submission) && !isDone && runs.length === 1;
 
 /** Whether the run should be moved or is already being moved. */
@@ -56,7 +56,7 @@
 ): boolean => {
   // All tasks of a gang would have to move together.
   if (run.task.step.isGang) return false;
-  if (run.state === RunState.Stopping) return startsAgain(run.task);
+  if (run.state === RunState.Stopping) return mustRestart(run.task);
   return run.state === RunState.Running && isMoveDue(run, view, timing, nowMs);
 };
 
@@ -64,7 +64,7 @@
  * A worker takes one reservation for a filler at a time: reservations don't count the processors of
  * fillers, so the room left for a second one is unknown.
  */
-const keepsNoFiller = ({ keptTasks }: FleetWorkerView): boolean =>
+const hasNoFillerReservation = ({ keptTasks }: FleetWorkerView): boolean =>
   ![...keptTasks].some(({ step }) => step.isFiller);
 
 const findRoom = (
@@ -74,36 +74,36 @@
   nowMs: number,
 ): PlacementChoice | undefined => {
   const { views, context } = usable.poolOf(task, configuration);
-  const allowed = task.step.isFiller ? views.filter(keepsNoFiller) : views;
+  const allowed = task.step.isFiller ? views.filter(hasNoFillerReservation) : views;
   return new WorkerSearch(allowed, context, nowMs).next(task);
 };
 
-const isAtWork = ({ state }: TaskRun): boolean => state === RunState.Running;
+const isRunning = ({ state }: TaskRun): boolean => state === RunState.Running;
 
 export class DrainMoves {
   /** Workers with room reserved for the tasks of runs that are being stopped. */
-  readonly #kept = new Map<TaskRun, FleetWorkerView>();
+  readonly #reservations = new Map<TaskRun, FleetWorkerView>();
 
   clear(): void {
-    this.#kept.clear();
+    this.#reservations.clear();
   }
 
   /** Assigns tasks whose runs have ended to the room reserved for them. */
   placeMoved(input: RoundInput, nowMs: number): void {
     const { configuration } = input.operator;
-    if (configuration === undefined || this.#kept.size === 0) return;
+    if (configuration === undefined || this.#reservations.size === 0) return;
     const usable = new UsableWorkers(input, nowMs);
-    [...this.#kept].forEach(([run, target]) => {
+    [...this.#reservations].forEach(([run, target]) => {
       const view = input.views.get(run.workerId);
-      const isUnderWay = view?.hasRun(run) === true;
+      const hasRun = view?.hasRun(run) === true;
       const isTargetUsable =
         input.views.get(target.id) === target && isUsable(target, input, nowMs);
       // An unreachable worker may continue its run until its leases expire.
-      const isWanted = isTargetUsable && startsAgain(run.task);
-      if (isUnderWay && isWanted && isLeaving(view)) return;
-      this.#giveBack(run, target);
+      const isStillNeeded = isTargetUsable && mustRestart(run.task);
+      if (hasRun && isStillNeeded && isLeaving(view)) return;
+      this.#release(run, target);
       const isDue = input.book.waiting.has(run.task) && run.task.notBeforeMs <= nowMs;
-      if (isUnderWay || !isTargetUsable || !isDue) return;
+      if (hasRun || !isTargetUsable || !isDue) return;
       const { context } = usable.poolOf(run.task, configuration);
       const choice = new WorkerSearch([target], context, nowMs).next(run.task);
       if (choice === undefined) return;
@@ -125,45 +125,49 @@
     return this.#next(input, ({ task }) => !task.step.isPersistent, nowMs);
   }
 
-  #next(input: RoundInput, isWanted: (run: TaskRun) => boolean, nowMs: number): readonly TaskRun[] {
+  #next(
+    input: RoundInput,
+    isSelected: (run: TaskRun) => boolean,
+    nowMs: number,
+  ): readonly TaskRun[] {
     const { configuration } = input.operator;
     const runs = [...input.views.values()]
       .filter(isLeaving)
       .flatMap((view) =>
         [...view.runs.values()]
-          .filter((run) => !this.#kept.has(run) && isWanted(run))
+          .filter((run) => !this.#reservations.has(run) && isSelected(run))
           .filter((run) => isMovable(run, view, input.timing, nowMs)),
       );
     if (configuration === undefined || runs.length === 0) return [];
-    return this.#keepRoom(runs, input, configuration, nowMs).filter(isAtWork);
+    return this.#reserveRoom(runs, input, configuration, nowMs).filter(isRunning);
   }
 
   /** Reserves room, first for runs that already stop; returns the runs that got room. */
-  #keepRoom(
+  #reserveRoom(
     runs: readonly TaskRun[],
     input: RoundInput,
     configuration: FleetConfiguration,
     nowMs: number,
   ): readonly TaskRun[] {
     const usable = new UsableWorkers(input, nowMs);
-    const missed = new Set<string>();
-    return [...runs.filter((run) => !isAtWork(run)), ...runs.filter(isAtWork)].filter((run) => {
+    const stepsWithoutRoom = new Set<string>();
+    return [...runs.filter((run) => !isRunning(run)), ...runs.filter(isRunning)].filter((run) => {
       const name = stepName(run.task);
-      if (missed.has(name)) return false;
+      if (stepsWithoutRoom.has(name)) return false;
       const choice = findRoom(run.task, usable, configuration, nowMs);
-      if (choice === undefined) missed.add(name);
-      else this.#keep(run, choice.view);
+      if (choice === undefined) stepsWithoutRoom.add(name);
+      else this.#reserve(run, choice.view);
       return choice !== undefined;
     });
   }
 
-  #keep(run: TaskRun, view: FleetWorkerView): void {
-    this.#kept.set(run, view);
+  #reserve(run: TaskRun, view: FleetWorkerView): void {
+    this.#reservations.set(run, view);
     view.keepRoomFor(run.task);
   }
 
-  #giveBack(run: TaskRun, view: FleetWorkerView): void {
-    this.#kept.delete(run);
+  #release(run: TaskRun, view: FleetWorkerView): void {
+    this.#reservations.delete(run);
     view.giveRoomBack(run.task);
   }
 }
--- a/src/scheduler/common/fleet/drainNotice.ts
+++ b/src/scheduler/common/fleet/drainNotice.ts
@@ -1,7 +1,7 @@
 /** Estimates the earliest time at which a draining worker leaves, from its entry in the table. */
 import type { FleetWorkerEntry } from '../../../services/fleet/common/fleetWorker.js';
 
-type Notice = Pick<FleetWorkerEntry, 'isDraining' | 'remainingMs' | 'incarnation'>;
+type DrainEntry = Pick<FleetWorkerEntry, 'isDraining' | 'remainingMs' | 'incarnation'>;
 
 /**
  * An entry holds the time that was left when the worker wrote it, but not the time of the write.
@@ -9,9 +9,9 @@
  * interval before the first read that shows it.
  */
 export class DrainNotice {
-  #known: Notice | undefined;
+  #lastEntry: DrainEntry | undefined;
 
-  #readAtMs = Number.NEGATIVE_INFINITY;
+  #lastReadAtMs = Number.NEGATIVE_INFINITY;
 
   #staysUntilMs: number | undefined;
 
@@ -21,26 +21,26 @@
   }
 
   /** Processes an entry that was read at `readAtMs` or later. */
-  note(entry: Notice, reportIntervalMs: number, readAtMs: number): void {
+  note(entry: DrainEntry, reportIntervalMs: number, readAtMs: number): void {
     // Responses to list requests may arrive out of order.
-    if (readAtMs < this.#readAtMs) return;
+    if (readAtMs < this.#lastReadAtMs) return;
     const { isDraining, remainingMs, incarnation } = entry;
-    const isSameLife = this.#known?.incarnation === incarnation;
-    if (!isDraining || !isSameLife) this.#staysUntilMs = undefined;
-    const isNew = !isSameLife || this.#known?.remainingMs !== remainingMs;
-    if (isDraining && remainingMs !== undefined && isNew) {
+    const isSameIncarnation = this.#lastEntry?.incarnation === incarnation;
+    if (!isDraining || !isSameIncarnation) this.#staysUntilMs = undefined;
+    const isNewReport = !isSameIncarnation || this.#lastEntry?.remainingMs !== remainingMs;
+    if (isDraining && remainingMs !== undefined && isNewReport) {
       const writtenAtMs = Math.max(
         readAtMs - reportIntervalMs,
-        isSameLife ? this.#readAtMs : Number.NEGATIVE_INFINITY,
+        isSameIncarnation ? this.#lastReadAtMs : Number.NEGATIVE_INFINITY,
       );
       const staysUntilMs = writtenAtMs + remainingMs;
       this.#staysUntilMs = Math.max(this.#staysUntilMs ?? staysUntilMs, staysUntilMs);
     }
-    this.#known = {
+    this.#lastEntry = {
       isDraining,
       incarnation,
       ...(remainingMs === undefined ? {} : { remainingMs }),
     };
-    this.#readAtMs = readAtMs;
+    this.#lastReadAtMs = readAtMs;
   }
 }
--- a/src/scheduler/common/fleet/faultAvoidance.ts
+++ b/src/scheduler/common/fleet/faultAvoidance.ts
@@ -4,9 +4,9 @@
 import { failureCount, type TaskRecord } from './taskRecords.js';
 
 /** How long a retry waits for room on a healthy worker before it accepts a failing one. */
-const RETRY_PATIENCE_MS = 1_500;
+const RETRY_WAIT_MS = 1_500;
 /** How long a persistent task waits before it accepts a worker that is limited to probes. */
-const PERSISTENT_PATIENCE_MS = 1_500;
+const PERSISTENT_WAIT_MS = 1_500;
 /**
  * If more than one worker and more than this share of the workers are tripped, the cause of the
  * failures is likely not in the workers.
@@ -43,12 +43,12 @@
  * Ranks for a task's first attempt: any other worker, a failing worker on which the submission has
  * failed before, and a tripped worker that is due for a probe.
  */
-const FIRST_TRY = { Sound: 0, FailedBefore: 1, Probe: 2 } as const;
+const FIRST_ATTEMPT_RANK = { Normal: 0, FailedBefore: 1, Probe: 2 } as const;
 /**
  * Ranks for retries: a healthy worker on which the submission has not failed, a healthy worker on
  * which it has, and a failing worker.
  */
-const RETRY = { Elsewhere: 0, FailedBefore: 1, Failing: 2 } as const;
+const RETRY_RANK = { Healthy: 0, FailedBefore: 1, Failing: 2 } as const;
 
 class CircuitBreakerRanking implements FaultRanking {
   readonly #health: WorkerHealth;
@@ -60,9 +60,9 @@
   readonly #failing = new Set<FleetWorkerView>();
 
   /** Whether tripped workers are limited to probes. */
-  readonly #isLimited: boolean;
+  readonly #limitsToProbes: boolean;
 
-  readonly #hasSound: boolean;
+  readonly #hasHealthy: boolean;
 
   constructor(views: Views, health: WorkerHealth, nowMs: number) {
     this.#health = health;
@@ -71,33 +71,34 @@
       if (health.isTripped(view.id, nowMs)) this.#tripped.add(view);
       if (health.isFailing(view.id, nowMs)) this.#failing.add(view);
     });
-    const mostTripped = Math.max(1, views.length * MAXIMUM_TRIPPED_SHARE);
-    this.#isLimited = this.#tripped.size < views.length && this.#tripped.size <= mostTripped;
-    this.#hasSound = views.some((view) => !this.#failing.has(view));
+    const maximumTripped = Math.max(1, views.length * MAXIMUM_TRIPPED_SHARE);
+    this.#limitsToProbes =
+      this.#tripped.size < views.length && this.#tripped.size <= maximumTripped;
+    this.#hasHealthy = views.some((view) => !this.#failing.has(view));
   }
 
   rankOf(task: TaskRecord, view: FleetWorkerView): number | undefined {
-    const isProbedOnly = this.#isLimited && this.#tripped.has(view);
+    const isProbeOnly = this.#limitsToProbes && this.#tripped.has(view);
     if (isRetry(task) || task.step.isGang) {
-      return isProbedOnly ? undefined : this.#retryRank(task, view);
+      return isProbeOnly ? undefined : this.#retryRank(task, view);
     }
-    if (isProbedOnly) return this.#mayProbe(task, view) ? FIRST_TRY.Probe : undefined;
+    if (isProbeOnly) return this.#mayProbe(task, view) ? FIRST_ATTEMPT_RANK.Probe : undefined;
     return this.#failing.has(view) && this.#hasFailedOn(task, view)
-      ? FIRST_TRY.FailedBefore
-      : FIRST_TRY.Sound;
+      ? FIRST_ATTEMPT_RANK.FailedBefore
+      : FIRST_ATTEMPT_RANK.Normal;
   }
 
   #retryRank(task: TaskRecord, view: FleetWorkerView): number | undefined {
     if (!this.#failing.has(view)) {
-      return this.#hasFailedOn(task, view) ? RETRY.FailedBefore : RETRY.Elsewhere;
+      return this.#hasFailedOn(task, view) ? RETRY_RANK.FailedBefore : RETRY_RANK.Healthy;
     }
     const waitedMs = this.#nowMs - task.waitingSinceMs;
-    return !this.#hasSound || waitedMs >= RETRY_PATIENCE_MS ? RETRY.Failing : undefined;
+    return !this.#hasHealthy || waitedMs >= RETRY_WAIT_MS ? RETRY_RANK.Failing : undefined;
   }
 
   #mayProbe(task: TaskRecord, view: FleetWorkerView): boolean {
     const waitedMs = this.#nowMs - task.waitingSinceMs;
-    if (task.step.isPersistent && waitedMs >= PERSISTENT_PATIENCE_MS) return true;
+    if (task.step.isPersistent && waitedMs >= PERSISTENT_WAIT_MS) return true;
     return this.#health.isProbeDue(view.id, lastStartMs(view), this.#nowMs);
   }
 
--- a/src/scheduler/common/fleet/fleetOrder.ts
+++ b/src/scheduler/common/fleet/fleetOrder.ts
@@ -15,7 +15,7 @@
 const HELD_UP_SHARE = 0.15;
 
 /** For each step, the longest chain of work that starts with it, by the callers' estimates. */
-const chainsOf = (submission: Submission): readonly number[] => {
+const computeChainsMs = (submission: Submission): readonly number[] => {
   const chains = submission.steps.map(({ estimateMs }) => estimateMs);
   // Steps depend only on earlier steps, so a step's successors are complete when it is reached.
   for (let index = submission.steps.length - 1; index >= 0; index -= 1) {
@@ -29,30 +29,30 @@
 };
 
 /** Cached chains of waiting submissions, because every round needs them. */
-const knownChains = new WeakMap<Submission, readonly number[]>();
+const chainCache = new WeakMap<Submission, readonly number[]>();
 
-const chainsFor = (submission: Submission): readonly number[] => {
-  const known = knownChains.get(submission);
+const chainsMsOf = (submission: Submission): readonly number[] => {
+  const known = chainCache.get(submission);
   if (known !== undefined) return known;
-  const chains = chainsOf(submission);
-  knownChains.set(submission, chains);
+  const chains = computeChainsMs(submission);
+  chainCache.set(submission, chains);
   return chains;
 };
 
 /** The duration of the submission's longest chain of work, by the callers' estimates. */
 export const chainEstimateMs = (submission: Submission): number =>
-  Math.max(0, ...chainsFor(submission));
+  Math.max(0, ...chainsMsOf(submission));
 
 /** How useful the result of a task that starts now is to its caller. */
-const Use = { InTime: 0, Late: 1, None: 2 } as const;
-type Use = (typeof Use)[keyof typeof Use];
+const Usefulness = { InTime: 0, Late: 1, None: 2 } as const;
+type Usefulness = (typeof Usefulness)[keyof typeof Usefulness];
 
 /** Persistent tasks that have run before, batch tasks, and persistent tasks that are new. */
 const TaskClass = { Interrupted: 0, Batch: 1, New: 2 } as const;
 type TaskClass = (typeof TaskClass)[keyof typeof TaskClass];
 
 interface Rank {
-  readonly use: Use;
+  readonly usefulness: Usefulness;
   readonly priority: number;
   readonly taskClass: TaskClass;
   readonly isHeldUp: boolean;
@@ -69,14 +69,16 @@
   readonly rank: Rank;
 }
 
-const useOf = (task: TaskRecord, objectiveMs: number, nowMs: number): Use => {
-  if (task.step.isPersistent) return Use.InTime;
+const usefulnessOf = (task: TaskRecord, objectiveMs: number, nowMs: number): Usefulness => {
+  if (task.step.isPersistent) return Usefulness.InTime;
   const { submission, learntAtMs } = task.submission;
-  const endsAtMs = nowMs + (chainsFor(submission)[task.stepIndex] ?? 0);
-  if (endsAtMs <= learntAtMs + objectiveMs) return Use.InTime;
+  const endsAtMs = nowMs + (chainsMsOf(submission)[task.stepIndex] ?? 0);
+  if (endsAtMs <= learntAtMs + objectiveMs) return Usefulness.InTime;
   // Only the task's own estimate counts: chains are imprecise, and work near its end is not dropped.
   const ownEndMs = nowMs + task.step.estimateMs;
-  return ownEndMs <= learntAtMs + WORTHLESS_FACTOR * objectiveMs ? Use.Late : Use.None;
+  return ownEndMs <= learntAtMs + WORTHLESS_FACTOR * objectiveMs
+    ? Usefulness.Late
+    : Usefulness.None;
 };
 
 const taskClassOf = (task: TaskRecord): TaskClass => {
@@ -87,13 +89,13 @@
 const valueDensity = ({ submission, occurrence }: TaskRecord): number => {
   const { processorMs, queueWork } = submission;
   const openCounts = submission.occurrences.get(occurrence)?.openCounts ?? [];
-  let leftMs = 0;
+  let remainingMs = 0;
   submission.submission.steps.forEach((step, index) => {
-    leftMs += (openCounts[index] ?? 0) * taskProcessorMs(step);
+    remainingMs += (openCounts[index] ?? 0) * taskProcessorMs(step);
   });
   const meanMs = queueWork.processorMs / Math.max(1, queueWork.count);
   const value = FIXED_VALUE_SHARE * meanMs + (1 - FIXED_VALUE_SHARE) * processorMs;
-  return value / Math.max(1, leftMs);
+  return value / Math.max(1, remainingMs);
 };
 
 /** The waiting time from which a task counts as held up by a backlog. */
@@ -106,7 +108,7 @@
   const chainMs = chainEstimateMs(submission);
   const objectiveMs = (queue?.objectiveStretch ?? 1) * chainMs + (queue?.objectiveMs ?? 0);
   return {
-    use: useOf(task, objectiveMs, nowMs),
+    usefulness: usefulnessOf(task, objectiveMs, nowMs),
     priority: queue?.priority ?? 0,
     taskClass: taskClassOf(task),
     isHeldUp: nowMs - task.waitingSinceMs >= heldUpAfterMs(chainMs, objectiveMs),
@@ -123,28 +125,29 @@
     const { balance } = submission.queueWork;
     if (first.step.isPersistent) return one;
     if (rank.isHeldUp) countOnce(submission);
-    if (submission.isReserved && rank.use === Use.None) {
+    if (submission.isReserved && rank.usefulness === Usefulness.None) {
       submission.isReserved = false;
       balance.release(submission.sizeClass);
     } else if (!submission.isReserved) {
-      const isDue = rank.isHeldUp && rank.use === Use.InTime;
+      const isDue = rank.isHeldUp && rank.usefulness === Usefulness.InTime;
       submission.isReserved = isDue && balance.reserve(submission.sizeClass);
     }
     return { ...one, rank: { ...rank, isReserved: submission.isReserved } };
   });
 
-const byRank = (left: RankedGroup, right: RankedGroup): number => {
-  const [one, other] = [left.rank, right.rank];
+const compareRanks = (left: RankedGroup, right: RankedGroup): number => {
+  const [rank, otherRank] = [left.rank, right.rank];
   const [task, otherTask] = [left.first, right.first];
   return (
-    Number(other.taskClass === TaskClass.Interrupted) -
-      Number(one.taskClass === TaskClass.Interrupted) ||
-    Number(one.use === Use.None) - Number(other.use === Use.None) ||
-    one.priority - other.priority ||
-    one.use - other.use ||
-    one.taskClass - other.taskClass ||
-    Number(other.isReserved) - Number(one.isReserved) ||
-    other.valueDensity - one.valueDensity ||
+    Number(otherRank.taskClass === TaskClass.Interrupted) -
+      Number(rank.taskClass === TaskClass.Interrupted) ||
+    Number(rank.usefulness === Usefulness.None) -
+      Number(otherRank.usefulness === Usefulness.None) ||
+    rank.priority - otherRank.priority ||
+    rank.usefulness - otherRank.usefulness ||
+    rank.taskClass - otherRank.taskClass ||
+    Number(otherRank.isReserved) - Number(rank.isReserved) ||
+    otherRank.valueDensity - rank.valueDensity ||
     task.submission.order - otherTask.submission.order ||
     task.place - otherTask.place
   );
@@ -182,6 +185,8 @@
         ? []
         : [{ group, first, rank: toRank(first, configuration, nowMs) }];
     });
-    return [...reserveForLarge(ranked.sort(byRank))].sort(byRank).map(({ group }) => group);
+    return [...reserveForLarge(ranked.sort(compareRanks))]
+      .sort(compareRanks)
+      .map(({ group }) => group);
   }
 }
--- a/src/scheduler/common/fleet/fleetPlacement.ts
+++ b/src/scheduler/common/fleet/fleetPlacement.ts
@@ -23,7 +23,7 @@
 const FILLER_IDLE_SHARE = 0.2;
 
 /** How long a filler waits for a worker that allows full pace before it accepts a reduced pace. */
-const FULL_PACE_PATIENCE_MS = 2_500;
+const FULL_PACE_WAIT_MS = 2_500;
 /** Weight of the pace in a filler's score; it outweighs the other terms. */
 const PACE_WEIGHT = 10;
 const FULL_PERCENT = 100;
@@ -36,14 +36,14 @@
  * without serving tasks adds the first cost, and each other serving image on the worker adds the
  * second, which exceeds both together.
  */
-const OPENING_COST = 1;
-const MIXING_COST = 3;
+const FIRST_SERVING_COST = 1;
+const OTHER_IMAGE_COST = 3;
 
 /** The rating of a worker that has room for a task. Ratings compare by their fields in order. */
 export interface Rating {
   readonly faultRank: number;
   /** Whether the worker is on another rack than the data of the task's step. */
-  readonly isFar: boolean;
+  readonly isOffDataRack: boolean;
   readonly cost: number;
   /** The pace at which the task can run there. */
   readonly percent: number;
@@ -51,7 +51,7 @@
 
 export const isBetter = (one: Rating, other: Rating): boolean =>
   (one.faultRank - other.faultRank ||
-    Number(one.isFar) - Number(other.isFar) ||
+    Number(one.isOffDataRack) - Number(other.isOffDataRack) ||
     one.cost - other.cost) < 0;
 
 /** The properties of a worker's runs that placement depends on. */
@@ -64,9 +64,9 @@
 }
 
 /** Cached because each round checks every worker for each waiting task, and few workers change. */
-const knownOccupancies = new WeakMap<FleetWorkerView, Occupancy>();
+const occupancyCache = new WeakMap<FleetWorkerView, Occupancy>();
 
-const newOccupancy = (view: FleetWorkerView): Occupancy => {
+const computeOccupancy = (view: FleetWorkerView): Occupancy => {
   let usedProcessorMillis = view.fillerProcessorMillis;
   const servingImages = new Set<string>();
   view.runs.forEach(({ task }) => {
@@ -79,10 +79,10 @@
 };
 
 const occupancyOf = (view: FleetWorkerView): Occupancy => {
-  const known = knownOccupancies.get(view);
+  const known = occupancyCache.get(view);
   if (known?.changeCount === view.changeCount) return known;
-  const occupancy = newOccupancy(view);
-  knownOccupancies.set(view, occupancy);
+  const occupancy = computeOccupancy(view);
+  occupancyCache.set(view, occupancy);
   return occupancy;
 };
 
@@ -97,8 +97,8 @@
   view.runs.forEach((run) => {
     if (isSameStep(run.task, task)) count += 1;
   });
-  view.keptTasks.forEach((kept) => {
-    if (isSameStep(kept, task)) count += 1;
+  view.keptTasks.forEach((reservedTask) => {
+    if (isSameStep(reservedTask, task)) count += 1;
   });
   return count;
 };
@@ -127,7 +127,7 @@
 
 /** Whether the filler has waited long enough to start at a reduced pace. */
 export const allowsReducedPace = (task: TaskRecord, nowMs: number): boolean =>
-  nowMs - task.waitingSinceMs >= FULL_PACE_PATIENCE_MS && !hasRuns(task.submission);
+  nowMs - task.waitingSinceMs >= FULL_PACE_WAIT_MS && !hasRuns(task.submission);
 
 const hasReducedPaceStart = (view: FleetWorkerView): boolean =>
   [...view.runs.values()].some(({ plannedPercent }) => plannedPercent < FULL_PERCENT);
@@ -151,10 +151,10 @@
 export class ImageAffinityPlacement implements ServingPlacement {
   costOf(task: TaskRecord, view: FleetWorkerView): number {
     const images = occupancyOf(view).servingImages;
-    const otherCount = images.size - (images.has(task.step.image) ? 1 : 0);
-    const openingCost = images.size === 0 ? OPENING_COST : 0;
-    const left = view.free.processorMillis / Math.max(1, view.entry.capacity.processorMillis);
-    return otherCount * MIXING_COST + openingCost + left;
+    const otherImageCount = images.size - (images.has(task.step.image) ? 1 : 0);
+    const firstServingCost = images.size === 0 ? FIRST_SERVING_COST : 0;
+    const freeShare = view.free.processorMillis / Math.max(1, view.entry.capacity.processorMillis);
+    return otherImageCount * OTHER_IMAGE_COST + firstServingCost + freeShare;
   }
 }
 
@@ -165,13 +165,13 @@
   readonly faultRanking: FaultRanking;
 }
 
-type Place = Pick<Rating, 'cost' | 'percent'>;
+type FillerRating = Pick<Rating, 'cost' | 'percent'>;
 
 export const isObstacle = (one: object | PlacementObstacle): one is PlacementObstacle =>
   typeof one === 'string';
 
 /** The first resource that the worker lacks for the task. Fillers don't need free processors. */
-const missingRoom = (task: TaskRecord, free: Resources): PlacementObstacle | undefined => {
+const findMissingResource = (task: TaskRecord, free: Resources): PlacementObstacle | undefined => {
   const { isFiller, size } = task.step;
   if (!isFiller && size.processorMillis > free.processorMillis) {
     return PlacementObstacle.NoProcessors;
@@ -187,13 +187,13 @@
  * little is idle the filler waits, because it would only slow the other tasks. Its memory counts
  * like that of any other task.
  */
-const placeForFiller = (
+const rateForFiller = (
   task: TaskRecord,
   view: FleetWorkerView,
-  mayBeSlow: boolean,
+  allowsSlowStart: boolean,
   interference: InterferenceControl,
   nowMs: number,
-): Place | PlacementObstacle => {
+): FillerRating | PlacementObstacle => {
   const { processorMillis } = task.step.size;
   const capacityMillis = view.entry.capacity.processorMillis;
   const idleMillis = capacityMillis - occupancyOf(view).usedProcessorMillis;
@@ -201,7 +201,7 @@
   const admission = interference.admit(view, task, nowMs);
   if (admission === undefined) return PlacementObstacle.Interference;
   const { percent, headroom } = admission;
-  if (percent < FULL_PERCENT && !(mayBeSlow && !hasReducedPaceStart(view))) {
+  if (percent < FULL_PERCENT && !(allowsSlowStart && !hasReducedPaceStart(view))) {
     return PlacementObstacle.Interference;
   }
   const score =
@@ -211,7 +211,7 @@
   return { cost: -score, percent };
 };
 
-const costAtFullPace = (
+const nonFillerCost = (
   task: TaskRecord,
   view: FleetWorkerView,
   { policy }: RatingContext,
@@ -225,21 +225,26 @@
 export const rateWorker = (
   task: TaskRecord,
   view: FleetWorkerView,
-  mayBeSlow: boolean,
+  allowsSlowStart: boolean,
   context: RatingContext,
   nowMs: number,
 ): Rating | PlacementObstacle => {
   const { isFiller, dataRack } = task.step;
   // The room is checked first because most workers have no room for most waiting tasks.
-  const missing = missingRoom(task, view.free);
+  const missing = findMissingResource(task, view.free);
   if (missing !== undefined) return missing;
   if (!isAllowed(view, task)) return PlacementObstacle.NotAllowed;
   const faultRank = context.faultRanking.rankOf(task, view);
   if (faultRank === undefined) return PlacementObstacle.SetAside;
   if (isFiller) {
-    const place = placeForFiller(task, view, mayBeSlow, context.interference, nowMs);
-    return isObstacle(place) ? place : { faultRank, isFar: false, ...place };
+    const rating = rateForFiller(task, view, allowsSlowStart, context.interference, nowMs);
+    return isObstacle(rating) ? rating : { faultRank, isOffDataRack: false, ...rating };
   }
-  const isFar = dataRack !== '' && view.entry.rack !== dataRack;
-  return { faultRank, isFar, cost: costAtFullPace(task, view, context), percent: FULL_PERCENT };
+  const isOffDataRack = dataRack !== '' && view.entry.rack !== dataRack;
+  return {
+    faultRank,
+    isOffDataRack,
+    cost: nonFillerCost(task, view, context),
+    percent: FULL_PERCENT,
+  };
 };
--- a/src/scheduler/common/fleet/headroom.ts
+++ b/src/scheduler/common/fleet/headroom.ts
@@ -11,9 +11,9 @@
 import { RunState, stepName, type TaskRecord, type TaskRun } from './taskRecords.js';
 
 /** Limits the effect of one sample: a tail far below its target carries no more information. */
-const GREATEST_HEADROOM = 10;
+const MAXIMUM_HEADROOM = 10;
 /** Weight of the newest sample in a task's own headroom; it is noisier than the group's median. */
-const OWN_WEIGHT = 0.6;
+const SAMPLE_WEIGHT = 0.6;
 /**
  * Hysteresis of a task's own smoothed headroom: the task counts as over its target from below the
  * first limit until above the second. If a tail is a fifth over its target, noise puts one in four
@@ -41,7 +41,7 @@
   task.step.size.processorMillis / Math.max(1, view.entry.capacity.processorMillis);
 
 const headroomOf = ({ recentFigure, task }: TaskRun): number =>
-  Math.min(GREATEST_HEADROOM, task.step.targetLatencyMs / recentFigure);
+  Math.min(MAXIMUM_HEADROOM, task.step.targetLatencyMs / recentFigure);
 
 /**
  * The newest samples of the tasks of one step on one worker. These tasks share their users and
@@ -80,9 +80,9 @@
 };
 
 /** Updates a task's own smoothed headroom with its newest sample. */
-export const noteOwnHeadroom = (run: TaskRun, nowMs: number): void => {
+export const updateOwnHeadroom = (run: TaskRun, nowMs: number): void => {
   if (run.recentFigure <= 0) return;
-  run.headroom += (headroomOf(run) - run.headroom) * OWN_WEIGHT;
+  run.headroom += (headroomOf(run) - run.headroom) * SAMPLE_WEIGHT;
   if (run.headroom < OVER_HEADROOM) run.overSinceMs ??= nowMs;
   if (run.headroom > RELIEVED_HEADROOM) run.overSinceMs = undefined;
 };
--- a/src/scheduler/common/fleet/imagePairs.ts
+++ b/src/scheduler/common/fleet/imagePairs.ts
@@ -8,20 +8,20 @@
  */
 const UNKNOWN_LOSS = 3;
 const UNKNOWN_VARIANCE = 36;
-const GREATEST_LOSS = 25;
+const MAXIMUM_LOSS = 25;
 /** Variance added to a pair per second, because the loss changes over time. */
 const PAIR_VARIANCE_PER_S = 0.05;
 /** Below this standard deviation, placement relies on the estimate of a pair. */
-const KNOWN_DEVIATION = 3;
+const KNOWN_PAIR_DEVIATION = 3;
 const INHERITED_VARIANCE = 2;
 /**
  * Callers choose image names freely, so the number of pairs is unbounded. Only the most recently
  * seen pairs are kept. As many of them are stored for the next owner as safely fit into one row of
  * the table: the table rejects a commit with a row that is a single byte too large.
  */
-const MAXIMUM_PAIRS = 2_000;
-const MAXIMUM_LEARNT = 200;
-const LONGEST_IMAGE_NAME = 64;
+const MAXIMUM_TRACKED_PAIRS = 2_000;
+const MAXIMUM_STORED_PAIRS = 200;
+const MAXIMUM_IMAGE_NAME_LENGTH = 64;
 const MS_PER_S = 1_000;
 
 export interface PairEstimate {
@@ -43,20 +43,20 @@
 });
 
 export const isKnownPair = ({ variance }: PairEstimate): boolean =>
-  Math.sqrt(variance) < KNOWN_DEVIATION;
+  Math.sqrt(variance) < KNOWN_PAIR_DEVIATION;
 
 /** Corrects the estimate of a pair by its share of one sample's error. */
-export const correctPair = (pair: PairEstimate, change: number, varianceShare: number): void => {
-  pair.loss = Math.min(GREATEST_LOSS, Math.max(0, pair.loss + change));
+export const updatePair = (pair: PairEstimate, change: number, varianceShare: number): void => {
+  pair.loss = Math.min(MAXIMUM_LOSS, Math.max(0, pair.loss + change));
   pair.variance *= varianceShare;
 };
 
 const hasShortNames = ({ servingImage, fillerImage }: PairEstimate): boolean =>
-  Math.max(servingImage.length, fillerImage.length) <= LONGEST_IMAGE_NAME;
+  Math.max(servingImage.length, fillerImage.length) <= MAXIMUM_IMAGE_NAME_LENGTH;
 
 export class ImagePairs {
   /** The pairs, least recently seen first. */
-  readonly #bySeen = new Set<PairEstimate>();
+  readonly #byLastSeen = new Set<PairEstimate>();
 
   /** By serving image, then by filler image; each rating of a worker looks up several pairs. */
   readonly #byImages = new Map<string, Map<string, PairEstimate>>();
@@ -68,14 +68,14 @@
   inherit(pairs: LearntInterference, nowMs: number): void {
     pairs.forEach(({ servingImage, fillerImage, headroomLoss: loss }) => {
       const pair = { servingImage, fillerImage, loss, variance: INHERITED_VARIANCE };
-      this.#keep({ ...pair, seenAtMs: nowMs });
+      this.#store({ ...pair, seenAtMs: nowMs });
     });
   }
 
   /** Returns the known pairs, to be stored for the next owner. */
   learnt(): LearntInterference {
-    const known = [...this.#bySeen].filter(isKnownPair).filter(hasShortNames);
-    return known.slice(-MAXIMUM_LEARNT).map(({ servingImage, fillerImage, loss }) => ({
+    const known = [...this.#byLastSeen].filter(isKnownPair).filter(hasShortNames);
+    return known.slice(-MAXIMUM_STORED_PAIRS).map(({ servingImage, fillerImage, loss }) => ({
       servingImage,
       fillerImage,
       headroomLoss: Number(loss.toFixed(1)),
@@ -92,31 +92,31 @@
    * Returns the estimate of a pair that runs on one worker now, with the variance added since it
    * was last seen. Keeps it as the most recently seen pair.
    */
-  seen(servingImage: string, fillerImage: string, nowMs: number): PairEstimate {
+  markSeen(servingImage: string, fillerImage: string, nowMs: number): PairEstimate {
     const known = this.#byImages.get(servingImage)?.get(fillerImage);
     const pair = known ?? unknownPair(servingImage, fillerImage, nowMs);
     const seconds = Math.max(0, nowMs - pair.seenAtMs) / MS_PER_S;
     pair.variance = Math.min(UNKNOWN_VARIANCE, pair.variance + PAIR_VARIANCE_PER_S * seconds);
     pair.seenAtMs = nowMs;
-    this.#keep(pair);
-    const [oldest] = this.#bySeen;
-    if (this.#bySeen.size > MAXIMUM_PAIRS && oldest !== undefined) this.#forget(oldest);
+    this.#store(pair);
+    const [oldest] = this.#byLastSeen;
+    if (this.#byLastSeen.size > MAXIMUM_TRACKED_PAIRS && oldest !== undefined) this.#remove(oldest);
     return pair;
   }
 
   /** Stores the pair as the most recently seen one and replaces a previous estimate. */
-  #keep(pair: PairEstimate): void {
+  #store(pair: PairEstimate): void {
     const { servingImage, fillerImage } = pair;
     const byFiller = this.#byImages.get(servingImage) ?? new Map<string, PairEstimate>();
     this.#byImages.set(servingImage, byFiller);
     const known = byFiller.get(fillerImage);
-    if (known !== undefined) this.#bySeen.delete(known);
+    if (known !== undefined) this.#byLastSeen.delete(known);
     byFiller.set(fillerImage, pair);
-    this.#bySeen.add(pair);
+    this.#byLastSeen.add(pair);
   }
 
-  #forget(pair: PairEstimate): void {
-    this.#bySeen.delete(pair);
+  #remove(pair: PairEstimate): void {
+    this.#byLastSeen.delete(pair);
     const byFiller = this.#byImages.get(pair.servingImage);
     byFiller?.delete(pair.fillerImage);
     if (byFiller?.size === 0) this.#byImages.delete(pair.servingImage);
--- a/src/scheduler/common/fleet/interferenceModel.ts
+++ b/src/scheduler/common/fleet/interferenceModel.ts
@@ -4,13 +4,13 @@
 import {
   fillerRuns,
   isAnyOverTarget,
-  noteOwnHeadroom,
+  updateOwnHeadroom,
   servingGroups,
   type ServingGroup,
   servingRuns,
   sizeShare,
 } from './headroom.js';
-import { correctPair, ImagePairs, isKnownPair, type PairEstimate } from './imagePairs.js';
+import { updatePair, ImagePairs, isKnownPair, type PairEstimate } from './imagePairs.js';
 import { LoadDynamics } from './loadDynamics.js';
 import type { LoadReading } from './loadEstimate.js';
 import { ServiceLoad } from './serviceLoad.js';
@@ -21,11 +21,11 @@
 const FULL_PERCENT = 100;
 
 /** Relative deviation of the headroom loss from its mean at any moment. */
-const LOSS_SCATTER = 0.3;
+const LOSS_DEVIATION = 0.3;
 /** Relative deviation of a single sample. */
-const FIGURE_SCATTER = 0.1;
+const SAMPLE_DEVIATION = 0.1;
 /** Rounding error: samples are whole milliseconds. */
-const LEAST_VARIANCE = 0.01;
+const ROUNDING_VARIANCE = 0.01;
 /**
  * Below this headroom requests queue up, and the queue drains later. The tail latency then does not
  * show how large the overload is.
@@ -34,9 +34,9 @@
 /** Variance added to a sample while queued requests are being served. */
 const QUEUEING_VARIANCE = 4;
 /** Prior of the headroom at the highest load; the tail latency is then two thirds of the target. */
-const USUAL_LOW = 1.5;
+const DEFAULT_LOW_HEADROOM = 1.5;
 /** Weight of one load's lowest headroom in the average of its image. */
-const LOW_WEIGHT = 0.1;
+const LOW_HEADROOM_WEIGHT = 0.1;
 
 /** A batch image that runs beside a serving image, and its share of the worker's processors. */
 interface Exposure {
@@ -45,16 +45,16 @@
 }
 
 /** Forecast headroom of the serving tasks of one step on one worker, beside its batch work. */
-export interface Bearing {
+export interface HeadroomForecast {
   readonly image: string;
   /** The headroom at the highest load of the tasks. */
-  readonly atWorst: number;
+  readonly atPeakLoad: number;
   /** The lowest headroom in the next seconds. */
   readonly soon: number;
   /** The lowest headroom in the next seconds if each filler costs its worst case. */
-  readonly soonAtWorst: number;
+  readonly soonWorstCase: number;
   /** Whether a filler of an unknown image runs beside the tasks; its effect is not known yet. */
-  readonly isOnTrial: boolean;
+  readonly hasUnknownFiller: boolean;
 }
 
 /** The headroom that a filler takes at full pace. */
@@ -66,24 +66,24 @@
 }
 
 /**
- * The time range of `Bearing.soon`. It begins when a start takes effect and covers two polls and a
- * change of pace.
+ * The time range of `HeadroomForecast.soon`. It begins when a start takes effect and covers two
+ * polls and a change of pace.
  */
 const START_DELAY_MS = 300;
-const SOON_MS = 2_000;
+const NEAR_TERM_MS = 2_000;
 /** Time until a change of pace takes effect. */
 const PACE_DELAY_MS = 200;
 
 /** Forecast headroom of all serving tasks on a worker, from its newest samples. */
-export interface WorkerBearings {
+export interface WorkerForecast {
   readonly isAnyOverTarget: boolean;
-  readonly groups: readonly Bearing[];
+  readonly groups: readonly HeadroomForecast[];
 }
 
-interface CachedBearings {
+interface CachedForecast {
   readonly changeCount: number;
   readonly sampledAtMs: number;
-  readonly bearings: WorkerBearings;
+  readonly forecast: WorkerForecast;
 }
 
 const lossVarianceOf = (exposures: readonly Exposure[]): number =>
@@ -95,13 +95,13 @@
   isQueueing: boolean,
 ): LoadReading => {
   const loss = exposures.reduce((sum, { pair, share }) => sum + pair.loss * share, 0);
-  const scatter = (FIGURE_SCATTER * headroom) ** 2 / count + (LOSS_SCATTER * loss) ** 2;
-  const variance = scatter + LEAST_VARIANCE + (isQueueing ? QUEUEING_VARIANCE : 0);
+  const sampleVariance = (SAMPLE_DEVIATION * headroom) ** 2 / count + (LOSS_DEVIATION * loss) ** 2;
+  const variance = sampleVariance + ROUNDING_VARIANCE + (isQueueing ? QUEUEING_VARIANCE : 0);
   return { headroom, variance, loss, lossVariance: lossVarianceOf(exposures) };
 };
 
 /** Divides the error of a forecast between the load and the pairs by their variances. */
-const learn = (
+const distributeForecastError = (
   load: ServiceLoad,
   group: ServingGroup,
   exposures: readonly Exposure[],
@@ -111,17 +111,17 @@
   const wasQueueing = load.isQueueing;
   const reading = toReading(group, exposures, wasQueueing);
   load.isQueueing = group.headroom < QUEUEING_HEADROOM;
-  const surprise = load.surprise(reading, nowMs);
+  const innovation = load.innovation(reading, nowMs);
   // While requests queue up, the tail does not show how low the headroom really is, so a sample
   // above the forecast carries no information.
-  if (load.isQueueing && surprise.excess > 0) {
-    load.stopSwing();
+  if (load.isQueueing && innovation.excess > 0) {
+    load.resetSlope();
     return;
   }
-  const learnt = learnsPairs ? exposures : [];
-  learnt.forEach(({ pair, share }) => {
-    const gain = (share * pair.variance) / surprise.variance;
-    correctPair(pair, -gain * surprise.excess, 1 - gain * share);
+  const learntExposures = learnsPairs ? exposures : [];
+  learntExposures.forEach(({ pair, share }) => {
+    const gain = (share * pair.variance) / innovation.variance;
+    updatePair(pair, -gain * innovation.excess, 1 - gain * share);
   });
   load.correct(reading, !load.isQueueing && !wasQueueing, nowMs);
 };
@@ -147,9 +147,9 @@
   readonly #options: InterferenceOptions;
 
   /** The usual lowest headroom of loads, by image. */
-  readonly #lows = new Map<string, number>();
+  readonly #lowByImage = new Map<string, number>();
 
-  readonly #cache = new WeakMap<FleetWorkerView, CachedBearings>();
+  readonly #cache = new WeakMap<FleetWorkerView, CachedForecast>();
 
   constructor(options: InterferenceOptions) {
     this.#options = options;
@@ -169,7 +169,7 @@
   observe(view: FleetWorkerView, nowMs: number): void {
     if (nowMs - view.sampledAtMs < SAMPLE_INTERVAL_MS) return;
     view.sampledAtMs = nowMs;
-    servingRuns(view).forEach((run) => noteOwnHeadroom(run, nowMs));
+    servingRuns(view).forEach((run) => updateOwnHeadroom(run, nowMs));
     const groups = servingGroups(view);
     const names = new Set(groups.map(({ name }) => name));
     [...view.loads.keys()]
@@ -181,29 +181,32 @@
   }
 
   /** Forecasts the headroom of each group of serving tasks beside the batch work on the worker. */
-  bearings(view: FleetWorkerView, nowMs: number): WorkerBearings {
+  forecast(view: FleetWorkerView, nowMs: number): WorkerForecast {
     const { changeCount, sampledAtMs } = view;
     const known = this.#cache.get(view);
     if (known?.changeCount === changeCount && known.sampledAtMs === sampledAtMs) {
-      return known.bearings;
+      return known.forecast;
     }
     const fillers = [...view.runs.values()].filter(({ task }) => task.step.isFiller);
     const groups = [...view.loads.values()].map((load) =>
-      this.#bearing(view, load, fillers, nowMs),
+      this.#forecastGroup(view, load, fillers, nowMs),
     );
-    const bearings = { isAnyOverTarget: isAnyOverTarget(view), groups };
-    this.#cache.set(view, { changeCount, sampledAtMs, bearings });
-    return bearings;
+    const forecast = { isAnyOverTarget: isAnyOverTarget(view), groups };
+    this.#cache.set(view, { changeCount, sampledAtMs, forecast });
+    return forecast;
   }
 
   /** The lowest headroom of a load within `aheadMs`, with batch work at its current pace. */
-  expected(view: FleetWorkerView, load: ServiceLoad, aheadMs: number, nowMs: number): number {
-    const loss = fillerRuns(view).reduce((sum, run) => sum + this.lossOf(load.image, run, view), 0);
+  lowestHeadroom(view: FleetWorkerView, load: ServiceLoad, aheadMs: number, nowMs: number): number {
+    const loss = fillerRuns(view).reduce(
+      (sum, run) => sum + this.lossAtCurrentPace(load.image, run, view),
+      0,
+    );
     return load.lowestWithin(PACE_DELAY_MS, aheadMs, nowMs) - loss;
   }
 
   /** Estimates the headroom that a filler at full pace takes from the tasks of a serving image. */
-  exposure(servingImage: string, filler: TaskRecord, view: FleetWorkerView): FillerLoss {
+  fillerLoss(servingImage: string, filler: TaskRecord, view: FleetWorkerView): FillerLoss {
     const pair = this.#pairs.estimate(servingImage, filler.step.image);
     const share = sizeShare(view, filler);
     const loss = pair.loss * share;
@@ -212,45 +215,49 @@
   }
 
   /** The headroom that a filler takes at full pace. */
-  loss(servingImage: string, filler: TaskRecord, view: FleetWorkerView): number {
+  lossAtFullPace(servingImage: string, filler: TaskRecord, view: FleetWorkerView): number {
     return this.#pairs.estimate(servingImage, filler.step.image).loss * sizeShare(view, filler);
   }
 
   /** The headroom that a filler takes at its current pace. */
-  lossOf(servingImage: string, { task, pacePercent }: TaskRun, view: FleetWorkerView): number {
-    return (this.loss(servingImage, task, view) * pacePercent) / FULL_PERCENT;
+  lossAtCurrentPace(
+    servingImage: string,
+    { task, pacePercent }: TaskRun,
+    view: FleetWorkerView,
+  ): number {
+    return (this.lossAtFullPace(servingImage, task, view) * pacePercent) / FULL_PERCENT;
   }
 
-  #bearing(
+  #forecastGroup(
     view: FleetWorkerView,
     load: ServiceLoad,
     fillers: readonly TaskRun[],
     nowMs: number,
-  ): Bearing {
+  ): HeadroomForecast {
     const { image } = load;
     let loss = 0;
     let worstCaseLoss = 0;
-    let isOnTrial = false;
+    let hasUnknownFiller = false;
     fillers.forEach(({ task, plannedPercent }) => {
       const part = plannedPercent / FULL_PERCENT;
-      const exposure = this.exposure(image, task, view);
-      loss += part * exposure.loss;
-      worstCaseLoss += part * exposure.worstLoss;
-      isOnTrial ||= !exposure.isKnown;
+      const fillerLoss = this.fillerLoss(image, task, view);
+      loss += part * fillerLoss.loss;
+      worstCaseLoss += part * fillerLoss.worstLoss;
+      hasUnknownFiller ||= !fillerLoss.isKnown;
     });
-    const soon = load.lowestWithin(START_DELAY_MS, SOON_MS, nowMs);
+    const soon = load.lowestWithin(START_DELAY_MS, NEAR_TERM_MS, nowMs);
     return {
       image,
-      atWorst: this.#lowOf(load, nowMs) - loss,
+      atPeakLoad: this.#lowHeadroomOf(load, nowMs) - loss,
       soon: soon - loss,
-      soonAtWorst: soon - worstCaseLoss,
-      isOnTrial,
+      soonWorstCase: soon - worstCaseLoss,
+      hasUnknownFiller,
     };
   }
 
-  #lowOf(load: ServiceLoad, nowMs: number): number {
-    const usual = this.#lows.get(load.image) ?? USUAL_LOW;
-    return load.isWatched(nowMs) ? load.low : Math.min(usual, load.low);
+  #lowHeadroomOf(load: ServiceLoad, nowMs: number): number {
+    const usual = this.#lowByImage.get(load.image) ?? DEFAULT_LOW_HEADROOM;
+    return load.hasReliableLow(nowMs) ? load.low : Math.min(usual, load.low);
   }
 
   #observeGroup(view: FleetWorkerView, group: ServingGroup, nowMs: number): void {
@@ -259,10 +266,10 @@
     const load = known ?? this.#newLoad(group, exposures, nowMs);
     view.loads.set(group.name, load);
     load.advance(nowMs);
-    learn(load, group, exposures, this.#options.learnsPairs, nowMs);
-    if (load.isWatched(nowMs)) {
-      const usual = this.#lows.get(load.image) ?? USUAL_LOW;
-      this.#lows.set(load.image, usual + (load.low - usual) * LOW_WEIGHT);
+    distributeForecastError(load, group, exposures, this.#options.learnsPairs, nowMs);
+    if (load.hasReliableLow(nowMs)) {
+      const usual = this.#lowByImage.get(load.image) ?? DEFAULT_LOW_HEADROOM;
+      this.#lowByImage.set(load.image, usual + (load.low - usual) * LOW_HEADROOM_WEIGHT);
     }
   }
 
@@ -280,6 +287,6 @@
     });
     return [...shares]
       .filter(([, share]) => share > 0)
-      .map(([image, share]) => ({ pair: this.#pairs.seen(servingImage, image, nowMs), share }));
+      .map(([image, share]) => ({ pair: this.#pairs.markSeen(servingImage, image, nowMs), share }));
   }
 }
--- a/src/scheduler/common/fleet/learningInterferenceControl.ts
+++ b/src/scheduler/common/fleet/learningInterferenceControl.ts
@@ -19,16 +19,16 @@
 /** Time for a change of pace to take effect and to be covered by a complete sample. */
 const SETTLING_MS = 550;
 /** Forecast horizon: the time until a change of pace affects the latency of users. */
-const LEAD_MS = 1_200;
+const FORECAST_MS = 1_200;
 /** Below the first expected headroom, fillers are slowed until it reaches the second. */
-const TIGHT_HEADROOM = 1.05;
+const LOW_HEADROOM = 1.05;
 const WANTED_HEADROOM = 1.1;
 /** Expected headroom that must remain when fillers are sped up again. */
 const SPARE_HEADROOM = 1.18;
 /** Headroom that a service must keep in the next seconds beside a newly started filler. */
-const PLACED_HEADROOM = 1.02;
+const START_HEADROOM = 1.02;
 /** The lowest pace at which a filler is started. */
-const LEAST_START_PERCENT = 10;
+const MINIMUM_START_PERCENT = 10;
 /** A filler that takes less headroom than this does not count as an antagonist. */
 const ANTAGONIST_LOSS = 0.05;
 /**
@@ -37,8 +37,8 @@
  * tasks of its image. Users notice after about four seconds, and two polls and a change of pace
  * take 1.5 s.
  */
-const OVER_PATIENCE_MS = 1_200;
-const OVER_LIMIT_MS = 1_800;
+const SUSPEND_SUSPECTS_AFTER_MS = 1_200;
+const SUSPEND_ALL_AFTER_MS = 1_800;
 /** Worst-case headroom loss at full pace from which a filler counts as a possible cause. */
 const SUSPECT_LOSS = 0.15;
 /**
@@ -50,22 +50,25 @@
  * A filler that has been throttled below this pace for this long goes back into the queue, even if
  * it loses unsaved progress: at a higher pace it would slow the same tasks again.
  */
-const HELD_PERCENT = 50;
-const HELD_LIMIT_MS = 2_500;
+const THROTTLED_PERCENT = 50;
+const THROTTLED_LIMIT_MS = 2_500;
 /** Below this pace a filler is suspended: it would do little work for the memory it holds. */
-const LEAST_PERCENT = 10;
+const MINIMUM_PERCENT = 10;
 const FULL_PERCENT = 100;
 
 /** The image with the lowest expected headroom. */
-interface Tightness {
+interface LowestHeadroom {
   readonly image: string;
   readonly headroom: number;
 }
 
-const isHeld = ({ pacePercent, pacedSinceMs, plannedPercent }: TaskRun, nowMs: number): boolean =>
-  pacePercent < HELD_PERCENT &&
-  plannedPercent >= HELD_PERCENT &&
-  nowMs - pacedSinceMs >= HELD_LIMIT_MS;
+const isThrottledTooLong = (
+  { pacePercent, pacedSinceMs, plannedPercent }: TaskRun,
+  nowMs: number,
+): boolean =>
+  pacePercent < THROTTLED_PERCENT &&
+  plannedPercent >= THROTTLED_PERCENT &&
+  nowMs - pacedSinceMs >= THROTTLED_LIMIT_MS;
 
 /**
  * Protects services whose tail latency rises within seconds because of heavier batch work beside
@@ -96,21 +99,21 @@
    * headroom for its worst case, one filler at a time, as its effect shows within a second.
    */
   admit(view: FleetWorkerView, filler: TaskRecord, nowMs: number): Admission | undefined {
-    const bearings = this.#model.bearings(view, nowMs);
+    const forecast = this.#model.forecast(view, nowMs);
     // Checked per task: the median of a group hides a task that is slowed more than the others.
-    if (bearings.isAnyOverTarget) return undefined;
+    if (forecast.isAnyOverTarget) return undefined;
     let percent = FULL_PERCENT;
     let headroom = Number.POSITIVE_INFINITY;
-    bearings.groups.forEach(({ image, atWorst, soon, soonAtWorst, isOnTrial }) => {
-      const { isKnown, loss, worstLoss } = this.#model.exposure(image, filler, view);
-      headroom = Math.min(headroom, atWorst - loss);
-      const available = (isKnown ? soon : soonAtWorst) - PLACED_HEADROOM;
+    forecast.groups.forEach(({ image, atPeakLoad, soon, soonWorstCase, hasUnknownFiller }) => {
+      const { isKnown, loss, worstLoss } = this.#model.fillerLoss(image, filler, view);
+      headroom = Math.min(headroom, atPeakLoad - loss);
+      const available = (isKnown ? soon : soonWorstCase) - START_HEADROOM;
       const expectedLoss = isKnown ? loss : worstLoss;
       if (expectedLoss > available)
         percent = Math.min(percent, Math.floor((FULL_PERCENT * available) / expectedLoss));
-      if (!isKnown && isOnTrial) percent = 0;
+      if (!isKnown && hasUnknownFiller) percent = 0;
     });
-    return percent < LEAST_START_PERCENT ? undefined : { percent, headroom };
+    return percent < MINIMUM_START_PERCENT ? undefined : { percent, headroom };
   }
 
   answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer {
@@ -119,29 +122,33 @@
     view.pacingSampledAtMs = view.sampledAtMs;
     const fillers = fillerRuns(view);
     if (fillers.length === 0) return NO_ANSWER;
-    const { paces, moves } = this.#change(view, fillers, nowMs);
+    const { paces, moves } = this.#decideChanges(view, fillers, nowMs);
     const changed = new Set([...paces.map(({ run }) => run), ...moves]);
-    const held = fillers.filter((run) => !changed.has(run) && isHeld(run, nowMs));
-    return { paces, moves: [...moves, ...held] };
+    const throttled = fillers.filter((run) => !changed.has(run) && isThrottledTooLong(run, nowMs));
+    return { paces, moves: [...moves, ...throttled] };
   }
 
-  #change(view: FleetWorkerView, fillers: readonly TaskRun[], nowMs: number): InterferenceAnswer {
+  #decideChanges(
+    view: FleetWorkerView,
+    fillers: readonly TaskRun[],
+    nowMs: number,
+  ): InterferenceAnswer {
     const serving = servingRuns(view);
-    const relieved = this.#relieved(view, serving, fillers, nowMs);
-    if (relieved.length > 0) {
-      return { paces: relieved.map((run) => ({ run, percent: 0 })), moves: [] };
+    const suspended = this.#fillersToSuspend(view, serving, fillers, nowMs);
+    if (suspended.length > 0) {
+      return { paces: suspended.map((run) => ({ run, percent: 0 })), moves: [] };
     }
-    const tight = this.#tightest(view, nowMs);
-    if (tight !== undefined && tight.headroom < TIGHT_HEADROOM) {
-      return this.#slower(view, tight, fillers);
+    const lowest = this.#lowestHeadroom(view, nowMs);
+    if (lowest !== undefined && lowest.headroom < LOW_HEADROOM) {
+      return this.#slowDown(view, lowest, fillers);
     }
     // A task over its target may be slowed more than its image's estimate, so nothing speeds up.
     if (isAnyOverTarget(view)) return NO_ANSWER;
-    return { paces: this.#faster(view, fillers, nowMs), moves: [] };
+    return { paces: this.#speedUp(view, fillers, nowMs), moves: [] };
   }
 
   /** The fillers to suspend because tasks have been over their targets for too long. */
-  #relieved(
+  #fillersToSuspend(
     view: FleetWorkerView,
     serving: readonly TaskRun[],
     fillers: readonly TaskRun[],
@@ -149,77 +156,80 @@
   ): readonly TaskRun[] {
     const overMs = ({ overSinceMs }: TaskRun): number =>
       overSinceMs === undefined ? 0 : nowMs - overSinceMs;
-    const victims = serving.filter((run) => overMs(run) >= OVER_PATIENCE_MS);
+    const victims = serving.filter((run) => overMs(run) >= SUSPEND_SUSPECTS_AFTER_MS);
     const working = fillers.filter(({ pacePercent }) => pacePercent > 0);
-    if (victims.some((run) => overMs(run) >= OVER_LIMIT_MS)) return working;
+    if (victims.some((run) => overMs(run) >= SUSPEND_ALL_AFTER_MS)) return working;
     return working.filter(({ task }) =>
       victims.some(
         (victim) =>
-          this.#model.exposure(victim.task.step.image, task, view).worstLoss >= SUSPECT_LOSS,
+          this.#model.fillerLoss(victim.task.step.image, task, view).worstLoss >= SUSPECT_LOSS,
       ),
     );
   }
 
-  #tightest(view: FleetWorkerView, nowMs: number): Tightness | undefined {
-    let tightest: Tightness | undefined;
+  #lowestHeadroom(view: FleetWorkerView, nowMs: number): LowestHeadroom | undefined {
+    let lowest: LowestHeadroom | undefined;
     view.loads.forEach((load) => {
-      const headroom = this.#model.expected(view, load, LEAD_MS, nowMs);
-      if (tightest === undefined || headroom < tightest.headroom) {
-        tightest = { image: load.image, headroom };
+      const headroom = this.#model.lowestHeadroom(view, load, FORECAST_MS, nowMs);
+      if (lowest === undefined || headroom < lowest.headroom) {
+        lowest = { image: load.image, headroom };
       }
     });
-    return tightest;
+    return lowest;
   }
 
   /** Moves or slows the worst antagonists until the wanted headroom is expected. */
-  #slower(
+  #slowDown(
     view: FleetWorkerView,
-    tight: Tightness,
+    lowest: LowestHeadroom,
     fillers: readonly TaskRun[],
   ): InterferenceAnswer {
-    const { image } = tight;
+    const { image } = lowest;
     const antagonists = fillers
-      .map((run) => ({ run, loss: this.#model.lossOf(image, run, view) }))
+      .map((run) => ({ run, loss: this.#model.lossAtCurrentPace(image, run, view) }))
       .filter(({ loss }) => loss >= ANTAGONIST_LOSS)
       .sort((left, right) => right.loss - left.loss);
-    let missing = WANTED_HEADROOM - tight.headroom;
+    let missing = WANTED_HEADROOM - lowest.headroom;
     const paces: PaceChange[] = [];
     const moves: TaskRun[] = [];
     antagonists.forEach(({ run, loss }) => {
       if (missing <= 0) return;
-      const kept = Math.max(0, 1 - missing / loss);
-      const percent = Math.floor(run.pacePercent * kept);
+      const keptShare = Math.max(0, 1 - missing / loss);
+      const percent = Math.floor(run.pacePercent * keptShare);
       missing -= loss;
       if (run.task.step.savesProgress && loss >= MOVED_LOSS) moves.push(run);
-      else paces.push({ run, percent: percent < LEAST_PERCENT ? 0 : percent });
+      else paces.push({ run, percent: percent < MINIMUM_PERCENT ? 0 : percent });
     });
     return { paces, moves };
   }
 
   /** Restores full pace, least loss first, as far as the expected headroom allows. */
-  #faster(
+  #speedUp(
     view: FleetWorkerView,
     fillers: readonly TaskRun[],
     nowMs: number,
   ): readonly PaceChange[] {
-    const paced = fillers.filter(({ pacePercent }) => pacePercent < FULL_PERCENT);
-    if (paced.length === 0) return [];
-    const rooms = [...view.loads.values()].map((load) => ({
+    const slowed = fillers.filter(({ pacePercent }) => pacePercent < FULL_PERCENT);
+    if (slowed.length === 0) return [];
+    const spares = [...view.loads.values()].map((load) => ({
       image: load.image,
-      left: this.#model.expected(view, load, LEAD_MS, nowMs) - SPARE_HEADROOM,
+      headroom: this.#model.lowestHeadroom(view, load, FORECAST_MS, nowMs) - SPARE_HEADROOM,
     }));
-    const lossAt = (run: TaskRun, image: string): number =>
-      this.#model.loss(image, run.task, view) - this.#model.lossOf(image, run, view);
-    const worstLoss = (run: TaskRun): number =>
-      Math.max(0, ...rooms.map(({ image }) => lossAt(run, image)));
-    return paced
-      .map((run) => ({ run, loss: worstLoss(run) }))
+    const additionalLoss = (run: TaskRun, image: string): number =>
+      this.#model.lossAtFullPace(image, run.task, view) -
+      this.#model.lossAtCurrentPace(image, run, view);
+    const maximumLoss = (run: TaskRun): number =>
+      Math.max(0, ...spares.map(({ image }) => additionalLoss(run, image)));
+    return slowed
+      .map((run) => ({ run, loss: maximumLoss(run) }))
       .sort((left, right) => left.loss - right.loss)
       .filter(({ run }) => {
-        const isBorne = rooms.every(({ image, left }) => lossAt(run, image) <= Math.max(0, left));
-        if (!isBorne) return false;
-        rooms.forEach((room) => {
-          room.left -= lossAt(run, room.image);
+        const isTolerated = spares.every(
+          ({ image, headroom }) => additionalLoss(run, image) <= Math.max(0, headroom),
+        );
+        if (!isTolerated) return false;
+        spares.forEach((spare) => {
+          spare.headroom -= additionalLoss(run, spare.image);
         });
         return true;
       })
--- a/src/scheduler/common/fleet/loadDynamics.ts
+++ b/src/scheduler/common/fleet/loadDynamics.ts
@@ -7,7 +7,7 @@
 const FINE_STEPS = [0.98, 0.99, 1.01, 1.02] as const;
 /** Number of loads with enough readings that are used to compare periods. */
 const COMPARED_LOADS = 12;
-const LEAST_READINGS = 12;
+const MINIMUM_READINGS = 12;
 const WARM_UP_READINGS = 6;
 const PERIOD_SEARCH_INTERVAL_MS = 2_000;
 /** Decay of the accumulated scores at each search. */
@@ -21,10 +21,10 @@
 const HARMONIC_ERROR_FACTOR = 0.85;
 /** Only harmonic forecasts below this variance are compared with the trend or used in the prior. */
 const CONFIDENT_VARIANCE = 0.15;
-const LEAST_PRIOR_LOADS = 4;
+const MINIMUM_PRIOR_LOADS = 4;
 /** The number of most recently read loads that are kept, by step name. */
 const MAXIMUM_LOADS = 1_000;
-const LEAST_PRIOR_VARIANCE = 0.05;
+const MINIMUM_PRIOR_VARIANCE = 0.05;
 
 const CANDIDATES_MS = Array.from(
   { length: PERIOD_COUNT },
@@ -78,7 +78,12 @@
   }
 
   /** Adds a reading of a load; `trendExcess` is the error of the trend forecast. */
-  note(name: string, load: HarmonicLoad, reading: HarmonicReading, trendExcess: number): void {
+  addReading(
+    name: string,
+    load: HarmonicLoad,
+    reading: HarmonicReading,
+    trendExcess: number,
+  ): void {
     const { atMs } = reading;
     const excess = reading.level - load.levelAt(atMs);
     if (load.varianceAt(atMs) < CONFIDENT_VARIANCE) {
@@ -98,16 +103,16 @@
     const known = [...this.#loads.values()].filter(
       (load) => load.meanVariance < CONFIDENT_VARIANCE,
     );
-    if (known.length < LEAST_PRIOR_LOADS) return undefined;
+    if (known.length < MINIMUM_PRIOR_LOADS) return undefined;
     const mean = known.reduce((sum, load) => sum + load.mean, 0) / known.length;
     const variance =
       known.reduce((sum, load) => sum + (load.mean - mean) ** 2, 0) / known.length +
-      LEAST_PRIOR_VARIANCE;
+      MINIMUM_PRIOR_VARIANCE;
     const amplitude = known.reduce((sum, load) => sum + load.amplitude ** 2, 0) / known.length;
     return {
       mean,
       meanVariance: variance,
-      amplitudeVariance: amplitude / 2 + LEAST_PRIOR_VARIANCE,
+      amplitudeVariance: amplitude / 2 + MINIMUM_PRIOR_VARIANCE,
     };
   }
 
@@ -115,7 +120,7 @@
     if (nowMs - this.#searchedAtMs < PERIOD_SEARCH_INTERVAL_MS) return;
     const histories = [...this.#loads.values()]
       .map(({ readings }) => readings)
-      .filter(({ length }) => length >= LEAST_READINGS)
+      .filter(({ length }) => length >= MINIMUM_READINGS)
       .slice(0, COMPARED_LOADS);
     if (histories.length === 0) return;
     this.#searchedAtMs = nowMs;
--- a/src/scheduler/common/fleet/loadEstimate.ts
+++ b/src/scheduler/common/fleet/loadEstimate.ts
@@ -7,14 +7,14 @@
 /** Process noise of the slope, for a load that changes by half within ten seconds. */
 const SLOPE_VARIANCE_PER_S = 0.09;
 const LEVEL_VARIANCE_PER_S = 0.01;
-const FIRST_LEVEL_VARIANCE = 1;
-const FIRST_SLOPE_VARIANCE = 0.1;
+const INITIAL_LEVEL_VARIANCE = 1;
+const INITIAL_SLOPE_VARIANCE = 0.1;
 /** The lowest level covers one to two of these windows, longer than a usual period of a load. */
 const LOW_WINDOW_MS = 15_000;
 /** A load observed for a shorter time may not have reached its highest point yet. */
-const WATCHED_MS = 12_000;
+const LOW_RELIABLE_AFTER_MS = 12_000;
 /** After a longer gap between samples, the slope is not extrapolated further. */
-const LONGEST_STEP_S = 2;
+const MAXIMUM_STEP_S = 2;
 const MS_PER_S = 1_000;
 
 /** A headroom reading with its variance, and the headroom loss caused by batch work. */
@@ -26,7 +26,7 @@
 }
 
 /** The difference between a reading and its forecast, and the expected variance of it. */
-export interface Surprise {
+export interface Innovation {
   readonly excess: number;
   readonly variance: number;
 }
@@ -40,16 +40,16 @@
 
   #slope = 0;
 
-  #levelVariance = FIRST_LEVEL_VARIANCE;
+  #levelVariance = INITIAL_LEVEL_VARIANCE;
 
   #crossVariance = 0;
 
-  #slopeVariance = FIRST_SLOPE_VARIANCE;
+  #slopeVariance = INITIAL_SLOPE_VARIANCE;
 
   /** The lowest level of the current window; the next field has that of the previous window. */
   #low: number;
 
-  #lowBefore = Number.POSITIVE_INFINITY;
+  #previousLow = Number.POSITIVE_INFINITY;
 
   #windowStartedAtMs: number;
 
@@ -63,12 +63,12 @@
 
   /** The lowest recent level. */
   get low(): number {
-    return Math.min(this.#low, this.#lowBefore);
+    return Math.min(this.#low, this.#previousLow);
   }
 
   /** Whether the load has been observed long enough for `low` to be meaningful. */
-  isWatched(nowMs: number): boolean {
-    return nowMs - this.#firstSeenAtMs >= WATCHED_MS;
+  hasReliableLow(nowMs: number): boolean {
+    return nowMs - this.#firstSeenAtMs >= LOW_RELIABLE_AFTER_MS;
   }
 
   /** The level expected in `aheadMs`, but no lower than the lowest recent level. */
@@ -79,7 +79,7 @@
 
   /** Advances the estimate to `nowMs`. */
   advance(nowMs: number): void {
-    const seconds = Math.min(LONGEST_STEP_S, (nowMs - this.#seenAtMs) / MS_PER_S);
+    const seconds = Math.min(MAXIMUM_STEP_S, (nowMs - this.#seenAtMs) / MS_PER_S);
     this.#seenAtMs = nowMs;
     this.#level += this.#slope * seconds;
     this.#levelVariance +=
@@ -90,23 +90,23 @@
     this.#slopeVariance += SLOPE_VARIANCE_PER_S * seconds;
     if (nowMs - this.#windowStartedAtMs < LOW_WINDOW_MS) return;
     this.#windowStartedAtMs = nowMs;
-    this.#lowBefore = this.#low;
+    this.#previousLow = this.#low;
     this.#low = this.#level;
   }
 
   /** Assumes a constant level while the samples carry no information. */
-  stopSwing(): void {
+  resetSlope(): void {
     this.#slope = 0;
   }
 
-  surprise(reading: LoadReading): Surprise {
+  innovation(reading: LoadReading): Innovation {
     const excess = reading.headroom - (this.#level - reading.loss);
     const variance = this.#levelVariance + reading.variance + reading.lossVariance;
     return { excess, variance };
   }
 
   /** Corrects the level and the slope by the forecast error of a reading. */
-  correct({ excess, variance }: Surprise): void {
+  correct({ excess, variance }: Innovation): void {
     const levelGain = this.#levelVariance / variance;
     const slopeGain = this.#crossVariance / variance;
     this.#level = Math.max(0, this.#level + levelGain * excess);
--- a/src/scheduler/common/fleet/serviceLoad.ts
+++ b/src/scheduler/common/fleet/serviceLoad.ts
@@ -1,7 +1,7 @@
 /** Forecasts the load of a step on one worker by its trend or, if periodic, by a harmonic. */
 import type { HarmonicLoad } from './harmonicLoad.js';
 import type { LoadDynamics } from './loadDynamics.js';
-import { LoadEstimate, type LoadReading, type Surprise } from './loadEstimate.js';
+import { LoadEstimate, type LoadReading, type Innovation } from './loadEstimate.js';
 
 /** Above this variance of the harmonic forecast the trend is used. */
 const MAXIMUM_HARMONIC_VARIANCE = 0.25;
@@ -39,8 +39,8 @@
   }
 
   /** Whether the load has been observed long enough for `low` to be meaningful. */
-  isWatched(nowMs: number): boolean {
-    return this.#trend.isWatched(nowMs);
+  hasReliableLow(nowMs: number): boolean {
+    return this.#trend.hasReliableLow(nowMs);
   }
 
   /** The lowest level expected from `fromMs` to `untilMs` after `nowMs`. */
@@ -62,12 +62,12 @@
   }
 
   /** Assumes a constant level while the samples carry no information. */
-  stopSwing(): void {
-    this.#trend.stopSwing();
+  resetSlope(): void {
+    this.#trend.resetSlope();
   }
 
-  surprise(reading: LoadReading, nowMs: number): Surprise {
-    if (!this.#isHarmonic(nowMs)) return this.#trend.surprise(reading);
+  innovation(reading: LoadReading, nowMs: number): Innovation {
+    if (!this.#isHarmonic(nowMs)) return this.#trend.innovation(reading);
     const { headroom, loss, variance, lossVariance } = reading;
     return {
       excess: headroom + loss - this.#harmonic.levelAt(nowMs),
@@ -77,13 +77,13 @@
 
   /** Updates the forecasts; only readings without queued requests update the harmonic. */
   correct(reading: LoadReading, hadNoQueue: boolean, nowMs: number): void {
-    const trendSurprise = this.#trend.surprise(reading);
-    this.#trend.correct(trendSurprise);
+    const trendInnovation = this.#trend.innovation(reading);
+    this.#trend.correct(trendInnovation);
     if (!hadNoQueue) return;
     const level = reading.headroom + reading.loss;
     const variance = reading.variance + reading.lossVariance;
     const harmonicReading = { atMs: nowMs, level, variance };
-    this.#dynamics.note(this.#name, this.#harmonic, harmonicReading, trendSurprise.excess);
+    this.#dynamics.addReading(this.#name, this.#harmonic, harmonicReading, trendInnovation.excess);
   }
 
   #isHarmonic(nowMs: number): boolean {
--- a/src/scheduler/common/fleet/sizeBalance.ts
+++ b/src/scheduler/common/fleet/sizeBalance.ts
@@ -10,16 +10,16 @@
 const NEXT_LARGEST_RANK = 0.7;
 const LARGEST_RANK = 0.9;
 /** The number of recent sizes that a new submission is compared with. */
-const KNOWN_SIZES = 256;
+const RECENT_SIZE_COUNT = 256;
 /** With fewer sizes, no submission is classified as large. */
-const FEWEST_SIZES = 10;
+const MINIMUM_SIZE_COUNT = 10;
 /** Counts are halved at this limit, so that recent submissions weigh most. */
 const COUNT_LIMIT = 1_024;
 /**
  * A size class gets reservations if its served share is below this fraction of the served share of
  * all submissions. The fraction is below one because some reserved submissions still end too late.
  */
-const LEAST_SHARE = 0.7;
+const MINIMUM_SERVED_FRACTION = 0.7;
 
 interface Counts {
   counted: number;
@@ -45,7 +45,7 @@
   classify(processorMs: number): SizeClass {
     const sizeClass = this.#classOf(processorMs);
     this.#sizes[this.#nextIndex] = processorMs;
-    this.#nextIndex = (this.#nextIndex + 1) % KNOWN_SIZES;
+    this.#nextIndex = (this.#nextIndex + 1) % RECENT_SIZE_COUNT;
     return sizeClass;
   }
 
@@ -66,7 +66,8 @@
     const counts = this.#countsOf(sizeClass);
     const servedShare = this.#all.served / Math.max(1, this.#all.counted);
     const isDue =
-      sizeClass !== SizeClass.Other && counts.served < LEAST_SHARE * servedShare * counts.counted;
+      sizeClass !== SizeClass.Other &&
+      counts.served < MINIMUM_SERVED_FRACTION * servedShare * counts.counted;
     if (isDue) counts.served += 1;
     return isDue;
   }
@@ -81,7 +82,7 @@
   }
 
   #classOf(processorMs: number): SizeClass {
-    if (this.#sizes.length < FEWEST_SIZES) return SizeClass.Other;
+    if (this.#sizes.length < MINIMUM_SIZE_COUNT) return SizeClass.Other;
     const smallerCount = this.#sizes.filter((size) => size < processorMs).length;
     const rank = smallerCount / this.#sizes.length;
     if (rank >= LARGEST_RANK) return SizeClass.Largest;
--- a/src/scheduler/common/fleet/usableWorkers.ts
+++ b/src/scheduler/common/fleet/usableWorkers.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns why no task may start on the worker now, or undefined if tasks may. */
-const useObstacle = (
+const findWorkerObstacle = (
   view: FleetWorkerView,
   { timing, roster, operator }: RoundInput,
   nowMs: number,
@@ -49,7 +49,7 @@
 
 /** Whether tasks may start on the worker now. */
 export const isUsable = (view: FleetWorkerView, input: RoundInput, nowMs: number): boolean =>
-  useObstacle(view, input, nowMs) === undefined;
+  findWorkerObstacle(view, input, nowMs) === undefined;
 
 /** The usable workers of one service. */
 export interface ServicePool {
@@ -112,12 +112,12 @@
   const { configuration } = input.operator;
   if (configuration === undefined) return counts;
   const { serviceName, context } = new UsableWorkers(input, nowMs).poolOf(task, configuration);
-  const mayBeSlow = allowsReducedPace(task, nowMs);
+  const allowsSlowStart = allowsReducedPace(task, nowMs);
   const obstacleOf = (view: FleetWorkerView): PlacementObstacle | undefined => {
-    const obstacle = useObstacle(view, input, nowMs);
+    const obstacle = findWorkerObstacle(view, input, nowMs);
     if (obstacle !== undefined) return obstacle;
     if (view.entry.serviceName !== serviceName) return PlacementObstacle.OtherService;
-    const rating = rateWorker(task, view, mayBeSlow, context, nowMs);
+    const rating = rateWorker(task, view, allowsSlowStart, context, nowMs);
     return isObstacle(rating) ? rating : undefined;
   };
   input.views.forEach((view) => {
--- a/src/scheduler/common/fleet/workerSearch.ts
+++ b/src/scheduler/common/fleet/workerSearch.ts
@@ -36,7 +36,7 @@
 
   #rated: readonly Rated[] | undefined;
 
-  #mayBeSlow = false;
+  #allowsSlowStart = false;
 
   /** The number of ratings computed so far. */
   ratingCount = 0;
@@ -49,8 +49,9 @@
 
   /** Returns the best worker for the next task of the step, or undefined if none has room. */
   next(task: TaskRecord): PlacementChoice | undefined {
-    const mayBeSlow = task.step.isFiller && allowsReducedPace(task, this.#nowMs);
-    if (this.#rated === undefined || mayBeSlow !== this.#mayBeSlow) this.#rateAll(task, mayBeSlow);
+    const allowsSlowStart = task.step.isFiller && allowsReducedPace(task, this.#nowMs);
+    if (this.#rated === undefined || allowsSlowStart !== this.#allowsSlowStart)
+      this.#rateAll(task, allowsSlowStart);
     let best: FleetWorkerView | undefined;
     let bestRating: Rating | undefined;
     this.#rated?.forEach((rated) => {
@@ -64,8 +65,8 @@
     return best && bestRating && { view: best, percent: bestRating.percent };
   }
 
-  #rateAll(task: TaskRecord, mayBeSlow: boolean): void {
-    this.#mayBeSlow = mayBeSlow;
+  #rateAll(task: TaskRecord, allowsSlowStart: boolean): void {
+    this.#allowsSlowStart = allowsSlowStart;
     const rated: Rated[] = [];
     this.#views.forEach((view) => {
       const rating = this.#rate(task, view);
@@ -84,7 +85,7 @@
 
   #rate(task: TaskRecord, view: FleetWorkerView): Rating | undefined {
     this.ratingCount += 1;
-    const rating = rateWorker(task, view, this.#mayBeSlow, this.#context, this.#nowMs);
+    const rating = rateWorker(task, view, this.#allowsSlowStart, this.#context, this.#nowMs);
     return isObstacle(rating) ? undefined : rating;
   }
 }
--- a/src/scheduler/test/fleet/drainMoves.test.ts
+++ b/src/scheduler/test/fleet/drainMoves.test.ts
@@ -8,14 +8,14 @@
 
 const BATCH_ID = '00000000000000e1';
 const BATCH_TASK = `${BATCH_ID}.0.0.0`;
-const LASTING_ID = '00000000000000e2';
+const PERSISTENT_ID = '00000000000000e2';
 const BACKLOG_ID = '00000000000000e3';
 const WORK_MS = 6_000;
-const SAVES_EACH_MS = 1_000;
+const CHECKPOINT_INTERVAL_MS = 1_000;
 /** Bound for a stop and a start, with one scheduler step for each. */
-const MOVE_MS = STOP_MS + 300;
+const MOVE_LIMIT_MS = STOP_MS + 300;
 const CHECKPOINTED_STEP = { ...STEP, estimateMs: WORK_MS, savesProgress: true };
-const LASTING_STEP = { ...STEP, isPersistent: true };
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
 
 const sized = (step: Step, processorMillis: number, taskCount = 1): Step => ({
   ...step,
@@ -24,10 +24,10 @@
 });
 
 const worldOf = async (workerCount: number, batch: ModelTask): Promise<FleetWorld> => {
-  const lasting = { workMs: 90_000, end: RunEnd.Done };
+  const persistent = { workMs: 90_000, end: RunEnd.Done };
   const backlog = { workMs: 900, end: RunEnd.Done };
   const world = new FleetWorld(7, (taskName) => {
-    if (taskName.startsWith(LASTING_ID)) return lasting;
+    if (taskName.startsWith(PERSISTENT_ID)) return persistent;
     return taskName.startsWith(BATCH_ID) ? batch : backlog;
   });
   for (let index = 0; index < workerCount; index += 1) world.addWorker(`worker-${index}`);
@@ -36,14 +36,18 @@
   return world;
 };
 
-const CHECKPOINTED: ModelTask = { workMs: WORK_MS, end: RunEnd.Done, savesEachMs: SAVES_EACH_MS };
+const CHECKPOINTED: ModelTask = {
+  workMs: WORK_MS,
+  end: RunEnd.Done,
+  savesEachMs: CHECKPOINT_INTERVAL_MS,
+};
 const UNSAVED: ModelTask = { workMs: WORK_MS, end: RunEnd.Done };
 
-const holderOf = (world: FleetWorld, taskName: string): string =>
+const workerIdOf = (world: FleetWorld, taskName: string): string =>
   world.runsOf(taskName)[0] as string;
 
 /** Runs until the submission is complete and returns how long that took. */
-const untilDoneMs = async (world: FleetWorld, id: string): Promise<number> => {
+const runUntilCompleteMs = async (world: FleetWorld, id: string): Promise<number> => {
   const sinceMs = world.nowMs;
   while (world.progress(id)?.state !== 'complete' && world.nowMs - sinceMs < 40_000) {
     // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
@@ -61,9 +65,9 @@
     world.submit(submissionOf(BATCH_ID, [CHECKPOINTED_STEP]));
     await world.runFor(500);
     const startedAtMs = world.nowMs - 500;
-    world.drainWorker(holderOf(world, BATCH_TASK), 4_000, 100);
-    await untilDoneMs(world, BATCH_ID);
-    expect(world.nowMs - startedAtMs).toBeLessThan(WORK_MS + MOVE_MS);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 4_000, 100);
+    await runUntilCompleteMs(world, BATCH_ID);
+    expect(world.nowMs - startedAtMs).toBeLessThan(WORK_MS + MOVE_LIMIT_MS);
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(2);
     expect(world.judge.broken).toEqual([]);
@@ -73,8 +77,8 @@
     const world = await worldOf(2, { ...CHECKPOINTED, workMs: 3_000 });
     world.submit(submissionOf(BATCH_ID, [{ ...CHECKPOINTED_STEP, estimateMs: 3_000 }]));
     await world.runFor(500);
-    world.drainWorker(holderOf(world, BATCH_TASK), 4_000, 100);
-    await untilDoneMs(world, BATCH_ID);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 4_000, 100);
+    await runUntilCompleteMs(world, BATCH_ID);
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
@@ -82,8 +86,8 @@
     const world = await worldOf(2, CHECKPOINTED);
     world.submit(submissionOf(BATCH_ID, [{ ...CHECKPOINTED_STEP, estimateMs: 2_000 }]));
     await world.runFor(500);
-    world.drainWorker(holderOf(world, BATCH_TASK), 4_000, 100);
-    await untilDoneMs(world, BATCH_ID);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 4_000, 100);
+    await runUntilCompleteMs(world, BATCH_ID);
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
   });
 
@@ -98,7 +102,7 @@
       acceleratorCount: 0,
     });
     world.drainWorker('worker-0', 4_000, 8_000);
-    await untilDoneMs(world, BATCH_ID);
+    await runUntilCompleteMs(world, BATCH_ID);
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
@@ -106,8 +110,8 @@
     const world = await worldOf(2, { ...UNSAVED, workMs: 4_500 });
     world.submit(submissionOf(BATCH_ID, [{ ...STEP, estimateMs: 4_500 }]));
     await world.runFor(500);
-    world.drainWorker(holderOf(world, BATCH_TASK), 3_800, 1_000);
-    await untilDoneMs(world, BATCH_ID);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 3_800, 1_000);
+    await runUntilCompleteMs(world, BATCH_ID);
     expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
   });
 
@@ -116,9 +120,9 @@
     world.submit(submissionOf(BATCH_ID, [{ ...STEP, estimateMs: WORK_MS }]));
     await world.runFor(500);
     const startedAtMs = world.nowMs - 500;
-    world.drainWorker(holderOf(world, BATCH_TASK), 3_000, 100);
-    await untilDoneMs(world, BATCH_ID);
-    expect(world.nowMs - startedAtMs).toBeLessThan(500 + 3_000 + WORK_MS + MOVE_MS);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 3_000, 100);
+    await runUntilCompleteMs(world, BATCH_ID);
+    expect(world.nowMs - startedAtMs).toBeLessThan(500 + 3_000 + WORK_MS + MOVE_LIMIT_MS);
   });
 
   it('is not stopped if its task belongs to a gang', async () => {
@@ -126,20 +130,20 @@
     const gang = { ...sized(CHECKPOINTED_STEP, 3_000, 2), isGang: true };
     world.submit(submissionOf(BATCH_ID, [gang]));
     await world.runFor(500);
-    world.drainWorker(holderOf(world, BATCH_TASK), 3_000, 8_000);
+    world.drainWorker(workerIdOf(world, BATCH_TASK), 3_000, 8_000);
     await world.runFor(5_000);
     expect(loggedReasons(world, 'runs-stopped')).toEqual([]);
   });
 });
 
 describe('room reserved for a moved task', () => {
-  const LASTING_TASK = `${LASTING_ID}.0.0.0`;
+  const PERSISTENT_TASK = `${PERSISTENT_ID}.0.0.0`;
   const BACKLOG_TASK = `${BACKLOG_ID}.0.0.0`;
 
   /** A persistent task is being stopped on worker-0, and only worker-1 has room for it. */
-  const movingWorld = async (): Promise<FleetWorld> => {
+  const worldWithMove = async (): Promise<FleetWorld> => {
     const world = await worldOf(1, CHECKPOINTED);
-    world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 3_000)]));
+    world.submit(submissionOf(PERSISTENT_ID, [sized(PERSISTENT_STEP, 3_000)]));
     await world.runFor(500);
     world.addWorker('worker-1');
     await world.runFor(1_500);
@@ -152,39 +156,39 @@
   };
 
   it('is not taken by a batch task that arrives during the move', async () => {
-    const world = await movingWorld();
+    const world = await worldWithMove();
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
-    await world.runFor(MOVE_MS);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    await world.runFor(MOVE_LIMIT_MS);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
     expect(world.judge.startsOf.get(BACKLOG_TASK)).toBeUndefined();
     expect(world.judge.broken).toEqual([]);
   });
 
   it('is released before the leases of an unreachable draining worker expire', async () => {
-    const world = await movingWorld();
+    const world = await worldWithMove();
     world.removeWorker('worker-0');
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(3_500);
     expect(world.judge.startsOf.get(BACKLOG_TASK)).toBe(1);
-    expect(world.runsOf(LASTING_TASK)).toEqual([]);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual([]);
   });
 
   it('is released if the submission of the task is cancelled', async () => {
-    const world = await movingWorld();
-    world.cancel(LASTING_ID);
+    const world = await worldWithMove();
+    world.cancel(PERSISTENT_ID);
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(STOP_MS / 2);
     expect(world.judge.startsOf.get(BACKLOG_TASK)).toBe(1);
     await world.runFor(STOP_MS);
-    expect(world.runsOf(LASTING_TASK)).toEqual([]);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual([]);
   });
 
   it('is reserved on another worker if the chosen worker starts to drain as well', async () => {
-    const world = await movingWorld();
+    const world = await worldWithMove();
     world.drainWorker('worker-1', 8_000, 100);
     world.addWorker('worker-2');
-    await world.runFor(2_000 + MOVE_MS);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-2']);
+    await world.runFor(2_000 + MOVE_LIMIT_MS);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-2']);
     expect(world.judge.broken).toEqual([]);
   });
 
@@ -204,14 +208,14 @@
 });
 
 describe('persistent tasks on a draining worker', () => {
-  const names = Array.from({ length: 7 }, (_, index) => `${LASTING_ID}.0.0.${index}`);
+  const names = Array.from({ length: 7 }, (_, index) => `${PERSISTENT_ID}.0.0.${index}`);
 
   /** Runs until all tasks run on workers that stay, and returns how long that took. */
-  const untilMovedMs = async (world: FleetWorld): Promise<number> => {
+  const runUntilMovedMs = async (world: FleetWorld): Promise<number> => {
     const sinceMs = world.nowMs;
     const isMoved = (name: string): boolean => {
-      const [holder] = world.runsOf(name);
-      return holder !== undefined && !world.drainingWorkers.has(holder);
+      const [workerId] = world.runsOf(name);
+      return workerId !== undefined && !world.drainingWorkers.has(workerId);
     };
     while (!names.every(isMoved) && world.nowMs - sinceMs < 20_000) {
       // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
@@ -222,19 +226,19 @@
 
   it('move at the same time if one worker has room for all of them', async () => {
     const world = await worldOf(1, UNSAVED);
-    world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 500, 7)]));
+    world.submit(submissionOf(PERSISTENT_ID, [sized(PERSISTENT_STEP, 500, 7)]));
     await world.runFor(1_000);
     world.addWorker('worker-1');
     await world.runFor(1_000);
     world.drainWorker('worker-0', 4_000, 100);
-    expect(await untilMovedMs(world)).toBeLessThan(1_000 + 2 * MOVE_MS);
+    expect(await runUntilMovedMs(world)).toBeLessThan(1_000 + 2 * MOVE_LIMIT_MS);
     expect(world.judge.broken).toEqual([]);
   });
 
   it('are not stopped if the maximum per worker of their step leaves no room', async () => {
     const world = await worldOf(2, UNSAVED);
-    const step = { ...sized(LASTING_STEP, 500, 4), maximumPerWorker: 2 };
-    world.submit(submissionOf(LASTING_ID, [step]));
+    const step = { ...sized(PERSISTENT_STEP, 500, 4), maximumPerWorker: 2 };
+    world.submit(submissionOf(PERSISTENT_ID, [step]));
     await world.runFor(1_000);
     world.addWorker('worker-2');
     await world.runFor(1_000);
@@ -247,14 +251,14 @@
 
   it('get the room that becomes free before waiting batch tasks do', async () => {
     const world = await worldOf(1, UNSAVED);
-    world.submit(submissionOf(LASTING_ID, [sized(LASTING_STEP, 500, 7)]));
+    world.submit(submissionOf(PERSISTENT_ID, [sized(PERSISTENT_STEP, 500, 7)]));
     await world.runFor(1_000);
     world.addWorker('worker-1');
     world.addWorker('worker-2');
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 1_000, 150)]));
     await world.runFor(1_500);
     world.drainWorker('worker-0', 4_000, 100);
-    expect(await untilMovedMs(world)).toBeLessThan(4_000);
+    expect(await runUntilMovedMs(world)).toBeLessThan(4_000);
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
     expect(world.judge.broken).toEqual([]);
   });
--- a/src/scheduler/test/fleet/faultyWorkers.test.ts
+++ b/src/scheduler/test/fleet/faultyWorkers.test.ts
@@ -10,7 +10,7 @@
 const FAILS_AFTER_MS = 100;
 const WORK_MS = 800;
 
-interface Ended {
+interface FailedRun {
   readonly taskName: string;
   readonly workerId: string;
 }
@@ -22,12 +22,12 @@
   readonly faultyIds = new Set<string>();
 
   /** Runs that started on a faulty worker. */
-  readonly failed: Ended[] = [];
+  readonly failed: FailedRun[] = [];
 
-  readonly #seen = new Set<string>();
+  readonly #handledRuns = new Set<string>();
 
-  constructor(workerCount: number, taskOf = { workMs: WORK_MS, end: RunEnd.Done as RunEnd }) {
-    this.world = new FleetWorld(1, () => taskOf);
+  constructor(workerCount: number, task = { workMs: WORK_MS, end: RunEnd.Done as RunEnd }) {
+    this.world = new FleetWorld(1, () => task);
     for (let index = 0; index < workerCount; index += 1) this.world.addWorker(`worker-${index}`);
     this.world.addScheduler();
   }
@@ -44,8 +44,8 @@
   #failNew(workerId: string): void {
     this.world.workers.get(workerId)?.runs.forEach((run) => {
       const key = `${run.taskName}#${run.run}`;
-      if (this.#seen.has(key) || run.startedAtMs < this.world.nowMs - TICK_MS) return;
-      this.#seen.add(key);
+      if (this.#handledRuns.has(key) || run.startedAtMs < this.world.nowMs - TICK_MS) return;
+      this.#handledRuns.add(key);
       this.failed.push({ taskName: run.taskName, workerId });
       Object.assign(run, { end: RunEnd.Failed, endsAtMs: run.startedAtMs + FAILS_AFTER_MS });
     });
@@ -65,9 +65,9 @@
     }
     await faulty.runFor(6_000);
     faultyIds.forEach((id) => {
-      const drawn = faulty.failed.filter(({ workerId }) => workerId === id).length;
+      const failedCount = faulty.failed.filter(({ workerId }) => workerId === id).length;
       // Twice the number of tasks that fit on it at once, and at most one probe per second.
-      expect(drawn).toBeLessThanOrEqual(2 * 4 + 6);
+      expect(failedCount).toBeLessThanOrEqual(2 * 4 + 6);
     });
     expect(faulty.failed.length).toBeGreaterThan(0);
     expect(faulty.world.judge.broken).toEqual([]);
@@ -90,9 +90,9 @@
     expect(tripped.isProbeDue('w1', 900, 1_400)).toBe(false);
     expect(tripped.isProbeDue('w1', 900, 1_500)).toBe(true);
     expect(tripped.isProbeDue('w1', 1_500, 1_600)).toBe(false);
-    const again = tripped.withFailure('w1', 'c', 10, 1_600, 1_500);
-    expect(again.isProbeDue('w1', 1_500, 2_500)).toBe(false);
-    expect(again.isProbeDue('w1', 1_500, 2_600)).toBe(true);
+    const failedAgain = tripped.withFailure('w1', 'c', 10, 1_600, 1_500);
+    expect(failedAgain.isProbeDue('w1', 1_500, 2_500)).toBe(false);
+    expect(failedAgain.isProbeDue('w1', 1_500, 2_600)).toBe(true);
   });
 });
 
@@ -126,11 +126,11 @@
   it('soon retries on the worker where it failed if all other workers stay full', async () => {
     const faulty = new FaultyWorld(2);
     await faulty.runFor(1_500);
-    const whole = { ...STEP, size: WORKER_CAPACITY, isPersistent: true };
-    faulty.world.submit(submissionOf(idOf(0), [whole]));
+    const wholeWorkerStep = { ...STEP, size: WORKER_CAPACITY, isPersistent: true };
+    faulty.world.submit(submissionOf(idOf(0), [wholeWorkerStep]));
     await faulty.runFor(300);
-    const free = faulty.world.runsOf(`${idOf(0)}.0.0.0`)[0] === 'worker-0' ? 1 : 0;
-    const freeId = `worker-${free}`;
+    const freeIndex = faulty.world.runsOf(`${idOf(0)}.0.0.0`)[0] === 'worker-0' ? 1 : 0;
+    const freeId = `worker-${freeIndex}`;
     faulty.faultyIds.add(freeId);
     faulty.world.submit(submissionOf(idOf(1), [STEP]));
     await faulty.runFor(200);
@@ -142,7 +142,7 @@
 });
 
 describe('a worker that has recovered', () => {
-  const runsAfterFault = async (faultMs: number): Promise<number | undefined> => {
+  const runCountAfterFault = async (faultMs: number): Promise<number | undefined> => {
     const faulty = new FaultyWorld(4);
     await faulty.runFor(1_500);
     faulty.faultyIds.add('worker-1');
@@ -157,11 +157,11 @@
   };
 
   it('is fully used again within seconds', async () => {
-    expect(await runsAfterFault(300)).toBe(4);
+    expect(await runCountAfterFault(300)).toBe(4);
   });
 
   it('is fully used again within seconds, even after failures of many submissions', async () => {
-    expect(await runsAfterFault(3_000)).toBe(4);
+    expect(await runCountAfterFault(3_000)).toBe(4);
   });
 });
 
@@ -197,10 +197,10 @@
     await world.runFor(1_500);
     const isComplete = (index: number): boolean =>
       world.progress(idOf(index))?.state === 'complete';
-    const late = Array.from({ length: 80 }, (_, index) => index).filter(
+    const incomplete = Array.from({ length: 80 }, (_, index) => index).filter(
       (index) => !isComplete(index),
     );
-    expect(late).toEqual([]);
+    expect(incomplete).toEqual([]);
     expect(world.judge.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/fleetOrder.test.ts
+++ b/src/scheduler/test/fleet/fleetOrder.test.ts
@@ -35,11 +35,11 @@
 
   it('puts partly done submissions before new ones of the same size', () => {
     const book = new SubmissionBook();
-    const [fresh, begun] = [idOf(1), idOf(2)];
-    [fresh, begun].forEach((id) =>
+    const [untouched, begun] = [idOf(1), idOf(2)];
+    [untouched, begun].forEach((id) =>
       book.add(submissionOf(id, [{ ...STEP, taskCount: 4 }]), undefined, NO_ASSIGNMENTS, 0),
     );
-    expect(firstOf(book, 0)?.submission.submission.id).toBe(fresh);
+    expect(firstOf(book, 0)?.submission.submission.id).toBe(untouched);
     [0, 1].forEach((index) => {
       const task = book.find(`${begun}.0.0.${index}`) as TaskRecord;
       const run = newRun(task, 1, 'worker', 0);
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -9,23 +9,23 @@
 import { STEP, submissionOf } from './fleetFixtures.js';
 
 const TARGET_MS = 18;
-const LOOK_MS = 600;
+const POLL_MS = 600;
 /** Users notice a tail latency that is over its target for this long. */
-const NOTICED_MS = 4_000;
+const NOTICE_MS = 4_000;
 /** Relative noise of single samples around the actual tail latency. */
-const SCATTER = 0.3;
+const SAMPLE_NOISE = 0.3;
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000, acceleratorCount: 0 };
 
 const SERVING = { ...STEP, image: 'serves', targetLatencyMs: TARGET_MS, isPersistent: true };
 const FILLER = { ...STEP, isFiller: true, size: { ...STEP.size, processorMillis: 3_500 } };
 
-interface Scene {
+interface Scenario {
   readonly view: FleetWorkerView;
   readonly serving: readonly TaskRun[];
   readonly fillers: readonly TaskRun[];
 }
 
-const sceneOf = (servingCount: number, fillerImages: readonly string[]): Scene => {
+const newScenario = (servingCount: number, fillerImages: readonly string[]): Scenario => {
   const book = new SubmissionBook();
   const view = new FleetWorkerView(
     {
@@ -62,35 +62,35 @@
 };
 
 /** Polls every 600 ms; `tailMs` returns the actual tail latency of each serving task. */
-const play = (
-  scene: Scene,
+const simulate = (
+  scenario: Scenario,
   control: LearningInterferenceControl,
   random: SeededRandom,
   fromMs: number,
   untilMs: number,
   tailMs: (run: TaskRun, index: number) => number,
-  scatter = SCATTER,
+  amplitude = SAMPLE_NOISE,
 ): void => {
-  for (let nowMs = fromMs; nowMs <= untilMs; nowMs += LOOK_MS) {
-    scene.serving.forEach((run, index) => {
-      const noise = 1 + scatter * (2 * random.nextFraction() - 1);
+  for (let nowMs = fromMs; nowMs <= untilMs; nowMs += POLL_MS) {
+    scenario.serving.forEach((run, index) => {
+      const noise = 1 + amplitude * (2 * random.nextFraction() - 1);
       run.recentFigure = Math.round(tailMs(run, index) * noise);
     });
-    scene.fillers.forEach((run) => {
+    scenario.fillers.forEach((run) => {
       run.recentFigure = (run.task.step.size.processorMillis * run.pacePercent) / 100;
     });
-    control.observe(scene.view, nowMs);
-    const { paces, moves } = control.answer(scene.view, nowMs);
-    if (paces.length + moves.length > 0) scene.view.pacedAtMs = nowMs;
+    control.observe(scenario.view, nowMs);
+    const { paces, moves } = control.answer(scenario.view, nowMs);
+    if (paces.length + moves.length > 0) scenario.view.pacedAtMs = nowMs;
     paces.forEach(({ run, percent }) => {
       if (percent < run.pacePercent) run.pacedSinceMs = nowMs;
       run.pacePercent = percent;
     });
-    moves.forEach((run) => scene.view.removeRun(run));
+    moves.forEach((run) => scenario.view.removeRun(run));
   }
 };
 
-const isAtWork = ({ pacePercent }: TaskRun): boolean => pacePercent > 0;
+const isActive = ({ pacePercent }: TaskRun): boolean => pacePercent > 0;
 
 describe('fillers beside serving tasks', () => {
   it.each([1, 2, 3, 4, 5, 6, 7, 8, 9, 10])(
@@ -99,45 +99,45 @@
       // The tail of one of six tasks of an image is a fifth over its target, and noise puts one in
       // four of its samples below the target. The mean over the six tasks doesn't show it. Users
       // notice after four seconds, so all fillers must be suspended by then.
-      const scene = sceneOf(6, ['a', 'b', 'c']);
+      const scenario = newScenario(6, ['a', 'b', 'c']);
       const control = new LearningInterferenceControl();
       const random = new SeededRandom(seed);
-      play(scene, control, random, 0, 2_400, () => 8);
-      play(scene, control, random, 3_000, 3_000 + NOTICED_MS - LOOK_MS, (_run, index) =>
+      simulate(scenario, control, random, 0, 2_400, () => 8);
+      simulate(scenario, control, random, 3_000, 3_000 + NOTICE_MS - POLL_MS, (_run, index) =>
         index === 0 ? TARGET_MS * 1.2 : 8,
       );
-      expect(scene.fillers.filter(isAtWork)).toEqual([]);
+      expect(scenario.fillers.filter(isActive)).toEqual([]);
     },
   );
 
   it('are not started beside a task that is over its target', () => {
-    const scene = sceneOf(6, []);
+    const scenario = newScenario(6, []);
     const control = new LearningInterferenceControl();
-    const filler = sceneOf(0, ['a']).fillers[0] as TaskRun;
+    const filler = newScenario(0, ['a']).fillers[0] as TaskRun;
     const random = new SeededRandom(1);
-    play(scene, control, random, 0, 2_400, () => 8, 0);
-    expect(control.admit(scene.view, filler.task, 2_400)?.percent).toBe(100);
-    play(scene, control, random, 3_000, 4_200, (_run, index) => (index === 0 ? 24 : 8), 0);
-    expect(control.admit(scene.view, filler.task, 4_200)).toBeUndefined();
+    simulate(scenario, control, random, 0, 2_400, () => 8, 0);
+    expect(control.admit(scenario.view, filler.task, 2_400)?.percent).toBe(100);
+    simulate(scenario, control, random, 3_000, 4_200, (_run, index) => (index === 0 ? 24 : 8), 0);
+    expect(control.admit(scenario.view, filler.task, 4_200)).toBeUndefined();
   });
 
   it('keep full pace while the tail latencies are well below their targets', () => {
-    const scene = sceneOf(4, ['a', 'b', 'c']);
-    play(scene, new LearningInterferenceControl(), new SeededRandom(3), 0, 30_000, () => 8);
-    expect(scene.fillers.every(({ pacePercent }) => pacePercent === 100)).toBe(true);
+    const scenario = newScenario(4, ['a', 'b', 'c']);
+    simulate(scenario, new LearningInterferenceControl(), new SeededRandom(3), 0, 30_000, () => 8);
+    expect(scenario.fillers.every(({ pacePercent }) => pacePercent === 100)).toBe(true);
   });
 
   it('are slowed only if they are antagonists', () => {
     // Fillers of two images run beside a service. The first raises the tails from 8 to 20 ms; the
     // second has run beside it for a while without slowing it. Only the first one is slowed.
-    const scene = sceneOf(4, ['antagonist', 'benign']);
-    const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+    const scenario = newScenario(4, ['antagonist', 'benign']);
+    const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(5);
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 0, 6_000, () => 8);
-    scene.view.addRun(antagonist);
-    play(scene, control, random, 6_600, 7_800, () => 8 + antagonist.pacePercent * 0.12);
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    scenario.view.addRun(antagonist);
+    simulate(scenario, control, random, 6_600, 7_800, () => 8 + antagonist.pacePercent * 0.12);
     expect(antagonist.pacePercent).toBeLessThan(100);
     expect(benign.pacePercent).toBe(100);
   });
@@ -145,22 +145,22 @@
   it('return to full pace after an overload that they did not cause', () => {
     // A burst of the service's own load overloads it for two seconds. The filler is slowed in the
     // meantime, and then returns to full pace because it has run there without interference.
-    const scene = sceneOf(4, ['a']);
+    const scenario = newScenario(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
-    play(scene, control, random, 0, 6_000, () => 8);
-    play(scene, control, random, 6_600, 8_400, () => 40);
-    expect(scene.fillers[0]?.pacePercent).toBeLessThan(50);
-    play(scene, control, random, 9_000, 12_000, () => 6);
-    expect(scene.fillers[0]?.pacePercent).toBe(100);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    simulate(scenario, control, random, 6_600, 8_400, () => 40);
+    expect(scenario.fillers[0]?.pacePercent).toBeLessThan(50);
+    simulate(scenario, control, random, 9_000, 12_000, () => 6);
+    expect(scenario.fillers[0]?.pacePercent).toBe(100);
   });
 
   it('go back into the queue if they stay throttled', () => {
-    const scene = sceneOf(4, ['a']);
+    const scenario = newScenario(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
-    play(scene, control, random, 0, 9_000, () => 40);
-    expect(scene.view.runs.size).toBe(4);
+    simulate(scenario, control, random, 0, 9_000, () => 40);
+    expect(scenario.view.runs.size).toBe(4);
   });
 });
 
@@ -168,31 +168,31 @@
   it('uses the interference estimates of the previous owner', () => {
     // The previous owner has learnt that one image slows a service and another does not. After the
     // takeover, the new owner must not start the antagonist beside the service to learn it again.
-    const scene = sceneOf(4, ['antagonist', 'benign']);
-    const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+    const scenario = newScenario(4, ['antagonist', 'benign']);
+    const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(5);
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 0, 6_000, () => 8);
-    scene.view.addRun(antagonist);
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    scenario.view.addRun(antagonist);
     for (let round = 0; round < 4; round += 1) {
       antagonist.pacePercent = 100;
-      play(scene, control, random, 6_600 + round * 600, 6_600 + round * 600, () => 40);
+      simulate(scenario, control, random, 6_600 + round * 600, 6_600 + round * 600, () => 40);
     }
     // Without the antagonist, only the benign filler runs beside the service, which recovers.
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 9_000, 15_000, () => 8);
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 9_000, 15_000, () => 8);
     const successor = new LearningInterferenceControl();
     successor.inherit(control.learnt(), 15_000);
-    const isBorneBy = (one: LearningInterferenceControl, { task }: TaskRun): boolean => {
-      const beside = sceneOf(4, []);
-      const calm = new SeededRandom(9);
-      play(beside, one, calm, 15_600, 36_000, () => 11);
-      return one.admit(beside.view, task, 36_000)?.percent === 100;
+    const isAdmittedBy = (one: LearningInterferenceControl, { task }: TaskRun): boolean => {
+      const otherScenario = newScenario(4, []);
+      const otherRandom = new SeededRandom(9);
+      simulate(otherScenario, one, otherRandom, 15_600, 36_000, () => 11);
+      return one.admit(otherScenario.view, task, 36_000)?.percent === 100;
     };
-    expect(isBorneBy(control, antagonist)).toBe(false);
-    expect(isBorneBy(successor, antagonist)).toBe(false);
-    expect(isBorneBy(successor, benign)).toBe(true);
+    expect(isAdmittedBy(control, antagonist)).toBe(false);
+    expect(isAdmittedBy(successor, antagonist)).toBe(false);
+    expect(isAdmittedBy(successor, benign)).toBe(true);
   });
 });
 
@@ -205,8 +205,8 @@
     const random = new SeededRandom(3);
     for (let count = 0; count < 600; count += 1) {
       const image = `${count}`.padStart(40, 'image');
-      const scene = sceneOf(4, [image]);
-      play(scene, control, random, count * 3_000, count * 3_000 + 2_400, () => 8);
+      const scenario = newScenario(4, [image]);
+      simulate(scenario, control, random, count * 3_000, count * 3_000 + 2_400, () => 8);
     }
     const learnt = control.learnt();
     expect(learnt.length).toBeGreaterThan(100);
@@ -221,15 +221,17 @@
    * batch work adds to each request, as a fraction.
    */
   const UNLOADED_TAIL_MS = 4;
-  const SWING_MS = 10_000;
+  const PERIOD_MS = 10_000;
   /** Relative noise of samples of services that are not disturbed. */
-  const MEAN_SCATTER = 0.1;
+  const UNDISTURBED_NOISE = 0.1;
   const loadAt = (nowMs: number): number =>
-    0.42 * (1 + 0.5 * Math.sin((nowMs / SWING_MS) * 2 * Math.PI));
+    0.42 * (1 + 0.5 * Math.sin((nowMs / PERIOD_MS) * 2 * Math.PI));
 
   const tailOf = (load: number, pressure: number): number => {
-    const left = 1 - load * (1 + pressure);
-    return left <= 0.02 ? 200 : (UNLOADED_TAIL_MS * (1 + pressure)) / left;
+    const remainingCapacity = 1 - load * (1 + pressure);
+    return remainingCapacity <= 0.02
+      ? 200
+      : (UNLOADED_TAIL_MS * (1 + pressure)) / remainingCapacity;
   };
 
   it.each([1, 2, 3, 4, 5, 6, 7, 8])(
@@ -239,30 +241,30 @@
       // load the tail stays well below the target beside it. The owner must not let it run into the
       // peak, where the tail would be several times the target, and must not stop the other image,
       // which is benign.
-      const scene = sceneOf(4, ['antagonist', 'benign']);
-      const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+      const scenario = newScenario(4, ['antagonist', 'benign']);
+      const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
       const control = new LearningInterferenceControl();
       const random = new SeededRandom(seed);
       let overMs = 0;
       let workedMs = 0;
       const untilMs = 60_000;
-      for (let nowMs = 0; nowMs <= untilMs; nowMs += LOOK_MS) {
+      for (let nowMs = 0; nowMs <= untilMs; nowMs += POLL_MS) {
         const pressure =
           0.4 *
-          (scene.view.runs.has(`${antagonist.task.name}#1`) ? antagonist.pacePercent / 100 : 0);
+          (scenario.view.runs.has(`${antagonist.task.name}#1`) ? antagonist.pacePercent / 100 : 0);
         const tailMs = tailOf(loadAt(nowMs), pressure);
-        if (nowMs > SWING_MS && tailMs > TARGET_MS) overMs += LOOK_MS;
-        if (nowMs > SWING_MS) workedMs += (LOOK_MS * antagonist.pacePercent) / 100;
-        play(scene, control, random, nowMs, nowMs, () => tailMs, MEAN_SCATTER);
+        if (nowMs > PERIOD_MS && tailMs > TARGET_MS) overMs += POLL_MS;
+        if (nowMs > PERIOD_MS) workedMs += (POLL_MS * antagonist.pacePercent) / 100;
+        simulate(scenario, control, random, nowMs, nowMs, () => tailMs, UNDISTURBED_NOISE);
         // A moved filler returns at the next low load, as it would from the queue.
-        const isAway = !scene.view.runs.has(`${antagonist.task.name}#1`);
-        if (isAway && control.admit(scene.view, antagonist.task, nowMs)?.percent === 100) {
+        const isAbsent = !scenario.view.runs.has(`${antagonist.task.name}#1`);
+        if (isAbsent && control.admit(scenario.view, antagonist.task, nowMs)?.percent === 100) {
           antagonist.pacePercent = 100;
-          scene.view.addRun(antagonist);
-        } else if (isAway) antagonist.pacePercent = 0;
+          scenario.view.addRun(antagonist);
+        } else if (isAbsent) antagonist.pacePercent = 0;
       }
-      expect(overMs).toBeLessThanOrEqual(0.05 * (untilMs - SWING_MS));
-      expect(workedMs).toBeGreaterThan(0.25 * (untilMs - SWING_MS));
+      expect(overMs).toBeLessThanOrEqual(0.05 * (untilMs - PERIOD_MS));
+      expect(workedMs).toBeGreaterThan(0.25 * (untilMs - PERIOD_MS));
       expect(benign.pacePercent).toBe(100);
     },
   );
--- a/src/scheduler/test/fleet/largeSubmissions.test.ts
+++ b/src/scheduler/test/fleet/largeSubmissions.test.ts
@@ -5,20 +5,20 @@
 import { BusyFleet, type Costs } from './busyFleet.js';
 import { CONFIGURATION, STEP, submissionOf } from './fleetFixtures.js';
 
-const FREE: Costs = { sendMs: 0, answerMs: 0, connectMs: 0, stepMs: 0, rowMs: 0 };
+const NO_COSTS: Costs = { sendMs: 0, answerMs: 0, connectMs: 0, stepMs: 0, rowMs: 0 };
 const SEEDS = [1, 3, 4];
-const WORKERS = 20;
-const SECONDS = 30;
+const WORKER_COUNT = 20;
+const DURATION_S = 30;
 const TASK_MS = 500;
 /** Twice as much work as the workers can do. */
 const SUBMISSIONS_PER_S = 16;
 const STEP_COUNT = 2;
 const MEAN_TASKS = 10;
 const SIZE_SIGMA = 0.6;
-const MOST_TASKS = 40;
+const MAXIMUM_TASKS = 40;
 const POLL_MS = 100;
 /** A result that takes longer than this many times the objective is worthless. */
-const LATE_FACTOR = 3;
+const WORTHLESS_FACTOR = 3;
 
 const [QUEUE] = CONFIGURATION.queues as [(typeof CONFIGURATION.queues)[number]];
 const OBJECTIVE_MS = QUEUE.objectiveStretch * STEP_COUNT * TASK_MS + QUEUE.objectiveMs;
@@ -29,7 +29,7 @@
     Math.sqrt(-2 * Math.log(1 - random.nextFraction())) *
     Math.cos(2 * Math.PI * random.nextFraction());
   const drawn = MEAN_TASKS * Math.exp(SIZE_SIGMA * normal - SIZE_SIGMA ** 2 / 2);
-  return Math.min(MOST_TASKS, Math.max(1, Math.round(drawn)));
+  return Math.min(MAXIMUM_TASKS, Math.max(1, Math.round(drawn)));
 };
 
 const newSubmission = (random: SeededRandom, index: number): Submission => {
@@ -48,20 +48,20 @@
   const sentAtMs = new Map<Submission, number>();
   const served = new Set<Submission>();
 
-  const play = async (): Promise<void> => {
-    const fleet = new BusyFleet(WORKERS, () => TASK_MS);
+  const runBacklog = async (): Promise<void> => {
+    const fleet = new BusyFleet(WORKER_COUNT, () => TASK_MS);
     const random = new SeededRandom(seed);
     fleet.world.stubTimers();
-    fleet.addDaemon('owner', FREE);
-    const endMs = SECONDS * 1_000 + LATE_FACTOR * OBJECTIVE_MS;
+    fleet.addDaemon('owner', NO_COSTS);
+    const endMs = DURATION_S * 1_000 + WORTHLESS_FACTOR * OBJECTIVE_MS;
     for (let atMs = POLL_MS; atMs <= endMs; atMs += POLL_MS) {
       // eslint-disable-next-line no-await-in-loop
       await fleet.world.runUntil(atMs);
       sentAtMs.forEach((sentMs, submission) => {
-        const isInTime = atMs - sentMs <= LATE_FACTOR * OBJECTIVE_MS;
+        const isInTime = atMs - sentMs <= WORTHLESS_FACTOR * OBJECTIVE_MS;
         if (isInTime && fleet.progress(submission.id)?.state === 'complete') served.add(submission);
       });
-      const wantedCount = Math.min(SECONDS, atMs / 1_000) * SUBMISSIONS_PER_S;
+      const wantedCount = Math.min(DURATION_S, atMs / 1_000) * SUBMISSIONS_PER_S;
       while (sentAtMs.size < wantedCount) {
         const submission = newSubmission(random, sentAtMs.size);
         sentAtMs.set(submission, atMs);
@@ -73,11 +73,11 @@
   /** The served share of the submissions between two ranks by size, largest first. */
   const shareServed = (fromRank: number, toRank: number): number => {
     const bySize = [...sentAtMs.keys()].sort((one, other) => sizeOf(other) - sizeOf(one));
-    const those = bySize.slice(bySize.length * fromRank, bySize.length * toRank);
-    return those.filter((submission) => served.has(submission)).length / those.length;
+    const selected = bySize.slice(bySize.length * fromRank, bySize.length * toRank);
+    return selected.filter((submission) => served.has(submission)).length / selected.length;
   };
 
-  beforeAll(play);
+  beforeAll(runBacklog);
   afterAll(() => vi.unstubAllGlobals());
 
   it('does not starve the largest tenth of the submissions', () => {
@@ -90,7 +90,7 @@
 
   it('is processed near the capacity of the workers', () => {
     const doneTasks = [...served].reduce((sum, submission) => sum + sizeOf(submission), 0);
-    const carriedTasks = (WORKERS * 4 * SECONDS * 1_000) / TASK_MS;
-    expect(doneTasks).toBeGreaterThanOrEqual(0.7 * carriedTasks);
+    const capacityTasks = (WORKER_COUNT * 4 * DURATION_S * 1_000) / TASK_MS;
+    expect(doneTasks).toBeGreaterThanOrEqual(0.7 * capacityTasks);
   });
 });
--- a/src/scheduler/test/fleet/loadDynamics.test.ts
+++ b/src/scheduler/test/fleet/loadDynamics.test.ts
@@ -8,8 +8,8 @@
 const POLL_INTERVAL_MS = 600;
 const MEAN = 2.5;
 const AMPLITUDE = 1;
-const SCATTER = 0.15;
-const VARIANCE = SCATTER ** 2;
+const NOISE = 0.15;
+const VARIANCE = NOISE ** 2;
 const LOAD_COUNT = 8;
 
 interface ObservedLoad {
@@ -33,12 +33,17 @@
   }));
   for (let nowMs = POLL_INTERVAL_MS; nowMs <= untilMs; nowMs += POLL_INTERVAL_MS) {
     loads.forEach(({ name, trend, harmonic }, index) => {
-      const level = levelOf(index, nowMs) + SCATTER * (2 * random.nextFraction() - 1);
+      const level = levelOf(index, nowMs) + NOISE * (2 * random.nextFraction() - 1);
       trend.advance(nowMs);
       const reading = { headroom: level, variance: VARIANCE, loss: 0, lossVariance: 0 };
-      const surprise = trend.surprise(reading);
-      trend.correct(surprise);
-      dynamics.note(name, harmonic, { atMs: nowMs, level, variance: VARIANCE }, surprise.excess);
+      const innovation = trend.innovation(reading);
+      trend.correct(innovation);
+      dynamics.addReading(
+        name,
+        harmonic,
+        { atMs: nowMs, level, variance: VARIANCE },
+        innovation.excess,
+      );
     });
   }
   return loads;
--- a/src/scheduler/test/fleet/roomMisses.test.ts
+++ b/src/scheduler/test/fleet/roomMisses.test.ts
@@ -12,7 +12,7 @@
 import { STEP, submissionOf, WORKER_CAPACITY } from './fleetFixtures.js';
 
 const ID = '00000000000000a1';
-const KEY = 'step';
+const STEP_NAME = 'step';
 
 const viewOf = (id: string): FleetWorkerView =>
   new FleetWorkerView(
@@ -29,24 +29,24 @@
     const book = new SubmissionBook();
     book.add(submissionOf(ID, [STEP]), undefined, NO_ASSIGNMENTS, 0);
     const task = book.find(`${ID}.0.0.0`) as TaskRecord;
-    const opened = task.submission.occurrences.get(0) as OccurrenceRecord;
+    const occurrence = task.submission.occurrences.get(0) as OccurrenceRecord;
     const views = Array.from({ length: 300 }, (_, index) => viewOf(`worker-${index}`));
     const misses = new RoomMisses();
-    const askedAt = (nowMs: number): readonly FleetWorkerView[] => {
+    const candidatesAt = (nowMs: number): readonly FleetWorkerView[] => {
       misses.begin(views);
-      const asked = misses.candidates(opened, KEY, 'service', views, nowMs);
-      misses.note(opened, KEY, nowMs);
-      return asked;
+      const candidates = misses.candidates(occurrence, STEP_NAME, 'service', views, nowMs);
+      misses.note(occurrence, STEP_NAME, nowMs);
+      return candidates;
     };
-    expect(askedAt(0)).toHaveLength(300);
-    expect(askedAt(50)).toHaveLength(0);
+    expect(candidatesAt(0)).toHaveLength(300);
+    expect(candidatesAt(50)).toHaveLength(0);
     const [first, second] = views as [FleetWorkerView, FleetWorkerView];
     first.addRun(newRun(task, 1, first.id, 60));
     second.sampledAtMs = 60;
-    expect(askedAt(100)).toEqual([first, second]);
-    expect(askedAt(150)).toHaveLength(0);
-    expect(askedAt(500)).toHaveLength(300);
-    expect(askedAt(550)).toHaveLength(0);
-    expect(askedAt(1_000)).toHaveLength(300);
+    expect(candidatesAt(100)).toEqual([first, second]);
+    expect(candidatesAt(150)).toHaveLength(0);
+    expect(candidatesAt(500)).toHaveLength(300);
+    expect(candidatesAt(550)).toHaveLength(0);
+    expect(candidatesAt(1_000)).toHaveLength(300);
   });
 });
--- a/src/scheduler/test/fleet/sizeBalance.test.ts
+++ b/src/scheduler/test/fleet/sizeBalance.test.ts
@@ -14,7 +14,7 @@
   return balance;
 };
 
-const reservationsOf = (balance: SizeBalance, sizeClass: SizeClass): number =>
+const reservationCount = (balance: SizeBalance, sizeClass: SizeClass): number =>
   Array.from({ length: 100 }, () => balance.reserve(sizeClass)).filter(Boolean).length;
 
 describe('the size balance', () => {
@@ -32,14 +32,14 @@
   });
 
   it('makes a limited number of reservations while large submissions are starved', () => {
-    const count = reservationsOf(balanceOf(70), SizeClass.Largest);
+    const count = reservationCount(balanceOf(70), SizeClass.Largest);
     expect(count).toBeGreaterThan(0);
     expect(count).toBeLessThan(10);
   });
 
   it('makes a new reservation after one is released', () => {
     const balance = balanceOf(70);
-    reservationsOf(balance, SizeClass.Largest);
+    reservationCount(balance, SizeClass.Largest);
     expect(balance.reserve(SizeClass.Largest)).toBe(false);
     balance.release(SizeClass.Largest);
     expect(balance.reserve(SizeClass.Largest)).toBe(true);
--- a/src/scheduler/test/fleet/workerSearch.test.ts
+++ b/src/scheduler/test/fleet/workerSearch.test.ts
@@ -12,8 +12,8 @@
 import { entryOf, STEP, submissionOf, WORKER_CAPACITY } from './fleetFixtures.js';
 
 const ID = '00000000000000a1';
-const WORKERS = 380;
-const TASKS = 39;
+const WORKER_COUNT = 380;
+const TASK_COUNT = 39;
 
 const tasksOf = (step: Step): readonly TaskRecord[] => {
   const book = new SubmissionBook();
@@ -49,10 +49,10 @@
 
 describe('the worker search for the tasks of one step', () => {
   it('rates each of hundreds of workers once, and again after it has taken a task', () => {
-    const search = newSearch(viewsOf(WORKERS));
-    const chosen = placeAll(search, tasksOf({ ...STEP, taskCount: TASKS }));
+    const search = newSearch(viewsOf(WORKER_COUNT));
+    const chosen = placeAll(search, tasksOf({ ...STEP, taskCount: TASK_COUNT }));
     expect(chosen).not.toContain(undefined);
-    expect(search.ratingCount).toBeLessThanOrEqual(WORKERS + TASKS);
+    expect(search.ratingCount).toBeLessThanOrEqual(WORKER_COUNT + TASK_COUNT);
   });
 
   it('places no more tasks on a worker than it has room for', () => {
