--- a/src/scheduler/common/fleet/fleetOrder.ts
+++ b/src/scheduler/common/fleet/fleetOrder.ts
@@ -119,11 +119,11 @@
 
 /** Gives reservations to large submissions if too few of their size are served, in rank order. */
 const reserveForLarge = (ranked: readonly RankedGroup[]): readonly RankedGroup[] =>
-  ranked.map((one) => {
-    const { first, rank } = one;
+  ranked.map((rankedGroup) => {
+    const { first, rank } = rankedGroup;
     const { submission } = first;
     const { balance } = submission.queueWork;
-    if (first.step.isPersistent) return one;
+    if (first.step.isPersistent) return rankedGroup;
     if (rank.isHeldUp) countOnce(submission);
     if (submission.isReserved && rank.usefulness === Usefulness.None) {
       submission.isReserved = false;
@@ -132,7 +132,7 @@
       const isDue = rank.isHeldUp && rank.usefulness === Usefulness.InTime;
       submission.isReserved = isDue && balance.reserve(submission.sizeClass);
     }
-    return { ...one, rank: { ...rank, isReserved: submission.isReserved } };
+    return { ...rankedGroup, rank: { ...rank, isReserved: submission.isReserved } };
   });
 
 const compareRanks = (left: RankedGroup, right: RankedGroup): number => {
--- a/src/scheduler/common/fleet/fleetPlacement.ts
+++ b/src/scheduler/common/fleet/fleetPlacement.ts
@@ -167,8 +167,8 @@
 
 type FillerRating = Pick<Rating, 'cost' | 'percent'>;
 
-export const isObstacle = (one: object | PlacementObstacle): one is PlacementObstacle =>
-  typeof one === 'string';
+export const isObstacle = (value: object | PlacementObstacle): value is PlacementObstacle =>
+  typeof value === 'string';
 
 /** The first resource that the worker lacks for the task. Fillers don't need free processors. */
 const findMissingResource = (task: TaskRecord, free: Resources): PlacementObstacle | undefined => {
--- a/src/scheduler/common/fleet/harmonicLoad.ts
+++ b/src/scheduler/common/fleet/harmonicLoad.ts
@@ -117,7 +117,7 @@
     }
     this.#periodMs = periodMs;
     this.#reset();
-    this.#readings.forEach((one) => this.#correct(one));
+    this.#readings.forEach((keptReading) => this.#correct(keptReading));
   }
 
   #reset(): void {
--- a/src/scheduler/common/fleet/loadDynamics.ts
+++ b/src/scheduler/common/fleet/loadDynamics.ts
@@ -87,7 +87,7 @@
     const { atMs } = reading;
     const excess = reading.level - load.levelAt(atMs);
     if (load.varianceAt(atMs) < CONFIDENT_VARIANCE) {
-      const cappedSquare = (one: number): number => Math.min(MAXIMUM_ERROR, one * one);
+      const cappedSquare = (error: number): number => Math.min(MAXIMUM_ERROR, error * error);
       this.#trendError += (cappedSquare(trendExcess) - this.#trendError) * ERROR_WEIGHT;
       this.#harmonicError += (cappedSquare(excess) - this.#harmonicError) * ERROR_WEIGHT;
     }
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -184,11 +184,11 @@
     simulate(scenario, control, random, 9_000, 15_000, () => 8);
     const successor = new LearningInterferenceControl();
     successor.inherit(control.learnt(), 15_000);
-    const isAdmittedBy = (one: LearningInterferenceControl, { task }: TaskRun): boolean => {
+    const isAdmittedBy = (tested: LearningInterferenceControl, { task }: TaskRun): boolean => {
       const otherScenario = newScenario(4, []);
       const otherRandom = new SeededRandom(9);
-      simulate(otherScenario, one, otherRandom, 15_600, 36_000, () => 11);
-      return one.admit(otherScenario.view, task, 36_000)?.percent === 100;
+      simulate(otherScenario, tested, otherRandom, 15_600, 36_000, () => 11);
+      return tested.admit(otherScenario.view, task, 36_000)?.percent === 100;
     };
     expect(isAdmittedBy(control, antagonist)).toBe(false);
     expect(isAdmittedBy(successor, antagonist)).toBe(false);
