--- a/src/scheduler/common/freeCapacity.ts
+++ b/src/scheduler/common/freeCapacity.ts
@@ -17,23 +17,23 @@
 import { attemptKey, isInContact, type WorkerView } from './workerView.js';
 import { openShare } from './zoneReturn.js';
 
-interface UseMemo {
+interface UsageCacheEntry {
   readonly tasks: WorkerView['tasks'];
   readonly used: Resources;
 }
 
-const useMemos = new WeakMap<readonly Assignment[], UseMemo>();
+const usageCache = new WeakMap<readonly Assignment[], UsageCacheEntry>();
 
 /** Committed tasks together with those that run on the worker without standing in the ledger. */
-const usedOn = (view: WorkerView, assignments: readonly Assignment[]): Resources => {
-  const memo = useMemos.get(assignments);
-  if (memo?.tasks === view.tasks) return memo.used;
-  const listed = new Set(assignments.map(attemptKey));
-  const strays = [...view.tasks.values()].filter(
-    (task) => task.state === WorkerTaskState.Running && !listed.has(attemptKey(task)),
+const usedResourcesOn = (view: WorkerView, assignments: readonly Assignment[]): Resources => {
+  const cached = usageCache.get(assignments);
+  if (cached?.tasks === view.tasks) return cached.used;
+  const ledgerKeys = new Set(assignments.map(attemptKey));
+  const untrackedTasks = [...view.tasks.values()].filter(
+    (task) => task.state === WorkerTaskState.Running && !ledgerKeys.has(attemptKey(task)),
   );
-  const used = sumResources([...assignments, ...strays].map(({ size }) => size));
-  useMemos.set(assignments, { tasks: view.tasks, used });
+  const used = sumResources([...assignments, ...untrackedTasks].map(({ size }) => size));
+  usageCache.set(assignments, { tasks: view.tasks, used });
   return used;
 };
 
@@ -50,29 +50,29 @@
   readonly #openShare: number;
 
   /** Sizes that fitted nowhere in this round; what is no smaller fits nowhere either. */
-  readonly #tooLarge: Resources[] = [];
+  readonly #tooLargeSizes: Resources[] = [];
 
   constructor(state: CellState, rows: CellRows, draft: CellDraft, nowMs: number) {
     this.#openShare = openShare(state.returnedAtMs, state.timing.zoneReturnMs, nowMs);
-    const freed = new Map<string, Resources>();
+    const freedByWorker = new Map<string, Resources>();
     ledgerChange(rows, draft).dropped.forEach(({ workerId, size }) => {
-      const known = freed.get(workerId);
-      freed.set(workerId, known === undefined ? size : addResources(known, size));
+      const known = freedByWorker.get(workerId);
+      freedByWorker.set(workerId, known === undefined ? size : addResources(known, size));
     });
     state.workers.forEach((view, workerId) => {
       if (!isUsable(state, view, nowMs)) return;
-      const used = usedOn(view, assignmentsOf(rows, workerId));
-      const left = subtractResources(
+      const used = usedResourcesOn(view, assignmentsOf(rows, workerId));
+      const remaining = subtractResources(
         view.instance.capacity,
         addResources(used, state.learntSizes.excess(workerId)),
       );
-      const gain = freed.get(workerId);
+      const freedSize = freedByWorker.get(workerId);
       this.#candidates.set(workerId, {
         workerId,
         rack: view.instance.rack,
         incarnation: view.report?.incarnation ?? '',
         capacity: view.instance.capacity,
-        free: gain === undefined ? left : addResources(left, gain),
+        free: freedSize === undefined ? remaining : addResources(remaining, freedSize),
         sameServiceOnWorkerCount: 0,
         sameServiceInRackCount: 0,
       });
@@ -85,7 +85,7 @@
    * smaller ones behind it are placed.
    */
   candidatesFor(request: PlacementRequest, canWait: boolean): readonly PlacementCandidate[] {
-    if (this.#tooLarge.some((size) => fitsInto(size, request.size))) return [];
+    if (this.#tooLargeSizes.some((size) => fitsInto(size, request.size))) return [];
     return canWait ? this.openCandidates : this.candidates;
   }
 
@@ -108,13 +108,13 @@
   candidatesNear(replicas: readonly Assignment[], canWait: boolean): readonly PlacementCandidate[] {
     const workerCounts = new Map<string, number>();
     const rackCounts = new Map<string, number>();
-    const raise = (counts: Map<string, number>, key: string): void => {
+    const increment = (counts: Map<string, number>, key: string): void => {
       counts.set(key, (counts.get(key) ?? 0) + 1);
     };
     replicas.forEach(({ workerId }) => {
       const rack = this.#candidates.get(workerId)?.rack;
-      raise(workerCounts, workerId);
-      if (rack !== undefined) raise(rackCounts, rack);
+      increment(workerCounts, workerId);
+      if (rack !== undefined) increment(rackCounts, rack);
     });
     const candidates = canWait ? this.openCandidates : this.candidates;
     return candidates.map((candidate) => ({
@@ -145,7 +145,7 @@
   }
 
   noteTooLarge(size: Resources): void {
-    this.#tooLarge.push(size);
+    this.#tooLargeSizes.push(size);
   }
 
   take(workerId: string, size: Resources): void {
--- a/src/scheduler/common/interference/interferenceState.ts
+++ b/src/scheduler/common/interference/interferenceState.ts
@@ -15,20 +15,20 @@
   /** When it last throttled, released or evicted there. */
   readonly actedAtMs: number;
   /** Since when services are too slow although all that helps is throttled. */
-  readonly inVainSinceMs: number | undefined;
+  readonly throttlingInsufficientSinceMs: number | undefined;
   /** The share of its processors that each running task is to have, by attempt. */
   readonly shares: ReadonlyMap<string, number>;
   /** When each running task, by attempt, and each service, by name, was first seen. */
-  readonly seenAtMs: ReadonlyMap<string, number>;
+  readonly firstSeenAtMs: ReadonlyMap<string, number>;
 }
 
 export interface InterferenceState {
   readonly estimates: PairEstimates;
   /** What tasks of a kind use of the processors they declare. */
-  readonly useRatios: ReadonlyMap<string, number>;
+  readonly usageRatios: ReadonlyMap<string, number>;
   readonly controls: ReadonlyMap<string, WorkerControl>;
   /** Samples that wait for a report of what ran meanwhile. */
-  readonly samples: readonly LatencySample[];
+  readonly pendingSamples: readonly LatencySample[];
   readonly nextStepAtMs: number;
 }
 
@@ -37,23 +37,23 @@
   nowMs: number,
 ): InterferenceState => ({
   estimates: new PairEstimates(policy.halfLifeMs),
-  useRatios: new Map(),
+  usageRatios: new Map(),
   controls: new Map(),
-  samples: [],
+  pendingSamples: [],
   nextStepAtMs: nowMs,
 });
 
 /** Samples that may wait: two looks at 1,000 servers. The oldest go first. */
-const MAXIMUM_WAITING_SAMPLES = 2_000;
+const MAXIMUM_PENDING_SAMPLES = 2_000;
 
 export const withSamples = (
   interference: InterferenceState,
   samples: readonly LatencySample[],
 ): InterferenceState => ({
   ...interference,
-  samples: [...interference.samples, ...samples].slice(-MAXIMUM_WAITING_SAMPLES),
+  pendingSamples: [...interference.pendingSamples, ...samples].slice(-MAXIMUM_PENDING_SAMPLES),
 });
 
 /** What a kind uses of its declared processors; all of them until measured. */
-export const useRatio = (interference: InterferenceState, kind: string): number =>
-  interference.useRatios.get(kind) ?? 1;
+export const usageRatio = (interference: InterferenceState, kind: string): number =>
+  interference.usageRatios.get(kind) ?? 1;
--- a/src/scheduler/common/interference/interferenceStep.ts
+++ b/src/scheduler/common/interference/interferenceStep.ts
@@ -4,7 +4,7 @@
 import { isEvictionWanted } from '../wantedEvictions.js';
 import { attemptKey, isInContact, type WorkerView } from '../workerView.js';
 import type { InterferenceState, WorkerControl } from './interferenceState.js';
-import { learntFrom, SampleFate, sampleFate } from './learning.js';
+import { withLearntSample, SampleStatus, sampleStatus } from './learning.js';
 import { controlStep, observedControl } from './workerControl.js';
 import { type WorkerLoad, workerLoad } from './workerLoad.js';
 
@@ -17,12 +17,12 @@
   amount,
 });
 
-interface Observed {
+interface ObservedWorkers {
   readonly loads: ReadonlyMap<string, WorkerLoad>;
   readonly controls: ReadonlyMap<string, WorkerControl>;
 }
 
-const observe = (state: CellState, rows: CellRows, nowMs: number): Observed => {
+const observe = (state: CellState, rows: CellRows, nowMs: number): ObservedWorkers => {
   const loads = new Map<string, WorkerLoad>();
   const controls = new Map<string, WorkerControl>();
   state.workers.forEach((view, workerId) => {
@@ -35,29 +35,33 @@
   return { loads, controls };
 };
 
-const learn = (state: CellState, { loads, controls }: Observed, nowMs: number): CellDecision => {
+const learnFromSamples = (
+  state: CellState,
+  { loads, controls }: ObservedWorkers,
+  nowMs: number,
+): CellDecision => {
   let interference: InterferenceState = { ...state.interference, controls };
   let staleCount = 0;
-  const waiting = interference.samples.filter((sample) => {
+  const pendingSamples = interference.pendingSamples.filter((sample) => {
     const load = loads.get(sample.workerId);
     const view = state.workers.get(sample.workerId);
     const control = controls.get(sample.workerId);
     const policy = state.timing.interference;
-    const fate = sampleFate(sample, view, control, policy, nowMs);
-    if (fate === SampleFate.Stale || load === undefined) staleCount += 1;
-    else if (fate === SampleFate.Learnt) {
-      interference = learntFrom(interference, sample, load, nowMs);
+    const status = sampleStatus(sample, view, control, policy, nowMs);
+    if (status === SampleStatus.Stale || load === undefined) staleCount += 1;
+    else if (status === SampleStatus.Learnt) {
+      interference = withLearntSample(interference, sample, load, nowMs);
     }
-    return fate === SampleFate.Waiting;
+    return status === SampleStatus.Waiting;
   });
   return {
-    state: { ...state, interference: { ...interference, samples: waiting } },
+    state: { ...state, interference: { ...interference, pendingSamples } },
     effects: [counted('interference_samples_stale', staleCount)],
   };
 };
 
 /** Evictions that this owner asked for and that stand in the ledger still. */
-const underWayCount = (state: CellState, rows: CellRows): number =>
+const pendingEvictionCount = (state: CellState, rows: CellRows): number =>
   [...rows.assignmentsByWorker.keys()].reduce(
     (sum, workerId) =>
       sum +
@@ -78,7 +82,7 @@
   );
 };
 
-const isLeaving = (state: CellState, rows: CellRows, workerId: string, nowMs: number) => {
+const leavingPredicate = (state: CellState, rows: CellRows, workerId: string, nowMs: number) => {
   const leaving = new Set(
     assignmentsOf(rows, workerId)
       .filter((one) => isEvictionWanted(state, one, nowMs))
@@ -87,7 +91,7 @@
   return (key: string): boolean => leaving.has(key);
 };
 
-const control = (
+const controlWorkers = (
   state: CellState,
   rows: CellRows,
   loads: ReadonlyMap<string, WorkerLoad>,
@@ -97,29 +101,29 @@
   const controls = new Map(state.interference.controls);
   const workers = new Map<string, WorkerView>(state.workers);
   const evicted = new Set<string>();
-  let leftEvictions = policy.maximumEvictionsUnderWay - underWayCount(state, rows);
+  let allowedEvictionCount = policy.maximumEvictionsUnderWay - pendingEvictionCount(state, rows);
   let throttleCount = 0;
   controls.forEach((before, workerId) => {
     const view = workers.get(workerId);
-    const whole = loads.get(workerId);
-    if (view === undefined || whole === undefined || whole.batch.length === 0) return;
+    const fullLoad = loads.get(workerId);
+    if (view === undefined || fullLoad === undefined || fullLoad.batch.length === 0) return;
     // What leaves already is no longer weighed, else more would be evicted in its place.
-    const leaves = isLeaving(state, rows, workerId, nowMs);
-    const load = { ...whole, batch: whole.batch.filter(({ key }) => !leaves(key)) };
+    const isLeaving = leavingPredicate(state, rows, workerId, nowMs);
+    const load = { ...fullLoad, batch: fullLoad.batch.filter(({ key }) => !isLeaving(key)) };
     const step = controlStep(
       state.interference,
       before,
       load,
       policy,
       mayRelease(state, load, nowMs),
-      leftEvictions > 0,
+      allowedEvictionCount > 0,
       nowMs,
     );
     controls.set(workerId, step.control);
     if (step.control.shares !== before.shares) throttleCount += 1;
     if (step.evictedKey !== undefined) {
       evicted.add(step.evictedKey);
-      leftEvictions -= 1;
+      allowedEvictionCount -= 1;
     }
     if (step.control.actedAtMs !== before.actedAtMs) {
       workers.set(workerId, { ...view, isMessageStale: true });
@@ -146,8 +150,8 @@
     return { state, effects: [] };
   }
   const observed = observe(state, rows, nowMs);
-  const learnt = learn(state, observed, nowMs);
-  const steps = control(learnt.state, rows, observed.loads, nowMs);
+  const learnt = learnFromSamples(state, observed, nowMs);
+  const steps = controlWorkers(learnt.state, rows, observed.loads, nowMs);
   const next = { ...steps.state.interference, nextStepAtMs: nowMs + STEP_INTERVAL_MS };
   return {
     state: { ...steps.state, interference: next },
--- a/src/scheduler/common/interference/learning.ts
+++ b/src/scheduler/common/interference/learning.ts
@@ -9,12 +9,12 @@
 /** How long a sample waits for the report that it needs. */
 const MAXIMUM_SAMPLE_AGE_MS = 30_000;
 /** Weight of one more measurement of what a kind uses. */
-const USE_WEIGHT = 0.1;
+const USAGE_SAMPLE_WEIGHT = 0.1;
 /** Use is measured on tasks that are throttled no further than this. */
-const LEAST_MEASURED_SHARE = 0.2;
+const MINIMUM_MEASURED_SHARE = 0.2;
 
-export const SampleFate = { Learnt: 'learnt', Stale: 'stale', Waiting: 'waiting' } as const;
-export type SampleFate = (typeof SampleFate)[keyof typeof SampleFate];
+export const SampleStatus = { Learnt: 'learnt', Stale: 'stale', Waiting: 'waiting' } as const;
+export type SampleStatus = (typeof SampleStatus)[keyof typeof SampleStatus];
 
 /** The instant after which the report in hand was surely made. */
 const reportMadeAfterMs = (view: WorkerView): number =>
@@ -29,29 +29,29 @@
  * ever. So it has to begin after the change, and a report made after its end, late enough for
  * its usage, has to show the same tasks.
  */
-export const sampleFate = (
+export const sampleStatus = (
   sample: LatencySample,
   view: WorkerView | undefined,
   control: WorkerControl | undefined,
   policy: InterferencePolicy,
   nowMs: number,
-): SampleFate => {
-  if (view === undefined || control === undefined) return SampleFate.Stale;
+): SampleStatus => {
+  if (view === undefined || control === undefined) return SampleStatus.Stale;
   const isOld = nowMs - sample.endedAtMs > MAXIMUM_SAMPLE_AGE_MS;
-  if (isOld || sample.startedAtMs < control.changedAtMs) return SampleFate.Stale;
+  if (isOld || sample.startedAtMs < control.changedAtMs) return SampleStatus.Stale;
   const neededAtMs = Math.max(sample.endedAtMs, control.changedAtMs + policy.usageLagMs);
-  return reportMadeAfterMs(view) >= neededAtMs ? SampleFate.Learnt : SampleFate.Waiting;
+  return reportMadeAfterMs(view) >= neededAtMs ? SampleStatus.Learnt : SampleStatus.Waiting;
 };
 
-const withUse = (interference: InterferenceState, load: WorkerLoad): InterferenceState => {
-  const useRatios = new Map(interference.useRatios);
+const withUsageRatios = (interference: InterferenceState, load: WorkerLoad): InterferenceState => {
+  const usageRatios = new Map(interference.usageRatios);
   load.batch.forEach(({ kind, usedShare, declaredShare, processorShare }) => {
-    const granted = declaredShare * processorShare;
-    if (granted === 0 || processorShare < LEAST_MEASURED_SHARE) return;
-    const known = useRatios.get(kind) ?? 1;
-    useRatios.set(kind, known + (usedShare / granted - known) * USE_WEIGHT);
+    const grantedShare = declaredShare * processorShare;
+    if (grantedShare === 0 || processorShare < MINIMUM_MEASURED_SHARE) return;
+    const known = usageRatios.get(kind) ?? 1;
+    usageRatios.set(kind, known + (usedShare / grantedShare - known) * USAGE_SAMPLE_WEIGHT);
   });
-  return { ...interference, useRatios };
+  return { ...interference, usageRatios };
 };
 
 const exposuresOf = (load: WorkerLoad): ReadonlyMap<string, Exposure> => {
@@ -65,7 +65,7 @@
 };
 
 /** Takes one sample into the estimates. */
-export const learntFrom = (
+export const withLearntSample = (
   interference: InterferenceState,
   sample: LatencySample,
   load: WorkerLoad,
@@ -80,5 +80,5 @@
     },
     nowMs,
   );
-  return withUse({ ...interference, estimates }, load);
+  return withUsageRatios({ ...interference, estimates }, load);
 };
--- a/src/scheduler/common/interference/pairEstimates.ts
+++ b/src/scheduler/common/interference/pairEstimates.ts
@@ -22,7 +22,7 @@
 
   /** The latency without batch work; undefined before the first sample. */
   baseLatencyMs(serviceName: string): number | undefined {
-    return this.#services.get(serviceName)?.baseMs;
+    return this.#services.get(serviceName)?.baseLatencyMs;
   }
 
   /** What a worker full of the kind adds to the service now, less so many deviations of doubt. */
--- a/src/scheduler/common/interference/placementOutlook.ts
+++ b/src/scheduler/common/interference/placementOutlook.ts
@@ -8,7 +8,7 @@
 import { assignmentsOf, type CellRows } from '../cellRows.js';
 import type { CellState } from '../cellState.js';
 import type { PlacementCandidate } from '../placement.js';
-import { useRatio } from './interferenceState.js';
+import { usageRatio } from './interferenceState.js';
 import { kindOf } from './workerLoad.js';
 
 /** A kind that adds less than this at its worst goes anywhere. */
@@ -20,14 +20,14 @@
   taskCount: number;
 }
 
-const openCounts = new WeakMap<WorkRow, number>();
+const openTaskCounts = new WeakMap<WorkRow, number>();
 
 /** A row is replaced when a task of it changes, so its count is worked out once. */
-const openCountOf = (row: WorkRow): number => {
-  const known = openCounts.get(row);
+const openTaskCountOf = (row: WorkRow): number => {
+  const known = openTaskCounts.get(row);
   if (known !== undefined) return known;
   const count = row.tasks.filter((task) => !isEnded(task)).length;
-  openCounts.set(row, count);
+  openTaskCounts.set(row, count);
   return count;
 };
 
@@ -35,7 +35,7 @@
   const demand = new Map<string, Demand>();
   rows.work.forEach((row) => {
     const { team, size } = row;
-    const openCount = openCountOf(row);
+    const openCount = openTaskCountOf(row);
     if (openCount === 0) return;
     const known = demand.get(team) ?? { processorMillis: 0, taskCount: 0 };
     known.processorMillis += openCount * size.processorMillis;
@@ -45,10 +45,10 @@
   return demand;
 };
 
-interface WorkerOutlook {
+interface WorkerOccupancy {
   readonly serviceNames: Set<string>;
   /** Processors that tasks of each kind hold, as a share of the worker's. */
-  readonly declaredShares: Map<string, number>;
+  readonly declaredShareByKind: Map<string, number>;
 }
 
 /**
@@ -64,11 +64,11 @@
 
   readonly #nowMs: number;
 
-  readonly #workers = new Map<string, WorkerOutlook>();
+  readonly #workers = new Map<string, WorkerOccupancy>();
 
-  readonly #opennessByServices = new Map<string, number>();
+  readonly #compatibleShareByServices = new Map<string, number>();
 
-  #memoOfDemand: ReadonlyMap<string, Demand> | undefined;
+  #cachedDemand: ReadonlyMap<string, Demand> | undefined;
 
   constructor(state: CellState, rows: CellRows, nowMs: number) {
     this.#state = state;
@@ -77,8 +77,8 @@
   }
 
   get #demand(): ReadonlyMap<string, Demand> {
-    this.#memoOfDemand ??= demandByKind(this.#rows);
-    return this.#memoOfDemand;
+    this.#cachedDemand ??= demandByKind(this.#rows);
+    return this.#cachedDemand;
   }
 
   /**
@@ -94,15 +94,21 @@
   ): readonly PlacementCandidate[] {
     const policy = this.#state.timing.interference;
     if (!policy.isEnabled || this.#state.interference.estimates.isEmpty) return candidates;
-    const weighed = candidates.map((candidate) => {
+    const ratedCandidates = candidates.map((candidate) => {
       const { workerId, capacity } = candidate;
       const declaredShare = processorMillis / capacity.processorMillis;
-      const slowdownAfter = this.#after(workerId, kind, declaredShare);
-      return { ...candidate, slowdownAfter, openness: this.#openness(candidate) };
+      const predictedSlowdown = this.#slowdownAfter(workerId, kind, declaredShare);
+      return {
+        ...candidate,
+        predictedSlowdown,
+        compatibleWorkShare: this.#compatibleWorkShare(candidate),
+      };
     });
     return isUrgent
-      ? weighed
-      : weighed.filter(({ slowdownAfter }) => slowdownAfter <= policy.placementSlowdown);
+      ? ratedCandidates
+      : ratedCandidates.filter(
+          ({ predictedSlowdown }) => predictedSlowdown <= policy.placementSlowdown,
+        );
   }
 
   /** The candidates with the slowdown that a replica of the service would meet. */
@@ -114,52 +120,60 @@
     if (!timing.interference.isEnabled) return candidates;
     if (interference.estimates.baseLatencyMs(serviceName) === undefined) return candidates;
     return candidates.map((candidate) => {
-      const slowdownAfter = this.#sum(this.#worker(candidate.workerId), serviceName);
-      return { ...candidate, slowdownAfter };
+      const predictedSlowdown = this.#currentSlowdown(
+        this.#occupancyOf(candidate.workerId),
+        serviceName,
+      );
+      return { ...candidate, predictedSlowdown };
     });
   }
 
   take(assignment: Assignment): void {
-    PlacementOutlook.#add(this.#worker(assignment.workerId), assignment, this.#rows, this.#state);
+    PlacementOutlook.#add(
+      this.#occupancyOf(assignment.workerId),
+      assignment,
+      this.#rows,
+      this.#state,
+    );
   }
 
   /** The part of the cell's work whose kind alone would not slow the candidate's services. */
-  #openness({ workerId, capacity }: PlacementCandidate): number {
-    const { serviceNames } = this.#worker(workerId);
+  #compatibleWorkShare({ workerId, capacity }: PlacementCandidate): number {
+    const { serviceNames } = this.#occupancyOf(workerId);
     const key = `${[...serviceNames].sort().join()} ${capacity.processorMillis}`;
-    const known = this.#opennessByServices.get(key);
+    const known = this.#compatibleShareByServices.get(key);
     if (known !== undefined) return known;
     const limit = this.#state.timing.interference.placementSlowdown;
-    let whole = 0;
-    let open = 0;
+    let total = 0;
+    let compatible = 0;
     this.#demand.forEach(({ processorMillis, taskCount }, kind) => {
       const declaredShare = processorMillis / taskCount / capacity.processorMillis;
-      const isHurtful = [...serviceNames].some(
+      const isHarmful = [...serviceNames].some(
         (name) => this.#slowdown(name, kind, declaredShare) > limit,
       );
-      whole += processorMillis;
-      if (!isHurtful) open += processorMillis;
+      total += processorMillis;
+      if (!isHarmful) compatible += processorMillis;
     });
-    const openness = whole === 0 ? 0 : open / whole;
-    this.#opennessByServices.set(key, openness);
-    return openness;
+    const compatibleShare = total === 0 ? 0 : compatible / total;
+    this.#compatibleShareByServices.set(key, compatibleShare);
+    return compatibleShare;
   }
 
   /** Zero where the task itself adds next to nothing, however slow others make the services. */
-  #after(workerId: string, kind: string, declaredShare: number): number {
-    const worker = this.#worker(workerId);
+  #slowdownAfter(workerId: string, kind: string, declaredShare: number): number {
+    const worker = this.#occupancyOf(workerId);
     let worst = 0;
     worker.serviceNames.forEach((serviceName) => {
       const own = this.#slowdown(serviceName, kind, declaredShare);
       if (own < NEGLIGIBLE_SLOWDOWN) return;
-      worst = Math.max(worst, own + this.#sum(worker, serviceName));
+      worst = Math.max(worst, own + this.#currentSlowdown(worker, serviceName));
     });
     return worst;
   }
 
-  #sum(worker: WorkerOutlook, serviceName: string): number {
+  #currentSlowdown(worker: WorkerOccupancy, serviceName: string): number {
     let sum = 0;
-    worker.declaredShares.forEach((declaredShare, kind) => {
+    worker.declaredShareByKind.forEach((declaredShare, kind) => {
       sum += this.#slowdown(serviceName, kind, declaredShare);
     });
     return sum;
@@ -167,35 +181,35 @@
 
   #slowdown(serviceName: string, kind: string, declaredShare: number): number {
     const { interference } = this.#state;
-    const exposure = declaredShare * useRatio(interference, kind);
+    const exposure = declaredShare * usageRatio(interference, kind);
     return interference.estimates.worstSlowdown(serviceName, kind, exposure, this.#nowMs);
   }
 
-  #worker(workerId: string): WorkerOutlook {
+  #occupancyOf(workerId: string): WorkerOccupancy {
     const known = this.#workers.get(workerId);
     if (known !== undefined) return known;
-    const outlook: WorkerOutlook = { serviceNames: new Set(), declaredShares: new Map() };
+    const occupancy: WorkerOccupancy = { serviceNames: new Set(), declaredShareByKind: new Map() };
     assignmentsOf(this.#rows, workerId).forEach((assignment) =>
-      PlacementOutlook.#add(outlook, assignment, this.#rows, this.#state),
+      PlacementOutlook.#add(occupancy, assignment, this.#rows, this.#state),
     );
-    this.#workers.set(workerId, outlook);
-    return outlook;
+    this.#workers.set(workerId, occupancy);
+    return occupancy;
   }
 
   static #add(
-    outlook: WorkerOutlook,
+    occupancy: WorkerOccupancy,
     assignment: Assignment,
     rows: CellRows,
     state: CellState,
   ): void {
     if (assignment.taskClass === TaskClass.LatencyCritical) {
-      outlook.serviceNames.add(assignment.serviceName);
+      occupancy.serviceNames.add(assignment.serviceName);
       return;
     }
     const capacity = state.workers.get(assignment.workerId)?.instance.capacity.processorMillis ?? 0;
     if (capacity === 0) return;
     const kind = kindOf(rows, assignment);
     const share = assignment.size.processorMillis / capacity;
-    outlook.declaredShares.set(kind, (outlook.declaredShares.get(kind) ?? 0) + share);
+    occupancy.declaredShareByKind.set(kind, (occupancy.declaredShareByKind.get(kind) ?? 0) + share);
   }
 }
--- a/src/scheduler/common/interference/serviceModel.ts
+++ b/src/scheduler/common/interference/serviceModel.ts
@@ -53,15 +53,15 @@
 /** A sample further off than so many deviations counts as one that far off. */
 const OUTLIER_DEVIATIONS = 3;
 /** A peak is what the mean exceeds by so many deviations. */
-const SURE_DEVIATIONS = 1;
+const PEAK_DEVIATIONS = 1;
 const MAXIMUM_KINDS = 48;
 /** Where a kind's coefficient of use stands; that of presence comes next. */
-const placeOf = (kindIndex: number): number => 1 + 2 * kindIndex;
-const priorDeviation = (place: number): number =>
-  place % 2 === 1 ? PRIOR_DEVIATION : PRIOR_PRESENCE_DEVIATION;
+const coefficientIndexOf = (kindIndex: number): number => 1 + 2 * kindIndex;
+const priorDeviation = (index: number): number =>
+  index % 2 === 1 ? PRIOR_DEVIATION : PRIOR_PRESENCE_DEVIATION;
 const MS_PER_SECOND = 1_000;
 
-const fading = (elapsedMs: number, halfLifeMs: number): number =>
+const decayFactor = (elapsedMs: number, halfLifeMs: number): number =>
   2 ** (-Math.max(0, elapsedMs) / halfLifeMs);
 
 /** The same model with room for the kinds of an observation that it has not met. */
@@ -70,38 +70,41 @@
   const added = [...exposures.keys()].filter((kind) => !known.has(kind));
   const kinds = [...state.kinds, ...added].slice(0, MAXIMUM_KINDS);
   if (kinds.length === state.kinds.length) return state;
-  const before = state.means.length;
-  const size = placeOf(kinds.length);
+  const previousSize = state.means.length;
+  const size = coefficientIndexOf(kinds.length);
   const means = new Float64Array(size);
   means.set(state.means);
   const covariance = new Float64Array(size * size);
   for (let row = 0; row < size; row += 1) {
-    if (row < before) {
-      covariance.set(state.covariance.subarray(row * before, (row + 1) * before), row * size);
+    if (row < previousSize) {
+      covariance.set(
+        state.covariance.subarray(row * previousSize, (row + 1) * previousSize),
+        row * size,
+      );
     } else covariance[row * size + row] = (priorDeviation(row) * (state.means[0] ?? 0)) ** 2;
   }
   return { ...state, kinds, means, covariance };
 };
 
 /** The model as it stands after a time without measurements: pairs fade and grow unsure. */
-const advanced = (state: ModelState, nowMs: number): ModelState => {
+const predicted = (state: ModelState, nowMs: number): ModelState => {
   const elapsedMs = Math.max(0, nowMs - state.updatedAtMs);
-  const fade = fading(elapsedMs, state.halfLifeMs);
+  const decay = decayFactor(elapsedMs, state.halfLifeMs);
   const size = state.means.length;
   const baseMs = state.means[0] ?? 0;
-  const means = state.means.map((mean, index) => (index === 0 ? mean : mean * fade));
+  const means = state.means.map((mean, index) => (index === 0 ? mean : mean * decay));
   const covariance = state.covariance.map((value, index) => {
-    const rowFade = index < size ? 1 : fade;
-    return value * rowFade * (index % size === 0 ? 1 : fade);
+    const rowDecay = index < size ? 1 : decay;
+    return value * rowDecay * (index % size === 0 ? 1 : decay);
   });
   const pairGain = (index: number): number =>
-    (1 - fade ** 2) * (priorDeviation(index) * baseMs) ** 2;
+    (1 - decay ** 2) * (priorDeviation(index) * baseMs) ** 2;
   const baseGain = (BASE_DRIFT * baseMs) ** 2 * (elapsedMs / MS_PER_SECOND);
   for (let index = 0; index < size; index += 1) {
     covariance[index * (size + 1)] =
       (covariance[index * (size + 1)] ?? 0) + (index === 0 ? baseGain : pairGain(index));
   }
-  const peaks = new Map([...state.peaks].map(([kind, peak]) => [kind, peak * fade]));
+  const peaks = new Map([...state.peaks].map(([kind, peak]) => [kind, peak * decay]));
   return { ...state, means, covariance, peaks, updatedAtMs: nowMs };
 };
 
@@ -115,44 +118,45 @@
   features[0] = 1;
   state.kinds.forEach((kind, index) => {
     const exposure = exposures.get(kind);
-    features[placeOf(index)] = exposure?.used ?? 0;
-    features[placeOf(index) + 1] = exposure?.wanted ?? 0;
+    features[coefficientIndexOf(index)] = exposure?.used ?? 0;
+    features[coefficientIndexOf(index) + 1] = exposure?.wanted ?? 0;
   });
-  const shared = new Float64Array(size);
+  const crossCovariance = new Float64Array(size);
   for (let row = 0; row < size; row += 1) {
-    shared[row] = dot(state.covariance.subarray(row * size, (row + 1) * size), features);
+    crossCovariance[row] = dot(state.covariance.subarray(row * size, (row + 1) * size), features);
   }
   const expectedMs = dot(state.means, features);
-  const total = dot(shared, features) + (REQUEST_DEVIATION * expectedMs) ** 2 / requestCount;
+  const variance =
+    dot(crossCovariance, features) + (REQUEST_DEVIATION * expectedMs) ** 2 / requestCount;
   // One wrong measurement would otherwise throttle all batch work beside the service.
-  const limitMs = OUTLIER_DEVIATIONS * Math.sqrt(total);
+  const limitMs = OUTLIER_DEVIATIONS * Math.sqrt(variance);
   const errorMs = Math.min(limitMs, Math.max(-limitMs, latencyMs - expectedMs));
   const means = state.means.map((mean, index) => {
-    const next = mean + ((shared[index] ?? 0) / total) * errorMs;
+    const next = mean + ((crossCovariance[index] ?? 0) / variance) * errorMs;
     return Math.max(index === 0 ? Number.EPSILON : 0, next);
   });
   const covariance = state.covariance.map((value, index) => {
     const [row, column] = [Math.floor(index / size), index % size];
-    return value - ((shared[row] ?? 0) * (shared[column] ?? 0)) / total;
+    return value - ((crossCovariance[row] ?? 0) * (crossCovariance[column] ?? 0)) / variance;
   });
   return { means, covariance };
 };
 
 /** How unsure the sum of a kind's two coefficients is. */
-const sumDeviation = ({ means, covariance }: ModelState, place: number): number => {
+const sumDeviation = ({ means, covariance }: ModelState, index: number): number => {
   const size = means.length;
   const at = (row: number, column: number): number => covariance[row * size + column] ?? 0;
-  const variance = at(place, place) + at(place + 1, place + 1) + 2 * at(place, place + 1);
+  const variance = at(index, index) + at(index + 1, index + 1) + 2 * at(index, index + 1);
   return Math.sqrt(Math.max(0, variance));
 };
 
 const withPeaks = (state: ModelState): ModelState => {
   const peaks = new Map(state.peaks);
   state.kinds.forEach((kind, index) => {
-    const place = placeOf(index);
-    const mean = (state.means[place] ?? 0) + (state.means[place + 1] ?? 0);
-    const sure = mean - SURE_DEVIATIONS * sumDeviation(state, place);
-    if (sure > (peaks.get(kind) ?? 0)) peaks.set(kind, sure);
+    const coefficient = coefficientIndexOf(index);
+    const mean = (state.means[coefficient] ?? 0) + (state.means[coefficient + 1] ?? 0);
+    const lowerBound = mean - PEAK_DEVIATIONS * sumDeviation(state, coefficient);
+    if (lowerBound > (peaks.get(kind) ?? 0)) peaks.set(kind, lowerBound);
   });
   return { ...state, peaks };
 };
@@ -175,36 +179,36 @@
     });
   }
 
-  get baseMs(): number {
+  get baseLatencyMs(): number {
     return this.#state.means[0] ?? 0;
   }
 
   /** `doubtDeviations` lowers it by what may be chance, so that the innocent are let go on. */
   pressure(kind: string, doubtDeviations: number, nowMs: number): Pressure {
-    const place = placeOf(this.#state.kinds.indexOf(kind));
-    if (place < 0) return NO_PRESSURE;
+    const coefficient = coefficientIndexOf(this.#state.kinds.indexOf(kind));
+    if (coefficient < 0) return NO_PRESSURE;
     const { means } = this.#state;
-    const mean = (means[place] ?? 0) + (means[place + 1] ?? 0);
+    const mean = (means[coefficient] ?? 0) + (means[coefficient + 1] ?? 0);
     if (mean <= 0) return NO_PRESSURE;
-    const sure = Math.max(0, mean - doubtDeviations * sumDeviation(this.#state, place));
-    const factor = ((sure / mean) * this.#fade(nowMs)) / this.baseMs;
+    const lowerBound = Math.max(0, mean - doubtDeviations * sumDeviation(this.#state, coefficient));
+    const factor = ((lowerBound / mean) * this.#decay(nowMs)) / this.baseLatencyMs;
     return {
-      byUse: (means[place] ?? 0) * factor,
-      byPresence: (means[place + 1] ?? 0) * factor,
+      byUse: (means[coefficient] ?? 0) * factor,
+      byPresence: (means[coefficient + 1] ?? 0) * factor,
     };
   }
 
   /** What a worker full of the kind surely added at its worst of late. */
   worstPressure(kind: string, nowMs: number): number {
-    return ((this.#state.peaks.get(kind) ?? 0) * this.#fade(nowMs)) / this.baseMs;
+    return ((this.#state.peaks.get(kind) ?? 0) * this.#decay(nowMs)) / this.baseLatencyMs;
   }
 
   with(observation: Observation, nowMs: number): ServiceModel {
-    const prior = advanced(withKinds(this.#state, observation.exposures), nowMs);
+    const prior = predicted(withKinds(this.#state, observation.exposures), nowMs);
     return new ServiceModel(withPeaks({ ...prior, ...corrected(prior, observation) }));
   }
 
-  #fade(nowMs: number): number {
-    return fading(nowMs - this.#state.updatedAtMs, this.#state.halfLifeMs);
+  #decay(nowMs: number): number {
+    return decayFactor(nowMs - this.#state.updatedAtMs, this.#state.halfLifeMs);
   }
 }
--- a/src/scheduler/common/interference/workerControl.ts
+++ b/src/scheduler/common/interference/workerControl.ts
@@ -1,6 +1,6 @@
 /** Decides what to throttle, release or evict on one worker. */
 import type { InterferencePolicy } from './interferencePolicy.js';
-import { type InterferenceState, useRatio, type WorkerControl } from './interferenceState.js';
+import { type InterferenceState, usageRatio, type WorkerControl } from './interferenceState.js';
 import type { Pressure } from './serviceModel.js';
 import { type BatchLoad, loadFingerprint, type WorkerLoad } from './workerLoad.js';
 
@@ -15,7 +15,7 @@
 /** What slows a service by less than this is never throttled or evicted for it. */
 const NEGLIGIBLE_SLOWDOWN = 0.01;
 
-interface Pressing {
+interface TaskPressure {
   readonly task: BatchLoad;
   /** What the task adds to the slowdown of each service, by use and by presence. */
   readonly slowdowns: readonly Pressure[];
@@ -35,29 +35,29 @@
     key,
     known?.shares.get(key) ?? processorShare,
   ]);
-  const seen = [...load.serviceNames, ...load.batch.map(({ key }) => key)].map(
-    (key): [string, number] => [key, known?.seenAtMs.get(key) ?? nowMs],
+  const firstSeen = [...load.serviceNames, ...load.batch.map(({ key }) => key)].map(
+    (key): [string, number] => [key, known?.firstSeenAtMs.get(key) ?? nowMs],
   );
   return {
     fingerprint,
     changedAtMs: nowMs,
     actedAtMs: known?.actedAtMs ?? Number.NEGATIVE_INFINITY,
-    inVainSinceMs: known?.inVainSinceMs,
+    throttlingInsufficientSinceMs: known?.throttlingInsufficientSinceMs,
     shares: new Map(shares),
-    seenAtMs: new Map(seen),
+    firstSeenAtMs: new Map(firstSeen),
   };
 };
 
-const pressingTasks = (
+const taskPressures = (
   interference: InterferenceState,
   { serviceNames, batch }: WorkerLoad,
-  doubt: number,
+  doubtDeviations: number,
   nowMs: number,
-): readonly Pressing[] =>
+): readonly TaskPressure[] =>
   batch.map((task) => {
-    const exposure = task.declaredShare * useRatio(interference, task.kind);
+    const exposure = task.declaredShare * usageRatio(interference, task.kind);
     const slowdowns = serviceNames.map((name) => {
-      const pressure = interference.estimates.pressure(name, task.kind, doubt, nowMs);
+      const pressure = interference.estimates.pressure(name, task.kind, doubtDeviations, nowMs);
       return {
         byUse: pressure.byUse * exposure,
         byPresence: pressure.byPresence * exposure,
@@ -70,21 +70,21 @@
 const slowdownAt = (pressure: Pressure | undefined, share: number): number =>
   pressure === undefined ? 0 : pressure.byUse * share + pressure.byPresence;
 
-const worstOf = ({ slowdowns }: Pressing, share: number): number =>
+const worstSlowdownOf = ({ slowdowns }: TaskPressure, share: number): number =>
   Math.max(0, ...slowdowns.map((pressure) => slowdownAt(pressure, share)));
 
 /** What throttling takes away at most for each part of the share. */
-const worstByUse = ({ slowdowns }: Pressing): number =>
+const worstSlowdownByUse = ({ slowdowns }: TaskPressure): number =>
   Math.max(0, ...slowdowns.map(({ byUse }) => byUse));
 
-const shareOf = (shares: Shares, { task }: Pressing): number => shares.get(task.key) ?? 1;
+const shareOf = (shares: Shares, { task }: TaskPressure): number => shares.get(task.key) ?? 1;
 
 /** The slowdown of the service that suffers most, with these shares. */
-const worstSlowdown = (pressing: readonly Pressing[], shares: Shares): number => {
-  const serviceCount = pressing[0]?.slowdowns.length ?? 0;
+const worstSlowdown = (pressures: readonly TaskPressure[], shares: Shares): number => {
+  const serviceCount = pressures[0]?.slowdowns.length ?? 0;
   let worst = 0;
   for (let index = 0; index < serviceCount; index += 1) {
-    const slowdown = pressing.reduce(
+    const slowdown = pressures.reduce(
       (sum, one) => sum + slowdownAt(one.slowdowns[index], shareOf(shares, one)),
       0,
     );
@@ -94,57 +94,58 @@
 };
 
 /** Lowers what presses most until the services are fast enough or all is at its least. */
-const throttled = (
-  pressing: readonly Pressing[],
+const throttledShares = (
+  pressures: readonly TaskPressure[],
   before: Shares,
   policy: InterferencePolicy,
 ): Shares => {
   const shares = new Map(before);
-  const pressure = (one: Pressing): number => worstByUse(one) * shareOf(shares, one);
-  const isReducible = (one: Pressing): boolean =>
-    shareOf(shares, one) > policy.minimumProcessorShare && pressure(one) > NEGLIGIBLE_SLOWDOWN;
-  while (worstSlowdown(pressing, shares) > policy.toleratedSlowdown) {
-    const [most] = pressing
+  const slowdownByUse = (one: TaskPressure): number =>
+    worstSlowdownByUse(one) * shareOf(shares, one);
+  const isReducible = (one: TaskPressure): boolean =>
+    shareOf(shares, one) > policy.minimumProcessorShare && slowdownByUse(one) > NEGLIGIBLE_SLOWDOWN;
+  while (worstSlowdown(pressures, shares) > policy.toleratedSlowdown) {
+    const [strongest] = pressures
       .filter(isReducible)
-      .sort((left, right) => pressure(right) - pressure(left));
-    if (most === undefined) return shares;
-    const share = shareOf(shares, most) / STEP_FACTOR;
-    shares.set(most.task.key, Math.max(policy.minimumProcessorShare, share));
+      .sort((left, right) => slowdownByUse(right) - slowdownByUse(left));
+    if (strongest === undefined) return shares;
+    const share = shareOf(shares, strongest) / STEP_FACTOR;
+    shares.set(strongest.task.key, Math.max(policy.minimumProcessorShare, share));
   }
   return shares;
 };
 
 /** Raises what presses least, wholly or by a step, as long as the services stay well within what is tolerated. */
-const released = (
-  pressing: readonly Pressing[],
+const releasedShares = (
+  pressures: readonly TaskPressure[],
   before: Shares,
   policy: InterferencePolicy,
 ): Shares => {
   const shares = new Map(before);
-  [...pressing]
-    .sort((left, right) => worstByUse(left) - worstByUse(right))
+  [...pressures]
+    .sort((left, right) => worstSlowdownByUse(left) - worstSlowdownByUse(right))
     .forEach((one) => {
       const share = shareOf(shares, one);
       if (share >= 1) return;
-      const wider = [1, share * STEP_FACTOR].find(
+      const raisedShare = [1, share * STEP_FACTOR].find(
         (next) =>
           next <= 1 &&
-          worstSlowdown(pressing, new Map(shares).set(one.task.key, next)) <=
+          worstSlowdown(pressures, new Map(shares).set(one.task.key, next)) <=
             policy.releaseSlowdown,
       );
-      if (wider !== undefined) shares.set(one.task.key, wider);
+      if (raisedShare !== undefined) shares.set(one.task.key, raisedShare);
     });
   return shares;
 };
 
 /** What evicting a task costs: the progress that is lost and the restart, by its processors. */
 const evictionCost = (
-  { task }: Pressing,
+  { task }: TaskPressure,
   control: WorkerControl,
   policy: InterferencePolicy,
   nowMs: number,
 ): number => {
-  const ranForMs = nowMs - (control.seenAtMs.get(task.key) ?? nowMs);
+  const ranForMs = nowMs - (control.firstSeenAtMs.get(task.key) ?? nowMs);
   return task.declaredShare * ((task.unsavedWorkMs ?? ranForMs) + policy.restartCostMs);
 };
 
@@ -152,28 +153,28 @@
  * The one task to evict: the cheapest of those that suffice alone, so that the fewest go; if
  * none does, the one that relieves most for its cost.
  */
-const victim = (
-  pressing: readonly Pressing[],
+const chooseVictim = (
+  pressures: readonly TaskPressure[],
   control: WorkerControl,
   policy: InterferencePolicy,
   nowMs: number,
 ): string | undefined => {
-  const cost = (one: Pressing): number => evictionCost(one, control, policy, nowMs);
-  const without = (one: Pressing): number =>
+  const cost = (one: TaskPressure): number => evictionCost(one, control, policy, nowMs);
+  const slowdownWithout = (one: TaskPressure): number =>
     worstSlowdown(
-      pressing.filter((other) => other !== one),
+      pressures.filter((other) => other !== one),
       control.shares,
     );
-  const antagonists = pressing.filter(
-    (one) => worstOf(one, shareOf(control.shares, one)) > NEGLIGIBLE_SLOWDOWN,
+  const antagonists = pressures.filter(
+    (one) => worstSlowdownOf(one, shareOf(control.shares, one)) > NEGLIGIBLE_SLOWDOWN,
   );
   const sufficient = antagonists
-    .filter((one) => without(one) <= policy.evictionSlowdown)
+    .filter((one) => slowdownWithout(one) <= policy.evictionSlowdown)
     .sort((left, right) => cost(left) - cost(right));
-  const relief = (one: Pressing): number =>
-    worstOf(one, shareOf(control.shares, one)) / Math.max(Number.EPSILON, cost(one));
-  const [best] = antagonists.sort((left, right) => relief(right) - relief(left));
-  return (sufficient[0] ?? best)?.task.key;
+  const relief = (one: TaskPressure): number =>
+    worstSlowdownOf(one, shareOf(control.shares, one)) / Math.max(Number.EPSILON, cost(one));
+  const [mostEffective] = antagonists.sort((left, right) => relief(right) - relief(left));
+  return (sufficient[0] ?? mostEffective)?.task.key;
 };
 
 /**
@@ -181,8 +182,8 @@
  * follows from the estimates, so nothing has to be waited for: throttling is all that may come
  * of it, and only once for each that comes.
  */
-const hasNewcomer = ({ seenAtMs, actedAtMs }: WorkerControl): boolean =>
-  [...seenAtMs.values()].some((atMs) => atMs > actedAtMs);
+const hasNewTask = ({ firstSeenAtMs, actedAtMs }: WorkerControl): boolean =>
+  [...firstSeenAtMs.values()].some((atMs) => atMs > actedAtMs);
 
 const isSameShares = (left: Shares, right: Shares): boolean =>
   left.size === right.size && [...left].every(([key, share]) => right.get(key) === share);
@@ -205,32 +206,41 @@
   mayEvict: boolean,
   nowMs: number,
 ): ControlStep => {
-  const pressing = pressingTasks(interference, load, policy.doubtDeviations, nowMs);
-  const worst = worstSlowdown(pressing, control.shares);
+  const pressures = taskPressures(interference, load, policy.doubtDeviations, nowMs);
+  const slowdown = worstSlowdown(pressures, control.shares);
   const isSettled = nowMs - control.actedAtMs >= policy.settleMs;
-  if (worst <= policy.toleratedSlowdown) {
-    const calm = { ...control, inVainSinceMs: undefined };
+  if (slowdown <= policy.toleratedSlowdown) {
+    const calmControl = { ...control, throttlingInsufficientSinceMs: undefined };
     const isThrottled = [...control.shares.values()].some((share) => share < 1);
-    if (!isThrottled || !isSettled || !mayRelease) return { control: calm, evictedKey: undefined };
-    const shares = released(pressing, control.shares, policy);
-    if (isSameShares(shares, control.shares)) return { control: calm, evictedKey: undefined };
-    return { control: { ...calm, shares, actedAtMs: nowMs }, evictedKey: undefined };
+    if (!isThrottled || !isSettled || !mayRelease)
+      return { control: calmControl, evictedKey: undefined };
+    const shares = releasedShares(pressures, control.shares, policy);
+    if (isSameShares(shares, control.shares))
+      return { control: calmControl, evictedKey: undefined };
+    return { control: { ...calmControl, shares, actedAtMs: nowMs }, evictedKey: undefined };
   }
-  const shares = throttled(pressing, control.shares, policy);
+  const shares = throttledShares(pressures, control.shares, policy);
   if (!isSameShares(shares, control.shares)) {
-    if (!isSettled && !hasNewcomer(control)) return { control, evictedKey: undefined };
+    if (!isSettled && !hasNewTask(control)) return { control, evictedKey: undefined };
     return {
-      control: { ...control, shares, actedAtMs: nowMs, inVainSinceMs: undefined },
+      control: { ...control, shares, actedAtMs: nowMs, throttlingInsufficientSinceMs: undefined },
       evictedKey: undefined,
     };
   }
-  if (worst <= policy.evictionSlowdown) {
-    return { control: { ...control, inVainSinceMs: undefined }, evictedKey: undefined };
+  if (slowdown <= policy.evictionSlowdown) {
+    return {
+      control: { ...control, throttlingInsufficientSinceMs: undefined },
+      evictedKey: undefined,
+    };
   }
-  const inVainSinceMs = control.inVainSinceMs ?? nowMs;
-  const inVain = { ...control, inVainSinceMs };
-  const isInVain = nowMs - inVainSinceMs >= policy.evictAfterMs;
-  if (!isInVain || !isSettled || !mayEvict) return { control: inVain, evictedKey: undefined };
-  const evictedKey = victim(pressing, control, policy, nowMs);
-  return { control: { ...inVain, actedAtMs: nowMs, inVainSinceMs: undefined }, evictedKey };
+  const throttlingInsufficientSinceMs = control.throttlingInsufficientSinceMs ?? nowMs;
+  const insufficientControl = { ...control, throttlingInsufficientSinceMs };
+  const isEvictionDue = nowMs - throttlingInsufficientSinceMs >= policy.evictAfterMs;
+  if (!isEvictionDue || !isSettled || !mayEvict)
+    return { control: insufficientControl, evictedKey: undefined };
+  const evictedKey = chooseVictim(pressures, control, policy, nowMs);
+  return {
+    control: { ...insufficientControl, actedAtMs: nowMs, throttlingInsufficientSinceMs: undefined },
+    evictedKey,
+  };
 };
--- a/src/scheduler/common/interference/workerLoad.ts
+++ b/src/scheduler/common/interference/workerLoad.ts
@@ -68,13 +68,13 @@
   return { serviceNames: [...serviceNames], batch };
 };
 
-interface LoadMemo {
+interface CachedLoad {
   readonly report: WorkerReport['tasks'];
   readonly load: WorkerLoad;
 }
 
 /** By a worker's list of assignments, which is another one after each change. */
-const memos = new WeakMap<readonly Assignment[], LoadMemo>();
+const loadCache = new WeakMap<readonly Assignment[], CachedLoad>();
 
 /**
  * What the worker last reported to be running, of what stands in the ledger. A cell of 123 workers
@@ -84,10 +84,11 @@
 export const workerLoad = (rows: CellRows, view: WorkerView): WorkerLoad => {
   const assignments = assignmentsOf(rows, view.instance.id);
   const report = view.report?.tasks ?? NO_TASKS;
-  const memo = memos.get(assignments);
-  if (memo !== undefined && memo.report === report && assignments.length > 0) return memo.load;
+  const cached = loadCache.get(assignments);
+  if (cached !== undefined && cached.report === report && assignments.length > 0)
+    return cached.load;
   const load = loadOf(rows, view, assignments);
-  memos.set(assignments, { report, load });
+  loadCache.set(assignments, { report, load });
   return load;
 };
 
--- a/src/scheduler/common/lateFinishes.ts
+++ b/src/scheduler/common/lateFinishes.ts
@@ -18,16 +18,16 @@
 }
 
 /** Finished attempts of the report that the ledger no longer holds, by task id. */
-const finishedStrays = (view: WorkerView, rows: CellRows): readonly string[] => {
+const finishedOutsideLedger = (view: WorkerView, rows: CellRows): readonly string[] => {
   const finished = [...view.tasks.values()].filter(
     ({ state }) => state === WorkerTaskState.Finished,
   );
   if (finished.length === 0) return [];
-  const listed = new Set(assignmentsOf(rows, view.instance.id).map(attemptKey));
-  return finished.filter((task) => !listed.has(attemptKey(task))).map(({ taskId }) => taskId);
+  const ledgerKeys = new Set(assignmentsOf(rows, view.instance.id).map(attemptKey));
+  return finished.filter((task) => !ledgerKeys.has(attemptKey(task))).map(({ taskId }) => taskId);
 };
 
-const openTask = (rows: readonly WorkRow[], taskId: string): LateFinish | undefined =>
+const findOpenTask = (rows: readonly WorkRow[], taskId: string): LateFinish | undefined =>
   rows
     .filter((row) => taskId.startsWith(`${row.jobId}/`))
     .flatMap((row) =>
@@ -39,8 +39,8 @@
 /** Task ids whose late finish still has to be recorded; the worker must not forget them yet. */
 export const unrecordedFinishes = (rows: CellRows, view: WorkerView): ReadonlySet<string> =>
   new Set(
-    finishedStrays(view, rows).filter(
-      (taskId) => openTask([...rows.work.values()], taskId) !== undefined,
+    finishedOutsideLedger(view, rows).filter(
+      (taskId) => findOpenTask([...rows.work.values()], taskId) !== undefined,
     ),
   );
 
@@ -52,11 +52,11 @@
  */
 export const recordLateFinishes = (state: CellState, rows: CellRows, draft: CellDraft): void => {
   state.workers.forEach((view) => {
-    finishedStrays(view, rows).forEach((taskId) => {
-      const current = draft.shardIds
+    finishedOutsideLedger(view, rows).forEach((taskId) => {
+      const workRows = draft.shardIds
         .map((shardId) => draft.work(shardId))
         .filter((row): row is WorkRow => row !== undefined);
-      const late = openTask(current, taskId);
+      const late = findOpenTask(workRows, taskId);
       if (late === undefined || draft.rowCount >= state.timing.maximumRowsPerRound) return;
       const tasks = late.row.tasks.map((task) =>
         task.index === late.taskIndex ? { ...task, state: BatchTaskState.Done } : task,
--- a/src/scheduler/common/learntFromEnds.ts
+++ b/src/scheduler/common/learntFromEnds.ts
@@ -8,7 +8,7 @@
  * A failure that says little about the task has it wait half as long: twenty of them are then over
  * within some 100 s, by which a job that fails everywhere among others is told so.
  */
-const DOUBTFUL_DELAY_SHARE = 0.5;
+const DOUBTFUL_FAILURE_DELAY_RATIO = 0.5;
 
 export type LearntFromEnds = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
 
@@ -26,7 +26,7 @@
     const jobId = shardId === '' ? assignment.serviceName : shardId;
     const delayMs = retryDelayMs(toFailureCount(failureWeight), taskIndex);
     const isCredible = state.workerHealth.isCredible(workerId, shardId);
-    retryAtMs.set(taskId, nowMs + (isCredible ? delayMs : delayMs * DOUBTFUL_DELAY_SHARE));
+    retryAtMs.set(taskId, nowMs + (isCredible ? delayMs : delayMs * DOUBTFUL_FAILURE_DELAY_RATIO));
     return health.withFailure(workerId, jobId, state.workers.size, nowMs);
   }, state.workerHealth);
   return { workerHealth, retryAtMs };
--- a/src/scheduler/common/learntSizes.ts
+++ b/src/scheduler/common/learntSizes.ts
@@ -22,7 +22,7 @@
 }
 
 /** Use beside the declared size, of one kind. */
-interface KindUse {
+interface KindUsage {
   readonly processorRatio: number;
   /** How far single tasks are from that. */
   readonly deviation: number;
@@ -34,38 +34,38 @@
 }
 
 /** A report tells of use some seconds ago, and a task that has just started does not use much. */
-const SETTLED_AFTER_MS = 10_000;
+const SETTLING_TIME_MS = 10_000;
 /** Samples of settled tasks before a kind's size is gone by. */
 const MINIMUM_SAMPLES = 12;
 /** What has not been seen for so long is forgotten, and the declared size holds again. */
-const FORGOTTEN_AFTER_MS = 1_800_000;
+const KIND_EXPIRY_MS = 1_800_000;
 /** 360 teams with a few kinds each; the ones not seen for longest go first. */
 const MAXIMUM_KINDS = 2_000;
-const NEW_WEIGHT = 0.3;
+const NEW_SAMPLE_WEIGHT = 0.3;
 /** Peaks of memory fade to a half in a quarter of an hour, far slower than tasks come and go. */
 const PEAK_HALF_LIFE_MS = 900_000;
 
 const PROCESSOR_MARGIN = 1.1;
 const MEMORY_MARGIN = 1.25;
-const LEAST_PROCESSOR_RATIO = 0.3;
-const LEAST_MEMORY_RATIO = 0.6;
-const GREATEST_PROCESSOR_RATIO = 3;
-const GREATEST_MEMORY_RATIO = 16;
+const MINIMUM_PROCESSOR_RATIO = 0.3;
+const MINIMUM_MEMORY_RATIO = 0.6;
+const MAXIMUM_PROCESSOR_RATIO = 3;
+const MAXIMUM_MEMORY_RATIO = 16;
 /** Use this close to what was committed may be all that the worker let the task have. */
 const AT_LIMIT_SHARE = 0.97;
 const AT_LIMIT_GROWTH = 1.5;
 
-const share = (part: number, whole: number): number => (whole === 0 ? 1 : part / whole);
+const ratioOf = (part: number, whole: number): number => (whole === 0 ? 1 : part / whole);
 
 /** A margin alone brings a size up to what was declared and no further. */
 const withMargin = (ratio: number, margin: number): number =>
   ratio > 1 ? ratio * margin : Math.min(1, ratio * margin);
 
-const between = (least: number, value: number, greatest: number): number =>
-  Math.min(greatest, Math.max(least, value));
+const clamp = (minimum: number, value: number, maximum: number): number =>
+  Math.min(maximum, Math.max(minimum, value));
 
 const processorRatioOf = ({ usage, committed, declared }: UsageSample): number => {
-  const ratio = share(usage.processorMillis, declared.processorMillis);
+  const ratio = ratioOf(usage.processorMillis, declared.processorMillis);
   const isAtLimit =
     committed.processorMillis < declared.processorMillis &&
     usage.processorMillis >= committed.processorMillis * AT_LIMIT_SHARE;
@@ -75,20 +75,20 @@
 const average = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const faded = (peak: number, elapsedMs: number): number =>
+const decayedPeak = (peak: number, elapsedMs: number): number =>
   peak * 0.5 ** (elapsedMs / PEAK_HALF_LIFE_MS);
 
 const withKindSamples = (
-  known: KindUse | undefined,
+  known: KindUsage | undefined,
   samples: readonly UsageSample[],
   nowMs: number,
-): KindUse => {
+): KindUsage => {
   const ratios = samples.map(processorRatioOf);
   const mean = average(ratios);
   const deviation = average(ratios.map((ratio) => Math.abs(ratio - mean)));
   const processorPeak = Math.max(...ratios);
   const memoryPeak = Math.max(
-    ...samples.map(({ usage, declared }) => share(usage.memoryBytes, declared.memoryBytes)),
+    ...samples.map(({ usage, declared }) => ratioOf(usage.memoryBytes, declared.memoryBytes)),
   );
   if (known === undefined) {
     const sampleCount = samples.length;
@@ -96,16 +96,16 @@
   }
   const elapsedMs = nowMs - known.atMs;
   return {
-    processorRatio: known.processorRatio + NEW_WEIGHT * (mean - known.processorRatio),
-    deviation: known.deviation + NEW_WEIGHT * (deviation - known.deviation),
-    processorPeak: Math.max(processorPeak, faded(known.processorPeak, elapsedMs)),
-    memoryPeak: Math.max(memoryPeak, faded(known.memoryPeak, elapsedMs)),
+    processorRatio: known.processorRatio + NEW_SAMPLE_WEIGHT * (mean - known.processorRatio),
+    deviation: known.deviation + NEW_SAMPLE_WEIGHT * (deviation - known.deviation),
+    processorPeak: Math.max(processorPeak, decayedPeak(known.processorPeak, elapsedMs)),
+    memoryPeak: Math.max(memoryPeak, decayedPeak(known.memoryPeak, elapsedMs)),
     sampleCount: known.sampleCount + samples.length,
     atMs: nowMs,
   };
 };
 
-const grouped = <Key extends 'kind' | 'workerId'>(
+const groupSamples = <Key extends 'kind' | 'workerId'>(
   samples: readonly UsageSample[],
   key: Key,
 ): ReadonlyMap<string, readonly UsageSample[]> => {
@@ -134,22 +134,22 @@
  * - Accelerators are taken whole and stay as declared.
  */
 export class LearntSizes {
-  readonly #kinds: ReadonlyMap<string, KindUse>;
+  readonly #kinds: ReadonlyMap<string, KindUsage>;
 
   /** When tasks were first seen running, by attempt. */
-  readonly #seenAtMs: ReadonlyMap<string, number>;
+  readonly #firstSeenAtMs: ReadonlyMap<string, number>;
 
   /** What tasks use on each worker beyond what is committed there. */
-  readonly #excess: ReadonlyMap<string, Resources>;
+  readonly #excessByWorker: ReadonlyMap<string, Resources>;
 
   constructor(
-    kinds: ReadonlyMap<string, KindUse> = new Map(),
-    seenAtMs: ReadonlyMap<string, number> = new Map(),
-    excess: ReadonlyMap<string, Resources> = new Map(),
+    kinds: ReadonlyMap<string, KindUsage> = new Map(),
+    firstSeenAtMs: ReadonlyMap<string, number> = new Map(),
+    excessByWorker: ReadonlyMap<string, Resources> = new Map(),
   ) {
     this.#kinds = kinds;
-    this.#seenAtMs = seenAtMs;
-    this.#excess = excess;
+    this.#firstSeenAtMs = firstSeenAtMs;
+    this.#excessByWorker = excessByWorker;
   }
 
   get kindCount(): number {
@@ -160,43 +160,50 @@
   withSamples(samples: readonly UsageSample[], nowMs: number): LearntSizes {
     // What a throttled task would use is not known: its kind is learnt from the others, and from
     // this one only once it has run long enough without a throttle for its usage to show it.
-    const telling = samples.filter(({ isThrottled }) => isThrottled !== true);
-    const seenAtMs = new Map(
-      telling.map(({ attemptKey }) => [attemptKey, this.#seenAtMs.get(attemptKey) ?? nowMs]),
+    const unthrottled = samples.filter(({ isThrottled }) => isThrottled !== true);
+    const firstSeenAtMs = new Map(
+      unthrottled.map(({ attemptKey }) => [
+        attemptKey,
+        this.#firstSeenAtMs.get(attemptKey) ?? nowMs,
+      ]),
     );
-    const settled = telling.filter(
-      ({ attemptKey }) => nowMs - (seenAtMs.get(attemptKey) ?? nowMs) >= SETTLED_AFTER_MS,
+    const settled = unthrottled.filter(
+      ({ attemptKey }) => nowMs - (firstSeenAtMs.get(attemptKey) ?? nowMs) >= SETTLING_TIME_MS,
     );
-    const kinds = new Map(
-      [...this.#kinds].filter(([, { atMs }]) => nowMs - atMs < FORGOTTEN_AFTER_MS),
-    );
-    grouped(settled, 'kind').forEach((own, kind) => {
+    const kinds = new Map([...this.#kinds].filter(([, { atMs }]) => nowMs - atMs < KIND_EXPIRY_MS));
+    groupSamples(settled, 'kind').forEach((kindSamples, kind) => {
       const known = kinds.get(kind);
       kinds.delete(kind);
-      kinds.set(kind, withKindSamples(known, own, nowMs));
-    });
-    const surplus = Math.max(0, kinds.size - MAXIMUM_KINDS);
-    [...kinds.keys()].slice(0, surplus).forEach((kind) => kinds.delete(kind));
-    const excess = [...grouped(samples, 'workerId')].map(([workerId, own]) => {
-      const used = sumResources(own.map(({ usage }) => usage));
-      const committed = sumResources(own.map((sample) => sample.committed));
-      return [workerId, remainingResources(used, committed)] as const;
+      kinds.set(kind, withKindSamples(known, kindSamples, nowMs));
     });
-    return new LearntSizes(kinds, seenAtMs, new Map(excess));
+    const overflowCount = Math.max(0, kinds.size - MAXIMUM_KINDS);
+    [...kinds.keys()].slice(0, overflowCount).forEach((kind) => kinds.delete(kind));
+    const excessByWorker = [...groupSamples(samples, 'workerId')].map(
+      ([workerId, workerSamples]) => {
+        const used = sumResources(workerSamples.map(({ usage }) => usage));
+        const committed = sumResources(workerSamples.map((sample) => sample.committed));
+        return [workerId, remainingResources(used, committed)] as const;
+      },
+    );
+    return new LearntSizes(kinds, firstSeenAtMs, new Map(excessByWorker));
   }
 
   /** What to commit for a new task of the kind. */
   size(kind: string, isService: boolean, declared: Resources): Resources {
-    const use = this.#kinds.get(kind);
-    if (use === undefined || use.sampleCount < MINIMUM_SAMPLES) return declared;
-    const wanted = isService
-      ? Math.max(1, use.processorPeak)
-      : withMargin(use.processorRatio + 2 * use.deviation, PROCESSOR_MARGIN);
-    const memory = isService
-      ? Math.max(1, use.memoryPeak)
-      : withMargin(use.memoryPeak, MEMORY_MARGIN);
-    const processorRatio = between(LEAST_PROCESSOR_RATIO, wanted, GREATEST_PROCESSOR_RATIO);
-    const memoryRatio = between(LEAST_MEMORY_RATIO, memory, GREATEST_MEMORY_RATIO);
+    const usage = this.#kinds.get(kind);
+    if (usage === undefined || usage.sampleCount < MINIMUM_SAMPLES) return declared;
+    const wantedProcessorRatio = isService
+      ? Math.max(1, usage.processorPeak)
+      : withMargin(usage.processorRatio + 2 * usage.deviation, PROCESSOR_MARGIN);
+    const wantedMemoryRatio = isService
+      ? Math.max(1, usage.memoryPeak)
+      : withMargin(usage.memoryPeak, MEMORY_MARGIN);
+    const processorRatio = clamp(
+      MINIMUM_PROCESSOR_RATIO,
+      wantedProcessorRatio,
+      MAXIMUM_PROCESSOR_RATIO,
+    );
+    const memoryRatio = clamp(MINIMUM_MEMORY_RATIO, wantedMemoryRatio, MAXIMUM_MEMORY_RATIO);
     return {
       processorMillis: Math.ceil(declared.processorMillis * processorRatio),
       memoryBytes: Math.ceil(declared.memoryBytes * memoryRatio),
@@ -210,13 +217,13 @@
    * committed beyond its capacity with nobody at fault. No new task is put on top of it instead.
    */
   excess(workerId: string): Resources {
-    return this.#excess.get(workerId) ?? NO_RESOURCES;
+    return this.#excessByWorker.get(workerId) ?? NO_RESOURCES;
   }
 }
 
 /** A worker this full of memory in use is about to kill tasks. */
-const FULL_MEMORY_SHARE = 0.95;
-const RELIEVED_MEMORY_SHARE = 0.9;
+const MEMORY_EVICTION_THRESHOLD = 0.95;
+const MEMORY_EVICTION_TARGET = 0.9;
 
 /**
  * Batch tasks that have to leave a worker whose memory runs out: those that use most beyond what
@@ -225,25 +232,25 @@
  * worker kills loses what came after its last checkpoint, and it may be another's that is killed.
  * The gap between the two shares keeps the lag of the reports from evicting again and again.
  */
-export const outgrownTasks = (
+export const tasksToEvictForMemory = (
   samples: readonly UsageSample[],
   capacity: Resources,
   leaving: ReadonlySet<string>,
 ): readonly string[] => {
-  const staying = samples.filter(({ attemptKey }) => !leaving.has(attemptKey));
-  let usedBytes = sumResources(staying.map(({ usage }) => usage)).memoryBytes;
-  const committedBytes = sumResources(staying.map(({ committed }) => committed)).memoryBytes;
+  const remaining = samples.filter(({ attemptKey }) => !leaving.has(attemptKey));
+  let usedBytes = sumResources(remaining.map(({ usage }) => usage)).memoryBytes;
+  const committedBytes = sumResources(remaining.map(({ committed }) => committed)).memoryBytes;
   // A worker may be filled to the brim by tasks that keep to what they were given.
-  const isFull = usedBytes > capacity.memoryBytes * FULL_MEMORY_SHARE;
+  const isFull = usedBytes > capacity.memoryBytes * MEMORY_EVICTION_THRESHOLD;
   if (!isFull || usedBytes <= committedBytes) return [];
   const chosen: string[] = [];
-  const beyond = ({ usage, committed }: UsageSample): number =>
+  const excessBytes = ({ usage, committed }: UsageSample): number =>
     usage.memoryBytes - committed.memoryBytes;
-  [...staying]
-    .filter((sample) => !sample.isService && beyond(sample) > 0)
-    .sort((left, right) => beyond(right) - beyond(left))
+  [...remaining]
+    .filter((sample) => !sample.isService && excessBytes(sample) > 0)
+    .sort((left, right) => excessBytes(right) - excessBytes(left))
     .forEach(({ attemptKey, usage }) => {
-      if (usedBytes <= capacity.memoryBytes * RELIEVED_MEMORY_SHARE) return;
+      if (usedBytes <= capacity.memoryBytes * MEMORY_EVICTION_TARGET) return;
       usedBytes -= usage.memoryBytes;
       chosen.push(attemptKey);
     });
@@ -251,7 +258,7 @@
 };
 
 /** The learnt size, or the declared one when no worker would be large enough for the former. */
-export const placeableSize = (
+export const learntSizeIfPlaceable = (
   learnt: Resources,
   declared: Resources,
   capacities: readonly Resources[],
--- a/src/scheduler/common/placement.ts
+++ b/src/scheduler/common/placement.ts
@@ -13,9 +13,9 @@
   readonly sameServiceOnWorkerCount: number;
   readonly sameServiceInRackCount: number;
   /** How much slower services would be after placing, when something is known of it. */
-  readonly slowdownAfter?: number;
+  readonly predictedSlowdown?: number;
   /** The part of the cell's batch work that could run here without slowing a service. */
-  readonly openness?: number;
+  readonly compatibleWorkShare?: number;
 }
 
 export interface PlacementRequest {
@@ -55,7 +55,7 @@
 /** For a service made twice as slow: more than a shared rack, less than a shared worker. */
 const SLOWDOWN_PENALTY = 20;
 /** Work that may run anywhere leaves the workers that are open to all kinds to the others. */
-const OPENNESS_PENALTY = 4;
+const COMPATIBLE_WORK_PENALTY = 4;
 
 /**
  * Made for a cell of a hundred workers with short batch tasks and long-lived services. Batch
@@ -85,10 +85,10 @@
     const wastesAccelerator =
       request.size.acceleratorCount === 0 && candidate.capacity.acceleratorCount > 0;
     const accelerator = wastesAccelerator ? ACCELERATOR_PENALTY : 0;
-    const slowdown = (candidate.slowdownAfter ?? 0) * SLOWDOWN_PENALTY;
+    const slowdown = (candidate.predictedSlowdown ?? 0) * SLOWDOWN_PENALTY;
     const left = remainingShare(request, candidate);
-    const openness = (candidate.openness ?? 0) * OPENNESS_PENALTY;
-    if (!request.isSpread) return accelerator + slowdown + openness + left;
+    const compatibleWorkCost = (candidate.compatibleWorkShare ?? 0) * COMPATIBLE_WORK_PENALTY;
+    if (!request.isSpread) return accelerator + slowdown + compatibleWorkCost + left;
     return (
       accelerator +
       slowdown +
--- a/src/scheduler/common/preemption.ts
+++ b/src/scheduler/common/preemption.ts
@@ -16,14 +16,14 @@
  * Evictions that may be under way for urgent work in a cell at a time. A burst of urgent jobs
  * would otherwise clear the cell of batch work at once, most of which could have gone on.
  */
-const MAXIMUM_UNDER_WAY = 32;
+const MAXIMUM_PENDING_EVICTIONS = 32;
 
 /** The progress that an eviction loses; tasks of one size cost the same to restart. */
 export type LostWork = (assignment: Assignment) => number;
 
-interface Room {
+interface WorkerRoom {
   /** What is free, and what will be once the evictions asked for have ended. */
-  comingFree: Resources;
+  expectedFree: Resources;
   readonly victims: readonly Assignment[];
 }
 
@@ -33,11 +33,11 @@
  * before is counted first: asking again each round would evict many times what is needed.
  */
 export class PreemptionPlan {
-  readonly #rooms = new Map<string, Room>();
+  readonly #rooms = new Map<string, WorkerRoom>();
 
   readonly #chosen = new Set<string>();
 
-  #underWayCount: number;
+  #pendingEvictionCount: number;
 
   /** `preempted` holds the attempts that were chosen before and still stand in the ledger. */
   constructor(
@@ -46,12 +46,12 @@
     preempted: ReadonlySet<string>,
     lostWorkMs: LostWork = () => 0,
   ) {
-    this.#underWayCount = preempted.size;
+    this.#pendingEvictionCount = preempted.size;
     candidates.forEach(({ workerId, free }) => {
       const assignments = assignmentsOf(rows, workerId);
       const isLeaving = (one: Assignment): boolean => preempted.has(attemptKey(one));
       this.#rooms.set(workerId, {
-        comingFree: assignments
+        expectedFree: assignments
           .filter(isLeaving)
           .reduce((sum, { size }) => addResources(sum, size), free),
         victims: assignments
@@ -81,19 +81,19 @@
     });
     const room = bestId === undefined ? undefined : this.#rooms.get(bestId);
     if (room === undefined || best === undefined) return;
-    if (this.#underWayCount + best.length > MAXIMUM_UNDER_WAY) return;
-    this.#underWayCount += best.length;
+    if (this.#pendingEvictionCount + best.length > MAXIMUM_PENDING_EVICTIONS) return;
+    this.#pendingEvictionCount += best.length;
     best.forEach((one) => this.#chosen.add(attemptKey(one)));
-    const freed = best.reduce((sum, one) => addResources(sum, one.size), room.comingFree);
-    room.comingFree = subtractResources(freed, size);
+    const freed = best.reduce((sum, one) => addResources(sum, one.size), room.expectedFree);
+    room.expectedFree = subtractResources(freed, size);
   }
 
   static #neededVictims(
-    room: Room,
+    room: WorkerRoom,
     size: Resources,
     chosen: ReadonlySet<string>,
   ): readonly Assignment[] | undefined {
-    let free = room.comingFree;
+    let free = room.expectedFree;
     const needed: Assignment[] = [];
     for (let index = 0; !fitsInto(size, free); index += 1) {
       const victim = room.victims[index];
--- a/src/scheduler/common/queueOrder.ts
+++ b/src/scheduler/common/queueOrder.ts
@@ -10,9 +10,9 @@
 import { BatchTaskState, type WorkRow } from '../../services/workload/common/workRows.js';
 import type { QuotaParts } from './quotaParts.js';
 
-const FIRST_RETRY_MS = 1_000;
-const MAXIMUM_RETRY_MS = 60_000;
-const SPREAD_STEPS = 7;
+const INITIAL_RETRY_DELAY_MS = 1_000;
+const MAXIMUM_RETRY_DELAY_MS = 60_000;
+const RETRY_SPREAD_STEPS = 7;
 
 /**
  * How long a failed task waits before it is tried again. A job whose tasks all fail at once would
@@ -20,8 +20,11 @@
  * seconds. Doubling bounds the load; the task's index spreads the tasks of one job.
  */
 export const retryDelayMs = (failureCount: number, taskIndex: number): number => {
-  const delayMs = Math.min(MAXIMUM_RETRY_MS, FIRST_RETRY_MS * 2 ** Math.max(0, failureCount - 1));
-  return delayMs * (1 + (taskIndex % SPREAD_STEPS) / SPREAD_STEPS);
+  const delayMs = Math.min(
+    MAXIMUM_RETRY_DELAY_MS,
+    INITIAL_RETRY_DELAY_MS * 2 ** Math.max(0, failureCount - 1),
+  );
+  return delayMs * (1 + (taskIndex % RETRY_SPREAD_STEPS) / RETRY_SPREAD_STEPS);
 };
 
 const share = (part: number, whole: number): number => (whole === 0 ? 0 : part / whole);
@@ -43,7 +46,7 @@
   readonly #parts: QuotaParts;
 
   /** Teams of which a task waits that is larger than the cell's equal part. */
-  readonly #largeWaiting = new Set<string>();
+  readonly #teamsWithLargeTaskWaiting = new Set<string>();
 
   /** `rows` are all shards of the cell: also a cancelled job holds what still runs. */
   constructor(
@@ -55,17 +58,23 @@
     this.#capacity = capacity;
     this.#parts = parts;
     rows.forEach((row) => {
-      const count = row.tasks.filter(({ state }) => state === BatchTaskState.Assigned).length;
-      if (count > 0) this.take(row.team, multipliedResources(row.size, count));
+      const assignedCount = row.tasks.filter(
+        ({ state }) => state === BatchTaskState.Assigned,
+      ).length;
+      if (assignedCount > 0) this.take(row.team, multipliedResources(row.size, assignedCount));
       const isWaiting = row.tasks.some(({ state }) => state === BatchTaskState.Queued);
-      if (isWaiting && !unfitShardIds.has(row.shardId) && this.#isLarge(row.team, row.size)) {
-        this.#largeWaiting.add(row.team);
+      if (
+        isWaiting &&
+        !unfitShardIds.has(row.shardId) &&
+        this.#isLargerThanPart(row.team, row.size)
+      ) {
+        this.#teamsWithLargeTaskWaiting.add(row.team);
       }
     });
   }
 
   get teams(): readonly string[] {
-    return [...new Set([...this.#used.keys(), ...this.#largeWaiting])];
+    return [...new Set([...this.#used.keys(), ...this.#teamsWithLargeTaskWaiting])];
   }
 
   take(team: string, size: Resources): void {
@@ -76,8 +85,8 @@
     return this.#used.get(team) ?? NO_RESOURCES;
   }
 
-  isLargeWaiting(team: string): boolean {
-    return this.#largeWaiting.has(team);
+  hasLargeTaskWaiting(team: string): boolean {
+    return this.#teamsWithLargeTaskWaiting.has(team);
   }
 
   dominantShare(team: string): number {
@@ -91,13 +100,13 @@
    */
   isWithinQuota(team: string, size: Resources): boolean {
     if (this.#parts.limit(team) === undefined) return true;
-    const isLarge = this.#isLarge(team, size);
-    if (!isLarge && this.#parts.hasAsked(team) && this.isLargeWaiting(team)) return false;
+    const isLarge = this.#isLargerThanPart(team, size);
+    if (!isLarge && this.#parts.hasAsked(team) && this.hasLargeTaskWaiting(team)) return false;
     const part = isLarge ? this.#parts.part(team) : this.#parts.ownPart(team);
     return fitsInto(addResources(this.used(team), size), part);
   }
 
-  #isLarge(team: string, size: Resources): boolean {
+  #isLargerThanPart(team: string, size: Resources): boolean {
     const limit = this.#parts.limit(team);
     if (limit === undefined || !fitsInto(size, limit)) return false;
     return !fitsInto(size, this.#parts.equalPart(team));
--- a/src/scheduler/common/quotaParts.ts
+++ b/src/scheduler/common/quotaParts.ts
@@ -17,7 +17,7 @@
 import type { ExchangeRow, QuotaShare } from '../../services/workload/common/workRows.js';
 
 /** A cell's place in a team's order of cells, which differs from team to team. */
-const placeOf = (zones: readonly string[], cell: string, team: string): number =>
+const rankOf = (zones: readonly string[], cell: string, team: string): number =>
   (zones.indexOf(cell) + hashOf(team)) % Math.max(1, zones.length);
 
 /**
@@ -31,9 +31,9 @@
   limit: Resources,
 ): Resources => {
   if (!zones.includes(cell)) return NO_RESOURCES;
-  const place = placeOf(zones, cell, team);
+  const rank = rankOf(zones, cell, team);
   const partOf = (amount: number): number =>
-    Math.floor(amount / zones.length) + (place < amount % zones.length ? 1 : 0);
+    Math.floor(amount / zones.length) + (rank < amount % zones.length ? 1 : 0);
   return {
     processorMillis: partOf(limit.processorMillis),
     memoryBytes: partOf(limit.memoryBytes),
@@ -183,9 +183,9 @@
    */
   isAskStale(team: string): boolean {
     return [...this.#others].some(([cell, { ceded }]) => {
-      const given = ceded[team];
-      if (given?.toCell !== this.#cell) return false;
-      return !fitsInto(given.amount, this.equalPart(team, cell));
+      const cededToThisCell = ceded[team];
+      if (cededToThisCell?.toCell !== this.#cell) return false;
+      return !fitsInto(cededToThisCell.amount, this.equalPart(team, cell));
     });
   }
 
@@ -200,17 +200,17 @@
         const ask = asks[team];
         return ask === undefined ? [] : [{ cell, ask }];
       })
-      .sort((left, right) => this.#place(left.cell, team) - this.#place(right.cell, team));
+      .sort((left, right) => this.#rankOf(left.cell, team) - this.#rankOf(right.cell, team));
   }
 
   /** True when another cell asks whose turn comes before this one's. */
   isOutranked(team: string): boolean {
     const [first] = this.askersElsewhere(team);
-    return first !== undefined && this.#place(first.cell, team) < this.#place(this.#cell, team);
+    return first !== undefined && this.#rankOf(first.cell, team) < this.#rankOf(this.#cell, team);
   }
 
-  #place(cell: string, team: string): number {
-    return placeOf(this.#zones, cell, team);
+  #rankOf(cell: string, team: string): number {
+    return rankOf(this.#zones, cell, team);
   }
 
   #surplusElsewhere(team: string): Resources {
@@ -241,16 +241,18 @@
 ): QuotaShare['ceded'][string] | undefined => {
   const known = before?.ceded[team];
   const askers = parts.askersElsewhere(team);
-  const isKnownOpen = askers.some(({ cell, ask }) => cell === known?.toCell && ask === known.ask);
-  if (known !== undefined && !isKnownOpen) return undefined;
+  const isAskStillOpen = askers.some(
+    ({ cell, ask }) => cell === known?.toCell && ask === known.ask,
+  );
+  if (known !== undefined && !isAskStillOpen) return undefined;
   if (!parts.isSettled) return known;
   const [first] = askers;
-  const mayStart = first !== undefined && (!parts.hasAsked(team) || parts.isOutranked(team));
-  if (known === undefined && !mayStart) return undefined;
+  const mayStartCeding = first !== undefined && (!parts.hasAsked(team) || parts.isOutranked(team));
+  if (known === undefined && !mayStartCeding) return undefined;
   const target = known ?? { toCell: first?.cell ?? '', ask: first?.ask ?? 0 };
-  const given = known?.amount ?? NO_RESOURCES;
+  const alreadyCeded = known?.amount ?? NO_RESOURCES;
   const unused = remainingResources(parts.ownPart(team), used);
-  return { toCell: target.toCell, ask: target.ask, amount: addResources(given, unused) };
+  return { toCell: target.toCell, ask: target.ask, amount: addResources(alreadyCeded, unused) };
 };
 
 /**
@@ -286,11 +288,11 @@
       askCount += 1;
       asks[team] = askCount;
     }
-    const given = cededFor(parts, before, team, used);
-    if (given !== undefined) ceded[team] = given;
+    const cededEntry = cededFor(parts, before, team, used);
+    if (cededEntry !== undefined) ceded[team] = cededEntry;
     const claim = addResources(
       remainingResources(used, parts.cededHere(team)),
-      given?.amount ?? NO_RESOURCES,
+      cededEntry?.amount ?? NO_RESOURCES,
     );
     if (!fitsInto(claim, parts.equalPart(team))) held[team] = claim;
   });
--- a/src/scheduler/common/quotaRound.ts
+++ b/src/scheduler/common/quotaRound.ts
@@ -28,11 +28,11 @@
  * withdrawn, and how long after that it is made again. Meanwhile the team's small tasks wait in
  * all cells: a task that no worker has room for must not hold them up for ever.
  */
-const ASK_PATIENCE_MS = 30_000;
-const ASK_AGAIN_MS = 90_000;
+const ASK_TIMEOUT_MS = 30_000;
+const ASK_RETRY_MS = 90_000;
 
-const isPaused = (state: CellState, team: string, nowMs: number): boolean =>
-  nowMs - (state.quotaWaits.get(team) ?? nowMs) >= ASK_PATIENCE_MS;
+const isAskPaused = (state: CellState, team: string, nowMs: number): boolean =>
+  nowMs - (state.quotaWaits.get(team) ?? nowMs) >= ASK_TIMEOUT_MS;
 
 export const quotaPartsOf = (state: CellState, rows: CellRows): QuotaParts =>
   new QuotaParts(
@@ -88,14 +88,16 @@
   const view = state.configuration?.view;
   if (view === undefined) return;
   const before = draft.exchange.quota;
-  const isSame = before !== undefined && divisionKey(before) === divisionKey(divisionOf(view));
-  if (isSame && view.quotas.size === 0) return;
+  const isSameDivision =
+    before !== undefined && divisionKey(before) === divisionKey(divisionOf(view));
+  if (isSameDivision && view.quotas.size === 0) return;
   const demands = new Map<string, TeamDemand>();
   if (view.quotas.size > 0) {
     const use = teamUseOf(state, draft, parts);
     const isAsking = state.withdrawnSinceMs === undefined;
     use.teams.forEach((team) => {
-      const isAskWanted = isAsking && use.isLargeWaiting(team) && !isPaused(state, team, nowMs);
+      const isAskWanted =
+        isAsking && use.hasLargeTaskWaiting(team) && !isAskPaused(state, team, nowMs);
       demands.set(team, { used: use.used(team), isAskWanted });
     });
   }
@@ -134,8 +136,8 @@
   const waiting = teamsWithoutRoom(state, draft, parts);
   if (waiting.size === 0 && state.quotaWaits.size === 0) return state.quotaWaits;
   const kept = [...state.quotaWaits].filter(([team, sinceMs]) => {
-    const isOver = nowMs - sinceMs >= ASK_AGAIN_MS;
-    return !isOver && (waiting.has(team) || isPaused(state, team, nowMs));
+    const isOver = nowMs - sinceMs >= ASK_RETRY_MS;
+    return !isOver && (waiting.has(team) || isAskPaused(state, team, nowMs));
   });
   const known = new Map(kept);
   return new Map([...[...waiting].map((team) => [team, nowMs] as const), ...known]);
--- a/src/scheduler/common/taskEnds.ts
+++ b/src/scheduler/common/taskEnds.ts
@@ -71,16 +71,19 @@
   if (!isInContact(view, state.timing.reportFreshnessMs, nowMs)) {
     // An owner that was paused itself has not listened: tasks that ended well inside their
     // leases would all run again. So the worker is asked once more after the leases have ended.
-    const hasAskedSince = view.commandSentAtMs > view.leasesOverAtMs && !view.isCommandInFlight;
-    return areLeasesOver && hasAskedSince ? AssignmentEnd.Lost : undefined;
+    const wasAskedAfterLeases =
+      view.commandSentAtMs > view.leasesOverAtMs && !view.isCommandInFlight;
+    return areLeasesOver && wasAskedAfterLeases ? AssignmentEnd.Lost : undefined;
   }
   // Not started yet. It is taken back only when it will not be started any more (the zone is
   // withdrawn, the job cancelled, the worker draining) and no start that was sent can still take
   // effect on the worker's clock. Without this it would hold its capacity for ever.
   const isUnwanted =
     state.withdrawnSinceMs !== undefined || isEvictionWanted(state, assignment, nowMs);
-  const isStartPast = report.workerNowMs > view.startsGoodUntilWorkerMs;
-  return task === undefined && isUnwanted && isStartPast ? AssignmentEnd.NeverStarted : undefined;
+  const isStartExpired = report.workerNowMs > view.startsGoodUntilWorkerMs;
+  return task === undefined && isUnwanted && isStartExpired
+    ? AssignmentEnd.NeverStarted
+    : undefined;
 };
 
 const endedTask = (
@@ -124,8 +127,8 @@
   const tasks = row.tasks.map((task) => {
     if (task.index !== assignment.taskIndex || task.attempt !== assignment.attempt) return task;
     const ended = endedTask(task, end, report, isCredible);
-    const isDropped = isCancelled && ended.state === BatchTaskState.Queued;
-    return isDropped ? { ...ended, state: BatchTaskState.Cancelled } : ended;
+    const isCancelledWhileQueued = isCancelled && ended.state === BatchTaskState.Queued;
+    return isCancelledWhileQueued ? { ...ended, state: BatchTaskState.Cancelled } : ended;
   });
   draft.setWork({ ...row, tasks });
 };
@@ -135,20 +138,20 @@
   state: CellState,
   draft: CellDraft,
   rack: string,
-  loudWorkerIds: ReadonlySet<string>,
+  workerIdsToCheck: ReadonlySet<string>,
   nowMs: number,
 ): readonly RecordedEnd[] => {
   const ends: RecordedEnd[] = [];
   const remaining = draft.assignments(rack).filter((assignment) => {
-    if (!loudWorkerIds.has(assignment.workerId)) return true;
+    if (!workerIdsToCheck.has(assignment.workerId)) return true;
     const view = state.workers.get(assignment.workerId);
     const end = assignmentEnd(state, view, assignment, nowMs);
     if (end === undefined) return true;
-    const before = draft
+    const task = draft
       .work(assignment.shardId)
       ?.tasks.find(({ index }) => index === assignment.taskIndex);
     const isCredible = state.workerHealth.isCredible(assignment.workerId, assignment.shardId);
-    const failureWeight = withFailureWeight(before?.failureWeight ?? 0, isCredible);
+    const failureWeight = withFailureWeight(task?.failureWeight ?? 0, isCredible);
     ends.push({ end, assignment, failureWeight });
     const report = view === undefined ? undefined : reportedTask(view, assignment);
     if (assignment.shardId !== '') recordBatchEnd(draft, assignment, end, report, isCredible);
@@ -159,14 +162,14 @@
 };
 
 /** Lists of assignments with the report in which none of them had ended. */
-const quietReports = new WeakMap<readonly Assignment[], WorkerView['tasks']>();
+const reportsWithoutEnds = new WeakMap<readonly Assignment[], WorkerView['tasks']>();
 
 /**
  * True when a worker's assignments were looked at before with the same report and nothing but
  * the time has passed, which ends nothing while the worker is in contact. Of a cell's 123
  * workers some twelve report between two rounds, and only these are looked at.
  */
-const isQuiet = (
+const isUnchanged = (
   state: CellState,
   workerId: string,
   assignments: readonly Assignment[],
@@ -178,11 +181,11 @@
   // What is not wanted any more ends an assignment that never started, without any new report.
   const mayBeUnwanted =
     (state.rows?.cancelledJobIds.size ?? 0) + state.preempted.size + state.surplusTaskIds.size > 0;
-  if (!mayBeUnwanted && quietReports.get(assignments) === view.tasks) return true;
+  if (!mayBeUnwanted && reportsWithoutEnds.get(assignments) === view.tasks) return true;
   const hasEnd = assignments.some(
     (assignment) => assignmentEnd(state, view, assignment, nowMs) !== undefined,
   );
-  if (!hasEnd) quietReports.set(assignments, view.tasks);
+  if (!hasEnd) reportsWithoutEnds.set(assignments, view.tasks);
   return !hasEnd;
 };
 
@@ -193,15 +196,15 @@
   draft: CellDraft,
   nowMs: number,
 ): readonly RecordedEnd[] => {
-  const loudWorkerIds = new Set(
+  const workerIdsToCheck = new Set(
     [...rows.assignmentsByWorker]
-      .filter(([workerId, assignments]) => !isQuiet(state, workerId, assignments, nowMs))
+      .filter(([workerId, assignments]) => !isUnchanged(state, workerId, assignments, nowMs))
       .map(([workerId]) => workerId),
   );
-  if (loudWorkerIds.size === 0) return [];
+  if (workerIdsToCheck.size === 0) return [];
   return draft.racks.flatMap((rack) =>
     draft.rowCount >= state.timing.maximumRowsPerRound
       ? []
-      : recordRackEnds(state, draft, rack, loudWorkerIds, nowMs),
+      : recordRackEnds(state, draft, rack, workerIdsToCheck, nowMs),
   );
 };
--- a/src/scheduler/common/unfitWork.ts
+++ b/src/scheduler/common/unfitWork.ts
@@ -14,13 +14,13 @@
  * How long work must have fitted no worker before it is passed on. Workers are replaced, 110 on
  * an ordinary day, and one that restarts is off the list for well under this.
  */
-const PATIENCE_MS = 60_000;
+const OVERSIZED_GRACE_MS = 60_000;
 
 const isWaiting = (row: WorkRow): boolean =>
   row.tasks.some(({ state }) => state === BatchTaskState.Queued) &&
   !row.tasks.some(({ state }) => state === BatchTaskState.Assigned);
 
-const fitsNoWorker = (state: CellState, size: Resources): boolean => {
+const isLargerThanAnyWorker = (state: CellState, size: Resources): boolean => {
   const listed = [...state.workers.values()].filter(({ isListed }) => isListed);
   return listed.length > 0 && !listed.some(({ instance }) => fitsInto(size, instance.capacity));
 };
@@ -31,13 +31,15 @@
   rows: CellRows,
   nowMs: number,
 ): ReadonlyMap<string, number> => {
-  const unfit = [...rows.work.values()].filter(
-    (row) => isWaiting(row) && fitsNoWorker(state, row.size),
+  const oversized = [...rows.work.values()].filter(
+    (row) => isWaiting(row) && isLargerThanAnyWorker(state, row.size),
+  );
+  return new Map(
+    oversized.map(({ shardId }) => [shardId, state.unfitSinceMs.get(shardId) ?? nowMs]),
   );
-  return new Map(unfit.map(({ shardId }) => [shardId, state.unfitSinceMs.get(shardId) ?? nowMs]));
 };
 
-const refused = (row: WorkRow, triedCells: readonly string[]): WorkRow => {
+const withRefusal = (row: WorkRow, triedCells: readonly string[]): WorkRow => {
   const { processorMillis, memoryBytes, acceleratorCount } = row.size;
   const fail = (task: BatchTask): BatchTask =>
     task.state === BatchTaskState.Queued ? { ...task, state: BatchTaskState.Failed } : task;
@@ -61,10 +63,11 @@
   state.unfitSinceMs.forEach((sinceMs, shardId) => {
     const row = draft.work(shardId);
     const isFull = draft.rowCount >= state.timing.maximumRowsPerRound;
-    if (row === undefined || isFull || nowMs - sinceMs < PATIENCE_MS || !isWaiting(row)) return;
+    if (row === undefined || isFull || nowMs - sinceMs < OVERSIZED_GRACE_MS || !isWaiting(row))
+      return;
     const triedCells = [...(row.triedCells ?? []), state.cell];
     const next = zonesInUse(view).find((zone) => !triedCells.includes(zone));
-    draft.setWork(next === undefined ? refused(row, triedCells) : { ...row, triedCells });
+    draft.setWork(next === undefined ? withRefusal(row, triedCells) : { ...row, triedCells });
     if (next !== undefined) draft.moveWork(shardId, next);
   });
 };
--- a/src/scheduler/common/usageLearning.ts
+++ b/src/scheduler/common/usageLearning.ts
@@ -9,7 +9,12 @@
 import type { Assignment, WorkRow } from '../../services/workload/common/workRows.js';
 import { assignmentsOf, type CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
-import { LearntSizes, outgrownTasks, placeableSize, type UsageSample } from './learntSizes.js';
+import {
+  LearntSizes,
+  tasksToEvictForMemory,
+  learntSizeIfPlaceable,
+  type UsageSample,
+} from './learntSizes.js';
 import { attemptKey, type WorkerView } from './workerView.js';
 
 /** Use changes over seconds; going through 2,500 tasks more often would only cost processor. */
@@ -21,13 +26,13 @@
 const batchKind = ({ team, size }: Pick<WorkRow, 'team' | 'size'>): string =>
   `${team} ${size.processorMillis} ${size.memoryBytes} ${size.acceleratorCount}`;
 
-interface Kind {
+interface TaskKind {
   readonly kind: string;
   readonly isService: boolean;
   readonly declared: Resources;
 }
 
-const kindOf = (state: CellState, rows: CellRows, assignment: Assignment): Kind | undefined => {
+const kindOf = (state: CellState, rows: CellRows, assignment: Assignment): TaskKind | undefined => {
   if (assignment.taskClass === TaskClass.LatencyCritical) {
     const service = state.configuration?.view.services.get(assignment.serviceName);
     if (service === undefined) return undefined;
@@ -42,7 +47,7 @@
  * A throttled task uses fewer processors than it would. What it leaves is not given to others,
  * since the throttle may go at any time; so it counts as using what it was given.
  */
-const unthrottledUsage = (task: WorkerTaskReport, { size }: Assignment): Resources => {
+const usageWithoutThrottle = (task: WorkerTaskReport, { size }: Assignment): Resources => {
   if ((task.processorShare ?? 1) === 1) return task.usage;
   const processorMillis = Math.max(task.usage.processorMillis, size.processorMillis);
   return { ...task.usage, processorMillis };
@@ -64,7 +69,7 @@
     const task = running.get(key);
     const kind = kindOf(state, rows, assignment);
     if (task === undefined || kind === undefined) return [];
-    const usage = unthrottledUsage(task, assignment);
+    const usage = usageWithoutThrottle(task, assignment);
     const isThrottled = (task.processorShare ?? 1) < 1;
     const sample = { ...kind, workerId, attemptKey: key, committed: assignment.size };
     return [{ ...sample, usage, isThrottled }];
@@ -85,22 +90,22 @@
   const samples: UsageSample[] = [];
   const preempted = new Set(state.preempted);
   state.workers.forEach((view, workerId) => {
-    const own = samplesOn(state, rows, workerId, view);
-    samples.push(...own);
-    const outgrown = outgrownTasks(own, view.instance.capacity, preempted);
-    outgrown.forEach((key) => preempted.add(key));
+    const workerSamples = samplesOn(state, rows, workerId, view);
+    samples.push(...workerSamples);
+    const toEvict = tasksToEvictForMemory(workerSamples, view.instance.capacity, preempted);
+    toEvict.forEach((key) => preempted.add(key));
   });
   const isRoundStale = state.isRoundStale || preempted.size > state.preempted.size;
   const learntSizes = state.learntSizes.withSamples(samples, nowMs);
   return { ...state, nextLearningAtMs, learntSizes, preempted, isRoundStale };
 };
 
-const committedSize = (state: CellState, kind: Kind): Resources => {
+const committedSize = (state: CellState, kind: TaskKind): Resources => {
   if (!isLearningSizes(state)) return kind.declared;
   const learnt = state.learntSizes.size(kind.kind, kind.isService, kind.declared);
   if (learnt === kind.declared) return learnt;
   const capacities = [...state.workers.values()].map(({ instance }) => instance.capacity);
-  return placeableSize(learnt, kind.declared, capacities);
+  return learntSizeIfPlaceable(learnt, kind.declared, capacities);
 };
 
 /** What to commit for a new replica. */
--- a/src/scheduler/common/wantedEvictions.ts
+++ b/src/scheduler/common/wantedEvictions.ts
@@ -16,7 +16,7 @@
 };
 
 /** Replicas that other zones should serve and do not serve yet. */
-const missingElsewhere = (state: CellState, view: ConfigurationView, name: string): number => {
+const missingReplicaCount = (state: CellState, view: ConfigurationView, name: string): number => {
   const replicaCount = view.services.get(name)?.replicaCount ?? 0;
   return zonesInUse(view)
     .filter((zone) => zone !== state.cell)
@@ -36,7 +36,7 @@
 ): number => {
   const replicaCount = view.services.get(name)?.replicaCount ?? 0;
   if (replicaCount === 0) return 0;
-  return replicaShare(view, state.cell, replicaCount) + missingElsewhere(state, view, name);
+  return replicaShare(view, state.cell, replicaCount) + missingReplicaCount(state, view, name);
 };
 
 /**
@@ -57,8 +57,8 @@
     }),
   );
   const surplus = [...byService].flatMap(([name, taskIds]) => {
-    const kept = keptReplicaCount(state, view, name);
-    return taskIds.length <= kept ? [] : taskIds.sort().slice(kept);
+    const keptCount = keptReplicaCount(state, view, name);
+    return taskIds.length <= keptCount ? [] : taskIds.sort().slice(keptCount);
   });
   return new Set(surplus);
 };
--- a/src/scheduler/common/workerHealth.ts
+++ b/src/scheduler/common/workerHealth.ts
@@ -3,19 +3,19 @@
 /** Failures of so many different jobs, with no success between them, make a worker suspect. */
 const SUSPECT_JOB_COUNT = 3;
 /** A suspect worker takes nothing for so long, doubled each time up to a limit. */
-const FIRST_ASIDE_MS = 30_000;
-const MAXIMUM_ASIDE_MS = 600_000;
+const INITIAL_QUARANTINE_MS = 30_000;
+const MAXIMUM_QUARANTINE_MS = 600_000;
 /** Never more than this share, or one worker: with more the fault is likely elsewhere. */
-const MAXIMUM_ASIDE_SHARE = 0.1;
+const MAXIMUM_QUARANTINED_SHARE = 0.1;
 /** Failures on so many different workers make the job itself the likely cause. */
-const BAD_JOB_WORKER_COUNT = 3;
+const FAULTY_JOB_WORKER_COUNT = 3;
 /** Failures of so many different jobs in one streak trip a worker. */
 const TRIPPING_JOB_COUNT = 2;
 /** A tripped worker gets its next probe so long after a failure, doubled each time up to a limit. */
-const FIRST_PROBE_DELAY_MS = 500;
+const INITIAL_PROBE_DELAY_MS = 500;
 const MAXIMUM_PROBE_DELAY_MS = 2_000;
 /** A probe that has run for so long does not keep the next one off; it may be a task that lasts. */
-const PROBE_PATIENCE_MS = 5_000;
+const PROBE_TIMEOUT_MS = 5_000;
 /** A streak that nothing has been added to for so long is over; the worker may have been idle. */
 const STREAK_LIFETIME_MS = 60_000;
 
@@ -33,8 +33,8 @@
   readonly failedJobIds: ReadonlySet<string>;
   /** Up to two jobs that failed here since the last success, whatever the cause. */
   readonly recentJobIds: ReadonlySet<string>;
-  readonly asideUntilMs: number;
-  readonly asideCount: number;
+  readonly quarantinedUntilMs: number;
+  readonly quarantineCount: number;
   readonly streak: FailureStreak | undefined;
 }
 
@@ -45,11 +45,11 @@
   readonly isAtFault: boolean;
 }
 
-const CLEAN: WorkerRecord = {
+const NO_FAILURES: WorkerRecord = {
   failedJobIds: new Set(),
   recentJobIds: new Set(),
-  asideUntilMs: Number.NEGATIVE_INFINITY,
-  asideCount: 0,
+  quarantinedUntilMs: Number.NEGATIVE_INFINITY,
+  quarantineCount: 0,
   streak: undefined,
 };
 
@@ -84,7 +84,7 @@
   }
 
   isSetAside(workerId: string, nowMs: number): boolean {
-    return nowMs < (this.#workers.get(workerId)?.asideUntilMs ?? Number.NEGATIVE_INFINITY);
+    return nowMs < (this.#workers.get(workerId)?.quarantinedUntilMs ?? Number.NEGATIVE_INFINITY);
   }
 
   /** Workers on which the job has failed; another try belongs elsewhere, if there is another. */
@@ -107,16 +107,16 @@
     const streak = this.#streakOf(workerId, nowMs);
     if (streak === undefined) return true;
     const exponent = Math.max(0, streak.jobIds.size - TRIPPING_JOB_COUNT);
-    const delayMs = Math.min(MAXIMUM_PROBE_DELAY_MS, FIRST_PROBE_DELAY_MS * 2 ** exponent);
-    const isProbed =
-      lastStartMs > streak.lastFailureAtMs && nowMs < lastStartMs + PROBE_PATIENCE_MS;
-    return !isProbed && nowMs >= streak.lastFailureAtMs + delayMs;
+    const delayMs = Math.min(MAXIMUM_PROBE_DELAY_MS, INITIAL_PROBE_DELAY_MS * 2 ** exponent);
+    const isProbeRunning =
+      lastStartMs > streak.lastFailureAtMs && nowMs < lastStartMs + PROBE_TIMEOUT_MS;
+    return !isProbeRunning && nowMs >= streak.lastFailureAtMs + delayMs;
   }
 
   #streakOf(workerId: string, nowMs: number): FailureStreak | undefined {
     const streak = this.#workers.get(workerId)?.streak;
-    const isOver = streak !== undefined && nowMs >= streak.lastFailureAtMs + STREAK_LIFETIME_MS;
-    return isOver ? undefined : streak;
+    const isExpired = streak !== undefined && nowMs >= streak.lastFailureAtMs + STREAK_LIFETIME_MS;
+    return isExpired ? undefined : streak;
   }
 
   /**
@@ -125,8 +125,8 @@
    * fully would give good jobs up because of bad workers; see `failureWeight.ts`.
    */
   isCredible(workerId: string, jobId: string): boolean {
-    const recent = this.#workers.get(workerId)?.recentJobIds;
-    return recent === undefined || [...recent].every((one) => one === jobId);
+    const recentJobIds = this.#workers.get(workerId)?.recentJobIds;
+    return recentJobIds === undefined || [...recentJobIds].every((one) => one === jobId);
   }
 
   /**
@@ -140,7 +140,7 @@
     const { streak } = known;
     const workers = new Map(this.#workers);
     if (streak !== undefined && startedAtMs < streak.lastFailedStartMs) {
-      return new WorkerHealth(workers.set(workerId, { ...CLEAN, streak }), this.#jobs);
+      return new WorkerHealth(workers.set(workerId, { ...NO_FAILURES, streak }), this.#jobs);
     }
     workers.delete(workerId);
     const [onlyJobId] = streak?.jobIds.size === 1 ? streak.jobIds : [];
@@ -159,25 +159,29 @@
   ): WorkerHealth {
     const workerIds = new Set([...this.failedOn(jobId), workerId]);
     const wasAtFault = this.#jobs.get(jobId)?.isAtFault === true;
-    const isAtFault = wasAtFault || workerIds.size >= Math.min(BAD_JOB_WORKER_COUNT, workerCount);
+    const isAtFault =
+      wasAtFault || workerIds.size >= Math.min(FAULTY_JOB_WORKER_COUNT, workerCount);
     const jobs = this.#jobsWith(jobId, { workerIds, isAtFault });
-    const known = this.#workers.get(workerId) ?? CLEAN;
+    const known = this.#workers.get(workerId) ?? NO_FAILURES;
     const recentJobIds =
       known.recentJobIds.size < 2 ? new Set([...known.recentJobIds, jobId]) : known.recentJobIds;
     const streak = this.#streakWith(workerId, isAtFault ? [] : [jobId], startedAtMs, nowMs);
     const record = { ...known, recentJobIds, streak };
     if (isAtFault) {
-      const noted = new Map(this.#workers).set(workerId, record);
-      return new WorkerHealth(WorkerHealth.#withoutJob(noted, jobId), jobs);
+      const updated = new Map(this.#workers).set(workerId, record);
+      return new WorkerHealth(WorkerHealth.#withoutJob(updated, jobId), jobs);
     }
     const failedJobIds = new Set([...record.failedJobIds, jobId]);
     const workers = new Map(this.#workers);
     // What was under way on a worker when it was set aside fails too and tells nothing new.
     const isSuspect = failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isSetAside(workerId, nowMs);
-    const mayBeSet = this.#asideCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_ASIDE_SHARE);
+    const mayQuarantine =
+      this.#quarantinedCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_QUARANTINED_SHARE);
     workers.set(
       workerId,
-      isSuspect && mayBeSet ? WorkerHealth.#aside(record, nowMs) : { ...record, failedJobIds },
+      isSuspect && mayQuarantine
+        ? WorkerHealth.#quarantined(record, nowMs)
+        : { ...record, failedJobIds },
     );
     return new WorkerHealth(workers, jobs);
   }
@@ -204,7 +208,7 @@
     };
   }
 
-  #asideCount(nowMs: number): number {
+  #quarantinedCount(nowMs: number): number {
     return [...this.#workers.keys()].filter((id) => this.isSetAside(id, nowMs)).length;
   }
 
@@ -212,25 +216,31 @@
     workers: ReadonlyMap<string, WorkerRecord>,
     jobId: string,
   ): ReadonlyMap<string, WorkerRecord> {
-    const without = (jobIds: ReadonlySet<string>): ReadonlySet<string> =>
+    const withoutJobId = (jobIds: ReadonlySet<string>): ReadonlySet<string> =>
       new Set([...jobIds].filter((one) => one !== jobId));
     return new Map(
       [...workers].map(([id, record]) => {
         const { failedJobIds, streak } = record;
-        const rest = streak && { ...streak, jobIds: without(streak.jobIds) };
-        return [id, { ...record, failedJobIds: without(failedJobIds), streak: rest }];
+        const remainingStreak = streak && { ...streak, jobIds: withoutJobId(streak.jobIds) };
+        return [
+          id,
+          { ...record, failedJobIds: withoutJobId(failedJobIds), streak: remainingStreak },
+        ];
       }),
     );
   }
 
-  static #aside(record: WorkerRecord, nowMs: number): WorkerRecord {
-    const asideMs = Math.min(MAXIMUM_ASIDE_MS, FIRST_ASIDE_MS * 2 ** record.asideCount);
+  static #quarantined(record: WorkerRecord, nowMs: number): WorkerRecord {
+    const quarantineMs = Math.min(
+      MAXIMUM_QUARANTINE_MS,
+      INITIAL_QUARANTINE_MS * 2 ** record.quarantineCount,
+    );
     return {
       // Kept, so that its first failure afterwards sets it aside again and costs no job a try.
       failedJobIds: record.failedJobIds,
       recentJobIds: record.recentJobIds,
-      asideUntilMs: nowMs + asideMs,
-      asideCount: record.asideCount + 1,
+      quarantinedUntilMs: nowMs + quarantineMs,
+      quarantineCount: record.quarantineCount + 1,
       streak: record.streak,
     };
   }
--- a/src/scheduler/test/interference/interference.test.ts
+++ b/src/scheduler/test/interference/interference.test.ts
@@ -12,15 +12,15 @@
 const BASE_MS = 20;
 const WINDOW_MS = 2_000;
 /** Samples come so many windows late. */
-const LATE_WINDOWS = 2;
+const DELAY_WINDOWS = 2;
 const LARGE = { processorMillis: 8_000, memoryBytes: GIBIBYTE, acceleratorCount: 0 };
 const LONG_MS = 600_000;
 
 /** How many times longer a request takes beside these tasks. */
-type Truth = (running: readonly WorkerTaskReport[]) => number;
+type SlowdownModel = (runningTasks: readonly WorkerTaskReport[]) => number;
 
 /** What the owner last heard of a worker's running tasks. */
-const running = (cell: VirtualCell, workerId: string): readonly WorkerTaskReport[] =>
+const runningTasks = (cell: VirtualCell, workerId: string): readonly WorkerTaskReport[] =>
   (cell.owner()?.state.workers.get(workerId)?.report?.tasks ?? []).filter(
     ({ state }) => state === WorkerTaskState.Running,
   );
@@ -31,7 +31,7 @@
 const shareOf = (task: WorkerTaskReport): number => task.processorShare ?? 1;
 
 /** Beside `cache` a request takes 40 % longer for each task that is not throttled. */
-const cacheHurts: Truth = (tasks) =>
+const cacheSlowsService: SlowdownModel = (tasks) =>
   1 + ofTeam(tasks, 'cache').reduce((sum, task) => sum + 0.4 * shareOf(task), 0);
 
 const startService = (cell: VirtualCell, replicaCount: number): void =>
@@ -47,8 +47,8 @@
   submit(cell, { ...shard(taskCount, workMs, `${team}.${Math.round(cell.nowMs)}`, LARGE), team });
 
 /** Runs with samples of each server that come late, as entries send them. */
-const runMeasured = (cell: VirtualCell, durationMs: number, truth: Truth): void => {
-  const late: (readonly LatencySample[])[] = [];
+const runWithSamples = (cell: VirtualCell, durationMs: number, slowdownOf: SlowdownModel): void => {
+  const delayedSamples: (readonly LatencySample[])[] = [];
   for (let endMs = cell.nowMs + durationMs; cell.nowMs < endMs;) {
     const startedAtMs = cell.nowMs;
     cell.runFor(WINDOW_MS);
@@ -58,17 +58,17 @@
         workerId,
         serviceName: 'rounds',
         requestCount: 60,
-        meanLatencyMs: BASE_MS * truth(running(cell, workerId)),
+        meanLatencyMs: BASE_MS * slowdownOf(runningTasks(cell, workerId)),
         startedAtMs,
         endedAtMs: cell.nowMs,
       }));
-    late.push(samples);
-    if (late.length > LATE_WINDOWS) cell.measure(late.shift() ?? []);
+    delayedSamples.push(samples);
+    if (delayedSamples.length > DELAY_WINDOWS) cell.measure(delayedSamples.shift() ?? []);
   }
 };
 
-const allShares = (cell: VirtualCell, team: string): readonly number[] =>
-  [...cell.workers.keys()].flatMap((id) => ofTeam(running(cell, id), team)).map(shareOf);
+const processorSharesOf = (cell: VirtualCell, team: string): readonly number[] =>
+  [...cell.workers.keys()].flatMap((id) => ofTeam(runningTasks(cell, id), team)).map(shareOf);
 
 describe('interference in a cell', () => {
   it('throttles the kind that slows a service, once known, and evicts nothing', () => {
@@ -77,9 +77,9 @@
     submitJob(cell, 'quiet', 4, LONG_MS);
     cell.runFor(3_000);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'quiet')).toEqual([1, 1, 1, 1]);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     expect(cell.count('assignments_evicted')).toBe(0);
     expectNoHarm(cell);
   });
@@ -90,8 +90,8 @@
     const cell = startCell(26);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    const before = allShares(cell, 'cache');
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    const before = processorSharesOf(cell, 'cache');
     expect(before[0]).toBeLessThan(1);
     const views = [...(cell.owner()?.state.workers.values() ?? [])];
     const view = views.find(({ report }) => report?.tasks.some((task) => shareOf(task) < 1));
@@ -106,9 +106,9 @@
     };
     worker?.command(release, view?.report?.workerNowMs ?? 0);
     cell.runFor(1_100);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
     cell.runFor(3_000);
-    expect(allShares(cell, 'cache')).toEqual(before);
+    expect(processorSharesOf(cell, 'cache')).toEqual(before);
     expectNoHarm(cell);
   });
 
@@ -119,15 +119,15 @@
     const cell = startCell(22);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     const owner = cell.owner();
     if (owner !== undefined) owner.isAlive = false;
     cell.runFor(20_000);
     expect(cell.owner()?.id).not.toBe(owner?.id);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
-    runMeasured(cell, 60_000, () => 1);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, () => 1);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
     expectNoHarm(cell);
   });
 
@@ -140,10 +140,10 @@
     submitJob(cell, 'cache', 6, 30_000);
     cell.runFor(5_000);
     submitJob(cell, 'quiet', 6, LONG_MS);
-    runMeasured(cell, 20_000, cacheHurts);
+    runWithSamples(cell, 20_000, cacheSlowsService);
     const changesBefore = cell.count('interference_throttle_changes');
     cell.runFor(10_000);
-    expect(allShares(cell, 'cache')).toEqual([]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([]);
     const startedAtMs = cell.nowMs - 20_000;
     const stale = ['w0', 'w1'].map((workerId) => ({
       workerId,
@@ -157,7 +157,7 @@
       cell.measure(stale);
       cell.runFor(1_000);
     }
-    expect(allShares(cell, 'quiet')).toEqual([1, 1, 1, 1, 1, 1]);
+    expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1, 1, 1]);
     expect(cell.count('interference_throttle_changes')).toBe(changesBefore);
     expect(cell.count('interference_samples_stale')).toBeGreaterThanOrEqual(40);
     expectNoHarm(cell);
@@ -168,17 +168,23 @@
     startService(cell, 1);
     cell.runFor(3_000);
     submitJob(cell, 'cache', 1, 40_000);
-    runMeasured(cell, 20_000, cacheHurts);
-    const [serving] = [...cell.workers].find(([, worker]) => worker.hasService('rounds')) ?? [''];
-    expect(ofTeam(running(cell, serving), 'cache')).toHaveLength(1);
+    runWithSamples(cell, 20_000, cacheSlowsService);
+    const [servingWorkerId] = [...cell.workers].find(([, worker]) =>
+      worker.hasService('rounds'),
+    ) ?? [''];
+    expect(ofTeam(runningTasks(cell, servingWorkerId), 'cache')).toHaveLength(1);
     // A second worker shows what the service takes alone.
     startService(cell, 2);
-    runMeasured(cell, 120_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([]);
+    runWithSamples(cell, 120_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([]);
     submitJob(cell, 'cache', 3, LONG_MS);
     cell.runFor(5_000);
-    const apart = [...cell.workers].filter(([, worker]) => !worker.hasService('rounds'));
-    expect(apart.flatMap(([id]) => ofTeam(running(cell, id), 'cache'))).toHaveLength(3);
+    const workersWithoutService = [...cell.workers].filter(
+      ([, worker]) => !worker.hasService('rounds'),
+    );
+    expect(
+      workersWithoutService.flatMap(([id]) => ofTeam(runningTasks(cell, id), 'cache')),
+    ).toHaveLength(3);
     expectNoHarm(cell);
   });
 
@@ -187,7 +193,7 @@
     const cell = startCell(25, { timing: { interference: { ...timing, isEnabled: false } } });
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
   });
 });
--- a/src/scheduler/test/interference/learning.test.ts
+++ b/src/scheduler/test/interference/learning.test.ts
@@ -2,7 +2,7 @@
 
 import type { WorkerInstance } from '../../../services/instanceList/common/instanceList.js';
 import { settingsSchema } from '../../../services/settings/common/settings.js';
-import { SampleFate, sampleFate } from '../../common/interference/learning.js';
+import { SampleStatus, sampleStatus } from '../../common/interference/learning.js';
 import { observedControl } from '../../common/interference/workerControl.js';
 import { unreachedWorker, type WorkerView } from '../../common/workerView.js';
 
@@ -29,36 +29,41 @@
 // A task is throttled or comes; samples of the time before still arrive for seconds. Learnt
 // from, they would judge the change by what was there without it.
 describe('a sample of latency', () => {
-  const fate = (startedAtMs: number, reportedAtMs: number, view = viewReportedAt(reportedAtMs)) =>
-    sampleFate(sampleFrom(startedAtMs), view, CONTROL, POLICY, 110_000);
+  const statusOf = (
+    startedAtMs: number,
+    reportedAtMs: number,
+    view = viewReportedAt(reportedAtMs),
+  ) => sampleStatus(sampleFrom(startedAtMs), view, CONTROL, POLICY, 110_000);
 
   it('is dropped when it began before the last change on its worker', () => {
-    expect(fate(CHANGED_AT_MS - 1, 110_000)).toBe(SampleFate.Stale);
-    expect(fate(CHANGED_AT_MS, 110_000)).toBe(SampleFate.Learnt);
+    expect(statusOf(CHANGED_AT_MS - 1, 110_000)).toBe(SampleStatus.Stale);
+    expect(statusOf(CHANGED_AT_MS, 110_000)).toBe(SampleStatus.Learnt);
   });
 
   it('waits for a report that was made after its end', () => {
-    expect(fate(106_000, 107_900)).toBe(SampleFate.Waiting);
-    expect(fate(106_000, 108_005)).toBe(SampleFate.Waiting);
-    expect(fate(106_000, 108_010)).toBe(SampleFate.Learnt);
+    expect(statusOf(106_000, 107_900)).toBe(SampleStatus.Waiting);
+    expect(statusOf(106_000, 108_005)).toBe(SampleStatus.Waiting);
+    expect(statusOf(106_000, 108_010)).toBe(SampleStatus.Learnt);
   });
 
   it('waits for a report whose usage is newer than the change', () => {
     const usableAtMs = CHANGED_AT_MS + POLICY.usageLagMs;
-    expect(fate(CHANGED_AT_MS, usableAtMs)).toBe(SampleFate.Waiting);
-    expect(fate(CHANGED_AT_MS, usableAtMs + 10)).toBe(SampleFate.Learnt);
+    expect(statusOf(CHANGED_AT_MS, usableAtMs)).toBe(SampleStatus.Waiting);
+    expect(statusOf(CHANGED_AT_MS, usableAtMs + 10)).toBe(SampleStatus.Learnt);
   });
 
   it('waits while it is unknown when the report in hand was made', () => {
-    const asking = { ...viewReportedAt(110_000), isCommandInFlight: true };
-    expect(fate(106_000, 110_000, asking)).toBe(SampleFate.Waiting);
+    const viewAwaitingReport = { ...viewReportedAt(110_000), isCommandInFlight: true };
+    expect(statusOf(106_000, 110_000, viewAwaitingReport)).toBe(SampleStatus.Waiting);
   });
 
   it('is dropped when its worker is unknown, and in the end when no report comes', () => {
     const { startedAtMs, endedAtMs } = sampleFrom(106_000);
-    expect(sampleFate(sampleFrom(startedAtMs), undefined, CONTROL, POLICY, 110_000)).toBe('stale');
-    const late = endedAtMs + 30_001;
+    expect(sampleStatus(sampleFrom(startedAtMs), undefined, CONTROL, POLICY, 110_000)).toBe(
+      'stale',
+    );
+    const expiredAtMs = endedAtMs + 30_001;
     const view = viewReportedAt(107_000);
-    expect(sampleFate(sampleFrom(startedAtMs), view, CONTROL, POLICY, late)).toBe('stale');
+    expect(sampleStatus(sampleFrom(startedAtMs), view, CONTROL, POLICY, expiredAtMs)).toBe('stale');
   });
 });
--- a/src/scheduler/test/interference/serviceModel.test.ts
+++ b/src/scheduler/test/interference/serviceModel.test.ts
@@ -21,7 +21,7 @@
 };
 
 /** Learns each observation once a second, in turn. */
-const learnt = (
+const estimatesAfter = (
   observations: readonly ReturnType<typeof observed>[],
   count: number,
   before = new PairEstimates(HALF_LIFE_MS),
@@ -39,7 +39,7 @@
 
 describe('estimates of pairs', () => {
   it('tell the kind that hurts from the one beside it', () => {
-    const estimates = learnt(
+    const estimates = estimatesAfter(
       [
         observed(BASE_MS, {}),
         observed(BASE_MS, { quiet: 0.3 }),
@@ -57,20 +57,23 @@
   // shows one of them alone and nothing is slow there, it has to be attributed to the other: the
   // first would be throttled for ever for what it does not do.
   it('clear a kind that was attributed the slowdown of another', () => {
-    const together = learnt(
+    const together = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.4, { cache: 0.2, quiet: 0.2 })],
       40,
     );
     expect(slowdown(together, 'quiet', 40_000)).toBeGreaterThan(0.5);
-    const apart = learnt([observed(BASE_MS, { quiet: 0.2 })], 10, together, 40_000);
+    const apart = estimatesAfter([observed(BASE_MS, { quiet: 0.2 })], 10, together, 40_000);
     expect(slowdown(apart, 'quiet', 50_000)).toBeLessThan(0.2);
     expect(slowdown(apart, 'cache', 50_000)).toBeGreaterThan(1.5);
   });
 
   it('follow a pair that begins to hurt', () => {
-    const before = learnt([observed(BASE_MS, {}), observed(BASE_MS, { shifting: 0.2 })], 60);
+    const before = estimatesAfter(
+      [observed(BASE_MS, {}), observed(BASE_MS, { shifting: 0.2 })],
+      60,
+    );
     expect(slowdown(before, 'shifting', 60_000)).toBeLessThan(0.2);
-    const after = learnt(
+    const after = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.5, { shifting: 0.2 })],
       30,
       before,
@@ -87,7 +90,7 @@
       requestCount: 50,
       exposures: new Map([['disk', { used: 0.05, wanted: 0.2 }]]),
     };
-    const estimates = learnt(
+    const estimates = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.4, { disk: 0.2 }), throttled],
       90,
     );
@@ -98,10 +101,10 @@
   // One measurement is wrong by a factor of a hundred, as after a pause of the entry. Taken at
   // its word it would have all batch work beside the service throttled.
   it('give little on a wrong sample and nothing on an impossible one', () => {
-    const before = learnt([observed(BASE_MS, {}), observed(BASE_MS, { quiet: 0.3 })], 60);
+    const before = estimatesAfter([observed(BASE_MS, {}), observed(BASE_MS, { quiet: 0.3 })], 60);
     const wrong = before.withObservation(SERVICE, observed(100 * BASE_MS, { quiet: 0.3 }), 60_000);
     expect(0.3 * slowdown(wrong, 'quiet', 60_000)).toBeLessThan(0.5);
-    const later = learnt([observed(BASE_MS, { quiet: 0.3 })], 10, wrong, 61_000);
+    const later = estimatesAfter([observed(BASE_MS, { quiet: 0.3 })], 10, wrong, 61_000);
     expect(0.3 * slowdown(later, 'quiet', 71_000)).toBeLessThan(0.1);
     [Number.NaN, Number.POSITIVE_INFINITY, -1, 0].forEach((latencyMs) =>
       expect(before.withObservation(SERVICE, observed(latencyMs, {}), 61_000)).toBe(before),
@@ -109,7 +112,10 @@
   });
 
   it('forget what nothing confirms', () => {
-    const estimates = learnt([observed(BASE_MS, {}), observed(BASE_MS * 1.4, { cache: 0.2 })], 60);
+    const estimates = estimatesAfter(
+      [observed(BASE_MS, {}), observed(BASE_MS * 1.4, { cache: 0.2 })],
+      60,
+    );
     const now = slowdown(estimates, 'cache', 60_000);
     const later = slowdown(estimates, 'cache', 59_000 + HALF_LIFE_MS);
     expect(later).toBeLessThan(0.55 * now);
@@ -118,8 +124,11 @@
   // A noisy kind is quiet between its waves. Placed then, beside a service, it would hurt it in
   // the next wave, so the worst of late is remembered beside the present value.
   it('remember the worst of a kind that comes in waves', () => {
-    const wave = learnt([observed(BASE_MS, {}), observed(BASE_MS * 1.6, { noisy: 0.2 })], 40);
-    const calm = learnt(
+    const wave = estimatesAfter(
+      [observed(BASE_MS, {}), observed(BASE_MS * 1.6, { noisy: 0.2 })],
+      40,
+    );
+    const calm = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS, { noisy: 0.2 })],
       40,
       wave,
--- a/src/scheduler/test/interference/workerControl.test.ts
+++ b/src/scheduler/test/interference/workerControl.test.ts
@@ -6,7 +6,7 @@
   type InterferenceState,
   type WorkerControl,
 } from '../../common/interference/interferenceState.js';
-import { learntFrom } from '../../common/interference/learning.js';
+import { withLearntSample } from '../../common/interference/learning.js';
 import { controlStep, observedControl } from '../../common/interference/workerControl.js';
 import type { BatchLoad, WorkerLoad } from '../../common/interference/workerLoad.js';
 
@@ -39,13 +39,13 @@
 });
 
 /** Knows that a whole worker of `cache` would add `pressure` latencies; `quiet` adds none. */
-const knowing = (pressure: number): InterferenceState => {
+const stateWithPressure = (pressure: number): InterferenceState => {
   let state = initialInterference(POLICY, 0);
   for (let nowMs = 0; nowMs < 60 * SECOND_MS; nowMs += SECOND_MS) {
-    state = learntFrom(state, sample(BASE_MS, nowMs), loadOf(task('a', 'quiet')), nowMs);
+    state = withLearntSample(state, sample(BASE_MS, nowMs), loadOf(task('a', 'quiet')), nowMs);
     const beside = loadOf(task('a', 'quiet'), task('b', 'cache'));
     const latencyMs = BASE_MS * (1 + 0.1 * pressure);
-    state = learntFrom(state, sample(latencyMs, nowMs), beside, nowMs);
+    state = withLearntSample(state, sample(latencyMs, nowMs), beside, nowMs);
   }
   return state;
 };
@@ -63,7 +63,7 @@
   it('throttles what hurts and leaves the rest alone', () => {
     const load = loadOf(task('a', 'quiet'), task('b', 'cache'));
     const control = observedControl(undefined, load, KNOWN_AT_MS);
-    const { control: after, evictedKey } = step(knowing(3), control, load, KNOWN_AT_MS);
+    const { control: after, evictedKey } = step(stateWithPressure(3), control, load, KNOWN_AT_MS);
     expect(evictedKey).toBeUndefined();
     expect(after.shares.get('a')).toBe(1);
     expect(after.shares.get('b')).toBeLessThan(1);
@@ -73,7 +73,7 @@
   // Throttling cannot help enough. The task is throttled first; only when that has been in vain
   // for the set time is one evicted, and no second one before the first step has settled.
   it('evicts only after throttling has been in vain', () => {
-    const interference = knowing(30);
+    const interference = stateWithPressure(30);
     const load = loadOf(task('a', 'cache'), task('b', 'cache'));
     let control = observedControl(undefined, load, KNOWN_AT_MS);
     const evictedAtMs: number[] = [];
@@ -88,7 +88,7 @@
   });
 
   it('evicts the one that loses the least of those that suffice', () => {
-    const interference = knowing(8);
+    const interference = stateWithPressure(8);
     const load = loadOf(
       task('dear', 'cache', { unsavedWorkMs: 50_000 }),
       task('cheap', 'cache', { unsavedWorkMs: 2_000 }),
@@ -102,18 +102,18 @@
     const control = {
       ...observedControl(undefined, load, 0),
       shares,
-      inVainSinceMs: KNOWN_AT_MS - POLICY.evictAfterMs,
+      throttlingInsufficientSinceMs: KNOWN_AT_MS - POLICY.evictAfterMs,
     };
     expect(step(interference, control, load, KNOWN_AT_MS).evictedKey).toBe('cheap');
   });
 
   it('evicts nothing while as many as allowed are under way', () => {
-    const interference = knowing(30);
+    const interference = stateWithPressure(30);
     const load = loadOf(task('a', 'cache'));
     const control = {
       ...observedControl(undefined, load, 0),
       shares: new Map([['a', POLICY.minimumProcessorShare]]),
-      inVainSinceMs: 0,
+      throttlingInsufficientSinceMs: 0,
     };
     const next = controlStep(interference, control, load, POLICY, true, false, KNOWN_AT_MS);
     expect(next.evictedKey).toBeUndefined();
@@ -125,26 +125,26 @@
   // those that began after the last change are learnt from.
   it('does not swing although what it measures lags', () => {
     const LAG_MS = 5 * SECOND_MS;
-    const truth = (share: number): number => BASE_MS * (1 + 0.1 * 10 * (0.2 + 0.8 * share));
+    const latencyMsAt = (share: number): number => BASE_MS * (1 + 0.1 * 10 * (0.2 + 0.8 * share));
     let interference = initialInterference(POLICY, 0);
     let load = loadOf(task('a', 'cache'));
     let control = observedControl(undefined, load, 0);
-    const waiting: { readonly atMs: number; readonly latencyMs: number }[] = [];
+    const pendingSamples: { readonly atMs: number; readonly latencyMs: number }[] = [];
     const shares: number[] = [];
     const estimated: number[] = [];
     for (let nowMs = 0; nowMs < 300 * SECOND_MS; nowMs += SECOND_MS) {
       const share = load.batch[0]?.processorShare ?? 1;
       const noise = 1 + 0.08 * Math.sin(nowMs * 1.7);
-      waiting.push({ atMs: nowMs, latencyMs: truth(share) * noise });
+      pendingSamples.push({ atMs: nowMs, latencyMs: latencyMsAt(share) * noise });
       // Another worker shows the service without batch work.
       const alone = { serviceNames: ['rounds'], batch: [] };
-      interference = learntFrom(interference, sample(BASE_MS * noise, nowMs), alone, nowMs);
-      const [oldest] = waiting;
+      interference = withLearntSample(interference, sample(BASE_MS * noise, nowMs), alone, nowMs);
+      const [oldest] = pendingSamples;
       if (oldest !== undefined && nowMs - oldest.atMs >= LAG_MS) {
-        waiting.shift();
+        pendingSamples.shift();
         const isNew = oldest.atMs >= control.changedAtMs;
-        const late = sample(oldest.latencyMs, nowMs);
-        if (isNew) interference = learntFrom(interference, late, load, nowMs);
+        const delayedSample = sample(oldest.latencyMs, nowMs);
+        if (isNew) interference = withLearntSample(interference, delayedSample, load, nowMs);
       }
       control = step(interference, control, load, nowMs).control;
       const granted = control.shares.get('a') ?? 1;
@@ -154,16 +154,16 @@
       const pressure = interference.estimates.pressure('rounds', 'cache', 0, nowMs);
       estimated.push(0.1 * (pressure.byUse + pressure.byPresence));
     }
-    const turns = shares.filter(
+    const raises = shares.filter(
       (share, index) => index > 0 && share > (shares[index - 1] ?? share),
     );
     expect(shares[shares.length - 1]).toBeLessThan(1);
     expect(Math.max(...estimated)).toBeLessThan(1.5);
-    expect(turns.length).toBeLessThanOrEqual(2);
+    expect(raises.length).toBeLessThanOrEqual(2);
   });
 
   it('waits between two steps until the first can have shown', () => {
-    const interference = knowing(3);
+    const interference = stateWithPressure(3);
     const load = loadOf(task('a', 'cache'));
     const control = { ...observedControl(undefined, load, 0), actedAtMs: KNOWN_AT_MS - 1_000 };
     const early = step(interference, control, load, KNOWN_AT_MS).control;
@@ -178,9 +178,9 @@
   it('releases only what stays well within what is tolerated', () => {
     const load = loadOf(task('a', 'cache', { processorShare: 0.5 }));
     const control = observedControl(undefined, load, 0);
-    const hovering = step(knowing(1.5), control, load, KNOWN_AT_MS).control;
-    expect(hovering.shares.get('a')).toBe(0.5);
-    const calm = step(knowing(0.5), control, load, KNOWN_AT_MS).control;
-    expect(calm.shares.get('a')).toBe(1);
+    const betweenLimits = step(stateWithPressure(1.5), control, load, KNOWN_AT_MS).control;
+    expect(betweenLimits.shares.get('a')).toBe(0.5);
+    const belowRelease = step(stateWithPressure(0.5), control, load, KNOWN_AT_MS).control;
+    expect(belowRelease.shares.get('a')).toBe(1);
   });
 });
--- a/src/scheduler/test/learntSizes.test.ts
+++ b/src/scheduler/test/learntSizes.test.ts
@@ -23,7 +23,7 @@
     .read({ keys: [], prefixes: [ledgerPrefix(CELL)] })
     .rows.flatMap(({ value }) => ledgerRowSchema.parse(value).assignments);
 
-const mostOnWorker = (cell: VirtualCell): number =>
+const maximumTasksOnOneWorker = (cell: VirtualCell): number =>
   Math.max(
     ...[...cell.workers.keys()].map(
       (id) => assignments(cell).filter(({ workerId }) => workerId === id).length,
@@ -53,9 +53,9 @@
     setUsage(cell, { ...SIZE, processorMillis: 3_000 });
     for (let job = 0; job < 12; job += 1) submit(cell, shard(25, 20_000, `kitchen.job${job}`));
     cell.runFor(24_000);
-    expect(mostOnWorker(cell)).toBeLessThanOrEqual(16);
+    expect(maximumTasksOnOneWorker(cell)).toBeLessThanOrEqual(16);
     cell.runFor(30_000);
-    expect(mostOnWorker(cell)).toBeLessThanOrEqual(10);
+    expect(maximumTasksOnOneWorker(cell)).toBeLessThanOrEqual(10);
     cell.runFor(300_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(300);
     expectNoHarm(cell);
@@ -73,7 +73,7 @@
     cell.runFor(10_000);
     const { evictionCount } = cell.judge.verdict();
     expect(evictionCount).toBeGreaterThan(0);
-    expect(mostOnWorker(cell) * 20 * GIBIBYTE).toBeLessThanOrEqual(CAPACITY.memoryBytes);
+    expect(maximumTasksOnOneWorker(cell) * 20 * GIBIBYTE).toBeLessThanOrEqual(CAPACITY.memoryBytes);
     cell.runFor(900_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
     expect(cell.judge.verdict().evictionCount).toBeLessThan(2 * 40);
@@ -117,18 +117,23 @@
     usage: SIZE,
     ...change,
   });
-  const after = (change: Partial<UsageSample>): LearntSizes => {
+  const sizesAfter = (change: Partial<UsageSample>): LearntSizes => {
     const samples = Array.from({ length: 6 }, (_, index) => sample(index, change));
     return [0, 5_000, 10_000, 15_000, 20_000, 25_000].reduce(
       (learnt, atMs) => learnt.withSamples(samples, atMs),
       new LearntSizes(),
     );
   };
-  const using = (processorMillis: number): Resources => ({ ...SIZE, processorMillis });
+  const withProcessorMillis = (processorMillis: number): Resources => ({
+    ...SIZE,
+    processorMillis,
+  });
 
   // Reports lag: what a task used in its first seconds, or before, says nothing of its size.
   it('does not go by tasks that have just started', () => {
-    const samples = Array.from({ length: 50 }, (_, index) => sample(index, { usage: using(10) }));
+    const samples = Array.from({ length: 50 }, (_, index) =>
+      sample(index, { usage: withProcessorMillis(10) }),
+    );
     const learnt = new LearntSizes().withSamples(samples, 0).withSamples(samples, 5_000);
     expect(learnt.size('kind', false, SIZE)).toEqual(SIZE);
   });
@@ -136,8 +141,8 @@
   it('has a margin, of memory a larger one, and keeps accelerators', () => {
     const usage = { processorMillis: 1_000, memoryBytes: 1.4 * GIBIBYTE, acceleratorCount: 0 };
     const declared = { ...SIZE, acceleratorCount: 2 };
-    const size = after({ usage: { ...usage, memoryBytes: Math.round(usage.memoryBytes) } });
-    const learnt = size.size('kind', false, declared);
+    const sizes = sizesAfter({ usage: { ...usage, memoryBytes: Math.round(usage.memoryBytes) } });
+    const learnt = sizes.size('kind', false, declared);
     expect(learnt.processorMillis).toBe(1_100);
     expect(learnt.memoryBytes / GIBIBYTE).toBeCloseTo(1.75, 2);
     expect(learnt.acceleratorCount).toBe(2);
@@ -145,35 +150,37 @@
 
   // A service uses little in a quiet hour. Were its room given away, it would be missing later.
   it('of a service only grows', () => {
-    const low = after({ usage: using(200), isService: true });
+    const low = sizesAfter({ usage: withProcessorMillis(200), isService: true });
     expect(low.size('kind', true, SIZE)).toEqual(SIZE);
-    const high = after({ usage: using(3_000), isService: true });
+    const high = sizesAfter({ usage: withProcessorMillis(3_000), isService: true });
     expect(high.size('kind', true, SIZE).processorMillis).toBe(3_000);
   });
 
   // A task that was given a learnt size uses all of it: the worker may have held it there, so
   // what it would use is not known, and the size must not stay small for ever.
   it('grows when tasks use all that they were given', () => {
-    const committed = using(1_000);
-    const learnt = after({ committed, usage: committed });
+    const committed = withProcessorMillis(1_000);
+    const learnt = sizesAfter({ committed, usage: committed });
     expect(learnt.size('kind', false, SIZE).processorMillis).toBeGreaterThan(1_500);
   });
 
   // A throttle holds a task far below what it would use. Taken for one that uses all that it was
   // given, its kind would be committed larger each time, and others wait beside idle processors.
   it('does not go by throttled tasks until they have run without the throttle for a while', () => {
-    const committed = using(1_000);
-    const throttled = after({ committed, usage: committed, isThrottled: true });
+    const committed = withProcessorMillis(1_000);
+    const throttled = sizesAfter({ committed, usage: committed, isThrottled: true });
     expect(throttled.size('kind', false, SIZE)).toEqual(SIZE);
-    const known = after({ usage: using(1_000) });
-    const own = Array.from({ length: 6 }, (_, index) => sample(index, { usage: using(250) }));
-    const held = own.map((one) => ({ ...one, isThrottled: true }));
-    const released = known.withSamples(held, 30_000).withSamples(own, 35_000);
+    const known = sizesAfter({ usage: withProcessorMillis(1_000) });
+    const samples = Array.from({ length: 6 }, (_, index) =>
+      sample(index, { usage: withProcessorMillis(250) }),
+    );
+    const throttledSamples = samples.map((one) => ({ ...one, isThrottled: true }));
+    const released = known.withSamples(throttledSamples, 30_000).withSamples(samples, 35_000);
     expect(released.size('kind', false, SIZE)).toEqual(known.size('kind', false, SIZE));
   });
 
   it('is forgotten when the kind is not seen, and bounded in number', () => {
-    const learnt = after({ usage: using(1_000) });
+    const learnt = sizesAfter({ usage: withProcessorMillis(1_000) });
     expect(learnt.withSamples([], 60_000).size('kind', false, SIZE)).not.toEqual(SIZE);
     expect(learnt.withSamples([], 2_000_000).size('kind', false, SIZE)).toEqual(SIZE);
     const many = Array.from({ length: 3_000 }, (_, index) =>
--- a/src/scheduler/test/preemption.test.ts
+++ b/src/scheduler/test/preemption.test.ts
@@ -42,12 +42,12 @@
   // Three equal tasks fill a worker and an urgent one needs the place of one. Two have just
   // begun or saved their work, one would lose a minute: that one must not be chosen.
   it('is made by the task that loses the least', () => {
-    const lostMs = [60_000, 500, 20_000];
+    const lostWorkMs = [60_000, 500, 20_000];
     const plan = new PreemptionPlan(
       [FULL],
       ROWS,
       new Set(),
-      ({ taskIndex }) => lostMs[taskIndex] ?? 0,
+      ({ taskIndex }) => lostWorkMs[taskIndex] ?? 0,
     );
     plan.makeRoom(SIZE);
     expect([...plan.chosen]).toEqual([`${ROW.jobId}/1#1`]);
--- a/src/scheduler/test/quotas.test.ts
+++ b/src/scheduler/test/quotas.test.ts
@@ -40,7 +40,7 @@
     .reduce(addResources, { processorMillis: 0, memoryBytes: 0, acceleratorCount: 0 });
 
 /** Runs on, and looks ten times a second whether the cells exceed the quota together. */
-const runWithin = (cell: VirtualCell, durationMs: number, limit = LIMIT): void => {
+const runAndCheckQuota = (cell: VirtualCell, durationMs: number, limit = LIMIT): void => {
   const endMs = cell.nowMs + durationMs;
   while (cell.nowMs < endMs) {
     cell.runFor(100);
@@ -57,12 +57,12 @@
     const cell = startCells(304, ZONES);
     setQuota(cell);
     cell.runFor(3_000);
-    const broken = vi.spyOn(TeamUse.prototype, 'isWithinQuota').mockReturnValue(true);
+    const isWithinQuotaMock = vi.spyOn(TeamUse.prototype, 'isWithinQuota').mockReturnValue(true);
     submit(cell, shardIn('zone-b', 'many', 30, 2_000), 'zone-b');
-    runWithin(cell, 3_000);
-    broken.mockRestore();
+    runAndCheckQuota(cell, 3_000);
+    isWithinQuotaMock.mockRestore();
     expectNoHarm(cell, ['invariant_quota_exceeded']);
-    runWithin(cell, 30_000);
+    runAndCheckQuota(cell, 30_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
   });
 
@@ -74,9 +74,9 @@
     cell.runFor(3_000);
     submit(cell, shardIn('zone-b', 'small-b', 12, 2_000), 'zone-b');
     submit(cell, shardIn('zone-c', 'small-c', 12, 2_000), 'zone-c');
-    runWithin(cell, 2_000);
+    runAndCheckQuota(cell, 2_000);
     submit(cell, shardIn('zone-a', 'large', 2, 3_000, LARGE), 'zone-a');
-    runWithin(cell, 25_000);
+    runAndCheckQuota(cell, 25_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expect(cell.judge.verdict().completedBatchCount).toBe(26);
     expectNoHarm(cell);
@@ -90,7 +90,7 @@
     cell.runFor(3_000);
     ZONES.forEach((zone) => submit(cell, shardIn(zone, `large-${zone}`, 2, 2_000, LARGE), zone));
     submit(cell, shardIn('zone-a', 'small', 20, 1_000), 'zone-a');
-    runWithin(cell, 60_000);
+    runAndCheckQuota(cell, 60_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expect(cell.judge.verdict().completedBatchCount).toBe(26);
     // What was lent goes back: no cell asks, cedes or holds too much any more.
@@ -111,9 +111,9 @@
     submit(cell, shardIn('zone-a', 'large', 1, 1_000, LARGE), 'zone-a');
     cell.runFor(2_000);
     submit(cell, shardIn('zone-b', 'small', 4, 1_000), 'zone-b');
-    runWithin(cell, 45_000);
+    runAndCheckQuota(cell, 45_000);
     expect(workRowsOf(cell, 'work/zone-b/')).toEqual([]);
-    runWithin(cell, 300_000);
+    runAndCheckQuota(cell, 300_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expectNoHarm(cell);
   });
@@ -126,11 +126,11 @@
     setZone(cell, 'withdrawn', 'zone-c');
     cell.runFor(4_000);
     ZONES.slice(0, 2).forEach((zone) => submit(cell, shardIn(zone, zone, 20, 10_000), zone));
-    runWithin(cell, 4_000);
+    runAndCheckQuota(cell, 4_000);
     expect(usedOf(cell).processorMillis).toBe(LIMIT.processorMillis);
     setZone(cell, 'in-use', 'zone-c');
     submit(cell, shardIn('zone-c', 'zone-c', 8, 1_000), 'zone-c');
-    runWithin(cell, 60_000);
+    runAndCheckQuota(cell, 60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
     expectNoHarm(cell);
   });
@@ -142,12 +142,12 @@
     setQuota(cell);
     cell.runFor(4_000);
     ZONES.forEach((zone) => submit(cell, shardIn(zone, zone, 20, 30_000), zone));
-    runWithin(cell, 4_000);
+    runAndCheckQuota(cell, 4_000);
     cell.setObjectStoreDown(true);
     setZone(cell, 'withdrawn', 'zone-c');
-    runWithin(cell, 20_000);
+    runAndCheckQuota(cell, 20_000);
     cell.setObjectStoreDown(false);
-    runWithin(cell, 400_000);
+    runAndCheckQuota(cell, 400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(60);
     expectNoHarm(cell);
   });
@@ -159,7 +159,7 @@
     setQuota(cell);
     cell.runFor(4_000);
     submit(cell, shardIn('zone-a', 'first', 4, 60_000));
-    runWithin(cell, 3_000);
+    runAndCheckQuota(cell, 3_000);
     cell.setObjectStoreDown(true);
     cell.writeRow(cancellationKey(CELL, 'plan'), { jobIds: ['kitchen.first'] });
     submit(cell, shardIn('zone-a', 'second', 4, 60_000));
@@ -189,11 +189,11 @@
       const owner = cell.owner(zone);
       const isPaused = owner !== undefined && random.nextIndex(6) === 0;
       if (isPaused) owner.isPaused = true;
-      runWithin(cell, 500 + random.nextIndex(2_500));
+      runAndCheckQuota(cell, 500 + random.nextIndex(2_500));
       if (isPaused) cell.resume(owner);
     }
     setZone(cell, 'in-use', 'zone-c');
-    runWithin(cell, 200_000);
+    runAndCheckQuota(cell, 200_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expect(cell.judge.verdict().completedBatchCount).toBe(taskCount);
     expectNoHarm(cell);
