--- a/src/scheduler/common/freeCapacity.ts
+++ b/src/scheduler/common/freeCapacity.ts
@@ -1,4 +1,4 @@
-/** What is left on the cell's workers, kept up while a round assigns. */
+/** Tracks the free capacity of the cell's workers while a round assigns tasks. */
 import {
   addResources,
   fitsInto,
@@ -24,7 +24,9 @@
 
 const usageCache = new WeakMap<readonly Assignment[], UsageCacheEntry>();
 
-/** Committed tasks together with those that run on the worker without standing in the ledger. */
+/**
+ * Resources of the worker's ledger assignments and of tasks that run there without an assignment.
+ */
 const usedResourcesOn = (view: WorkerView, assignments: readonly Assignment[]): Resources => {
   const cached = usageCache.get(assignments);
   if (cached?.tasks === view.tasks) return cached.used;
@@ -46,10 +48,13 @@
 export class FreeCapacity {
   readonly #candidates = new Map<string, PlacementCandidate>();
 
-  /** The share of each worker that is open to work which may wait. */
+  /** The share of each worker's capacity that is open to work that can wait. */
   readonly #openShare: number;
 
-  /** Sizes that fitted nowhere in this round; what is no smaller fits nowhere either. */
+  /**
+   * Sizes that fitted no worker in this round. A size that is at least as large fits no worker
+   * either.
+   */
   readonly #tooLargeSizes: Resources[] = [];
 
   constructor(state: CellState, rows: CellRows, draft: CellDraft, nowMs: number) {
@@ -80,9 +85,9 @@
   }
 
   /**
-   * The candidates for a request; none when a request that was no larger has found no place in
-   * this round. A large job at the head of the queue is thus passed over at little cost and
-   * smaller ones behind it are placed.
+   * The candidates for a request. The list is empty if an equal or smaller request has found no
+   * worker in this round. A large job at the head of the queue is thus skipped at little cost, and
+   * smaller jobs behind it are placed.
    */
   candidatesFor(request: PlacementRequest, canWait: boolean): readonly PlacementCandidate[] {
     if (this.#tooLargeSizes.some((size) => fitsInto(size, request.size))) return [];
@@ -90,8 +95,8 @@
   }
 
   /**
-   * The candidates for a job that has failed on some workers: the others, as long as there are
-   * any. A worker that fails all it starts is always free, so packing would pick it again.
+   * The candidates for a job that has failed on some workers: the other workers, as long as there
+   * are any. A worker that fails every task is always free, so packing would choose it again.
    */
   candidatesApartFrom(
     failedOn: ReadonlySet<string>,
@@ -104,7 +109,7 @@
     return others.length > 0 ? others : all;
   }
 
-  /** Candidates that know how many replicas of a service are near. */
+  /** The candidates with the number of the service's replicas on the worker and in its rack. */
   candidatesNear(replicas: readonly Assignment[], canWait: boolean): readonly PlacementCandidate[] {
     const workerCounts = new Map<string, number>();
     const rackCounts = new Map<string, number>();
@@ -128,7 +133,9 @@
     return [...this.#candidates.values()];
   }
 
-  /** The candidates with what is open of them while the zone is on its way back. */
+  /**
+   * The candidates with only the open share of their capacity while the zone is returning to use.
+   */
   get openCandidates(): readonly PlacementCandidate[] {
     if (this.#openShare === 1) return this.candidates;
     const closedShare = 1 - this.#openShare;
--- a/src/scheduler/common/interference/interferencePolicy.ts
+++ b/src/scheduler/common/interference/interferencePolicy.ts
@@ -1,33 +1,33 @@
-/** Weights and limits of what is done against interference, from the settings. */
+/** Weights and limits of interference control, from the settings. */
 
 export interface InterferencePolicy {
-  /** With it off nothing is learnt, throttled, evicted or kept apart for interference. */
+  /** When false, interference causes no learning, throttling, eviction or separate placement. */
   readonly isEnabled: boolean;
-  /** How much slower batch work may make a service before it is throttled: 0.1 is a tenth. */
+  /** Slowdown of a service above which batch work is throttled: 0.1 is a tenth slower. */
   readonly toleratedSlowdown: number;
-  /** A throttle is taken back only while the slowdown stays below this without it. */
+  /** A throttle is released only if the predicted slowdown without it stays below this value. */
   readonly releaseSlowdown: number;
-  /** A batch task is not placed where it would make a service slower than this. */
+  /** A batch task is not placed where it would slow a service by more than this value. */
   readonly placementSlowdown: number;
   /**
-   * By how many standard deviations what is known of a pair is lowered before anything is
-   * throttled for it: more favours batch work, less the services.
+   * The number of standard deviations by which the estimate of a pair is lowered before anything is
+   * throttled for it. A higher value favours batch work, a lower one the services.
    */
   readonly doubtDeviations: number;
-  /** The least share of its processors that a throttled task keeps. */
+  /** The minimum share of its processors that a throttled task keeps. */
   readonly minimumProcessorShare: number;
-  /** How old the usage in a worker's report may be. */
+  /** The maximum age of the usage in a worker's report. */
   readonly usageLagMs: number;
-  /** The least time between two steps against interference on one worker. */
+  /** The minimum time between two control actions on one worker. */
   readonly settleMs: number;
-  /** How much slower a service has to be, with all throttled that helps, for an eviction. */
+  /** Slowdown of a service, with throttling at its limit, above which a task is evicted. */
   readonly evictionSlowdown: number;
-  /** How long throttling has to have been in vain before a task is evicted. */
+  /** How long throttling must have been insufficient before a task is evicted. */
   readonly evictAfterMs: number;
-  /** Evictions for interference that may be under way in a cell at a time. */
+  /** Evictions for interference that may be pending in a cell at a time. */
   readonly maximumEvictionsUnderWay: number;
-  /** What a restart costs, as time of the task's processors; weighed with the progress lost. */
+  /** The cost of a restart in time of the task's processors, added to the progress that is lost. */
   readonly restartCostMs: number;
-  /** The time in which what is known of a pair falls to a half when nothing confirms it. */
+  /** The time in which the estimate of a pair halves when no sample confirms it. */
   readonly halfLifeMs: number;
 }
--- a/src/scheduler/common/interference/interferenceState.ts
+++ b/src/scheduler/common/interference/interferenceState.ts
@@ -1,33 +1,36 @@
 /**
- * What the owner of a cell knows of interference and has done about it. In memory only: a new
- * owner starts with nothing, keeps what its workers report to be throttled and learns anew.
+ * Estimates of interference in a cell, and the control actions that its owner has taken. The state
+ * is kept in memory only. A new owner starts without estimates, keeps the throttles that its
+ * workers report and learns anew.
  */
 import type { LatencySample } from '../../../services/worker/common/latencySamples.js';
 import type { InterferencePolicy } from './interferencePolicy.js';
 import { PairEstimates } from './pairEstimates.js';
 
-/** What was done about one worker. */
+/** The control state of one worker. */
 export interface WorkerControl {
-  /** Tells the tasks and throttles of the last look apart from those of the next. */
+  /** Identifies the tasks and throttles last seen on the worker, to detect changes. */
   readonly fingerprint: string;
-  /** When the owner first saw that what runs on the worker is other than before. */
+  /** When the owner first saw that the tasks or throttles on the worker had changed. */
   readonly changedAtMs: number;
-  /** When it last throttled, released or evicted there. */
+  /** When the owner last throttled, released or evicted a task on the worker. */
   readonly actedAtMs: number;
-  /** Since when services are too slow although all that helps is throttled. */
+  /**
+   * Since when services have been too slow although all tasks whose throttling helps are throttled.
+   */
   readonly throttlingInsufficientSinceMs: number | undefined;
-  /** The share of its processors that each running task is to have, by attempt. */
+  /** The share of its processors that each running task should get, by attempt key. */
   readonly shares: ReadonlyMap<string, number>;
-  /** When each running task, by attempt, and each service, by name, was first seen. */
+  /** When each running task (by attempt key) and each service (by name) was first seen. */
   readonly firstSeenAtMs: ReadonlyMap<string, number>;
 }
 
 export interface InterferenceState {
   readonly estimates: PairEstimates;
-  /** What tasks of a kind use of the processors they declare. */
+  /** The ratio of used to declared processors, by kind. */
   readonly usageRatios: ReadonlyMap<string, number>;
   readonly controls: ReadonlyMap<string, WorkerControl>;
-  /** Samples that wait for a report of what ran meanwhile. */
+  /** Samples that wait for a report of the tasks that ran while they were measured. */
   readonly pendingSamples: readonly LatencySample[];
   readonly nextStepAtMs: number;
 }
@@ -43,7 +46,9 @@
   nextStepAtMs: nowMs,
 });
 
-/** Samples that may wait: two looks at 1,000 servers. The oldest go first. */
+/**
+ * Maximum number of pending samples: two sets of samples of 1,000 servers. The oldest are dropped.
+ */
 const MAXIMUM_PENDING_SAMPLES = 2_000;
 
 export const withSamples = (
@@ -54,6 +59,6 @@
   pendingSamples: [...interference.pendingSamples, ...samples].slice(-MAXIMUM_PENDING_SAMPLES),
 });
 
-/** What a kind uses of its declared processors; all of them until measured. */
+/** The ratio of used to declared processors of a kind; 1 until measured. */
 export const usageRatio = (interference: InterferenceState, kind: string): number =>
   interference.usageRatios.get(kind) ?? 1;
--- a/src/scheduler/common/interference/interferenceStep.ts
+++ b/src/scheduler/common/interference/interferenceStep.ts
@@ -1,4 +1,6 @@
-/** One look of a cell's owner at interference: learn, then throttle, release or evict. */
+/**
+ * Performs one interference step for a cell: learn from samples, then throttle, release or evict.
+ */
 import { assignmentsOf, type CellRows } from '../cellRows.js';
 import type { CellDecision, CellEffect, CellState } from '../cellState.js';
 import { isEvictionWanted } from '../wantedEvictions.js';
@@ -8,7 +10,7 @@
 import { controlStep, observedControl } from './workerControl.js';
 import { type WorkerLoad, workerLoad } from './workerLoad.js';
 
-/** How often a cell is looked at; samples come every second or two. */
+/** Interval between two steps in a cell; samples arrive every second or two. */
 const STEP_INTERVAL_MS = 1_000;
 
 const counted = (counter: string, amount: number): CellEffect => ({
@@ -60,7 +62,7 @@
   };
 };
 
-/** Evictions that this owner asked for and that stand in the ledger still. */
+/** The number of evictions that this owner has requested and that are still in the ledger. */
 const pendingEvictionCount = (state: CellState, rows: CellRows): number =>
   [...rows.assignmentsByWorker.keys()].reduce(
     (sum, workerId) =>
@@ -70,9 +72,9 @@
   );
 
 /**
- * A new owner keeps what it finds throttled until it knows the services beside it, or for a
- * half-life if no entry tells it their latencies: releasing all at once at each take-over would
- * be felt by callers.
+ * Whether throttles on the worker may be released. A new owner keeps the throttles that it finds
+ * until it knows the base latency of all services on the worker, or for one half-life if no entry
+ * reports latencies. Releasing all throttles at each takeover would slow callers down.
  */
 const mayRelease = (state: CellState, load: WorkerLoad, nowMs: number): boolean => {
   const { estimates } = state.interference;
@@ -107,7 +109,7 @@
     const view = workers.get(workerId);
     const fullLoad = loads.get(workerId);
     if (view === undefined || fullLoad === undefined || fullLoad.batch.length === 0) return;
-    // What leaves already is no longer weighed, else more would be evicted in its place.
+    // Tasks that are already leaving do not count; otherwise more tasks would be evicted for them.
     const isLeaving = leavingPredicate(state, rows, workerId, nowMs);
     const load = { ...fullLoad, batch: fullLoad.batch.filter(({ key }) => !isLeaving(key)) };
     const step = controlStep(
@@ -143,7 +145,7 @@
   };
 };
 
-/** Looks at the cell once a second; with the rows in doubt nothing is learnt or decided. */
+/** Runs one interference step if it is due. Without confirmed rows nothing is learnt or decided. */
 export const stepInterference = (state: CellState, nowMs: number): CellDecision => {
   const { rows, interference, timing } = state;
   if (!timing.interference.isEnabled || rows === undefined || nowMs < interference.nextStepAtMs) {
--- a/src/scheduler/common/interference/learning.ts
+++ b/src/scheduler/common/interference/learning.ts
@@ -1,4 +1,4 @@
-/** Learns from samples of latency that surely belong to what a worker runs now. */
+/** Learns from latency samples that certainly belong to the tasks that a worker runs now. */
 import type { LatencySample } from '../../../services/worker/common/latencySamples.js';
 import type { WorkerView } from '../workerView.js';
 import type { InterferencePolicy } from './interferencePolicy.js';
@@ -6,28 +6,29 @@
 import type { Exposure } from './serviceModel.js';
 import type { WorkerLoad } from './workerLoad.js';
 
-/** How long a sample waits for the report that it needs. */
+/** How long a sample waits for the report that confirms the running tasks. */
 const MAXIMUM_SAMPLE_AGE_MS = 30_000;
-/** Weight of one more measurement of what a kind uses. */
+/** Weight of a new measurement in the usage ratio of a kind. */
 const USAGE_SAMPLE_WEIGHT = 0.1;
-/** Use is measured on tasks that are throttled no further than this. */
+/** Usage is measured only on tasks whose share is at least this value. */
 const MINIMUM_MEASURED_SHARE = 0.2;
 
 export const SampleStatus = { Learnt: 'learnt', Stale: 'stale', Waiting: 'waiting' } as const;
 export type SampleStatus = (typeof SampleStatus)[keyof typeof SampleStatus];
 
-/** The instant after which the report in hand was surely made. */
+/** The instant after which the latest report was certainly made. */
 const reportMadeAfterMs = (view: WorkerView): number =>
   !view.isCommandInFlight && view.commandSentAtMs <= view.reportedAtMs
     ? view.commandSentAtMs
     : Number.NEGATIVE_INFINITY;
 
 /**
- * Tells whether a sample may be learnt from. Measurements lag: a sample that began before the
- * last change on its worker would charge a task that has just come with what one that has left
- * did, or clear a throttled one before the throttle took effect, and the two would alternate for
- * ever. So it has to begin after the change, and a report made after its end, late enough for
- * its usage, has to show the same tasks.
+ * Decides whether a sample can be learnt from. Samples arrive late. A sample that began before the
+ * last change on its worker would blame a new task for the slowdown caused by one that has left, or
+ * clear a throttled task before the throttle took effect, and throttling and releasing would
+ * alternate forever. A sample must therefore begin after the change. In addition, a report that was
+ * made after the sample's end, and at least `usageLagMs` after the change, must show the same
+ * tasks.
  */
 export const sampleStatus = (
   sample: LatencySample,
@@ -64,7 +65,7 @@
   return exposures;
 };
 
-/** Takes one sample into the estimates. */
+/** Updates the estimates and usage ratios with one sample. */
 export const withLearntSample = (
   interference: InterferenceState,
   sample: LatencySample,
--- a/src/scheduler/common/interference/pairEstimates.ts
+++ b/src/scheduler/common/interference/pairEstimates.ts
@@ -1,6 +1,6 @@
 /**
- * How much each batch kind slows each service down, learnt from measured latencies: one
- * `ServiceModel` a service.
+ * Estimates how much each batch kind slows each service, learnt from measured latencies with one
+ * `ServiceModel` per service.
  */
 import { NO_PRESSURE, type Observation, type Pressure, ServiceModel } from './serviceModel.js';
 
@@ -20,18 +20,24 @@
     return this.#services.size === 0;
   }
 
-  /** The latency without batch work; undefined before the first sample. */
+  /** The service's latency without batch work; undefined before the first sample. */
   baseLatencyMs(serviceName: string): number | undefined {
     return this.#services.get(serviceName)?.baseLatencyMs;
   }
 
-  /** What a worker full of the kind adds to the service now, less so many deviations of doubt. */
+  /**
+   * The pressure that a worker full of the kind puts on the service now, lowered by this number of
+   * standard deviations.
+   */
   pressure(serviceName: string, kind: string, doubtDeviations: number, nowMs: number): Pressure {
     const service = this.#services.get(serviceName);
     return service?.pressure(kind, doubtDeviations, nowMs) ?? NO_PRESSURE;
   }
 
-  /** The slowdown that `exposure` of it surely added at its worst of late: 0.1 is a tenth; placement goes by that. */
+  /**
+   * The highest recent slowdown that the given exposure to the kind certainly caused, for
+   * placement: 0.1 is a tenth slower.
+   */
   worstSlowdown(serviceName: string, kind: string, exposure: number, nowMs: number): number {
     return exposure * (this.#services.get(serviceName)?.worstPressure(kind, nowMs) ?? 0);
   }
--- a/src/scheduler/common/interference/placementOutlook.ts
+++ b/src/scheduler/common/interference/placementOutlook.ts
@@ -1,4 +1,4 @@
-/** What a placement would do to the services beside it. */
+/** Predicts how much a placement would slow the services on a worker. */
 import { TaskClass } from '../../../services/worker/common/workerClient.js';
 import {
   type Assignment,
@@ -11,10 +11,10 @@
 import { usageRatio } from './interferenceState.js';
 import { kindOf } from './workerLoad.js';
 
-/** A kind that adds less than this at its worst goes anywhere. */
+/** A kind whose highest recent slowdown is below this value can be placed anywhere. */
 const NEGLIGIBLE_SLOWDOWN = 0.01;
 
-/** What the open tasks of a kind declare together. */
+/** The total that the open tasks of a kind declare. */
 interface Demand {
   processorMillis: number;
   taskCount: number;
@@ -22,7 +22,10 @@
 
 const openTaskCounts = new WeakMap<WorkRow, number>();
 
-/** A row is replaced when a task of it changes, so its count is worked out once. */
+/**
+ * Counts the open tasks of a row. The count is cached, since a row object is replaced on each
+ * change.
+ */
 const openTaskCountOf = (row: WorkRow): number => {
   const known = openTaskCounts.get(row);
   if (known !== undefined) return known;
@@ -47,15 +50,16 @@
 
 interface WorkerOccupancy {
   readonly serviceNames: Set<string>;
-  /** Processors that tasks of each kind hold, as a share of the worker's. */
+  /** The share of the worker's processors that the tasks of each kind hold. */
   readonly declaredShareByKind: Map<string, number>;
 }
 
 /**
- * Made for batch kinds of which a few hurt a service and most do not: hurtful pairs are kept
- * apart by where tasks start, which costs nothing, before anything has to be throttled. It goes
- * by the worst of late, since a noisy kind is placed between its waves. Known only from what the
- * estimates hold; without them nothing is kept apart.
+ * Predicts slowdowns for placement. Designed for batch kinds of which a few slow a service and most
+ * do not. Placing harmful kinds apart from the services costs nothing and comes before any
+ * throttling. The prediction uses the highest recent slowdown, because a kind whose load varies may
+ * be placed between two waves. It depends only on the estimates; without them nothing is kept
+ * apart.
  */
 export class PlacementOutlook {
   readonly #state: CellState;
@@ -82,9 +86,9 @@
   }
 
   /**
-   * The candidates with the slowdown that the task would leave behind. Those where it would be
-   * too much are left out unless the work is urgent: it waits for another place, or for the
-   * estimate to fade.
+   * The candidates with the predicted slowdown after placing the task. Candidates above the limit
+   * are left out unless the work is urgent: the task waits for another worker, or for the estimate
+   * to decay.
    */
   forBatch(
     kind: string,
@@ -111,7 +115,7 @@
         );
   }
 
-  /** The candidates with the slowdown that a replica of the service would meet. */
+  /** The candidates with the predicted slowdown of a replica of the service. */
   forService(
     serviceName: string,
     candidates: readonly PlacementCandidate[],
@@ -137,7 +141,9 @@
     );
   }
 
-  /** The part of the cell's work whose kind alone would not slow the candidate's services. */
+  /**
+   * The share of the cell's batch work whose kind alone would not slow the candidate's services.
+   */
   #compatibleWorkShare({ workerId, capacity }: PlacementCandidate): number {
     const { serviceNames } = this.#occupancyOf(workerId);
     const key = `${[...serviceNames].sort().join()} ${capacity.processorMillis}`;
@@ -159,7 +165,10 @@
     return compatibleShare;
   }
 
-  /** Zero where the task itself adds next to nothing, however slow others make the services. */
+  /**
+   * The predicted slowdown after placing the task. It is zero if the task itself adds next to
+   * nothing, however much other tasks slow the services.
+   */
   #slowdownAfter(workerId: string, kind: string, declaredShare: number): number {
     const worker = this.#occupancyOf(workerId);
     let worst = 0;
--- a/src/scheduler/common/interference/serviceModel.ts
+++ b/src/scheduler/common/interference/serviceModel.ts
@@ -1,28 +1,30 @@
 /**
- * What slows one service down: a linear model of its latency, learnt by a Kalman filter. The
- * first coefficient is the latency without batch work. Each batch kind has two: what it adds by
- * what it uses of the processors, which throttling takes away, and what it adds by being there,
- * which only eviction does. The whole covariance is kept, not only its diagonal: kinds that run
- * side by side share the slowdown until a worker shows them apart, and one that it was wrongly
- * attributed to is cleared when the other is found.
+ * A linear model of one service's latency, learnt by a Kalman filter. The first coefficient is the
+ * latency without batch work. Each batch kind has two coefficients: the latency that its processor
+ * usage adds, which throttling removes, and the latency that its presence adds, which only eviction
+ * removes. The model keeps the whole covariance instead of only its diagonal: kinds that run side
+ * by side share the slowdown until a worker shows them apart, and a wrongly blamed kind is cleared
+ * when the right one is found.
  */
 
-/** One measurement of the service on one worker. */
+/** One latency measurement of the service on one worker. */
 export interface Observation {
   readonly latencyMs: number;
   readonly requestCount: number;
   readonly exposures: ReadonlyMap<string, Exposure>;
 }
 
-/** Shares of a worker's processors. */
+/** The processor usage of a kind's tasks, as a share of the worker's processors. */
 export interface Exposure {
-  /** What the tasks of a kind used. */
+  /** The usage that was measured. */
   readonly used: number;
-  /** What they would have used without throttles. */
+  /** The usage expected without throttles. */
   readonly wanted: number;
 }
 
-/** What a worker full of a kind adds, in latencies without batch work. */
+/**
+ * The slowdown that a worker full of a kind adds, as a multiple of the latency without batch work.
+ */
 export interface Pressure {
   readonly byUse: number;
   readonly byPresence: number;
@@ -33,29 +35,29 @@
 interface ModelState {
   readonly halfLifeMs: number;
   readonly updatedAtMs: number;
-  /** The kinds of the coefficients after the first, two for each. */
+  /** The batch kinds, in the order of their coefficients, which follow the first one in pairs. */
   readonly kinds: readonly string[];
   readonly means: Float64Array;
-  /** The covariance, row by row. */
+  /** The covariance matrix, row by row. */
   readonly covariance: Float64Array;
-  /** The highest value of late that each kind surely had, falling by half in a half-life. */
+  /** The highest recent lower bound of each kind's slowdown, which halves in a half-life. */
   readonly peaks: ReadonlyMap<string, number>;
 }
 
-/** The spread of one request's latency beside the mean, on the high side for most services. */
+/** Standard deviation of one request's latency relative to the mean; high for most services. */
 const REQUEST_DEVIATION = 0.8;
-/** How much of its value the latency without batch work may drift in a second. */
+/** Relative drift per second of the latency without batch work. */
 const BASE_DRIFT = 0.01;
-/** What is thought possible of an unknown pair, in latencies without batch work. */
+/** Prior standard deviation of an unknown pair, as a multiple of the latency without batch work. */
 const PRIOR_DEVIATION = 2;
-/** The same of presence alone: throttling is thought to help until it is seen not to. */
+/** The same for presence: throttling is assumed to help until samples show that it does not. */
 const PRIOR_PRESENCE_DEVIATION = 0.7;
-/** A sample further off than so many deviations counts as one that far off. */
+/** The error of a sample is limited to this many standard deviations. */
 const OUTLIER_DEVIATIONS = 3;
-/** A peak is what the mean exceeds by so many deviations. */
+/** A peak is the mean lowered by this many standard deviations. */
 const PEAK_DEVIATIONS = 1;
 const MAXIMUM_KINDS = 48;
-/** Where a kind's coefficient of use stands; that of presence comes next. */
+/** The index of a kind's coefficient of usage; its coefficient of presence is the next one. */
 const coefficientIndexOf = (kindIndex: number): number => 1 + 2 * kindIndex;
 const priorDeviation = (index: number): number =>
   index % 2 === 1 ? PRIOR_DEVIATION : PRIOR_PRESENCE_DEVIATION;
@@ -64,7 +66,7 @@
 const decayFactor = (elapsedMs: number, halfLifeMs: number): number =>
   2 ** (-Math.max(0, elapsedMs) / halfLifeMs);
 
-/** The same model with room for the kinds of an observation that it has not met. */
+/** Extends the model by the kinds of an observation that it does not know yet. */
 const withKinds = (state: ModelState, exposures: Observation['exposures']): ModelState => {
   const known = new Set(state.kinds);
   const added = [...exposures.keys()].filter((kind) => !known.has(kind));
@@ -86,7 +88,9 @@
   return { ...state, kinds, means, covariance };
 };
 
-/** The model as it stands after a time without measurements: pairs fade and grow unsure. */
+/**
+ * Predicts the model after a time without measurements: the pairs decay and become less certain.
+ */
 const predicted = (state: ModelState, nowMs: number): ModelState => {
   const elapsedMs = Math.max(0, nowMs - state.updatedAtMs);
   const decay = decayFactor(elapsedMs, state.halfLifeMs);
@@ -111,7 +115,7 @@
 const dot = (left: Float64Array, right: Float64Array): number =>
   left.reduce((sum, value, index) => sum + value * (right[index] ?? 0), 0);
 
-/** The measurement taken into the means and the covariance. */
+/** Corrects the means and the covariance by a measurement. */
 const corrected = (state: ModelState, { latencyMs, requestCount, exposures }: Observation) => {
   const size = state.means.length;
   const features = new Float64Array(size);
@@ -128,7 +132,7 @@
   const expectedMs = dot(state.means, features);
   const variance =
     dot(crossCovariance, features) + (REQUEST_DEVIATION * expectedMs) ** 2 / requestCount;
-  // One wrong measurement would otherwise throttle all batch work beside the service.
+  // Without the limit, one wrong measurement would throttle all batch work beside the service.
   const limitMs = OUTLIER_DEVIATIONS * Math.sqrt(variance);
   const errorMs = Math.min(limitMs, Math.max(-limitMs, latencyMs - expectedMs));
   const means = state.means.map((mean, index) => {
@@ -142,7 +146,7 @@
   return { means, covariance };
 };
 
-/** How unsure the sum of a kind's two coefficients is. */
+/** The standard deviation of the sum of a kind's two coefficients. */
 const sumDeviation = ({ means, covariance }: ModelState, index: number): number => {
   const size = means.length;
   const at = (row: number, column: number): number => covariance[row * size + column] ?? 0;
@@ -183,7 +187,10 @@
     return this.#state.means[0] ?? 0;
   }
 
-  /** `doubtDeviations` lowers it by what may be chance, so that the innocent are let go on. */
+  /**
+   * The pressure of a kind on the service, lowered by `doubtDeviations` standard deviations so that
+   * harmless kinds are not throttled by chance.
+   */
   pressure(kind: string, doubtDeviations: number, nowMs: number): Pressure {
     const coefficient = coefficientIndexOf(this.#state.kinds.indexOf(kind));
     if (coefficient < 0) return NO_PRESSURE;
@@ -198,7 +205,7 @@
     };
   }
 
-  /** What a worker full of the kind surely added at its worst of late. */
+  /** The highest recent slowdown that a worker full of the kind certainly added. */
   worstPressure(kind: string, nowMs: number): number {
     return ((this.#state.peaks.get(kind) ?? 0) * this.#decay(nowMs)) / this.baseLatencyMs;
   }
--- a/src/scheduler/common/interference/workerControl.ts
+++ b/src/scheduler/common/interference/workerControl.ts
@@ -10,20 +10,20 @@
   readonly evictedKey: string | undefined;
 }
 
-/** A share is lowered or raised by so much at a time. */
+/** Factor by which one step lowers or raises a share. */
 const STEP_FACTOR = 2;
-/** What slows a service by less than this is never throttled or evicted for it. */
+/** A task that slows services by less than this is never throttled or evicted for it. */
 const NEGLIGIBLE_SLOWDOWN = 0.01;
 
 interface TaskPressure {
   readonly task: BatchLoad;
-  /** What the task adds to the slowdown of each service, by use and by presence. */
+  /** The slowdown that the task adds to each service, by usage and by presence. */
   readonly slowdowns: readonly Pressure[];
 }
 
 type Shares = ReadonlyMap<string, number>;
 
-/** Takes in what runs on the worker now, without deciding anything. */
+/** Updates the control state with what runs on the worker now, without deciding anything. */
 export const observedControl = (
   known: WorkerControl | undefined,
   load: WorkerLoad,
@@ -66,20 +66,22 @@
     return { task, slowdowns };
   });
 
-/** The slowdown of one service by a task that is left `share` of its processors. */
+/** The slowdown that a task causes to one service at this share of its processors. */
 const slowdownAt = (pressure: Pressure | undefined, share: number): number =>
   pressure === undefined ? 0 : pressure.byUse * share + pressure.byPresence;
 
 const worstSlowdownOf = ({ slowdowns }: TaskPressure, share: number): number =>
   Math.max(0, ...slowdowns.map((pressure) => slowdownAt(pressure, share)));
 
-/** What throttling takes away at most for each part of the share. */
+/**
+ * The highest slowdown of a service by the task's usage, which is the part that throttling reduces.
+ */
 const worstSlowdownByUse = ({ slowdowns }: TaskPressure): number =>
   Math.max(0, ...slowdowns.map(({ byUse }) => byUse));
 
 const shareOf = (shares: Shares, { task }: TaskPressure): number => shares.get(task.key) ?? 1;
 
-/** The slowdown of the service that suffers most, with these shares. */
+/** The slowdown of the most affected service with these shares. */
 const worstSlowdown = (pressures: readonly TaskPressure[], shares: Shares): number => {
   const serviceCount = pressures[0]?.slowdowns.length ?? 0;
   let worst = 0;
@@ -93,7 +95,10 @@
   return worst;
 };
 
-/** Lowers what presses most until the services are fast enough or all is at its least. */
+/**
+ * Lowers the share of the task with the strongest effect, repeatedly, until the services are fast
+ * enough or nothing more can be lowered.
+ */
 const throttledShares = (
   pressures: readonly TaskPressure[],
   before: Shares,
@@ -115,7 +120,10 @@
   return shares;
 };
 
-/** Raises what presses least, wholly or by a step, as long as the services stay well within what is tolerated. */
+/**
+ * Raises shares fully or by one step, tasks with the weakest effect first, as long as the predicted
+ * slowdown stays within `releaseSlowdown`.
+ */
 const releasedShares = (
   pressures: readonly TaskPressure[],
   before: Shares,
@@ -138,7 +146,10 @@
   return shares;
 };
 
-/** What evicting a task costs: the progress that is lost and the restart, by its processors. */
+/**
+ * The cost of evicting a task: the lost progress and the restart, weighted by the task's
+ * processors.
+ */
 const evictionCost = (
   { task }: TaskPressure,
   control: WorkerControl,
@@ -150,8 +161,8 @@
 };
 
 /**
- * The one task to evict: the cheapest of those that suffice alone, so that the fewest go; if
- * none does, the one that relieves most for its cost.
+ * Chooses one task to evict: the cheapest of those whose eviction alone suffices, so that few tasks
+ * are evicted. If no single eviction suffices, it is the task with the most relief for its cost.
  */
 const chooseVictim = (
   pressures: readonly TaskPressure[],
@@ -178,9 +189,9 @@
 };
 
 /**
- * True when a task or a replica has come since the last step. What it does to the services
- * follows from the estimates, so nothing has to be waited for: throttling is all that may come
- * of it, and only once for each that comes.
+ * Whether a task or a replica has started since the last action. Its effect follows from the
+ * estimates, so throttling need not wait for new samples. Such a change leads at most to
+ * throttling, once for each new task.
  */
 const hasNewTask = ({ firstSeenAtMs, actedAtMs }: WorkerControl): boolean =>
   [...firstSeenAtMs.values()].some((atMs) => atMs > actedAtMs);
@@ -189,13 +200,14 @@
   left.size === right.size && [...left].every(([key, share]) => right.get(key) === share);
 
 /**
- * The next step on one worker. Made for batch work that comes and goes in waves beside a service
- * whose latency is known only seconds later. What to throttle follows from the estimates and the
- * shares in force, not from the latency that is still on its way, and after each step the worker
- * is left alone for `settleMs`, in which samples of the new state arrive: acting on those of the
- * old one would throttle, release and throttle again. Between `releaseSlowdown` and
- * `toleratedSlowdown` nothing moves. Evicting comes only after throttling has been in vain for
- * `evictAfterMs`, one task at a time, since each loses progress and has to start again.
+ * Decides the next control action on one worker. Designed for batch work whose load comes in waves,
+ * beside a service whose latency becomes known only seconds later. Throttling follows from the
+ * estimates and the current shares, not from latencies that are still to be reported. After each
+ * action, the worker is left unchanged for `settleMs`, in which samples of the new state arrive:
+ * acting on samples of the old state would throttle, release and throttle again. Between
+ * `releaseSlowdown` and `toleratedSlowdown` nothing changes. A task is evicted only after
+ * throttling has been insufficient for `evictAfterMs`, and one at a time, since each loses progress
+ * and has to start again.
  */
 export const controlStep = (
   interference: InterferenceState,
@@ -210,14 +222,12 @@
   const slowdown = worstSlowdown(pressures, control.shares);
   const isSettled = nowMs - control.actedAtMs >= policy.settleMs;
   if (slowdown <= policy.toleratedSlowdown) {
-    const calmControl = { ...control, throttlingInsufficientSinceMs: undefined };
+    const idle = { ...control, throttlingInsufficientSinceMs: undefined };
     const isThrottled = [...control.shares.values()].some((share) => share < 1);
-    if (!isThrottled || !isSettled || !mayRelease)
-      return { control: calmControl, evictedKey: undefined };
+    if (!isThrottled || !isSettled || !mayRelease) return { control: idle, evictedKey: undefined };
     const shares = releasedShares(pressures, control.shares, policy);
-    if (isSameShares(shares, control.shares))
-      return { control: calmControl, evictedKey: undefined };
-    return { control: { ...calmControl, shares, actedAtMs: nowMs }, evictedKey: undefined };
+    if (isSameShares(shares, control.shares)) return { control: idle, evictedKey: undefined };
+    return { control: { ...idle, shares, actedAtMs: nowMs }, evictedKey: undefined };
   }
   const shares = throttledShares(pressures, control.shares, policy);
   if (!isSameShares(shares, control.shares)) {
--- a/src/scheduler/common/interference/workerLoad.ts
+++ b/src/scheduler/common/interference/workerLoad.ts
@@ -1,4 +1,4 @@
-/** What runs on one worker, as the estimates of interference look at it. */
+/** The load of one worker, as input to the interference estimates. */
 import {
   TaskClass,
   type WorkerReport,
@@ -12,12 +12,12 @@
 export interface BatchLoad {
   readonly key: string;
   readonly kind: string;
-  /** The share of the worker's processors that was declared and that is used now. */
+  /** The shares of the worker's processors that the task declares and that it uses now. */
   readonly declaredShare: number;
   readonly usedShare: number;
-  /** What the worker lets the task have of its processors. */
+  /** The share of the task's own processors that the worker grants it; 1 if it is not throttled. */
   readonly processorShare: number;
-  /** Work that an eviction would lose, when the worker tells it. */
+  /** The work that an eviction would lose, if the worker reports it. */
   readonly unsavedWorkMs: number | undefined;
 }
 
@@ -28,7 +28,7 @@
 
 const NO_TASKS: WorkerReport['tasks'] = [];
 
-/** The kind of a batch task: what its team submits is taken to be alike. */
+/** The kind of a batch task. All tasks of a team are assumed to be alike. */
 export const kindOf = (rows: CellRows, assignment: Assignment): string =>
   rows.work.get(assignment.shardId)?.team ?? '';
 
@@ -59,7 +59,7 @@
       key,
       kind: kindOf(rows, assignment),
       declaredShare,
-      // A worker that measures no use yet is taken at its word for the size.
+      // While the worker reports no usage, the task is assumed to use its granted share.
       usedShare: usedShare > 0 ? usedShare : declaredShare * processorShare,
       processorShare,
       unsavedWorkMs: report.unsavedWorkMs,
@@ -73,13 +73,14 @@
   readonly load: WorkerLoad;
 }
 
-/** By a worker's list of assignments, which is another one after each change. */
+/** Keyed by the worker's list of assignments, which is a new object after each change. */
 const loadCache = new WeakMap<readonly Assignment[], CachedLoad>();
 
 /**
- * What the worker last reported to be running, of what stands in the ledger. A cell of 123 workers
- * is looked at each second and hardly any of them has changed, so the answer is kept for as long as
- * assignments and reported tasks are the same lists; a shard's team never changes.
+ * The tasks in the ledger that the worker last reported as running. A cell of 123 workers is
+ * checked every second and hardly any worker has changed, so the result is cached while the lists
+ * of assignments and reported tasks are the same objects. The cached kinds stay valid because a
+ * shard's team never changes.
  */
 export const workerLoad = (rows: CellRows, view: WorkerView): WorkerLoad => {
   const assignments = assignmentsOf(rows, view.instance.id);
@@ -94,7 +95,7 @@
 
 const fingerprints = new WeakMap<WorkerLoad, string>();
 
-/** Tells whether anything that bears on a service's latency is other than it was. */
+/** Identifies everything in the load that affects a service's latency, to detect changes. */
 export const loadFingerprint = (load: WorkerLoad): string => {
   const known = fingerprints.get(load);
   if (known !== undefined) return known;
--- a/src/scheduler/common/lateFinishes.ts
+++ b/src/scheduler/common/lateFinishes.ts
@@ -1,4 +1,4 @@
-/** Tasks that finished on a worker after they had been given up there. */
+/** Records tasks whose worker finished them after the scheduler had given up the attempt. */
 import { TaskClass, WorkerTaskState } from '../../services/worker/common/workerClient.js';
 import {
   type Assignment,
@@ -17,7 +17,7 @@
   readonly taskIndex: number;
 }
 
-/** Finished attempts of the report that the ledger no longer holds, by task id. */
+/** Task ids of attempts that the worker reports as finished and the ledger no longer holds. */
 const finishedOutsideLedger = (view: WorkerView, rows: CellRows): readonly string[] => {
   const finished = [...view.tasks.values()].filter(
     ({ state }) => state === WorkerTaskState.Finished,
@@ -36,7 +36,9 @@
         .map(({ index }) => ({ row, taskIndex: index })),
     )[0];
 
-/** Task ids whose late finish still has to be recorded; the worker must not forget them yet. */
+/**
+ * Task ids whose late finish is not recorded yet; the worker must keep reporting them until then.
+ */
 export const unrecordedFinishes = (rows: CellRows, view: WorkerView): ReadonlySet<string> =>
   new Set(
     finishedOutsideLedger(view, rows).filter(
@@ -45,10 +47,11 @@
   );
 
 /**
- * A worker that was cut off may have finished a task before its lease ran out, unheard, so that
- * the task was given up and queued again. When the worker is heard of while the task is still
- * open, the finish counts: the task is done and its next attempt, if it runs, is dropped from
- * the ledger and stopped as a stray. Without this it would be completed a second time.
+ * Records finishes that arrive late. A worker that was cut off may have finished a task before the
+ * task's lease ended. The owner received no report, gave up the attempt and queued the task again.
+ * If the worker's report arrives while the task is still open, the finish counts: the task is
+ * marked done, and its next attempt, if it runs, is removed from the ledger and stopped as a task
+ * without an assignment. Otherwise the task would be completed twice.
  */
 export const recordLateFinishes = (state: CellState, rows: CellRows, draft: CellDraft): void => {
   state.workers.forEach((view) => {
--- a/src/scheduler/common/learntFromEnds.ts
+++ b/src/scheduler/common/learntFromEnds.ts
@@ -1,18 +1,20 @@
-/** What the ends of attempts tell of workers and tasks. */
+/** Updates the health of workers and the retry backoff of tasks from the ends of attempts. */
 import type { CellState } from './cellState.js';
 import { toFailureCount } from './failureWeight.js';
 import { retryDelayMs } from './queueOrder.js';
 import { AssignmentEnd, type RecordedEnd } from './taskEnds.js';
 
 /**
- * A failure that says little about the task has it wait half as long: twenty of them are then over
- * within some 100 s, by which a job that fails everywhere among others is told so.
+ * Delay after a doubtful failure, relative to a credible one. Twenty doubtful failures then take
+ * about 100 s, after which a job that fails everywhere while others fail too is reported as failed.
  */
 const DOUBTFUL_FAILURE_DELAY_RATIO = 0.5;
 
 export type LearntFromEnds = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
 
-/** Takes failures and successes into the health of workers and the back-off of tasks. */
+/**
+ * Applies the failures and successes of a round to the health of workers and the backoff of tasks.
+ */
 export const learntFromEnds = (
   state: CellState,
   ends: readonly RecordedEnd[],
--- a/src/scheduler/common/learntSizes.ts
+++ b/src/scheduler/common/learntSizes.ts
@@ -1,4 +1,4 @@
-/** Learns from usage how large tasks really are, kind by kind. */
+/** Learns from reported usage how large the tasks of each kind really are. */
 import {
   fitsInto,
   NO_RESOURCES,
@@ -7,42 +7,48 @@
   sumResources,
 } from '../../services/worker/common/resources.js';
 
-/** What a running task uses, as last reported. */
+/** The usage of a running task, as last reported. */
 export interface UsageSample {
   readonly workerId: string;
   readonly attemptKey: string;
-  /** Tasks of one kind are taken to be alike. */
+  /** Tasks of the same kind are assumed to need the same size. */
   readonly kind: string;
   readonly isService: boolean;
   readonly declared: Resources;
   readonly committed: Resources;
   readonly usage: Resources;
-  /** True while the worker lets the task have less than it would use. */
+  /** True while the worker throttles the task below what it would use. */
   readonly isThrottled?: boolean;
 }
 
-/** Use beside the declared size, of one kind. */
+/** Usage of one kind of task, as a ratio of the declared size. */
 interface KindUsage {
   readonly processorRatio: number;
-  /** How far single tasks are from that. */
+  /** Mean absolute deviation of single tasks from that ratio. */
   readonly deviation: number;
-  /** The highest use of late, which fades. */
+  /** The highest recent ratio, which decays over time. */
   readonly processorPeak: number;
   readonly memoryPeak: number;
   readonly sampleCount: number;
   readonly atMs: number;
 }
 
-/** A report tells of use some seconds ago, and a task that has just started does not use much. */
+/**
+ * How long a task must have run before its usage counts: reports lag by some seconds, and a task
+ * that has just started uses little.
+ */
 const SETTLING_TIME_MS = 10_000;
-/** Samples of settled tasks before a kind's size is gone by. */
+/** Samples of settled tasks that a kind needs before its learnt size is used. */
 const MINIMUM_SAMPLES = 12;
-/** What has not been seen for so long is forgotten, and the declared size holds again. */
+/** A kind without samples for this long is forgotten, and its declared size applies again. */
 const KIND_EXPIRY_MS = 1_800_000;
-/** 360 teams with a few kinds each; the ones not seen for longest go first. */
+/**
+ * Enough for 360 teams with a few kinds each. The kinds without samples for longest are dropped
+ * first.
+ */
 const MAXIMUM_KINDS = 2_000;
 const NEW_SAMPLE_WEIGHT = 0.3;
-/** Peaks of memory fade to a half in a quarter of an hour, far slower than tasks come and go. */
+/** Peaks halve in a quarter of an hour, which is far longer than most tasks run. */
 const PEAK_HALF_LIFE_MS = 900_000;
 
 const PROCESSOR_MARGIN = 1.1;
@@ -51,13 +57,13 @@
 const MINIMUM_MEMORY_RATIO = 0.6;
 const MAXIMUM_PROCESSOR_RATIO = 3;
 const MAXIMUM_MEMORY_RATIO = 16;
-/** Use this close to what was committed may be all that the worker let the task have. */
+/** A task that uses at least this share of its committed size may be held back by the worker. */
 const AT_LIMIT_SHARE = 0.97;
 const AT_LIMIT_GROWTH = 1.5;
 
 const ratioOf = (part: number, whole: number): number => (whole === 0 ? 1 : part / whole);
 
-/** A margin alone brings a size up to what was declared and no further. */
+/** Adds the margin. The margin alone never raises a size above the declared one. */
 const withMargin = (ratio: number, margin: number): number =>
   ratio > 1 ? ratio * margin : Math.min(1, ratio * margin);
 
@@ -119,27 +125,28 @@
 };
 
 /**
- * Made for teams that declare half or twice what their tasks use: by declared sizes some workers
- * idle while others are overrun. What is committed for a new task follows what tasks of its kind
- * have used, and the ledger holds that, so that no worker is ever committed beyond its capacity
- * by what the cell goes by. Learnt by a cell's owner from its workers' reports and kept in memory
- * only: a new owner goes by the declared sizes until it has seen enough.
+ * Learns the size of each kind of task from usage. Designed for teams that declare half or twice
+ * what their tasks use: with declared sizes, some workers idle while others are overloaded. The
+ * committed size of a new task follows the usage of earlier tasks of its kind. The ledger holds
+ * committed sizes, so a worker is never committed beyond its capacity. The owner of a cell learns
+ * from its workers' reports and keeps the result in memory only: a new owner uses the declared
+ * sizes until it has enough samples.
  *
- * - Batch processors follow the mean, with twice the spread between tasks and a tenth on top: a
- *   task that wants more is slowed for a while, which costs batch work little.
- * - Memory follows the highest use of late with a quarter on top, since a task that outgrows its
- *   memory is killed and its work since the last checkpoint lost.
- * - Services only grow. Their use follows the load of the hour, and room that batch work has
- *   taken in a quiet one is missing to callers in the next.
- * - Accelerators are taken whole and stay as declared.
+ * - Batch processors follow the mean, plus twice the deviation between tasks, plus a tenth. A task
+ *   that needs more is slowed for a while, which costs batch work little.
+ * - Memory follows the highest recent usage plus a quarter, since a task that outgrows its memory
+ *   is killed and loses its work since the last checkpoint.
+ * - Sizes of services only grow. Their usage follows the load of the hour, and capacity that batch
+ *   work takes in a quiet hour would be missing to callers in the next.
+ * - Accelerators are allocated whole and stay as declared.
  */
 export class LearntSizes {
   readonly #kinds: ReadonlyMap<string, KindUsage>;
 
-  /** When tasks were first seen running, by attempt. */
+  /** When each unthrottled attempt was first seen running, by attempt key. */
   readonly #firstSeenAtMs: ReadonlyMap<string, number>;
 
-  /** What tasks use on each worker beyond what is committed there. */
+  /** The usage on each worker beyond what is committed there. */
   readonly #excessByWorker: ReadonlyMap<string, Resources>;
 
   constructor(
@@ -156,10 +163,10 @@
     return this.#kinds.size;
   }
 
-  /** Takes in what all tasks of the cell use now. */
+  /** Adds one sample of every running task of the cell. */
   withSamples(samples: readonly UsageSample[], nowMs: number): LearntSizes {
-    // What a throttled task would use is not known: its kind is learnt from the others, and from
-    // this one only once it has run long enough without a throttle for its usage to show it.
+    // The usage of a throttled task does not show what it would use. Its kind is learnt from other
+    // tasks, and from this one only after it has run unthrottled for the settling time.
     const unthrottled = samples.filter(({ isThrottled }) => isThrottled !== true);
     const firstSeenAtMs = new Map(
       unthrottled.map(({ attemptKey }) => [
@@ -188,7 +195,7 @@
     return new LearntSizes(kinds, firstSeenAtMs, new Map(excessByWorker));
   }
 
-  /** What to commit for a new task of the kind. */
+  /** The size to commit for a new task of the kind. */
   size(kind: string, isService: boolean, declared: Resources): Resources {
     const usage = this.#kinds.get(kind);
     if (usage === undefined || usage.sampleCount < MINIMUM_SAMPLES) return declared;
@@ -212,25 +219,27 @@
   }
 
   /**
-   * What a worker's tasks use beyond their committed sizes. The ledger of running tasks is not
-   * rewritten for it, which would cost a write for each change of use and could leave a worker
-   * committed beyond its capacity with nobody at fault. No new task is put on top of it instead.
+   * The usage of a worker's tasks beyond their committed sizes. No new task is placed on that
+   * capacity. The ledger keeps the committed sizes of running tasks: rewriting them would cost a
+   * write for each change of usage, and could leave a worker committed beyond its capacity without
+   * a scheduling error.
    */
   excess(workerId: string): Resources {
     return this.#excessByWorker.get(workerId) ?? NO_RESOURCES;
   }
 }
 
-/** A worker this full of memory in use is about to kill tasks. */
+/** A worker whose memory usage exceeds this share is about to kill tasks. */
 const MEMORY_EVICTION_THRESHOLD = 0.95;
 const MEMORY_EVICTION_TARGET = 0.9;
 
 /**
- * Batch tasks that have to leave a worker whose memory runs out: those that use most beyond what
- * was committed for them, as few as bring it down again. Processors that run short are shared out
- * by the worker and need no eviction. An eviction keeps the work up to now; a task that the
- * worker kills loses what came after its last checkpoint, and it may be another's that is killed.
- * The gap between the two shares keeps the lag of the reports from evicting again and again.
+ * Batch tasks to evict from a worker whose memory runs out: the ones that exceed their committed
+ * memory most, and as few as bring the usage back to the target. A shortage of processors needs no
+ * eviction, because the worker shares them out. An evicted task keeps its work up to now. A task
+ * that the worker kills loses its work since the last checkpoint, and the worker may kill one that
+ * kept to its size. The gap between the threshold and the target prevents repeated evictions while
+ * the reports lag.
  */
 export const tasksToEvictForMemory = (
   samples: readonly UsageSample[],
@@ -240,7 +249,7 @@
   const remaining = samples.filter(({ attemptKey }) => !leaving.has(attemptKey));
   let usedBytes = sumResources(remaining.map(({ usage }) => usage)).memoryBytes;
   const committedBytes = sumResources(remaining.map(({ committed }) => committed)).memoryBytes;
-  // A worker may be filled to the brim by tasks that keep to what they were given.
+  // A worker may be full because of tasks that stay within their committed sizes.
   const isFull = usedBytes > capacity.memoryBytes * MEMORY_EVICTION_THRESHOLD;
   if (!isFull || usedBytes <= committedBytes) return [];
   const chosen: string[] = [];
@@ -257,7 +266,7 @@
   return chosen;
 };
 
-/** The learnt size, or the declared one when no worker would be large enough for the former. */
+/** The learnt size, or the declared size if the learnt one fits no worker. */
 export const learntSizeIfPlaceable = (
   learnt: Resources,
   declared: Resources,
--- a/src/scheduler/common/placement.ts
+++ b/src/scheduler/common/placement.ts
@@ -1,30 +1,30 @@
-/** Chooses a worker for a task. */
+/** Placement policies, which choose a worker for a task. */
 import type { Resources } from '../../services/worker/common/resources.js';
 import { fitsInto, subtractResources } from '../../services/worker/common/resources.js';
 
-/** A worker that may take tasks, with what is left on it. */
+/** A worker that can take tasks, with its free capacity. */
 export interface PlacementCandidate {
   readonly workerId: string;
   readonly rack: string;
   readonly incarnation: string;
   readonly capacity: Resources;
   readonly free: Resources;
-  /** Tasks of the same service already on the worker and in its rack. */
+  /** Numbers of tasks of the same service that are already on the worker and in its rack. */
   readonly sameServiceOnWorkerCount: number;
   readonly sameServiceInRackCount: number;
-  /** How much slower services would be after placing, when something is known of it. */
+  /** Predicted slowdown of services after the placement, if known: 0.1 is a tenth slower. */
   readonly predictedSlowdown?: number;
-  /** The part of the cell's batch work that could run here without slowing a service. */
+  /** The share of the cell's batch work that could run on this worker without slowing a service. */
   readonly compatibleWorkShare?: number;
 }
 
 export interface PlacementRequest {
   readonly size: Resources;
-  /** Tasks of services are spread, batch tasks are packed. */
+  /** Service tasks are spread over workers; batch tasks are packed. */
   readonly isSpread: boolean;
 }
 
-/** A policy that picks one of the candidates, all of which the task fits into. */
+/** Chooses one of the candidates that the task fits into; undefined if it fits into none. */
 export interface PlacementPolicy {
   choose(
     request: PlacementRequest,
@@ -32,15 +32,20 @@
   ): PlacementCandidate | undefined;
 }
 
-/** Rates the candidates one by one, so that a change of one need not rate the others again. */
+/**
+ * Rates each candidate on its own, so that a change to one requires no new rating of the others.
+ */
 export interface PlacementCosts {
-  /** Lower is better, among candidates that the task fits into. */
+  /** The cost of a candidate that the task fits into. The lowest cost is the best. */
   costOf(request: PlacementRequest, candidate: PlacementCandidate): number;
 }
 
 const share = (part: number, whole: number): number => (whole === 0 ? 0 : part / whole);
 
-/** The share left of the scarcest of processors and memory after placing. */
+/**
+ * The share of the worker's processors or memory, whichever is scarcer, that stays free after
+ * placing.
+ */
 const remainingShare = (request: PlacementRequest, candidate: PlacementCandidate): number => {
   const left = subtractResources(candidate.free, request.size);
   return Math.min(
@@ -52,17 +57,28 @@
 const ACCELERATOR_PENALTY = 10;
 const WORKER_SPREAD_PENALTY = 100;
 const RACK_SPREAD_PENALTY = 5;
-/** For a service made twice as slow: more than a shared rack, less than a shared worker. */
+/**
+ * Penalty for making a service twice as slow: higher than for a shared rack, lower than for a
+ * shared worker.
+ */
 const SLOWDOWN_PENALTY = 20;
-/** Work that may run anywhere leaves the workers that are open to all kinds to the others. */
+/**
+ * Keeps work that can run anywhere off workers that suit all kinds, so that other work finds a
+ * place.
+ */
 const COMPATIBLE_WORK_PENALTY = 4;
 
 /**
- * Made for a cell of a hundred workers with short batch tasks and long-lived services. Batch
- * tasks go where least is left over, which keeps large gaps for large tasks; services go apart,
- * so that one worker or rack takes few of their replicas along. Work that needs no accelerator
- * keeps off workers that have one, which would otherwise be stranded behind full processors.
- * A task that slows a service goes to the worker where it slows least.
+ * Spreads service tasks and packs batch tasks. Designed for a cell of a hundred workers with short
+ * batch tasks and long-lived services.
+ *
+ * - A batch task goes to the worker with the least capacity left over, which keeps large gaps free
+ *   for large tasks.
+ * - Replicas of a service go to different workers and racks, so that a failed worker or rack takes
+ *   few of them down.
+ * - Work that needs no accelerator avoids workers that have one. Otherwise accelerators would be
+ *   stranded on workers whose processors are full.
+ * - A task that slows a service goes to the worker where it slows the service least.
  */
 export class SpreadAndPackPolicy implements PlacementPolicy, PlacementCosts {
   choose(
--- a/src/scheduler/common/preemption.ts
+++ b/src/scheduler/common/preemption.ts
@@ -1,4 +1,6 @@
-/** Makes room for urgent work on full workers by evicting the least that is less urgent. */
+/**
+ * Makes room for urgent work on full workers by evicting as little less urgent work as possible.
+ */
 import { Urgency, URGENCY_ORDER } from '../../services/configuration/common/documents.js';
 import {
   addResources,
@@ -13,24 +15,29 @@
 import { attemptKey } from './workerView.js';
 
 /**
- * Evictions that may be under way for urgent work in a cell at a time. A burst of urgent jobs
- * would otherwise clear the cell of batch work at once, most of which could have gone on.
+ * Evictions for urgent work that may be pending in a cell at a time. Without the limit, a burst of
+ * urgent jobs would evict all batch work of the cell at once, although most of it could have
+ * continued.
  */
 const MAXIMUM_PENDING_EVICTIONS = 32;
 
-/** The progress that an eviction loses; tasks of one size cost the same to restart. */
+/**
+ * The progress in milliseconds that evicting the task loses. Tasks of equal size cost the same to
+ * restart.
+ */
 export type LostWork = (assignment: Assignment) => number;
 
 interface WorkerRoom {
-  /** What is free, and what will be once the evictions asked for have ended. */
+  /** What is free now plus what the pending evictions will free. */
   expectedFree: Resources;
   readonly victims: readonly Assignment[];
 }
 
 /**
- * Made for a full cell in which an urgent task has to start within 3.5 s and no batch task ends
- * by itself that soon. Rounds repeat while the evictions are under way, so what was asked for
- * before is counted first: asking again each round would evict many times what is needed.
+ * Plans evictions for a full cell in which an urgent task has to start within 3.5 s and no batch
+ * task ends by itself that soon. Rounds repeat while evictions are pending, so the plan first
+ * counts what the pending ones will free. Requesting evictions anew in each round would evict many
+ * times what is needed.
  */
 export class PreemptionPlan {
   readonly #rooms = new Map<string, WorkerRoom>();
@@ -39,7 +46,7 @@
 
   #pendingEvictionCount: number;
 
-  /** `preempted` holds the attempts that were chosen before and still stand in the ledger. */
+  /** `preempted` holds the keys of attempts that were chosen before and are still in the ledger. */
   constructor(
     candidates: readonly PlacementCandidate[],
     rows: CellRows,
@@ -64,12 +71,12 @@
     });
   }
 
-  /** Attempts to evict, as keys. */
+  /** Keys of the attempts to evict. */
   get chosen(): ReadonlySet<string> {
     return this.#chosen;
   }
 
-  /** Finds room for one urgent task, on the worker where the fewest tasks have to go for it. */
+  /** Makes room for one urgent task on the worker that needs the fewest evictions for it. */
   makeRoom(size: Resources): void {
     let bestId: string | undefined;
     let best: readonly Assignment[] | undefined;
@@ -106,14 +113,17 @@
     return needed;
   }
 
-  /** Zero for what may not be evicted for urgent work, else higher for the less urgent. */
+  /** Zero for a task that urgent work must not evict; otherwise higher for less urgent tasks. */
   static #rank(rows: CellRows, assignment: Assignment): number {
     if (assignment.taskClass === TaskClass.LatencyCritical) return 0;
     const urgency = rows.work.get(assignment.shardId)?.urgency ?? Urgency.Urgent;
     return URGENCY_ORDER[urgency];
   }
 
-  /** The least urgent first, then the largest, of which fewer are needed; equal ones by cost. */
+  /**
+   * Sorts the least urgent tasks first and larger ones before smaller ones, since fewer are needed.
+   * The caller orders equal ones by lost work.
+   */
   static #compare(rows: CellRows, left: Assignment, right: Assignment): number {
     return (
       PreemptionPlan.#rank(rows, right) - PreemptionPlan.#rank(rows, left) ||
--- a/src/scheduler/common/queueOrder.ts
+++ b/src/scheduler/common/queueOrder.ts
@@ -1,4 +1,4 @@
-/** Which queued work comes first, and which has to wait for its team's quota or its back-off. */
+/** Orders queued work, and holds back work that exceeds its team's quota or that is in backoff. */
 import { URGENCY_ORDER } from '../../services/configuration/common/documents.js';
 import {
   addResources,
@@ -15,9 +15,10 @@
 const RETRY_SPREAD_STEPS = 7;
 
 /**
- * How long a failed task waits before it is tried again. A job whose tasks all fail at once would
- * otherwise take every free place again in the next round, until its tries are used up within
- * seconds. Doubling bounds the load; the task's index spreads the tasks of one job.
+ * How long a failed task waits before its next attempt. Without the delay, a job whose tasks all
+ * fail at once would take all free capacity again in the next round and use up its attempts within
+ * seconds. Doubling the delay bounds the load. The task index spreads the retries of one job's
+ * tasks.
  */
 export const retryDelayMs = (failureCount: number, taskIndex: number): number => {
   const delayMs = Math.min(
@@ -29,7 +30,7 @@
 
 const share = (part: number, whole: number): number => (whole === 0 ? 0 : part / whole);
 
-/** The largest share of the cell that a team holds of any one resource. */
+/** The team's dominant share: its largest share of any one resource of the cell. */
 export const dominantShare = (used: Resources, capacity: Resources): number =>
   Math.max(
     share(used.processorMillis, capacity.processorMillis),
@@ -37,7 +38,7 @@
     share(used.acceleratorCount, capacity.acceleratorCount),
   );
 
-/** What the teams' batch tasks hold in this cell, kept up while a round assigns. */
+/** What each team's batch tasks use in this cell, updated while a round assigns tasks. */
 export class TeamUse {
   readonly #used = new Map<string, Resources>();
 
@@ -45,10 +46,10 @@
 
   readonly #parts: QuotaParts;
 
-  /** Teams of which a task waits that is larger than the cell's equal part. */
+  /** Teams with a queued task that is larger than the cell's equal part of the team's quota. */
   readonly #teamsWithLargeTaskWaiting = new Set<string>();
 
-  /** `rows` are all shards of the cell: also a cancelled job holds what still runs. */
+  /** `rows` are all shards of the cell, because the running tasks of a cancelled job count too. */
   constructor(
     rows: readonly WorkRow[],
     capacity: Resources,
@@ -94,9 +95,10 @@
   }
 
   /**
-   * False when one more task would exceed the cell's part of the team's quota. What other cells
-   * have ceded is for tasks larger than the cell's own part; while one of these waits for it the
-   * team's small ones wait too, for they would use up again what the others give up.
+   * Whether one more task of this size stays within the cell's part of the team's quota. Amounts
+   * that other cells have ceded are for tasks larger than the cell's own part. While such a task
+   * waits for ceded amounts, the team's small tasks wait too, because they would use up what the
+   * other cells give up.
    */
   isWithinQuota(team: string, size: Resources): boolean {
     if (this.#parts.limit(team) === undefined) return true;
@@ -113,7 +115,10 @@
   }
 }
 
-/** The urgent first; among equals the team that holds least; then as submitted. */
+/**
+ * Sorts urgent shards first, then those of teams with the lowest dominant share, then by
+ * submission.
+ */
 export const orderedShards = (rows: readonly WorkRow[], use: TeamUse): readonly WorkRow[] =>
   rows
     .map((row) => ({ row, teamShare: use.dominantShare(row.team) }))
--- a/src/scheduler/common/quotaParts.ts
+++ b/src/scheduler/common/quotaParts.ts
@@ -1,4 +1,4 @@
-/** How a team's quota is divided among the cells, and how cells lend each other their parts. */
+/** Divides a team's quota among the cells, and lets cells cede unused parts to each other. */
 import { hashOf } from '../../base/common/hash.js';
 import {
   type ConfigurationView,
@@ -16,13 +16,14 @@
 } from '../../services/worker/common/resources.js';
 import type { ExchangeRow, QuotaShare } from '../../services/workload/common/workRows.js';
 
-/** A cell's place in a team's order of cells, which differs from team to team. */
+/** A cell's rank in a team's order of cells. The order differs from team to team. */
 const rankOf = (zones: readonly string[], cell: string, team: string): number =>
   (zones.indexOf(cell) + hashOf(team)) % Math.max(1, zones.length);
 
 /**
- * The equal part of a quota that a cell has by the configuration alone, so that no start costs a
- * write to a shared counter. What does not divide goes to the first ones in the team's order.
+ * The equal part of a quota that a cell has according to the configuration alone, so that starting
+ * a task needs no write to a shared counter. The remainder goes to the first cells in the team's
+ * order.
  */
 export const equalPart = (
   zones: readonly string[],
@@ -43,7 +44,7 @@
 
 const fingerprints = new WeakMap<ConfigurationView['quotas'], string>();
 
-/** Tells the quota documents of one view from those of another. */
+/** Identifies the versions of a view's quota documents. */
 const quotasFingerprint = (view: ConfigurationView): string => {
   const known = fingerprints.get(view.quotas);
   if (known !== undefined) return known;
@@ -55,7 +56,7 @@
   return fingerprint;
 };
 
-/** Names a division: the quotas that are divided, and the zones among which they are. */
+/** Identifies a division: the quotas that are divided and the zones that share them. */
 export const divisionKey = ({ quotas, zones }: Pick<QuotaShare, 'quotas' | 'zones'>): string =>
   [quotas, ...zones].join(' ');
 
@@ -64,7 +65,7 @@
   zones: [...zonesInUse(view)],
 });
 
-/** What the other cells of the configuration have published of quotas, by cell. */
+/** The quota shares that the other cells of the configuration have published, by cell. */
 const sharesOf = (
   view: ConfigurationView | undefined,
   rows: ReadonlyMap<string, ExchangeRow>,
@@ -77,21 +78,25 @@
   );
 
 /**
- * What a cell may use of each team's quota. Made for 360 teams and 7 cells that start 150 tasks a
- * second and share no counter. Each cell has an equal part; what it has beyond that, others have
- * given up in a row that they wrote before. Two cells never exceed a quota together:
+ * The part of each team's quota that a cell may use. Designed for 360 teams and 7 cells that start
+ * 150 tasks a second without a shared counter. Each cell has an equal part. Anything beyond it has
+ * been ceded by other cells in rows that they wrote earlier. Cells never exceed a quota together:
  *
- * - A cell that follows a new division (a zone was withdrawn or returned, a quota set) starts
- *   nothing of any team with a quota until it has published that, and has read the others after.
- * - Whatever another cell may hold beyond its part of that division, by the division that it
- *   published last or because tasks of a former one still run, is taken off this cell's part. A
- *   zone that returns thus waits until the others' surplus has ended, and one that stays does not
- *   grow before a withdrawn zone's tasks have left it.
- * - A cell that has published other quotas than this one knows has unknown parts: nothing of a
- *   team with a quota starts for the second or two until both have read the same.
+ * - A cell that switches to a new division (a zone was withdrawn or returned, or a quota was set)
+ *   starts no task of a team with a quota until it has published the division and has read the
+ *   other cells' rows after that.
+ * - The cell subtracts from its part whatever another cell may hold beyond its own part of the
+ *   division. Another cell may hold more because it last published an earlier division, or because
+ *   tasks from an earlier division still run. A returning zone therefore waits until the other
+ *   cells' surplus has ended, and a remaining zone does not grow before the tasks of a withdrawn
+ *   zone have ended.
+ * - If another cell has published quotas that differ from this cell's configuration, its parts are
+ *   unknown. No task of a team with a quota starts for the second or two until both cells have read
+ *   the same configuration.
  *
- * What was read may be old: what others hold beyond their parts only shrinks within a division,
- * and what was ceded stays so while the ask that it names stands.
+ * A published row may be outdated when it is read. This is safe: within a division, what other
+ * cells hold beyond their parts only shrinks, and a ceded amount stays ceded while the ask that it
+ * names is open.
  */
 export class QuotaParts {
   readonly #view: ConfigurationView | undefined;
@@ -106,7 +111,10 @@
 
   readonly #zones: readonly string[];
 
-  /** `readDivision` is the division that the cell had published when it last read the others. */
+  /**
+   * `readDivision` is the division that the cell had published when it last read the other cells'
+   * rows.
+   */
   constructor(
     view: ConfigurationView | undefined,
     cell: string,
@@ -132,18 +140,18 @@
     return this.#isSettled;
   }
 
-  /** The whole quota; undefined for a team that has none. */
+  /** The whole quota; undefined for a team without one. */
   limit(team: string): Resources | undefined {
     return this.#view?.quotas.get(team)?.limit;
   }
 
-  /** The part by the configuration alone. */
+  /** The cell's part according to the configuration alone. */
   equalPart(team: string, cell = this.#cell): Resources {
     const limit = this.limit(team) ?? NO_RESOURCES;
     return equalPart(this.#zones, cell, team, limit);
   }
 
-  /** What the cell may use without what others have ceded to it. */
+  /** The part that the cell may use without the amounts that others have ceded to it. */
   ownPart(team: string): Resources {
     if (!this.#isSettled) return NO_RESOURCES;
     const ceded = this.#own?.ceded[team]?.amount ?? NO_RESOURCES;
@@ -153,7 +161,7 @@
     );
   }
 
-  /** What others have ceded for the ask that stands in this cell's committed row. */
+  /** The amounts that others have ceded for the open ask in this cell's committed row. */
   cededHere(team: string): Resources {
     const ask = this.#own?.asks[team];
     const amounts = [...this.#others.values()]
@@ -164,8 +172,9 @@
   }
 
   /**
-   * What the cell may use in all. An asker whose turn has passed takes no more of what was ceded
-   * to it, or it would never end its ask as long as large tasks keep coming.
+   * The total that the cell may use. A cell that another asker outranks takes no more of the
+   * amounts ceded to it. Otherwise it would never close its ask as long as large tasks keep
+   * arriving.
    */
   part(team: string): Resources {
     if (!this.#isSettled || this.isOutranked(team)) return this.ownPart(team);
@@ -177,9 +186,10 @@
   }
 
   /**
-   * True when a cell has ceded more than its part has become since, because zones returned. It
-   * cannot take that back while the ask stands, and all cells' parts are smaller by it: a task
-   * that needs the whole quota would wait for ever. The ask is withdrawn and made anew.
+   * Whether a cell has ceded more than its part, which has shrunk since because zones returned.
+   * That cell cannot reclaim the amount while the ask is open, and the parts of all cells are
+   * smaller by it, so a task that needs the whole quota would wait forever. The ask is withdrawn
+   * and made again.
    */
   isAskStale(team: string): boolean {
     return [...this.#others].some(([cell, { ceded }]) => {
@@ -193,7 +203,7 @@
     return new Set([...this.#others.values()].flatMap(({ asks }) => Object.keys(asks)));
   }
 
-  /** Cells that ask for more of a team's quota, the first in the team's order first. */
+  /** Cells that ask for more of a team's quota, in the team's order of cells. */
   askersElsewhere(team: string): readonly { readonly cell: string; readonly ask: number }[] {
     return [...this.#others]
       .flatMap(([cell, { asks }]) => {
@@ -203,7 +213,7 @@
       .sort((left, right) => this.#rankOf(left.cell, team) - this.#rankOf(right.cell, team));
   }
 
-  /** True when another cell asks whose turn comes before this one's. */
+  /** Whether a cell that comes earlier in the team's order also asks. */
   isOutranked(team: string): boolean {
     const [first] = this.askersElsewhere(team);
     return first !== undefined && this.#rankOf(first.cell, team) < this.#rankOf(this.#cell, team);
@@ -225,11 +235,13 @@
   }
 }
 
-/** What a cell's own work tells of one team. */
+/** The usage and demand of one team in a cell. */
 export interface TeamDemand {
-  /** What its tasks hold in the cell. */
+  /** Resources that the team's tasks hold in the cell. */
   readonly used: Resources;
-  /** True when a task waits that is larger than the cell's equal part and should be asked for. */
+  /**
+   * True when a queued task is larger than the cell's equal part and the cell should ask for more.
+   */
   readonly isAskWanted: boolean;
 }
 
@@ -256,14 +268,16 @@
 };
 
 /**
- * What the cell should publish next. A cell with a task that is larger than its part asks for
- * more; the others start nothing of the team, give up what they do not use, and more as their
- * tasks end, until the ask is withdrawn. It is withdrawn once no such task waits and the cell's
- * tasks fit into its own part again; the numbers of asks make sure that what was given up for one
- * is never taken for a later one. Two cells that ask for the same team would each wait for what
- * the other keeps, so the one that comes later in the team's order withdraws. A team with such a
- * task waits for its own small ones to end: its quota would otherwise never be free enough. It
- * costs some two rows a cell for each spell of such tasks, none for a start.
+ * The quota share that the cell should publish next. A cell with a task that is larger than its
+ * part asks for more. The other cells start no tasks of the team, cede what they do not use, and
+ * cede more as their tasks end, until the ask is withdrawn. The cell withdraws it once no such task
+ * is queued and its running tasks fit into its own part again. The asks are numbered, so that an
+ * amount ceded for one ask is never counted for a later one.
+ *
+ * Two cells that ask for the same team would each wait for what the other keeps, so the one that
+ * comes later in the team's order withdraws its ask. While a team's large task is queued, the
+ * team's small tasks in that cell are not started; otherwise its quota would never be free enough.
+ * Each period with large tasks costs about two row writes per cell, and starting a task costs none.
  */
 export const nextQuotaShare = (
   view: ConfigurationView,
--- a/src/scheduler/common/quotaRound.ts
+++ b/src/scheduler/common/quotaRound.ts
@@ -1,4 +1,4 @@
-/** A round's dealings with quotas: what the teams use, what they wait for, what is published. */
+/** Applies quotas in a scheduling round: team usage, queued large tasks and the published share. */
 import { canonicalJson } from '../../base/common/json.js';
 import {
   addResources,
@@ -24,9 +24,10 @@
 } from './quotaParts.js';
 
 /**
- * How long a large task may have its quota and find no worker with room before the ask for it is
- * withdrawn, and how long after that it is made again. Meanwhile the team's small tasks wait in
- * all cells: a task that no worker has room for must not hold them up for ever.
+ * How long a large task may have its quota granted without finding a worker before the ask is
+ * withdrawn, and when it is made again. Both count from when the wait began. While the ask is open,
+ * the team's small tasks wait in all cells, and a task that fits no worker must not block them
+ * forever.
  */
 const ASK_TIMEOUT_MS = 30_000;
 const ASK_RETRY_MS = 90_000;
@@ -43,7 +44,7 @@
     state.readDivision,
   );
 
-/** The cell's shards, those of cancelled jobs among them. */
+/** The cell's shards, including those of cancelled jobs. */
 export const allShards = (draft: CellDraft): readonly WorkRow[] =>
   draft.shardIds
     .map((shardId) => draft.work(shardId))
@@ -58,9 +59,10 @@
 };
 
 /**
- * True when a team to which the round gives tasks then holds more than the cell may use of its
- * quota. Judged on the outcome, for two cells that each start a little too much exceed the whole
- * quota unseen. A team that holds too much because its part has shrunk breaks it only by a start.
+ * Whether a team that gains tasks in this round then holds more than the cell's part of its quota.
+ * The check runs on the round's outcome, because two cells that each start slightly too much would
+ * exceed the whole quota unnoticed. A team that holds too much because its part has shrunk violates
+ * the quota only if another task starts.
  */
 export const isQuotaExceeded = (
   state: CellState,
@@ -78,7 +80,7 @@
   return teams.some((team) => !fitsInto(use.used(team), parts.part(team)));
 };
 
-/** Publishes what the cell tells the others of quotas, if that has changed. */
+/** Publishes the cell's quota share for the other cells if it has changed. */
 export const publishQuotaShare = (
   state: CellState,
   draft: CellDraft,
@@ -106,7 +108,7 @@
   draft.setExchange({ ...draft.exchange, quota: next });
 };
 
-/** Teams of which a task waits for a worker although its quota would allow it. */
+/** Teams with a queued large task that the quota allows but that has found no worker. */
 const teamsWithoutRoom = (
   state: CellState,
   draft: CellDraft,
@@ -126,7 +128,7 @@
   return new Set(allowed.map(({ team }) => team));
 };
 
-/** Since when each team has waited for a worker with its quota granted, as of this round. */
+/** When each team's wait for a worker with a granted quota began, updated by this round. */
 export const nextQuotaWaits = (
   state: CellState,
   draft: CellDraft,
--- a/src/scheduler/common/taskEnds.ts
+++ b/src/scheduler/common/taskEnds.ts
@@ -1,4 +1,4 @@
-/** Removes assignments that have ended and queues again what has to run once more. */
+/** Removes ended assignments from the ledger and queues the tasks that have to run again. */
 import {
   WorkerTaskState,
   type WorkerTaskReport,
@@ -20,18 +20,18 @@
   Finished: 'finished',
   Failed: 'failed',
   Evicted: 'evicted',
-  /** The worker lost the task: its lease ran out, it restarted, or it is gone. */
+  /** The worker lost the task: its lease ended, or the worker restarted or is gone. */
   Lost: 'lost',
-  /** The start message can no longer take effect. */
+  /** The task never started, and the start message can no longer take effect. */
   NeverStarted: 'never-started',
 } as const;
 export type AssignmentEnd = (typeof AssignmentEnd)[keyof typeof AssignmentEnd];
 
-/** An end with what it tells of the worker and the task. */
+/** The end of an assignment, for updating the health of its worker and the backoff of its task. */
 export interface RecordedEnd {
   readonly end: AssignmentEnd;
   readonly assignment: Assignment;
-  /** What the task's failures weigh, this one included. */
+  /** The task's failure weight, including this end if it is a failure. */
   readonly failureWeight: number;
 }
 
@@ -44,9 +44,10 @@
 };
 
 /**
- * Tells whether an assignment has surely ended. Giving a task to another worker while the first
- * may still run it would run it twice, so silence alone never ends an assignment: either the
- * worker says so, or its incarnation is gone, or its leases have surely run out on its clock.
+ * How the assignment has certainly ended; undefined if it may still run. If a task went to another
+ * worker while the first may still run it, it would run twice. Silence alone therefore never ends
+ * an assignment: the worker reports the end, or the worker's incarnation is gone, or the worker's
+ * leases have certainly ended.
  */
 export const assignmentEnd = (
   state: CellState,
@@ -54,7 +55,7 @@
   assignment: Assignment,
   nowMs: number,
 ): AssignmentEnd | undefined => {
-  // A worker that this owner has not reached may still run what a former owner gave it.
+  // A worker that this owner has not reached may still run tasks that a former owner started.
   if (view?.report === undefined) {
     return nowMs > formerLeasesOverAtMs(state, state.rows, assignment.workerId)
       ? AssignmentEnd.Lost
@@ -66,18 +67,19 @@
   const task = reportedTask(view, assignment);
   const reportedEnd = task === undefined ? undefined : ENDS_BY_REPORT[task.state];
   if (reportedEnd !== undefined) return reportedEnd;
-  // A worker that holds no lease because its first start has yet to be sent is not a lost one:
-  // taking that start back while it is being sent ran tasks twice.
+  // A worker that holds no lease because its first start message is not sent yet is not lost.
+  // Taking the start back while it is being sent ran tasks twice.
   if (!isInContact(view, state.timing.reportFreshnessMs, nowMs)) {
-    // An owner that was paused itself has not listened: tasks that ended well inside their
-    // leases would all run again. So the worker is asked once more after the leases have ended.
+    // An owner that was paused has received no reports, so tasks that ended well within their
+    // leases would all run again. The worker is therefore asked once more after its leases have
+    // ended.
     const wasAskedAfterLeases =
       view.commandSentAtMs > view.leasesOverAtMs && !view.isCommandInFlight;
     return areLeasesOver && wasAskedAfterLeases ? AssignmentEnd.Lost : undefined;
   }
-  // Not started yet. It is taken back only when it will not be started any more (the zone is
-  // withdrawn, the job cancelled, the worker draining) and no start that was sent can still take
-  // effect on the worker's clock. Without this it would hold its capacity for ever.
+  // The task has not started. It is taken back only if it is no longer wanted (the zone is
+  // withdrawn, the job cancelled or the worker draining) and no start that was sent can still take
+  // effect by the worker's clock. Otherwise the assignment would hold its capacity forever.
   const isUnwanted =
     state.withdrawnSinceMs !== undefined || isEvictionWanted(state, assignment, nowMs);
   const isStartExpired = report.workerNowMs > view.startsGoodUntilWorkerMs;
@@ -113,7 +115,7 @@
   }
 };
 
-/** Puts the end of an assignment into the work row of its shard. */
+/** Records the end of an assignment in the work row of its shard. */
 const recordBatchEnd = (
   draft: CellDraft,
   assignment: Assignment,
@@ -133,7 +135,7 @@
   draft.setWork({ ...row, tasks });
 };
 
-/** One rack's assignments without those that have ended. */
+/** Removes a rack's ended assignments from the ledger and returns their ends. */
 const recordRackEnds = (
   state: CellState,
   draft: CellDraft,
@@ -161,13 +163,15 @@
   return ends;
 };
 
-/** Lists of assignments with the report in which none of them had ended. */
+/**
+ * For each list of assignments, the reported tasks with which none of the assignments had ended.
+ */
 const reportsWithoutEnds = new WeakMap<readonly Assignment[], WorkerView['tasks']>();
 
 /**
- * True when a worker's assignments were looked at before with the same report and nothing but
- * the time has passed, which ends nothing while the worker is in contact. Of a cell's 123
- * workers some twelve report between two rounds, and only these are looked at.
+ * Whether a worker's assignments were already checked against the same report. The passing of time
+ * alone ends no assignment while the worker is in contact. About twelve of a cell's 123 workers
+ * report between two rounds, and only these are checked.
  */
 const isUnchanged = (
   state: CellState,
@@ -178,7 +182,7 @@
   const view = state.workers.get(workerId);
   if (view === undefined || !isInContact(view, state.timing.reportFreshnessMs, nowMs)) return false;
   if (state.withdrawnSinceMs !== undefined || isWorkerDraining(state, workerId)) return false;
-  // What is not wanted any more ends an assignment that never started, without any new report.
+  // An assignment that never started ends when it is no longer wanted, even without a new report.
   const mayBeUnwanted =
     (state.rows?.cancelledJobIds.size ?? 0) + state.preempted.size + state.surplusTaskIds.size > 0;
   if (!mayBeUnwanted && reportsWithoutEnds.get(assignments) === view.tasks) return true;
@@ -189,7 +193,7 @@
   return !hasEnd;
 };
 
-/** Records all ends that are certain by now and returns them for the counters. */
+/** Records all assignment ends that are certain by now, and returns them for the counters. */
 export const recordEnds = (
   state: CellState,
   rows: CellRows,
--- a/src/scheduler/common/unfitWork.ts
+++ b/src/scheduler/common/unfitWork.ts
@@ -1,4 +1,4 @@
-/** Work that is larger than any worker of the cell, and the verdict that it can never run. */
+/** Hands on, or refuses, work that is larger than any worker of the cell. */
 import { zonesInUse } from '../../services/configuration/common/configurationView.js';
 import { fitsInto, type Resources } from '../../services/worker/common/resources.js';
 import {
@@ -11,10 +11,11 @@
 import type { CellState } from './cellState.js';
 
 /**
- * How long work must have fitted no worker before it is passed on. Workers are replaced, 110 on
- * an ordinary day, and one that restarts is off the list for well under this.
+ * How long work must have been larger than any worker before it is handed on. On an ordinary day
+ * 110 workers are replaced, and one that restarts leaves the instance list for well under this
+ * time.
  */
-const OVERSIZED_GRACE_MS = 60_000;
+const GRACE_MS = 60_000;
 
 const isWaiting = (row: WorkRow): boolean =>
   row.tasks.some(({ state }) => state === BatchTaskState.Queued) &&
@@ -25,7 +26,7 @@
   return listed.length > 0 && !listed.some(({ instance }) => fitsInto(size, instance.capacity));
 };
 
-/** Since when each waiting shard has fitted no worker that is listed, whatever runs there. */
+/** When each queued shard became larger than any listed worker, regardless of what runs there. */
 export const unfitSince = (
   state: CellState,
   rows: CellRows,
@@ -53,9 +54,9 @@
 };
 
 /**
- * Passes work that fits no worker of this cell on to a zone that has not tried it, and refuses
- * it, with the reason, when all zones in use have. The tries are bounded by the zones, so such a
- * job is told within a minute a zone instead of waiting for ever unnoticed.
+ * Moves work that is larger than any worker of this cell to a zone that has not tried it. Refuses
+ * the work with a reason when all zones in use have tried it. The number of zones bounds the
+ * attempts, so the job is refused within a minute per zone instead of waiting unnoticed forever.
  */
 export const settleUnfitWork = (state: CellState, draft: CellDraft, nowMs: number): void => {
   const view = state.configuration?.view;
@@ -63,8 +64,7 @@
   state.unfitSinceMs.forEach((sinceMs, shardId) => {
     const row = draft.work(shardId);
     const isFull = draft.rowCount >= state.timing.maximumRowsPerRound;
-    if (row === undefined || isFull || nowMs - sinceMs < OVERSIZED_GRACE_MS || !isWaiting(row))
-      return;
+    if (row === undefined || isFull || nowMs - sinceMs < GRACE_MS || !isWaiting(row)) return;
     const triedCells = [...(row.triedCells ?? []), state.cell];
     const next = zonesInUse(view).find((zone) => !triedCells.includes(zone));
     draft.setWork(next === undefined ? withRefusal(row, triedCells) : { ...row, triedCells });
--- a/src/scheduler/common/usageLearning.ts
+++ b/src/scheduler/common/usageLearning.ts
@@ -1,4 +1,4 @@
-/** Takes workers' reports of use into the learnt sizes, and those into assigning. */
+/** Learns task sizes from the usage in worker reports and applies them to new assignments. */
 import type { ServiceDocument } from '../../services/configuration/common/documents.js';
 import type { Resources } from '../../services/worker/common/resources.js';
 import {
@@ -17,12 +17,12 @@
 } from './learntSizes.js';
 import { attemptKey, type WorkerView } from './workerView.js';
 
-/** Use changes over seconds; going through 2,500 tasks more often would only cost processor. */
+/** Usage changes over seconds; checking 2,500 tasks more often would only cost processor time. */
 const LEARNING_INTERVAL_MS = 5_000;
 
 const serviceKind = (name: string): string => `service ${name}`;
 
-/** Tasks of one team that declare the same size are one kind. */
+/** Tasks of one team that declare the same size are of the same kind. */
 const batchKind = ({ team, size }: Pick<WorkRow, 'team' | 'size'>): string =>
   `${team} ${size.processorMillis} ${size.memoryBytes} ${size.acceleratorCount}`;
 
@@ -44,8 +44,8 @@
 };
 
 /**
- * A throttled task uses fewer processors than it would. What it leaves is not given to others,
- * since the throttle may go at any time; so it counts as using what it was given.
+ * A throttled task counts as using its full committed processors. The capacity that it leaves idle
+ * is not given to other tasks, since the throttle may be lifted at any time.
  */
 const usageWithoutThrottle = (task: WorkerTaskReport, { size }: Assignment): Resources => {
   if ((task.processorShare ?? 1) === 1) return task.usage;
@@ -79,7 +79,10 @@
 export const isLearningSizes = (state: CellState): boolean =>
   state.configuration?.view.policy.isSizeLearnt === true;
 
-/** Learns from the last reports, and names the tasks that a worker's memory has no room for. */
+/**
+ * Learns from the last reports, and adds to `preempted` the tasks that a worker's memory has no
+ * room for.
+ */
 export const learnFromUsage = (state: CellState, nowMs: number): CellState => {
   const { rows } = state;
   if (rows === undefined || nowMs < state.nextLearningAtMs) return state;
@@ -108,10 +111,10 @@
   return learntSizeIfPlaceable(learnt, kind.declared, capacities);
 };
 
-/** What to commit for a new replica. */
+/** The size to commit for a new replica. */
 export const serviceSize = (state: CellState, { name, size }: ServiceDocument): Resources =>
   committedSize(state, { kind: serviceKind(name), isService: true, declared: size });
 
-/** What to commit for a new batch task. */
+/** The size to commit for a new batch task. */
 export const batchSize = (state: CellState, row: WorkRow): Resources =>
   committedSize(state, { kind: batchKind(row), isService: false, declared: row.size });
--- a/src/scheduler/common/wantedEvictions.ts
+++ b/src/scheduler/common/wantedEvictions.ts
@@ -1,4 +1,4 @@
-/** Which running tasks have to leave their workers. */
+/** Decides which running tasks have to leave their workers. */
 import type { ConfigurationView } from '../../services/configuration/common/configurationView.js';
 import { zonesInUse } from '../../services/configuration/common/configurationView.js';
 import { replicaShare } from '../../services/configuration/common/replicaShare.js';
@@ -15,7 +15,7 @@
   return isDrained || instance?.state === InstanceState.Leaving;
 };
 
-/** Replicas that other zones should serve and do not serve yet. */
+/** The number of replicas in the other zones' shares that those zones do not serve yet. */
 const missingReplicaCount = (state: CellState, view: ConfigurationView, name: string): number => {
   const replicaCount = view.services.get(name)?.replicaCount ?? 0;
   return zonesInUse(view)
@@ -28,7 +28,10 @@
     .reduce((sum, count) => sum + count, 0);
 };
 
-/** The most replicas a cell keeps of a service: its share and what others have yet to take. */
+/**
+ * The maximum number of a service's replicas that a cell keeps: its share plus those that other
+ * zones do not serve yet.
+ */
 export const keptReplicaCount = (
   state: CellState,
   view: ConfigurationView,
@@ -40,10 +43,11 @@
 };
 
 /**
- * Replicas beyond the cell's share that are no longer needed. When a zone returns, the others'
- * shares shrink at once, but its own replicas take seconds to serve: surplus is kept until the
- * published servers of the other zones make up their shares. Each cell assumes that it alone
- * fills the whole gap, so that two cells which see the same gap never both give up too much.
+ * Task ids of replicas beyond the cell's share that are no longer needed. When a zone returns, the
+ * shares of the others shrink at once, but its own replicas take seconds to serve. A cell keeps its
+ * surplus until the published servers of the other zones fill their shares. Each cell assumes that
+ * it alone fills the whole gap, so two cells that see the same gap never both stop too many
+ * replicas.
  */
 export const surplusTaskIds = (state: CellState): ReadonlySet<string> => {
   const view = state.configuration?.view;
@@ -64,10 +68,10 @@
 };
 
 /**
- * Tells whether an assignment should end, derived from the configuration and the rows alone: a
- * new owner of the cell comes to the same answer without having been told. A service's task in a
- * withdrawn zone goes on for the drain time, in which entries have stopped sending and its
- * requests finish.
+ * Whether an assignment should end. For a drained worker, a withdrawn zone or a cancelled job, the
+ * answer depends only on the configuration and the rows, so a new owner of the cell decides the
+ * same without being told. A service's task in a withdrawn zone runs on for the drain time, in
+ * which entries have stopped sending requests to it and its last requests finish.
  */
 export const isEvictionWanted = (
   state: CellState,
--- a/src/scheduler/common/workerHealth.ts
+++ b/src/scheduler/common/workerHealth.ts
@@ -1,37 +1,47 @@
-/** Workers that fail what they start, told apart from jobs that fail wherever they run. */
+/** Tells workers that fail the tasks they start from jobs that fail wherever they run. */
 
-/** Failures of so many different jobs, with no success between them, make a worker suspect. */
+/** A worker is suspect after failures of this many different jobs without a success in between. */
 const SUSPECT_JOB_COUNT = 3;
-/** A suspect worker takes nothing for so long, doubled each time up to a limit. */
+/** A suspect worker is quarantined for this long, doubled each time up to the maximum. */
 const INITIAL_QUARANTINE_MS = 30_000;
 const MAXIMUM_QUARANTINE_MS = 600_000;
-/** Never more than this share, or one worker: with more the fault is likely elsewhere. */
+/**
+ * Maximum share of workers in quarantine, but at least one worker. If more fail, the cause is
+ * probably not the workers.
+ */
 const MAXIMUM_QUARANTINED_SHARE = 0.1;
-/** Failures on so many different workers make the job itself the likely cause. */
+/** A job that has failed on this many different workers is probably faulty itself. */
 const FAULTY_JOB_WORKER_COUNT = 3;
-/** Failures of so many different jobs in one streak trip a worker. */
+/** Failures of this many different jobs in one streak trip a worker's circuit breaker. */
 const TRIPPING_JOB_COUNT = 2;
-/** A tripped worker gets its next probe so long after a failure, doubled each time up to a limit. */
+/**
+ * Delay from a failure on a tripped worker to its next probe, doubled each time up to the maximum.
+ */
 const INITIAL_PROBE_DELAY_MS = 500;
 const MAXIMUM_PROBE_DELAY_MS = 2_000;
-/** A probe that has run for so long does not keep the next one off; it may be a task that lasts. */
+/**
+ * A probe that has run for this long no longer delays the next one, since it may be a long task.
+ */
 const PROBE_TIMEOUT_MS = 5_000;
-/** A streak that nothing has been added to for so long is over; the worker may have been idle. */
+/** A streak without a new failure for this long is over; the worker may have been idle. */
 const STREAK_LIFETIME_MS = 60_000;
 
-/** Failures on a worker that no success of a run started later has ended. */
+/**
+ * Failures on a worker since its last success. Only a success of a later-started run ends the
+ * streak.
+ */
 interface FailureStreak {
   /** Jobs that count against the worker. */
   readonly jobIds: ReadonlySet<string>;
   readonly lastFailureAtMs: number;
-  /** When the last run that failed was started. */
+  /** The latest start time among the failed runs. */
   readonly lastFailedStartMs: number;
 }
 
 interface WorkerRecord {
   /** Jobs that count against the worker. */
   readonly failedJobIds: ReadonlySet<string>;
-  /** Up to two jobs that failed here since the last success, whatever the cause. */
+  /** Up to two jobs that failed here since the last success, whatever the cause of the failures. */
   readonly recentJobIds: ReadonlySet<string>;
   readonly quarantinedUntilMs: number;
   readonly quarantineCount: number;
@@ -39,9 +49,9 @@
 }
 
 interface JobRecord {
-  /** Workers on which it has failed. */
+  /** Workers on which the job has failed. */
   readonly workerIds: ReadonlySet<string>;
-  /** It failed where nothing else did. */
+  /** True when the failures are attributed to the job instead of the workers. */
   readonly isAtFault: boolean;
 }
 
@@ -58,13 +68,14 @@
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
 /**
- * Made for a worker with a broken disk or network in a cell of a hundred: it is always free, so
- * packing sends it task after task and each uses up one of its tries. One bad job on many
- * workers must not set these aside: a job that has failed on three workers no longer counts
- * against any. Kept in memory only; a new owner learns it within three failures a worker.
+ * Tracks failures of workers and jobs. Designed for a worker with a broken disk or network in a
+ * cell of a hundred: it is always free, so packing sends it one task after another, and each of
+ * them uses up an attempt. One faulty job that fails on many workers must not quarantine these: a
+ * job that has failed on three workers no longer counts against any worker. The records are kept in
+ * memory only; a new owner learns them again within three failures per worker.
  *
- * The streaks are a circuit breaker beside it, which works within seconds: jobs of two submissions
- * trip it, and one task that was started afterwards and ends well closes it.
+ * The failure streaks form a separate circuit breaker that reacts within seconds. Failures of jobs
+ * from two submissions trip it, and the success of one task that was started afterwards closes it.
  */
 export class WorkerHealth {
   readonly #workers: ReadonlyMap<string, WorkerRecord>;
@@ -87,22 +98,27 @@
     return nowMs < (this.#workers.get(workerId)?.quarantinedUntilMs ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Workers on which the job has failed; another try belongs elsewhere, if there is another. */
+  /** Workers on which the job has failed. Its next attempt should run elsewhere if possible. */
   failedOn(jobId: string): ReadonlySet<string> {
     return this.#jobs.get(jobId)?.workerIds ?? NO_WORKERS;
   }
 
-  /** Whether a job has failed there and nothing started since has ended well. */
+  /** Whether a job has failed on the worker and no run that started later has succeeded. */
   isFailing(workerId: string, nowMs: number): boolean {
     return this.#streakOf(workerId, nowMs) !== undefined;
   }
 
-  /** Whether different jobs have failed there, so that it should get probes only. */
+  /**
+   * Whether the circuit breaker has tripped because different jobs have failed; only probes may
+   * start.
+   */
   isTripped(workerId: string, nowMs: number): boolean {
     return (this.#streakOf(workerId, nowMs)?.jobIds.size ?? 0) >= TRIPPING_JOB_COUNT;
   }
 
-  /** Whether a tripped worker, given when its latest run started, may get one more task. */
+  /**
+   * Whether a tripped worker may get one more task. `lastStartMs` is the start of its latest run.
+   */
   isProbeDue(workerId: string, lastStartMs: number, nowMs: number): boolean {
     const streak = this.#streakOf(workerId, nowMs);
     if (streak === undefined) return true;
@@ -120,9 +136,9 @@
   }
 
   /**
-   * Whether a failure of the job on this worker tells against the job. Where other jobs have
-   * failed since the last success the worker is as likely the cause, and counting the failure
-   * fully would give good jobs up because of bad workers; see `failureWeight.ts`.
+   * Whether a failure of the job on this worker counts fully against the job. If other jobs have
+   * failed there since the last success, the worker is an equally likely cause. Counting the
+   * failure fully would give up good jobs because of bad workers; see `failureWeight.ts`.
    */
   isCredible(workerId: string, jobId: string): boolean {
     const recentJobIds = this.#workers.get(workerId)?.recentJobIds;
@@ -130,9 +146,9 @@
   }
 
   /**
-   * A task that was started at `startedAtMs` ended well on the worker, so what failed before was
-   * not its fault. A run older than the last one that failed does not end the streak: a worker
-   * whose disk breaks may still finish what it began before.
+   * Records the success of a run that started at `startedAtMs`, so that earlier failures no longer
+   * count against the worker. The streak ends only if the run started after the last failed one
+   * did: a worker whose disk breaks may still finish older runs.
    */
   withSuccess(workerId: string, startedAtMs = Number.POSITIVE_INFINITY): WorkerHealth {
     const known = this.#workers.get(workerId);
@@ -173,7 +189,8 @@
     }
     const failedJobIds = new Set([...record.failedJobIds, jobId]);
     const workers = new Map(this.#workers);
-    // What was under way on a worker when it was set aside fails too and tells nothing new.
+    // Tasks that ran on the worker when it was quarantined fail too; their failures are no new
+    // evidence.
     const isSuspect = failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isSetAside(workerId, nowMs);
     const mayQuarantine =
       this.#quarantinedCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_QUARANTINED_SHARE);
@@ -236,7 +253,8 @@
       INITIAL_QUARANTINE_MS * 2 ** record.quarantineCount,
     );
     return {
-      // Kept, so that its first failure afterwards sets it aside again and costs no job a try.
+      // These ids are kept so that the first failure afterwards quarantines the worker again,
+      // before more jobs lose an attempt.
       failedJobIds: record.failedJobIds,
       recentJobIds: record.recentJobIds,
       quarantinedUntilMs: nowMs + quarantineMs,
