--- a/src/scheduler/test/interference/interference.test.ts
+++ b/src/scheduler/test/interference/interference.test.ts
@@ -11,15 +11,15 @@
 
 const BASE_MS = 20;
 const WINDOW_MS = 2_000;
-/** Samples come so many windows late. */
+/** The number of windows by which samples arrive late. */
 const DELAY_WINDOWS = 2;
 const LARGE = { processorMillis: 8_000, memoryBytes: GIBIBYTE, acceleratorCount: 0 };
 const LONG_MS = 600_000;
 
-/** How many times longer a request takes beside these tasks. */
+/** The factor by which these tasks lengthen a request on the same worker. */
 type SlowdownModel = (runningTasks: readonly WorkerTaskReport[]) => number;
 
-/** What the owner last heard of a worker's running tasks. */
+/** The worker's running tasks, as last reported to the owner. */
 const runningTasks = (cell: VirtualCell, workerId: string): readonly WorkerTaskReport[] =>
   (cell.owner()?.state.workers.get(workerId)?.report?.tasks ?? []).filter(
     ({ state }) => state === WorkerTaskState.Running,
@@ -30,7 +30,7 @@
 
 const shareOf = (task: WorkerTaskReport): number => task.processorShare ?? 1;
 
-/** Beside `cache` a request takes 40 % longer for each task that is not throttled. */
+/** Each unthrottled task of team `cache` makes a request take 40 % longer. */
 const cacheSlowsService: SlowdownModel = (tasks) =>
   1 + ofTeam(tasks, 'cache').reduce((sum, task) => sum + 0.4 * shareOf(task), 0);
 
@@ -46,7 +46,7 @@
 const submitJob = (cell: VirtualCell, team: string, taskCount: number, workMs: number): void =>
   submit(cell, { ...shard(taskCount, workMs, `${team}.${Math.round(cell.nowMs)}`, LARGE), team });
 
-/** Runs with samples of each server that come late, as entries send them. */
+/** Runs the cell and sends it late samples of each backend server, as entries do. */
 const runWithSamples = (cell: VirtualCell, durationMs: number, slowdownOf: SlowdownModel): void => {
   const delayedSamples: (readonly LatencySample[])[] = [];
   for (let endMs = cell.nowMs + durationMs; cell.nowMs < endMs;) {
@@ -71,7 +71,7 @@
   [...cell.workers.keys()].flatMap((id) => ofTeam(runningTasks(cell, id), team)).map(shareOf);
 
 describe('interference in a cell', () => {
-  it('throttles the kind that slows a service, once known, and evicts nothing', () => {
+  it('throttles only the kind that slows a service and evicts nothing', () => {
     const cell = startCell(21);
     startService(cell, 4);
     submitJob(cell, 'quiet', 4, LONG_MS);
@@ -84,9 +84,9 @@
     expectNoHarm(cell);
   });
 
-  // A worker gives a throttled task its whole share back by itself. Nothing else about it changes,
-  // so its owner would repeat the quiet renewal for as long, and callers wait beside the task.
-  it('throttles again what a worker has let go', () => {
+  // A worker releases a throttle by itself. Nothing else about the worker changes, so the owner
+  // would repeat its unchanged renewal, and callers would keep waiting beside the unthrottled task.
+  it('throttles a task again after its worker has released the throttle', () => {
     const cell = startCell(26);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
@@ -112,10 +112,10 @@
     expectNoHarm(cell);
   });
 
-  // The owner dies. What it had learnt is lost, what it had throttled is not: callers would feel
-  // all throttles go at each take-over. The next owner finds them in the workers' reports, keeps
-  // them until it knows the service, and releases them once the task no longer hurts.
-  it('keeps throttles over a change of owner and learns anew', () => {
+  // The owner dies, and its estimates are lost. The throttles must stay, because callers would feel
+  // all of them being released at each takeover. The next owner finds them in the workers' reports,
+  // keeps them until it knows the service, and releases them once the task no longer slows it.
+  it('keeps throttles when the owner changes and learns anew', () => {
     const cell = startCell(22);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
@@ -131,9 +131,9 @@
     expectNoHarm(cell);
   });
 
-  // A task that hurts ends and another kind takes its place at once. For some seconds samples
-  // still arrive that were measured beside the first. Learnt from, they would have the second
-  // throttled, although it never slowed the service.
+  // A harmful task ends and a task of another kind takes its place at once. For some seconds,
+  // samples still arrive that were measured beside the first task. Learning from them would
+  // throttle the second task, although it never slowed the service.
   it('does not attribute samples to a task that started after them', () => {
     const cell = startCell(23, { workerCount: 2 });
     startService(cell, 2);
@@ -163,7 +163,7 @@
     expectNoHarm(cell);
   });
 
-  it('places a kind that hurts apart from the service once that is known', () => {
+  it('places a harmful kind apart from the service once its effect is known', () => {
     const cell = startCell(24, { workerCount: 3 });
     startService(cell, 1);
     cell.runFor(3_000);
@@ -173,7 +173,7 @@
       worker.hasService('rounds'),
     ) ?? [''];
     expect(ofTeam(runningTasks(cell, servingWorkerId), 'cache')).toHaveLength(1);
-    // A second worker shows what the service takes alone.
+    // A second worker shows the latency of the service without batch work.
     startService(cell, 2);
     runWithSamples(cell, 120_000, cacheSlowsService);
     expect(processorSharesOf(cell, 'cache')).toEqual([]);
@@ -188,7 +188,7 @@
     expectNoHarm(cell);
   });
 
-  it('does nothing of all this when it is switched off', () => {
+  it('throttles nothing when interference control is disabled', () => {
     const timing = startCell(25).timing.interference;
     const cell = startCell(25, { timing: { interference: { ...timing, isEnabled: false } } });
     startService(cell, 4);
--- a/src/scheduler/test/interference/learning.test.ts
+++ b/src/scheduler/test/interference/learning.test.ts
@@ -26,9 +26,9 @@
   endedAtMs: startedAtMs + 2_000,
 });
 
-// A task is throttled or comes; samples of the time before still arrive for seconds. Learnt
-// from, they would judge the change by what was there without it.
-describe('a sample of latency', () => {
+// A task starts or is throttled, and samples from before that change still arrive for seconds.
+// Learning from them would attribute the old latency to the new state.
+describe('a latency sample', () => {
   const statusOf = (
     startedAtMs: number,
     reportedAtMs: number,
@@ -52,12 +52,12 @@
     expect(statusOf(CHANGED_AT_MS, usableAtMs + 10)).toBe(SampleStatus.Learnt);
   });
 
-  it('waits while it is unknown when the report in hand was made', () => {
+  it('waits while the time of the latest report is unknown', () => {
     const viewAwaitingReport = { ...viewReportedAt(110_000), isCommandInFlight: true };
     expect(statusOf(106_000, 110_000, viewAwaitingReport)).toBe(SampleStatus.Waiting);
   });
 
-  it('is dropped when its worker is unknown, and in the end when no report comes', () => {
+  it('is dropped when its worker is unknown or no report arrives in time', () => {
     const { startedAtMs, endedAtMs } = sampleFrom(106_000);
     expect(sampleStatus(sampleFrom(startedAtMs), undefined, CONTROL, POLICY, 110_000)).toBe(
       'stale',
--- a/src/scheduler/test/interference/serviceModel.test.ts
+++ b/src/scheduler/test/interference/serviceModel.test.ts
@@ -6,7 +6,7 @@
 const BASE_MS = 20;
 const SERVICE = 'rounds';
 
-/** What the service measures beside batch work that uses these shares without throttles. */
+/** An observation beside unthrottled batch work that uses these shares of the processors. */
 const observed = (latencyMs: number, used: Readonly<Record<string, number>>) => ({
   latencyMs,
   requestCount: 50,
@@ -20,7 +20,7 @@
   return byUse + byPresence;
 };
 
-/** Learns each observation once a second, in turn. */
+/** The estimates after `count` observations, one per second, repeating the list. */
 const estimatesAfter = (
   observations: readonly ReturnType<typeof observed>[],
   count: number,
@@ -37,8 +37,8 @@
     before,
   );
 
-describe('estimates of pairs', () => {
-  it('tell the kind that hurts from the one beside it', () => {
+describe('pair estimates', () => {
+  it('distinguish a harmful kind from the one beside it', () => {
     const estimates = estimatesAfter(
       [
         observed(BASE_MS, {}),
@@ -53,10 +53,10 @@
     expect(slowdown(estimates, 'quiet', 60_000)).toBeLessThan(0.2);
   });
 
-  // Two kinds run only together at first, so the slowdown is attributed to both. Once a worker
-  // shows one of them alone and nothing is slow there, it has to be attributed to the other: the
-  // first would be throttled for ever for what it does not do.
-  it('clear a kind that was attributed the slowdown of another', () => {
+  // Two kinds run only together at first, so the slowdown is attributed to both. Once a worker runs
+  // one of them alone without a slowdown, the slowdown must be attributed to the other. Otherwise
+  // the first kind would be throttled forever without cause.
+  it('clear a kind that was blamed for the slowdown of another', () => {
     const together = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.4, { cache: 0.2, quiet: 0.2 })],
       40,
@@ -67,7 +67,7 @@
     expect(slowdown(apart, 'cache', 50_000)).toBeGreaterThan(1.5);
   });
 
-  it('follow a pair that begins to hurt', () => {
+  it('detect a kind that begins to slow the service', () => {
     const before = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS, { shifting: 0.2 })],
       60,
@@ -82,9 +82,10 @@
     expect(slowdown(after, 'shifting', 90_000)).toBeGreaterThan(2);
   });
 
-  // A throttle takes only a part of the slowdown away. The samples under it have to tell what use
-  // does from what presence does, or throttling would be tried for ever on what it cannot help.
-  it('tell what throttling helps against from what it does not', () => {
+  // A throttle removes only a part of the slowdown. The samples taken under it must separate the
+  // effect of usage from that of presence. Otherwise throttling would be tried forever where it
+  // cannot help.
+  it('separate the slowdown that throttling removes from the rest', () => {
     const throttled = {
       latencyMs: BASE_MS * 1.36,
       requestCount: 50,
@@ -98,9 +99,9 @@
     expect(byPresence).toBeGreaterThan(2 * byUse);
   });
 
-  // One measurement is wrong by a factor of a hundred, as after a pause of the entry. Taken at
-  // its word it would have all batch work beside the service throttled.
-  it('give little on a wrong sample and nothing on an impossible one', () => {
+  // One measurement is wrong by a factor of a hundred, for example after a pause of the entry. If
+  // it counted fully, all batch work beside the service would be throttled.
+  it('limit the effect of an outlier and ignore an impossible sample', () => {
     const before = estimatesAfter([observed(BASE_MS, {}), observed(BASE_MS, { quiet: 0.3 })], 60);
     const wrong = before.withObservation(SERVICE, observed(100 * BASE_MS, { quiet: 0.3 }), 60_000);
     expect(0.3 * slowdown(wrong, 'quiet', 60_000)).toBeLessThan(0.5);
@@ -111,7 +112,7 @@
     );
   });
 
-  it('forget what nothing confirms', () => {
+  it('decay when no sample confirms them', () => {
     const estimates = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.4, { cache: 0.2 })],
       60,
@@ -121,9 +122,10 @@
     expect(later).toBeLessThan(0.55 * now);
   });
 
-  // A noisy kind is quiet between its waves. Placed then, beside a service, it would hurt it in
-  // the next wave, so the worst of late is remembered beside the present value.
-  it('remember the worst of a kind that comes in waves', () => {
+  // A kind with a varying load is quiet between its waves. Placed beside a service then, it would
+  // slow the service in the next wave. The model therefore keeps the highest recent value beside
+  // the current one.
+  it('remember the highest slowdown of a kind whose load comes in waves', () => {
     const wave = estimatesAfter(
       [observed(BASE_MS, {}), observed(BASE_MS * 1.6, { noisy: 0.2 })],
       40,
--- a/src/scheduler/test/interference/workerControl.test.ts
+++ b/src/scheduler/test/interference/workerControl.test.ts
@@ -38,7 +38,10 @@
   endedAtMs: nowMs,
 });
 
-/** Knows that a whole worker of `cache` would add `pressure` latencies; `quiet` adds none. */
+/**
+ * A state that has learnt that a worker full of `cache` adds `pressure` times the base latency and
+ * that `quiet` adds none.
+ */
 const stateWithPressure = (pressure: number): InterferenceState => {
   let state = initialInterference(POLICY, 0);
   for (let nowMs = 0; nowMs < 60 * SECOND_MS; nowMs += SECOND_MS) {
@@ -60,7 +63,7 @@
 ) => controlStep(interference, control, load, POLICY, true, true, nowMs);
 
 describe('a worker where batch work slows a service', () => {
-  it('throttles what hurts and leaves the rest alone', () => {
+  it('throttles only the harmful task', () => {
     const load = loadOf(task('a', 'quiet'), task('b', 'cache'));
     const control = observedControl(undefined, load, KNOWN_AT_MS);
     const { control: after, evictedKey } = step(stateWithPressure(3), control, load, KNOWN_AT_MS);
@@ -70,9 +73,10 @@
     expect(after.shares.get('b')).toBeGreaterThanOrEqual(POLICY.minimumProcessorShare);
   });
 
-  // Throttling cannot help enough. The task is throttled first; only when that has been in vain
-  // for the set time is one evicted, and no second one before the first step has settled.
-  it('evicts only after throttling has been in vain', () => {
+  // Throttling is not enough. The tasks are throttled first. One of them is evicted only after
+  // throttling has been insufficient for the configured time, and no second one before the first
+  // action has settled.
+  it('evicts a task only after throttling has been insufficient', () => {
     const interference = stateWithPressure(30);
     const load = loadOf(task('a', 'cache'), task('b', 'cache'));
     let control = observedControl(undefined, load, KNOWN_AT_MS);
@@ -87,17 +91,17 @@
     expect(evictedAtMs[0]).toBeGreaterThanOrEqual(KNOWN_AT_MS + POLICY.evictAfterMs);
   });
 
-  it('evicts the one that loses the least of those that suffice', () => {
+  it('evicts the task that loses the least work among those that suffice', () => {
     const interference = stateWithPressure(8);
     const load = loadOf(
-      task('dear', 'cache', { unsavedWorkMs: 50_000 }),
+      task('expensive', 'cache', { unsavedWorkMs: 50_000 }),
       task('cheap', 'cache', { unsavedWorkMs: 2_000 }),
-      task('innocent', 'quiet', { unsavedWorkMs: 0 }),
+      task('harmless', 'quiet', { unsavedWorkMs: 0 }),
     );
     const shares = new Map([
-      ['dear', 0.25],
+      ['expensive', 0.25],
       ['cheap', 0.25],
-      ['innocent', 1],
+      ['harmless', 1],
     ]);
     const control = {
       ...observedControl(undefined, load, 0),
@@ -107,7 +111,7 @@
     expect(step(interference, control, load, KNOWN_AT_MS).evictedKey).toBe('cheap');
   });
 
-  it('evicts nothing while as many as allowed are under way', () => {
+  it('evicts nothing while the maximum number of evictions is pending', () => {
     const interference = stateWithPressure(30);
     const load = loadOf(task('a', 'cache'));
     const control = {
@@ -119,11 +123,11 @@
     expect(next.evictedKey).toBeUndefined();
   });
 
-  // Latency is known seconds late. A control that answered each late sample would throttle until
-  // the first good one came, release until the first bad one came, and so on for ever. Here the
-  // truth stays the same for five minutes, samples lag by five seconds and carry noise, and only
-  // those that began after the last change are learnt from.
-  it('does not swing although what it measures lags', () => {
+  // Latencies arrive seconds late. A controller that reacted to each late sample would throttle
+  // until the first good sample arrived, release until the first bad one arrived, and so on. In
+  // this test, the effect of the task stays the same for five minutes, samples arrive five seconds
+  // late with noise, and only those that began after the last change are learnt from.
+  it('does not oscillate although samples arrive late', () => {
     const LAG_MS = 5 * SECOND_MS;
     const latencyMsAt = (share: number): number => BASE_MS * (1 + 0.1 * 10 * (0.2 + 0.8 * share));
     let interference = initialInterference(POLICY, 0);
@@ -162,7 +166,7 @@
     expect(raises.length).toBeLessThanOrEqual(2);
   });
 
-  it('waits between two steps until the first can have shown', () => {
+  it('waits after an action until samples can show its effect', () => {
     const interference = stateWithPressure(3);
     const load = loadOf(task('a', 'cache'));
     const control = { ...observedControl(undefined, load, 0), actedAtMs: KNOWN_AT_MS - 1_000 };
@@ -173,9 +177,9 @@
     expect(late.shares.get('a')).toBeLessThan(1);
   });
 
-  // Between the two limits nothing moves, so that a slowdown that hovers round one of them does
-  // not throttle and release by turns.
-  it('releases only what stays well within what is tolerated', () => {
+  // Between the two limits nothing changes, so that a slowdown near one of them does not cause
+  // alternate throttling and releasing.
+  it('releases a throttle only if the slowdown stays below the release limit', () => {
     const load = loadOf(task('a', 'cache', { processorShare: 0.5 }));
     const control = observedControl(undefined, load, 0);
     const betweenLimits = step(stateWithPressure(1.5), control, load, KNOWN_AT_MS).control;
--- a/src/scheduler/test/learntSizes.test.ts
+++ b/src/scheduler/test/learntSizes.test.ts
@@ -31,9 +31,9 @@
   );
 
 describe('a cell whose jobs declare wrong sizes', () => {
-  // Tasks declare twice the processors that they use. Sixteen of them fill a worker in the ledger,
-  // half of which idles while others of the kind wait.
-  it('runs more of them at a time than were declared to fit', () => {
+  // Tasks declare twice the processors that they use. Sixteen of them fill a worker according to
+  // the ledger, and half of the worker stays idle while other tasks of the kind are queued.
+  it('runs more tasks at a time than their declared sizes allow', () => {
     const cell = startCell(601);
     setUsage(cell, { ...SIZE, processorMillis: 1_000 });
     for (let job = 0; job < 12; job += 1) submit(cell, shard(25, 25_000, `kitchen.job${job}`));
@@ -46,9 +46,9 @@
     expectNoHarm(cell);
   });
 
-  // Tasks use half as much again as they declare. Sixteen fit a worker by what they declare, ten
-  // by what they use; the rest only slows all of them, and the services beside them, down.
-  it('puts no more of them on a worker than it can run', () => {
+  // Tasks use one and a half times the processors that they declare. Sixteen fit a worker by
+  // declared size and ten by usage. More than ten slow each other and the services beside them.
+  it('places no more tasks on a worker than it can run', () => {
     const cell = startCell(602);
     setUsage(cell, { ...SIZE, processorMillis: 3_000 });
     for (let job = 0; job < 12; job += 1) submit(cell, shard(25, 20_000, `kitchen.job${job}`));
@@ -62,9 +62,9 @@
   });
 
   // Tasks grow to ten times the memory that they declare. A worker would kill some of them, and
-  // what they have done since their checkpoints would be lost. Some leave in time, with a
-  // checkpoint, and no more of the kind come than there is memory for.
-  it('has tasks leave a worker before its memory runs out', () => {
+  // they would lose their work since the last checkpoint. Instead, some are evicted in time with a
+  // checkpoint, and no more tasks of the kind are placed than the memory allows.
+  it('evicts tasks from a worker before its memory runs out', () => {
     const cell = startCell(603);
     submit(cell, shard(40, 90_000));
     cell.runFor(20_000);
@@ -80,9 +80,9 @@
     expectNoHarm(cell);
   });
 
-  // The owner that has learnt dies. The next one knows nothing, finds tasks committed at learnt
-  // sizes and must commit no worker beyond its capacity on top of them.
-  it('is taken over by an owner that learns anew', () => {
+  // The owner dies with its learnt sizes. The next owner knows none, finds tasks committed at
+  // learnt sizes, and must not commit any worker beyond its capacity when it adds tasks.
+  it('completes its work after a takeover by an owner that learns anew', () => {
     const cell = startCell(604);
     setUsage(cell, { ...SIZE, processorMillis: 1_000 });
     for (let job = 0; job < 12; job += 1) submit(cell, shard(25, 25_000, `kitchen.job${job}`));
@@ -94,7 +94,7 @@
     expectNoHarm(cell);
   });
 
-  it('goes by the declared sizes when the policy says so', () => {
+  it('uses the declared sizes when the policy disables learning', () => {
     const cell = startCell(605);
     cell.writeRow(POLICY_KEY, { ...DEFAULT_POLICY, isSizeLearnt: false });
     setUsage(cell, { ...SIZE, processorMillis: 1_000 });
@@ -129,8 +129,9 @@
     processorMillis,
   });
 
-  // Reports lag: what a task used in its first seconds, or before, says nothing of its size.
-  it('does not go by tasks that have just started', () => {
+  // Reports lag: the first reports of a task cover its start or an earlier time and do not show its
+  // size.
+  it('ignores tasks that have just started', () => {
     const samples = Array.from({ length: 50 }, (_, index) =>
       sample(index, { usage: withProcessorMillis(10) }),
     );
@@ -138,7 +139,7 @@
     expect(learnt.size('kind', false, SIZE)).toEqual(SIZE);
   });
 
-  it('has a margin, of memory a larger one, and keeps accelerators', () => {
+  it('has a margin, a larger one for memory, and keeps accelerators as declared', () => {
     const usage = { processorMillis: 1_000, memoryBytes: 1.4 * GIBIBYTE, acceleratorCount: 0 };
     const declared = { ...SIZE, acceleratorCount: 2 };
     const sizes = sizesAfter({ usage: { ...usage, memoryBytes: Math.round(usage.memoryBytes) } });
@@ -148,25 +149,27 @@
     expect(learnt.acceleratorCount).toBe(2);
   });
 
-  // A service uses little in a quiet hour. Were its room given away, it would be missing later.
-  it('of a service only grows', () => {
+  // A service uses little in a quiet hour. If its capacity were given to other tasks, it would be
+  // missing later.
+  it('only grows for a service', () => {
     const low = sizesAfter({ usage: withProcessorMillis(200), isService: true });
     expect(low.size('kind', true, SIZE)).toEqual(SIZE);
     const high = sizesAfter({ usage: withProcessorMillis(3_000), isService: true });
     expect(high.size('kind', true, SIZE).processorMillis).toBe(3_000);
   });
 
-  // A task that was given a learnt size uses all of it: the worker may have held it there, so
-  // what it would use is not known, and the size must not stay small for ever.
-  it('grows when tasks use all that they were given', () => {
+  // A task with a learnt size uses all of it. The worker may have held the task back, so its real
+  // usage is unknown, and the learnt size must not stay too small forever.
+  it('grows when tasks use all of their committed processors', () => {
     const committed = withProcessorMillis(1_000);
     const learnt = sizesAfter({ committed, usage: committed });
     expect(learnt.size('kind', false, SIZE).processorMillis).toBeGreaterThan(1_500);
   });
 
-  // A throttle holds a task far below what it would use. Taken for one that uses all that it was
-  // given, its kind would be committed larger each time, and others wait beside idle processors.
-  it('does not go by throttled tasks until they have run without the throttle for a while', () => {
+  // A throttle holds a task far below what it would use. If the task counted as using all of its
+  // size, its kind would be committed at larger sizes each time, and other tasks would wait beside
+  // idle processors.
+  it('ignores throttled tasks until they have run unthrottled for a while', () => {
     const committed = withProcessorMillis(1_000);
     const throttled = sizesAfter({ committed, usage: committed, isThrottled: true });
     expect(throttled.size('kind', false, SIZE)).toEqual(SIZE);
@@ -179,7 +182,7 @@
     expect(released.size('kind', false, SIZE)).toEqual(known.size('kind', false, SIZE));
   });
 
-  it('is forgotten when the kind is not seen, and bounded in number', () => {
+  it('is forgotten when its kind is no longer seen, and the number of kinds is bounded', () => {
     const learnt = sizesAfter({ usage: withProcessorMillis(1_000) });
     expect(learnt.withSamples([], 60_000).size('kind', false, SIZE)).not.toEqual(SIZE);
     expect(learnt.withSamples([], 2_000_000).size('kind', false, SIZE)).toEqual(SIZE);
--- a/src/scheduler/test/preemption.test.ts
+++ b/src/scheduler/test/preemption.test.ts
@@ -38,10 +38,11 @@
   sameServiceInRackCount: 0,
 };
 
-describe('room for urgent work', () => {
-  // Three equal tasks fill a worker and an urgent one needs the place of one. Two have just
-  // begun or saved their work, one would lose a minute: that one must not be chosen.
-  it('is made by the task that loses the least', () => {
+describe('preemption for urgent work', () => {
+  // Three equal tasks fill a worker, and an urgent task needs the place of one of them. Two would
+  // lose 20 s and half a second of work, the third a minute. The one that loses the least must be
+  // chosen.
+  it('evicts the task that loses the least work', () => {
     const lostWorkMs = [60_000, 500, 20_000];
     const plan = new PreemptionPlan(
       [FULL],
--- a/src/scheduler/test/quotas.test.ts
+++ b/src/scheduler/test/quotas.test.ts
@@ -32,14 +32,14 @@
   shardId: `kitchen.${job}~${zone}`,
 });
 
-/** What the team's tasks hold in all cells together. */
+/** Resources that the team's tasks hold in all cells together. */
 const usedOf = (cell: VirtualCell): Resources =>
   workRowsOf(cell, 'work/')
     .filter(({ team }) => team === 'kitchen')
     .flatMap((row) => row.tasks.filter(({ state }) => state === 'assigned').map(() => row.size))
     .reduce(addResources, { processorMillis: 0, memoryBytes: 0, acceleratorCount: 0 });
 
-/** Runs on, and looks ten times a second whether the cells exceed the quota together. */
+/** Runs the cells and checks ten times per second that together they do not exceed the quota. */
 const runAndCheckQuota = (cell: VirtualCell, durationMs: number, limit = LIMIT): void => {
   const endMs = cell.nowMs + durationMs;
   while (cell.nowMs < endMs) {
@@ -49,11 +49,11 @@
   }
 };
 
-describe('a quota that cells share', () => {
-  // Other teams' callers would find no room. The safeguard that holds a team's tasks back is taken
-  // away; each cell then assigns all of them. The invariant sees more than the cell's part assigned
-  // and has the round worked out without starts, so the quota holds and the tasks wait.
-  it('is kept by the invariant when the safeguard is broken', () => {
+describe('a quota shared by cells', () => {
+  // The check that holds a team's tasks back is disabled, so each cell tries to assign all of them
+  // and would take the capacity of other teams. The invariant detects that more than the cell's
+  // part is assigned and repeats the round without starts. The quota holds, and the tasks wait.
+  it('is enforced by the invariant when the scheduling check is broken', () => {
     const cell = startCells(304, ZONES);
     setQuota(cell);
     cell.runFor(3_000);
@@ -66,9 +66,10 @@
     expect(workRowsOf(cell, 'work/')).toEqual([]);
   });
 
-  // A task is larger than its zone's third of the quota, though not than the quota. It used to
-  // wait for ever. The other cells have tasks of the team: it starts once these have ended.
-  it.each([301, 302, 303])('lets a task start that is larger than a part, seed %i', (seed) => {
+  // A task is larger than its zone's third of the quota but not than the whole quota. Such a task
+  // used to wait forever. The other cells run tasks of the team, and the large task starts once
+  // these have ended.
+  it.each([301, 302, 303])("lets a task larger than its cell's part start, seed %i", (seed) => {
     const cell = startCells(seed, ZONES);
     setQuota(cell);
     cell.runFor(3_000);
@@ -82,9 +83,9 @@
     expectNoHarm(cell);
   });
 
-  // Two cells have such tasks at a time. Each waits for what the other keeps, unless one of them
-  // goes first.
-  it('lets tasks start in turn that are larger than a part in two cells', () => {
+  // Several cells have large tasks at the same time. Each would wait for what the others keep,
+  // unless one of them goes first.
+  it('lets large tasks of several cells start in turn', () => {
     const cell = startCells(304, ZONES);
     setQuota(cell);
     cell.runFor(3_000);
@@ -93,7 +94,7 @@
     runAndCheckQuota(cell, 60_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expect(cell.judge.verdict().completedBatchCount).toBe(26);
-    // What was lent goes back: no cell asks, cedes or holds too much any more.
+    // All ceded amounts are returned: no cell asks, cedes or holds too much anymore.
     ZONES.forEach((zone) => {
       const [row] = cell.table.read({ keys: [exchangeKey(zone)], prefixes: [] }).rows;
       expect(row?.value).toMatchObject({ quota: { asks: {}, ceded: {}, held: {} } });
@@ -101,9 +102,9 @@
     expectNoHarm(cell);
   });
 
-  // No worker has room for the large task: all are full of another team's long tasks. The team's
-  // small tasks in other cells must not wait for it all that time.
-  it('is not kept from small tasks by a large one that finds no worker', () => {
+  // No worker has room for the large task, because another team's long tasks fill them all. The
+  // team's small tasks in other cells must not wait for the large task all that time.
+  it('does not block small tasks because of a large one that finds no worker', () => {
     const cell = startCells(305, ZONES);
     setQuota(cell);
     submit(cell, { ...shardIn('zone-a', 'full', 36, 200_000), team: 'drivers' }, 'zone-a');
@@ -118,8 +119,8 @@
     expectNoHarm(cell);
   });
 
-  // A zone is out and the others use the whole quota between them. The zone returns and has a
-  // part again while the others' tasks still run: it has to wait for these.
+  // A zone is withdrawn, and the other zones use the whole quota. When the zone returns, it has a
+  // part again, but it must wait until enough of the others' tasks have ended.
   it('is not exceeded when a zone returns', () => {
     const cell = startCells(306, ZONES);
     setQuota(cell);
@@ -135,8 +136,9 @@
     expectNoHarm(cell);
   });
 
-  // A zone is withdrawn while checkpoints cannot be written, so its tasks run on. The others'
-  // parts grow at once, and with them the team would hold more than its quota.
+  // A zone is withdrawn while checkpoints cannot be written, so its tasks continue to run. The
+  // parts of the other zones grow at once; if they were used at once, the team would exceed its
+  // quota.
   it('is not exceeded while a withdrawn zone still runs tasks', () => {
     const cell = startCells(307, ZONES);
     setQuota(cell);
@@ -152,8 +154,8 @@
     expectNoHarm(cell);
   });
 
-  // A job is cancelled while checkpoints cannot be written: its tasks run on, and hold the quota
-  // that the team's next job would take. They were not counted any more.
+  // A job is cancelled while checkpoints cannot be written, so its tasks continue to run and hold
+  // quota that the team's next job would use. A former version no longer counted these tasks.
   it('counts the tasks of a cancelled job until they have ended', () => {
     const cell = startCells(308, ZONES);
     setQuota(cell);
@@ -168,34 +170,39 @@
     expectNoHarm(cell);
   });
 
-  // Small and large tasks in all cells, zones that leave and return at any moment, answers that
-  // are lost and owners that pause. Never too much together, and in the end everything has run.
-  it.each([311, 312, 313, 314, 315, 316, 317, 318])('holds whatever happens, seed %i', (seed) => {
-    const cell = startCells(seed, ZONES);
-    const random = new SeededRandom(seed);
-    setQuota(cell);
-    cell.lostAnswerRatio = 0.05;
-    cell.runFor(4_000);
-    let taskCount = 0;
-    for (let step = 0; step < 40; step += 1) {
-      const zone = ZONES[random.nextIndex(ZONES.length)] as string;
-      const isLarge = random.nextIndex(4) === 0;
-      const count = isLarge ? 1 : 1 + random.nextIndex(6);
-      const size = isLarge ? LARGE : SIZE;
-      submit(cell, shardIn(zone, `job${step}`, count, 500 + random.nextIndex(4_000), size), zone);
-      taskCount += count;
-      const isWithdrawn = random.nextIndex(3) === 0;
-      if (random.nextIndex(4) === 0) setZone(cell, isWithdrawn ? 'withdrawn' : 'in-use', 'zone-c');
-      const owner = cell.owner(zone);
-      const isPaused = owner !== undefined && random.nextIndex(6) === 0;
-      if (isPaused) owner.isPaused = true;
-      runAndCheckQuota(cell, 500 + random.nextIndex(2_500));
-      if (isPaused) cell.resume(owner);
-    }
-    setZone(cell, 'in-use', 'zone-c');
-    runAndCheckQuota(cell, 200_000);
-    expect(workRowsOf(cell, 'work/')).toEqual([]);
-    expect(cell.judge.verdict().completedBatchCount).toBe(taskCount);
-    expectNoHarm(cell);
-  });
+  // Small and large tasks run in all cells while a zone leaves and returns at random, answers are
+  // lost and owners pause. The cells never exceed the quota together, and all tasks complete in the
+  // end.
+  it.each([311, 312, 313, 314, 315, 316, 317, 318])(
+    'is not exceeded under random withdrawals, lost answers and pauses, seed %i',
+    (seed) => {
+      const cell = startCells(seed, ZONES);
+      const random = new SeededRandom(seed);
+      setQuota(cell);
+      cell.lostAnswerRatio = 0.05;
+      cell.runFor(4_000);
+      let taskCount = 0;
+      for (let step = 0; step < 40; step += 1) {
+        const zone = ZONES[random.nextIndex(ZONES.length)] as string;
+        const isLarge = random.nextIndex(4) === 0;
+        const count = isLarge ? 1 : 1 + random.nextIndex(6);
+        const size = isLarge ? LARGE : SIZE;
+        submit(cell, shardIn(zone, `job${step}`, count, 500 + random.nextIndex(4_000), size), zone);
+        taskCount += count;
+        const isWithdrawn = random.nextIndex(3) === 0;
+        if (random.nextIndex(4) === 0)
+          setZone(cell, isWithdrawn ? 'withdrawn' : 'in-use', 'zone-c');
+        const owner = cell.owner(zone);
+        const isPaused = owner !== undefined && random.nextIndex(6) === 0;
+        if (isPaused) owner.isPaused = true;
+        runAndCheckQuota(cell, 500 + random.nextIndex(2_500));
+        if (isPaused) cell.resume(owner);
+      }
+      setZone(cell, 'in-use', 'zone-c');
+      runAndCheckQuota(cell, 200_000);
+      expect(workRowsOf(cell, 'work/')).toEqual([]);
+      expect(cell.judge.verdict().completedBatchCount).toBe(taskCount);
+      expectNoHarm(cell);
+    },
+  );
 });
