--- a/src/scheduler/common/interference/serviceModel.ts
+++ b/src/scheduler/common/interference/serviceModel.ts
@@ -157,9 +157,9 @@
 const withPeaks = (state: ModelState): ModelState => {
   const peaks = new Map(state.peaks);
   state.kinds.forEach((kind, index) => {
-    const coefficient = coefficientIndexOf(index);
-    const mean = (state.means[coefficient] ?? 0) + (state.means[coefficient + 1] ?? 0);
-    const lowerBound = mean - PEAK_DEVIATIONS * sumDeviation(state, coefficient);
+    const usageIndex = coefficientIndexOf(index);
+    const mean = (state.means[usageIndex] ?? 0) + (state.means[usageIndex + 1] ?? 0);
+    const lowerBound = mean - PEAK_DEVIATIONS * sumDeviation(state, usageIndex);
     if (lowerBound > (peaks.get(kind) ?? 0)) peaks.set(kind, lowerBound);
   });
   return { ...state, peaks };
@@ -192,16 +192,16 @@
    * harmless kinds are not throttled by chance.
    */
   pressure(kind: string, doubtDeviations: number, nowMs: number): Pressure {
-    const coefficient = coefficientIndexOf(this.#state.kinds.indexOf(kind));
-    if (coefficient < 0) return NO_PRESSURE;
+    const usageIndex = coefficientIndexOf(this.#state.kinds.indexOf(kind));
+    if (usageIndex < 0) return NO_PRESSURE;
     const { means } = this.#state;
-    const mean = (means[coefficient] ?? 0) + (means[coefficient + 1] ?? 0);
+    const mean = (means[usageIndex] ?? 0) + (means[usageIndex + 1] ?? 0);
     if (mean <= 0) return NO_PRESSURE;
-    const lowerBound = Math.max(0, mean - doubtDeviations * sumDeviation(this.#state, coefficient));
+    const lowerBound = Math.max(0, mean - doubtDeviations * sumDeviation(this.#state, usageIndex));
     const factor = ((lowerBound / mean) * this.#decay(nowMs)) / this.baseLatencyMs;
     return {
-      byUse: (means[coefficient] ?? 0) * factor,
-      byPresence: (means[coefficient + 1] ?? 0) * factor,
+      byUse: (means[usageIndex] ?? 0) * factor,
+      byPresence: (means[usageIndex + 1] ?? 0) * factor,
     };
   }
 
--- a/src/scheduler/common/interference/workerLoad.ts
+++ b/src/scheduler/common/interference/workerLoad.ts
@@ -85,9 +85,8 @@
 export const workerLoad = (rows: CellRows, view: WorkerView): WorkerLoad => {
   const assignments = assignmentsOf(rows, view.instance.id);
   const report = view.report?.tasks ?? NO_TASKS;
-  const cached = loadCache.get(assignments);
-  if (cached !== undefined && cached.report === report && assignments.length > 0)
-    return cached.load;
+  const entry = loadCache.get(assignments);
+  if (entry !== undefined && entry.report === report && assignments.length > 0) return entry.load;
   const load = loadOf(rows, view, assignments);
   loadCache.set(assignments, { report, load });
   return load;
--- a/src/scheduler/common/lateFinishes.ts
+++ b/src/scheduler/common/lateFinishes.ts
@@ -1,4 +1,4 @@
-/** Records tasks whose worker finished them after the scheduler had given up the attempt. */
+/** Records finishes that a worker reports after the scheduler has given up the attempt. */
 import { TaskClass, WorkerTaskState } from '../../services/worker/common/workerClient.js';
 import {
   type Assignment,
--- a/src/scheduler/common/placement.ts
+++ b/src/scheduler/common/placement.ts
@@ -63,8 +63,7 @@
  */
 const SLOWDOWN_PENALTY = 20;
 /**
- * Keeps work that can run anywhere off workers that suit all kinds, so that other work finds a
- * place.
+ * Keeps work that can run anywhere off workers that suit all kinds, which stay free for other work.
  */
 const COMPATIBLE_WORK_PENALTY = 4;
 
--- a/src/scheduler/common/preemption.ts
+++ b/src/scheduler/common/preemption.ts
@@ -1,6 +1,4 @@
-/**
- * Makes room for urgent work on full workers by evicting as little less urgent work as possible.
- */
+/** Makes room for urgent work on full workers by evicting as few less urgent tasks as possible. */
 import { Urgency, URGENCY_ORDER } from '../../services/configuration/common/documents.js';
 import {
   addResources,
--- a/src/scheduler/common/taskEnds.ts
+++ b/src/scheduler/common/taskEnds.ts
@@ -169,11 +169,12 @@
 const reportsWithoutEnds = new WeakMap<readonly Assignment[], WorkerView['tasks']>();
 
 /**
- * Whether a worker's assignments were already checked against the same report. The passing of time
- * alone ends no assignment while the worker is in contact. About twelve of a cell's 123 workers
- * report between two rounds, and only these are checked.
+ * Whether none of the worker's assignments has ended. The result is kept for the same assignments
+ * and the same report, because the passing of time alone ends no assignment while the worker is in
+ * contact. About twelve of a cell's 123 workers report between two rounds, and only these are
+ * checked.
  */
-const isUnchanged = (
+const hasNoEnd = (
   state: CellState,
   workerId: string,
   assignments: readonly Assignment[],
@@ -202,7 +203,7 @@
 ): readonly RecordedEnd[] => {
   const workerIdsToCheck = new Set(
     [...rows.assignmentsByWorker]
-      .filter(([workerId, assignments]) => !isUnchanged(state, workerId, assignments, nowMs))
+      .filter(([workerId, assignments]) => !hasNoEnd(state, workerId, assignments, nowMs))
       .map(([workerId]) => workerId),
   );
   if (workerIdsToCheck.size === 0) return [];
--- a/src/scheduler/common/unfitWork.ts
+++ b/src/scheduler/common/unfitWork.ts
@@ -1,4 +1,4 @@
-/** Hands on, or refuses, work that is larger than any worker of the cell. */
+/** Moves work that is larger than any worker of the cell to another zone, or refuses it. */
 import { zonesInUse } from '../../services/configuration/common/configurationView.js';
 import { fitsInto, type Resources } from '../../services/worker/common/resources.js';
 import {
@@ -11,8 +11,8 @@
 import type { CellState } from './cellState.js';
 
 /**
- * How long work must have been larger than any worker before it is handed on. On an ordinary day
- * 110 workers are replaced, and one that restarts leaves the instance list for well under this
+ * How long work must have been larger than any worker before it is moved or refused. On an ordinary
+ * day 110 workers are replaced, and one that restarts leaves the instance list for well under this
  * time.
  */
 const GRACE_MS = 60_000;
--- a/src/scheduler/common/workerHealth.ts
+++ b/src/scheduler/common/workerHealth.ts
@@ -70,9 +70,9 @@
 /**
  * Tracks failures of workers and jobs. Designed for a worker with a broken disk or network in a
  * cell of a hundred: it is always free, so packing sends it one task after another, and each of
- * them uses up an attempt. One faulty job that fails on many workers must not quarantine these: a
- * job that has failed on three workers no longer counts against any worker. The records are kept in
- * memory only; a new owner learns them again within three failures per worker.
+ * them uses up an attempt. One faulty job that fails on many workers must not quarantine these
+ * workers: a job that has failed on three workers no longer counts against any of them. The records
+ * are kept in memory only; a new owner learns them again within three failures per worker.
  *
  * The failure streaks form a separate circuit breaker that reacts within seconds. Failures of jobs
  * from two submissions trip it, and the success of one task that was started afterwards closes it.
--- a/src/scheduler/test/learntSizes.test.ts
+++ b/src/scheduler/test/learntSizes.test.ts
@@ -13,7 +13,7 @@
 
 const setUsage = (cell: VirtualCell, usage: Resources): void =>
   cell.workers.forEach((worker) => {
-    // The record is the harness's own.
+    // The worker record belongs to the test harness.
     // eslint-disable-next-line no-param-reassign
     worker.usageOf = () => usage;
   });
