--- a/src/scheduler/common/assigning.ts
+++ b/src/scheduler/common/assigning.ts
@@ -18,13 +18,13 @@
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
 import { FreeCapacity } from './freeCapacity.js';
-import { PlacementOutlook } from './interference/placementOutlook.js';
+import { SlowdownPredictor } from './interference/slowdownPredictor.js';
 import type { PlacementCandidate, PlacementPolicy } from './placement.js';
 import { PreemptionPlan } from './preemption.js';
 import { batchSize, serviceSize } from './usageLearning.js';
-import { orderedShards, type TeamUse } from './queueOrder.js';
+import { orderedShards, type TeamUsage } from './queueOrder.js';
 import type { QuotaParts } from './quotaParts.js';
-import { allShards, teamUseOf } from './quotaRound.js';
+import { allShards, teamUsageOf } from './quotaRound.js';
 import { attemptKey } from './workerView.js';
 
 /** What evicting each task would lose, as far as workers tell it, by attempt. */
@@ -52,7 +52,7 @@
 
   readonly #rows: CellRows;
 
-  readonly outlook: PlacementOutlook;
+  readonly slowdownPredictor: SlowdownPredictor;
 
   #capacity: FreeCapacity | undefined;
 
@@ -77,7 +77,7 @@
     this.policy = policy;
     this.operationId = operationId;
     this.nowMs = nowMs;
-    this.outlook = new PlacementOutlook(state, rows, nowMs);
+    this.slowdownPredictor = new SlowdownPredictor(state, rows, nowMs);
   }
 
   get capacity(): FreeCapacity {
@@ -112,8 +112,8 @@
 
   assign(rack: string, assignment: Assignment): void {
     this.draft.setAssignments(rack, [...this.draft.assignments(rack), assignment]);
-    this.capacity.take(assignment.workerId, assignment.size);
-    this.outlook.take(assignment);
+    this.capacity.reserve(assignment.workerId, assignment.size);
+    this.slowdownPredictor.addAssignment(assignment);
   }
 }
 
@@ -176,8 +176,11 @@
     const request = { size, isSpread: true };
     // What no zone serves is missing to callers; the rest others keep until it is served here.
     const canWait = replicas.length + elsewhereCount >= service.replicaCount;
-    const near = round.capacity.candidatesNear(replicas, canWait);
-    const chosen = round.policy.choose(request, round.outlook.forService(service.name, near));
+    const near = round.capacity.candidatesWithReplicaCounts(replicas, canWait);
+    const chosen = round.policy.choose(
+      request,
+      round.slowdownPredictor.forService(service.name, near),
+    );
     if (chosen === undefined) {
       for (let count = replicas.length; count < wanted; count += 1) round.makeRoom(size);
       return assignedCount;
@@ -195,7 +198,7 @@
 const isBackedOff = (round: AssigningRound, row: WorkRow, task: BatchTask): boolean =>
   round.nowMs < (round.state.retryAtMs.get(batchTaskId(row.jobId, task.index)) ?? 0);
 
-const assignShard = (round: AssigningRound, use: TeamUse, row: WorkRow): number => {
+const assignShard = (round: AssigningRound, use: TeamUsage, row: WorkRow): number => {
   const size = batchSize(round.state, row);
   const request = { size, isSpread: false };
   const failedOn = round.state.workerHealth.failedOn(row.shardId);
@@ -210,8 +213,13 @@
       return task;
     }
     const isUrgent = row.urgency === Urgency.Urgent;
-    const all = round.capacity.candidatesApartFrom(failedOn, request, !isUrgent);
-    const candidates = round.outlook.forBatch(row.team, size.processorMillis, all, isUrgent);
+    const all = round.capacity.candidatesAvoiding(failedOn, request, !isUrgent);
+    const candidates = round.slowdownPredictor.forBatch(
+      row.team,
+      size.processorMillis,
+      all,
+      isUrgent,
+    );
     const chosen = round.policy.choose(request, candidates);
     if (chosen === undefined) {
       // Work of another kind may have a place where this one is kept away from a service.
@@ -222,7 +230,7 @@
       return task;
     }
     round.assign(chosen.rack, batchAssignment(row, task, size, chosen));
-    use.take(row.team, row.size);
+    use.add(row.team, row.size);
     assignedCount += 1;
     return { ...task, state: BatchTaskState.Assigned };
   });
@@ -239,7 +247,7 @@
     (row) => hasQueued(row) && !draft.cancelledJobIds.has(row.jobId),
   );
   if (queued.length === 0) return 0;
-  const use = teamUseOf(state, draft, parts);
+  const use = teamUsageOf(state, draft, parts);
   return orderedShards(queued, use).reduce(
     (count, row) => (round.isFull ? count : count + assignShard(round, use, row)),
     0,
--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -33,7 +33,7 @@
 import { needsFence } from './fence.js';
 import { NO_HAND_ON } from './handOn.js';
 import { LearntSizes } from './learntSizes.js';
-import { initialInterference, withSamples } from './interference/interferenceState.js';
+import { initialInterference, withPendingSamples } from './interference/interferenceState.js';
 import { unrecordedFinishes } from './lateFinishes.js';
 import { mayAssign } from './round.js';
 import { withAllStale, withNewRows, withRowsInDoubt } from './staleness.js';
@@ -120,7 +120,7 @@
     nextRoundAtMs: nowMs,
     preempted: new Set<string>(),
     interference: initialInterference(after.timing.interference, nowMs),
-    unfitSinceMs: new Map<string, number>(),
+    oversizedSinceMs: new Map<string, number>(),
     workerHealth: new WorkerHealth(),
     retryAtMs: new Map<string, number>(),
     handOn: NO_HAND_ON,
@@ -272,7 +272,7 @@
     case 'latency-measured': {
       if (!state.lease.isOwner) return unchanged(state);
       const own = event.samples.filter(({ workerId }) => state.workers.has(workerId));
-      return unchanged({ ...state, interference: withSamples(state.interference, own) });
+      return unchanged({ ...state, interference: withPendingSamples(state.interference, own) });
     }
     case 'lease-read':
       return withLeaseRead(state, event.result, event.sentAtMs, nowMs);
--- a/src/scheduler/common/cellScheduler.ts
+++ b/src/scheduler/common/cellScheduler.ts
@@ -23,7 +23,7 @@
 import { brokenByRound, brokenByStarts, ledgerChange } from './invariants.js';
 import type { PlacementPolicy } from './placement.js';
 import { hasSettled, mayAssign, planRound, type Round } from './round.js';
-import { unfitSince } from './unfitWork.js';
+import { oversizedSince } from './oversizedWork.js';
 import { learnFromUsage } from './usageLearning.js';
 import { isStartAllowed, planCommand } from './workerCommands.js';
 import { WorkerHealth } from './workerHealth.js';
@@ -63,7 +63,7 @@
   operationCount: 0,
   preempted: new Set(),
   interference: initialInterference(timing.interference, nowMs),
-  unfitSinceMs: new Map(),
+  oversizedSinceMs: new Map(),
   workerHealth: new WorkerHealth(),
   retryAtMs: new Map(),
   handOn: NO_HAND_ON,
@@ -161,7 +161,7 @@
   }
   // What a look has found is read first: urgent work among it would wait for another round.
   if (before.arrivals !== undefined) return unchanged(before);
-  const state = { ...before, unfitSinceMs: unfitSince(before, rows, nowMs) };
+  const state = { ...before, oversizedSinceMs: oversizedSince(before, rows, nowMs) };
   const operationId = `${state.lease.selfId}:${state.cell}:${state.operationCount}`;
   const { round, effects } = checkedRound(state, rows, policy, operationId, nowMs);
   const planned = {
--- a/src/scheduler/common/cellState.ts
+++ b/src/scheduler/common/cellState.ts
@@ -109,7 +109,7 @@
   /** Which batch kinds slow which services; learnt anew by each owner. */
   readonly interference: InterferenceState;
   /** Since when shards have been larger than any listed worker, by shard id. */
-  readonly unfitSinceMs: ReadonlyMap<string, number>;
+  readonly oversizedSinceMs: ReadonlyMap<string, number>;
   /** Which workers fail what they start; learnt anew by each owner. */
   readonly workerHealth: WorkerHealth;
   /** When a failed task may be tried again, by task id; a new owner tries it at once. */
--- a/src/scheduler/common/learntFromEnds.ts
+++ b/src/scheduler/common/failureTracking.ts
@@ -10,16 +10,16 @@
  */
 const DOUBTFUL_FAILURE_DELAY_RATIO = 0.5;
 
-export type LearntFromEnds = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
+export type FailureTracking = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
 
 /**
  * Applies the failures and successes of a round to the health of workers and the backoff of tasks.
  */
-export const learntFromEnds = (
+export const trackFailures = (
   state: CellState,
   ends: readonly RecordedEnd[],
   nowMs: number,
-): LearntFromEnds => {
+): FailureTracking => {
   const retryAtMs = new Map([...state.retryAtMs].filter(([, atMs]) => atMs > nowMs));
   const workerHealth = ends.reduce((health, { end, assignment, failureWeight }) => {
     const { taskId, workerId, shardId, taskIndex } = assignment;
--- a/src/scheduler/common/freeCapacity.ts
+++ b/src/scheduler/common/freeCapacity.ts
@@ -43,7 +43,7 @@
   view.isListed &&
   isInContact(view, state.timing.reportFreshnessMs, nowMs) &&
   !isWorkerDraining(state, view.instance.id) &&
-  !state.workerHealth.isSetAside(view.instance.id, nowMs);
+  !state.workerHealth.isQuarantined(view.instance.id, nowMs);
 
 export class FreeCapacity {
   readonly #candidates = new Map<string, PlacementCandidate>();
@@ -98,7 +98,7 @@
    * The candidates for a job that has failed on some workers: the other workers, as long as there
    * are any. A worker that fails every task is always free, so packing would choose it again.
    */
-  candidatesApartFrom(
+  candidatesAvoiding(
     failedOn: ReadonlySet<string>,
     request: PlacementRequest,
     canWait: boolean,
@@ -110,7 +110,10 @@
   }
 
   /** The candidates with the number of the service's replicas on the worker and in its rack. */
-  candidatesNear(replicas: readonly Assignment[], canWait: boolean): readonly PlacementCandidate[] {
+  candidatesWithReplicaCounts(
+    replicas: readonly Assignment[],
+    canWait: boolean,
+  ): readonly PlacementCandidate[] {
     const workerCounts = new Map<string, number>();
     const rackCounts = new Map<string, number>();
     const increment = (counts: Map<string, number>, key: string): void => {
@@ -155,7 +158,7 @@
     this.#tooLargeSizes.push(size);
   }
 
-  take(workerId: string, size: Resources): void {
+  reserve(workerId: string, size: Resources): void {
     const candidate = this.#candidates.get(workerId);
     if (candidate === undefined) return;
     const free = subtractResources(candidate.free, size);
--- a/src/scheduler/common/handOn.ts
+++ b/src/scheduler/common/handOn.ts
@@ -178,7 +178,7 @@
   const receivers = new Set<string>();
   if (view === undefined || state.withdrawnSinceMs !== undefined) return receivers;
   const waiting = [...state.handOn.roomlessSinceMs].filter(
-    ([shardId, sinceMs]) => nowMs - sinceMs >= PATIENCE_MS && !state.unfitSinceMs.has(shardId),
+    ([shardId, sinceMs]) => nowMs - sinceMs >= PATIENCE_MS && !state.oversizedSinceMs.has(shardId),
   );
   if (waiting.length === 0) return receivers;
   const rooms = roomElsewhere(state, view, nowMs);
--- a/src/scheduler/common/interference/interferenceState.ts
+++ b/src/scheduler/common/interference/interferenceState.ts
@@ -51,7 +51,7 @@
  */
 const MAXIMUM_PENDING_SAMPLES = 2_000;
 
-export const withSamples = (
+export const withPendingSamples = (
   interference: InterferenceState,
   samples: readonly LatencySample[],
 ): InterferenceState => ({
--- a/src/scheduler/common/interference/placementOutlook.ts
+++ b/src/scheduler/common/interference/slowdownPredictor.ts
@@ -61,7 +61,7 @@
  * be placed between two waves. It depends only on the estimates; without them nothing is kept
  * apart.
  */
-export class PlacementOutlook {
+export class SlowdownPredictor {
   readonly #state: CellState;
 
   readonly #rows: CellRows;
@@ -132,8 +132,8 @@
     });
   }
 
-  take(assignment: Assignment): void {
-    PlacementOutlook.#add(
+  addAssignment(assignment: Assignment): void {
+    SlowdownPredictor.#add(
       this.#occupancyOf(assignment.workerId),
       assignment,
       this.#rows,
@@ -199,7 +199,7 @@
     if (known !== undefined) return known;
     const occupancy: WorkerOccupancy = { serviceNames: new Set(), declaredShareByKind: new Map() };
     assignmentsOf(this.#rows, workerId).forEach((assignment) =>
-      PlacementOutlook.#add(occupancy, assignment, this.#rows, this.#state),
+      SlowdownPredictor.#add(occupancy, assignment, this.#rows, this.#state),
     );
     this.#workers.set(workerId, occupancy);
     return occupancy;
--- a/src/scheduler/common/unfitWork.ts
+++ b/src/scheduler/common/oversizedWork.ts
@@ -27,7 +27,7 @@
 };
 
 /** When each queued shard became larger than any listed worker, regardless of what runs there. */
-export const unfitSince = (
+export const oversizedSince = (
   state: CellState,
   rows: CellRows,
   nowMs: number,
@@ -36,7 +36,7 @@
     (row) => isWaiting(row) && isLargerThanAnyWorker(state, row.size),
   );
   return new Map(
-    oversized.map(({ shardId }) => [shardId, state.unfitSinceMs.get(shardId) ?? nowMs]),
+    oversized.map(({ shardId }) => [shardId, state.oversizedSinceMs.get(shardId) ?? nowMs]),
   );
 };
 
@@ -58,10 +58,14 @@
  * the work with a reason when all zones in use have tried it. The number of zones bounds the
  * attempts, so the job is refused within a minute per zone instead of waiting unnoticed forever.
  */
-export const settleUnfitWork = (state: CellState, draft: CellDraft, nowMs: number): void => {
+export const moveOrRefuseOversizedWork = (
+  state: CellState,
+  draft: CellDraft,
+  nowMs: number,
+): void => {
   const view = state.configuration?.view;
   if (view === undefined || state.withdrawnSinceMs !== undefined) return;
-  state.unfitSinceMs.forEach((sinceMs, shardId) => {
+  state.oversizedSinceMs.forEach((sinceMs, shardId) => {
     const row = draft.work(shardId);
     const isFull = draft.rowCount >= state.timing.maximumRowsPerRound;
     if (row === undefined || isFull || nowMs - sinceMs < GRACE_MS || !isWaiting(row)) return;
--- a/src/scheduler/common/queueOrder.ts
+++ b/src/scheduler/common/queueOrder.ts
@@ -39,7 +39,7 @@
   );
 
 /** What each team's batch tasks use in this cell, updated while a round assigns tasks. */
-export class TeamUse {
+export class TeamUsage {
   readonly #used = new Map<string, Resources>();
 
   readonly #capacity: Resources;
@@ -54,7 +54,7 @@
     rows: readonly WorkRow[],
     capacity: Resources,
     parts: QuotaParts,
-    unfitShardIds: ReadonlySet<string>,
+    oversizedShardIds: ReadonlySet<string>,
   ) {
     this.#capacity = capacity;
     this.#parts = parts;
@@ -62,11 +62,11 @@
       const assignedCount = row.tasks.filter(
         ({ state }) => state === BatchTaskState.Assigned,
       ).length;
-      if (assignedCount > 0) this.take(row.team, multipliedResources(row.size, assignedCount));
+      if (assignedCount > 0) this.add(row.team, multipliedResources(row.size, assignedCount));
       const isWaiting = row.tasks.some(({ state }) => state === BatchTaskState.Queued);
       if (
         isWaiting &&
-        !unfitShardIds.has(row.shardId) &&
+        !oversizedShardIds.has(row.shardId) &&
         this.#isLargerThanPart(row.team, row.size)
       ) {
         this.#teamsWithLargeTaskWaiting.add(row.team);
@@ -78,7 +78,7 @@
     return [...new Set([...this.#used.keys(), ...this.#teamsWithLargeTaskWaiting])];
   }
 
-  take(team: string, size: Resources): void {
+  add(team: string, size: Resources): void {
     this.#used.set(team, addResources(this.used(team), size));
   }
 
@@ -119,9 +119,9 @@
  * Sorts urgent shards first, then those of teams with the lowest dominant share, then by
  * submission.
  */
-export const orderedShards = (rows: readonly WorkRow[], use: TeamUse): readonly WorkRow[] =>
+export const orderedShards = (rows: readonly WorkRow[], usage: TeamUsage): readonly WorkRow[] =>
   rows
-    .map((row) => ({ row, teamShare: use.dominantShare(row.team) }))
+    .map((row) => ({ row, teamShare: usage.dominantShare(row.team) }))
     .sort(
       (left, right) =>
         URGENCY_ORDER[left.row.urgency] - URGENCY_ORDER[right.row.urgency] ||
--- a/src/scheduler/common/quotaRound.ts
+++ b/src/scheduler/common/quotaRound.ts
@@ -14,7 +14,7 @@
 import type { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
-import { TeamUse } from './queueOrder.js';
+import { TeamUsage } from './queueOrder.js';
 import {
   divisionKey,
   divisionOf,
@@ -53,9 +53,9 @@
 export const cellCapacity = (state: CellState): Resources =>
   sumResources([...state.workers.values()].map((view) => view.instance.capacity));
 
-export const teamUseOf = (state: CellState, draft: CellDraft, parts: QuotaParts): TeamUse => {
-  const unfit = new Set(state.unfitSinceMs.keys());
-  return new TeamUse(allShards(draft), cellCapacity(state), parts, unfit);
+export const teamUsageOf = (state: CellState, draft: CellDraft, parts: QuotaParts): TeamUsage => {
+  const oversized = new Set(state.oversizedSinceMs.keys());
+  return new TeamUsage(allShards(draft), cellCapacity(state), parts, oversized);
 };
 
 /**
@@ -76,8 +76,8 @@
   const teams = [...gainedTeams].filter((team) => quotas.has(team));
   if (teams.length === 0) return false;
   const parts = quotaPartsOf(state, rows);
-  const use = teamUseOf(state, draft, parts);
-  return teams.some((team) => !fitsInto(use.used(team), parts.part(team)));
+  const usage = teamUsageOf(state, draft, parts);
+  return teams.some((team) => !fitsInto(usage.used(team), parts.part(team)));
 };
 
 /** Publishes the cell's quota share for the other cells if it has changed. */
@@ -95,12 +95,12 @@
   if (isSameDivision && view.quotas.size === 0) return;
   const demands = new Map<string, TeamDemand>();
   if (view.quotas.size > 0) {
-    const use = teamUseOf(state, draft, parts);
+    const usage = teamUsageOf(state, draft, parts);
     const isAsking = state.withdrawnSinceMs === undefined;
-    use.teams.forEach((team) => {
+    usage.teams.forEach((team) => {
       const isAskWanted =
-        isAsking && use.hasLargeTaskWaiting(team) && !isAskPaused(state, team, nowMs);
-      demands.set(team, { used: use.used(team), isAskWanted });
+        isAsking && usage.hasLargeTaskWaiting(team) && !isAskPaused(state, team, nowMs);
+      demands.set(team, { used: usage.used(team), isAskWanted });
     });
   }
   const next = nextQuotaShare(view, parts, before, demands);
@@ -119,11 +119,11 @@
       parts.hasAsked(team) && tasks.some((task) => task.state === BatchTaskState.Queued),
   );
   if (asking.length === 0) return new Set();
-  const use = teamUseOf(state, draft, parts);
+  const usage = teamUsageOf(state, draft, parts);
   const allowed = asking.filter(
     ({ team, size }) =>
       !fitsInto(size, parts.equalPart(team)) &&
-      fitsInto(addResources(use.used(team), size), parts.part(team)),
+      fitsInto(addResources(usage.used(team), size), parts.part(team)),
   );
   return new Set(allowed.map(({ team }) => team));
 };
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -13,13 +13,13 @@
 import { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
-import { type LearntFromEnds, learntFromEnds } from './learntFromEnds.js';
+import { type FailureTracking, trackFailures } from './failureTracking.js';
 import { recordLateFinishes } from './lateFinishes.js';
 import { type HandOnMemory, handOnWaitingTasks, nextHandOnMemory, publishRoom } from './handOn.js';
 import type { PlacementPolicy } from './placement.js';
 import { nextQuotaWaits, publishQuotaShare, quotaPartsOf } from './quotaRound.js';
 import { type RecordedEnd, recordEnds } from './taskEnds.js';
-import { settleUnfitWork } from './unfitWork.js';
+import { moveOrRefuseOversizedWork } from './oversizedWork.js';
 import { updateUnreached } from './unreachedWorkers.js';
 import { isWorkerDraining } from './wantedEvictions.js';
 import { reportedTask, withDriftMargin } from './workerView.js';
@@ -27,7 +27,7 @@
 export interface Round {
   readonly draft: CellDraft;
   readonly ends: readonly RecordedEnd[];
-  readonly learnt: LearntFromEnds;
+  readonly learnt: FailureTracking;
   readonly assignedCount: number;
   /** Attempts that have to leave for urgent work, as keys. */
   readonly preempted: ReadonlySet<string>;
@@ -159,7 +159,7 @@
   cancelQueuedTasks(draft, state.timing.maximumRowsPerRound);
   // A task that failed is queued in this very round: it would be tried again at once, and on the
   // worker that failed it, if the round assigned before it had learnt of the failure.
-  const learnt = learntFromEnds(state, ends, nowMs);
+  const learnt = trackFailures(state, ends, nowMs);
   const informed = { ...state, ...learnt };
   const parts = quotaPartsOf(state, rows);
   const assigned = isAssigning
@@ -169,7 +169,7 @@
   const receivers = isAssigning
     ? handOnWaitingTasks(state, draft, operationId, nowMs)
     : new Set<string>();
-  settleUnfitWork(state, draft, nowMs);
+  moveOrRefuseOversizedWork(state, draft, nowMs);
   moveShards(state, draft);
   if (rows.cancellations.size > 0) draft.closeCancellations();
   updateEndpoints(state, draft, nowMs);
--- a/src/scheduler/common/workerHealth.ts
+++ b/src/scheduler/common/workerHealth.ts
@@ -94,7 +94,7 @@
     return this.#workers.size > 0 || this.#jobs.size > 0;
   }
 
-  isSetAside(workerId: string, nowMs: number): boolean {
+  isQuarantined(workerId: string, nowMs: number): boolean {
     return nowMs < (this.#workers.get(workerId)?.quarantinedUntilMs ?? Number.NEGATIVE_INFINITY);
   }
 
@@ -191,7 +191,8 @@
     const workers = new Map(this.#workers);
     // Tasks that ran on the worker when it was quarantined fail too; their failures are no new
     // evidence.
-    const isSuspect = failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isSetAside(workerId, nowMs);
+    const isSuspect =
+      failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isQuarantined(workerId, nowMs);
     const mayQuarantine =
       this.#quarantinedCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_QUARANTINED_SHARE);
     workers.set(
@@ -226,7 +227,7 @@
   }
 
   #quarantinedCount(nowMs: number): number {
-    return [...this.#workers.keys()].filter((id) => this.isSetAside(id, nowMs)).length;
+    return [...this.#workers.keys()].filter((id) => this.isQuarantined(id, nowMs)).length;
   }
 
   static #withoutJob(
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -121,8 +121,8 @@
       ['w1', 'b'],
       ['w1', 'c'],
     ]);
-    expect(health.isSetAside('w1', 1_000)).toBe(true);
-    expect(health.isSetAside('w1', 31_000)).toBe(false);
+    expect(health.isQuarantined('w1', 1_000)).toBe(true);
+    expect(health.isQuarantined('w1', 31_000)).toBe(false);
     const again = failures(
       health,
       [
@@ -132,7 +132,7 @@
       ],
       31_000,
     );
-    expect(again.isSetAside('w1', 31_000 + 59_000)).toBe(true);
+    expect(again.isQuarantined('w1', 31_000 + 59_000)).toBe(true);
   });
 
   // One worker fails all it starts, in a cell of four. Its first failure of a job may be the
@@ -163,24 +163,24 @@
     expect([isGivenUp(after(19, false)), isGivenUp(after(20, false))]).toEqual([false, true]);
   });
 
-  // Three bad jobs fail on many workers. None of these may be set aside for it.
+  // Three bad jobs fail on many workers. None of these may be quarantined for it.
   it('does not count failures of jobs that fail everywhere against workers', () => {
     const workers = Array.from({ length: 20 }, (_, index) => `w${index}`);
     const pairs = ['a', 'b', 'c', 'd'].flatMap((job) =>
       workers.map((worker) => [worker, job] as const),
     );
     const health = failures(new WorkerHealth(), pairs);
-    expect(workers.filter((worker) => health.isSetAside(worker, 1_000))).toEqual([]);
+    expect(workers.filter((worker) => health.isQuarantined(worker, 1_000))).toEqual([]);
   });
 
-  // The network fails for half of the workers. At most a tenth may be set aside.
+  // The network fails for half of the workers. At most a tenth may be quarantined.
   it('keeps most of the workers in use', () => {
     const pairs = Array.from({ length: 50 }, (_, worker) =>
       Array.from({ length: 4 }, (__, job) => [`w${worker}`, `job${worker}-${job}`] as const),
     ).flat();
     const health = failures(new WorkerHealth(), pairs);
     const aside = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
-      health.isSetAside(worker, 1_000),
+      health.isQuarantined(worker, 1_000),
     );
     expect(aside.length).toBe(10);
   });
--- a/src/scheduler/test/quotas.test.ts
+++ b/src/scheduler/test/quotas.test.ts
@@ -4,7 +4,7 @@
 import { quotaKey } from '../../services/configuration/common/documents.js';
 import { addResources, fitsInto, type Resources } from '../../services/worker/common/resources.js';
 import { cancellationKey, exchangeKey } from '../../services/workload/common/workRows.js';
-import { TeamUse } from '../common/queueOrder.js';
+import { TeamUsage } from '../common/queueOrder.js';
 import {
   expectNoHarm,
   setZone,
@@ -57,7 +57,7 @@
     const cell = startCells(304, ZONES);
     setQuota(cell);
     cell.runFor(3_000);
-    const isWithinQuotaMock = vi.spyOn(TeamUse.prototype, 'isWithinQuota').mockReturnValue(true);
+    const isWithinQuotaMock = vi.spyOn(TeamUsage.prototype, 'isWithinQuota').mockReturnValue(true);
     submit(cell, shardIn('zone-b', 'many', 30, 2_000), 'zone-b');
     runAndCheckQuota(cell, 3_000);
     isWithinQuotaMock.mockRestore();
