--- a/src/scheduler/common/freeCapacity.ts
+++ b/src/scheduler/common/freeCapacity.ts
@@ -1,4 +1,4 @@
-/** What is left on the cell's workers, kept up while a round assigns. */
+/** Tracks the free capacity of the cell's workers while a round assigns tasks. */
 import {
   addResources,
   fitsInto,
@@ -17,23 +17,25 @@
 import { attemptKey, isInContact, type WorkerView } from './workerView.js';
 import { openShare } from './zoneReturn.js';
 
-interface UseMemo {
+interface UsageCacheEntry {
   readonly tasks: WorkerView['tasks'];
   readonly used: Resources;
 }
 
-const useMemos = new WeakMap<readonly Assignment[], UseMemo>();
+const usageCache = new WeakMap<readonly Assignment[], UsageCacheEntry>();
 
-/** Committed tasks together with those that run on the worker without standing in the ledger. */
-const usedOn = (view: WorkerView, assignments: readonly Assignment[]): Resources => {
-  const memo = useMemos.get(assignments);
-  if (memo?.tasks === view.tasks) return memo.used;
-  const listed = new Set(assignments.map(attemptKey));
-  const strays = [...view.tasks.values()].filter(
-    (task) => task.state === WorkerTaskState.Running && !listed.has(attemptKey(task)),
+/**
+ * Resources of the worker's ledger assignments and of tasks that run there without an assignment.
+ */
+const usedResourcesOn = (view: WorkerView, assignments: readonly Assignment[]): Resources => {
+  const cached = usageCache.get(assignments);
+  if (cached?.tasks === view.tasks) return cached.used;
+  const ledgerKeys = new Set(assignments.map(attemptKey));
+  const untrackedTasks = [...view.tasks.values()].filter(
+    (task) => task.state === WorkerTaskState.Running && !ledgerKeys.has(attemptKey(task)),
   );
-  const used = sumResources([...assignments, ...strays].map(({ size }) => size));
-  useMemos.set(assignments, { tasks: view.tasks, used });
+  const used = sumResources([...assignments, ...untrackedTasks].map(({ size }) => size));
+  usageCache.set(assignments, { tasks: view.tasks, used });
   return used;
 };
 
@@ -41,38 +43,41 @@
   view.isListed &&
   isInContact(view, state.timing.reportFreshnessMs, nowMs) &&
   !isWorkerDraining(state, view.instance.id) &&
-  !state.workerHealth.isSetAside(view.instance.id, nowMs);
+  !state.workerHealth.isQuarantined(view.instance.id, nowMs);
 
 export class FreeCapacity {
   readonly #candidates = new Map<string, PlacementCandidate>();
 
-  /** The share of each worker that is open to work which may wait. */
+  /** The share of each worker's capacity that is open to work that can wait. */
   readonly #openShare: number;
 
-  /** Sizes that fitted nowhere in this round; what is no smaller fits nowhere either. */
-  readonly #tooLarge: Resources[] = [];
+  /**
+   * Sizes that fitted no worker in this round. A size that is at least as large fits no worker
+   * either.
+   */
+  readonly #tooLargeSizes: Resources[] = [];
 
   constructor(state: CellState, rows: CellRows, draft: CellDraft, nowMs: number) {
     this.#openShare = openShare(state.returnedAtMs, state.timing.zoneReturnMs, nowMs);
-    const freed = new Map<string, Resources>();
+    const freedByWorker = new Map<string, Resources>();
     ledgerChange(rows, draft).dropped.forEach(({ workerId, size }) => {
-      const known = freed.get(workerId);
-      freed.set(workerId, known === undefined ? size : addResources(known, size));
+      const known = freedByWorker.get(workerId);
+      freedByWorker.set(workerId, known === undefined ? size : addResources(known, size));
     });
     state.workers.forEach((view, workerId) => {
       if (!isUsable(state, view, nowMs)) return;
-      const used = usedOn(view, assignmentsOf(rows, workerId));
-      const left = subtractResources(
+      const used = usedResourcesOn(view, assignmentsOf(rows, workerId));
+      const remaining = subtractResources(
         view.instance.capacity,
         addResources(used, state.learntSizes.excess(workerId)),
       );
-      const gain = freed.get(workerId);
+      const freedSize = freedByWorker.get(workerId);
       this.#candidates.set(workerId, {
         workerId,
         rack: view.instance.rack,
         incarnation: view.report?.incarnation ?? '',
         capacity: view.instance.capacity,
-        free: gain === undefined ? left : addResources(left, gain),
+        free: freedSize === undefined ? remaining : addResources(remaining, freedSize),
         sameServiceOnWorkerCount: 0,
         sameServiceInRackCount: 0,
       });
@@ -80,20 +85,20 @@
   }
 
   /**
-   * The candidates for a request; none when a request that was no larger has found no place in
-   * this round. A large job at the head of the queue is thus passed over at little cost and
-   * smaller ones behind it are placed.
+   * The candidates for a request. The list is empty if an equal or smaller request has found no
+   * worker in this round. A large job at the head of the queue is thus skipped at little cost, and
+   * smaller jobs behind it are placed.
    */
   candidatesFor(request: PlacementRequest, canWait: boolean): readonly PlacementCandidate[] {
-    if (this.#tooLarge.some((size) => fitsInto(size, request.size))) return [];
+    if (this.#tooLargeSizes.some((size) => fitsInto(size, request.size))) return [];
     return canWait ? this.openCandidates : this.candidates;
   }
 
   /**
-   * The candidates for a job that has failed on some workers: the others, as long as there are
-   * any. A worker that fails all it starts is always free, so packing would pick it again.
+   * The candidates for a job that has failed on some workers: the other workers, as long as there
+   * are any. A worker that fails every task is always free, so packing would choose it again.
    */
-  candidatesApartFrom(
+  candidatesAvoiding(
     failedOn: ReadonlySet<string>,
     request: PlacementRequest,
     canWait: boolean,
@@ -104,17 +109,20 @@
     return others.length > 0 ? others : all;
   }
 
-  /** Candidates that know how many replicas of a service are near. */
-  candidatesNear(replicas: readonly Assignment[], canWait: boolean): readonly PlacementCandidate[] {
+  /** The candidates with the number of the service's replicas on the worker and in its rack. */
+  candidatesWithReplicaCounts(
+    replicas: readonly Assignment[],
+    canWait: boolean,
+  ): readonly PlacementCandidate[] {
     const workerCounts = new Map<string, number>();
     const rackCounts = new Map<string, number>();
-    const raise = (counts: Map<string, number>, key: string): void => {
+    const increment = (counts: Map<string, number>, key: string): void => {
       counts.set(key, (counts.get(key) ?? 0) + 1);
     };
     replicas.forEach(({ workerId }) => {
       const rack = this.#candidates.get(workerId)?.rack;
-      raise(workerCounts, workerId);
-      if (rack !== undefined) raise(rackCounts, rack);
+      increment(workerCounts, workerId);
+      if (rack !== undefined) increment(rackCounts, rack);
     });
     const candidates = canWait ? this.openCandidates : this.candidates;
     return candidates.map((candidate) => ({
@@ -128,7 +136,9 @@
     return [...this.#candidates.values()];
   }
 
-  /** The candidates with what is open of them while the zone is on its way back. */
+  /**
+   * The candidates with only the open share of their capacity while the zone is returning to use.
+   */
   get openCandidates(): readonly PlacementCandidate[] {
     if (this.#openShare === 1) return this.candidates;
     const closedShare = 1 - this.#openShare;
@@ -145,10 +155,10 @@
   }
 
   noteTooLarge(size: Resources): void {
-    this.#tooLarge.push(size);
+    this.#tooLargeSizes.push(size);
   }
 
-  take(workerId: string, size: Resources): void {
+  reserve(workerId: string, size: Resources): void {
     const candidate = this.#candidates.get(workerId);
     if (candidate === undefined) return;
     const free = subtractResources(candidate.free, size);
--- a/src/scheduler/common/queueOrder.ts
+++ b/src/scheduler/common/queueOrder.ts
@@ -1,4 +1,4 @@
-/** Which queued work comes first, and which has to wait for its team's quota or its back-off. */
+/** Orders queued work, and holds back work that exceeds its team's quota or that is in backoff. */
 import { URGENCY_ORDER } from '../../services/configuration/common/documents.js';
 import {
   addResources,
@@ -10,23 +10,27 @@
 import { BatchTaskState, type WorkRow } from '../../services/workload/common/workRows.js';
 import type { QuotaParts } from './quotaParts.js';
 
-const FIRST_RETRY_MS = 1_000;
-const MAXIMUM_RETRY_MS = 60_000;
-const SPREAD_STEPS = 7;
+const INITIAL_RETRY_DELAY_MS = 1_000;
+const MAXIMUM_RETRY_DELAY_MS = 60_000;
+const RETRY_SPREAD_STEPS = 7;
 
 /**
- * How long a failed task waits before it is tried again. A job whose tasks all fail at once would
- * otherwise take every free place again in the next round, until its tries are used up within
- * seconds. Doubling bounds the load; the task's index spreads the tasks of one job.
+ * How long a failed task waits before its next attempt. Without the delay, a job whose tasks all
+ * fail at once would take all free capacity again in the next round and use up its attempts within
+ * seconds. Doubling the delay bounds the load. The task index spreads the retries of one job's
+ * tasks.
  */
 export const retryDelayMs = (failureCount: number, taskIndex: number): number => {
-  const delayMs = Math.min(MAXIMUM_RETRY_MS, FIRST_RETRY_MS * 2 ** Math.max(0, failureCount - 1));
-  return delayMs * (1 + (taskIndex % SPREAD_STEPS) / SPREAD_STEPS);
+  const delayMs = Math.min(
+    MAXIMUM_RETRY_DELAY_MS,
+    INITIAL_RETRY_DELAY_MS * 2 ** Math.max(0, failureCount - 1),
+  );
+  return delayMs * (1 + (taskIndex % RETRY_SPREAD_STEPS) / RETRY_SPREAD_STEPS);
 };
 
 const share = (part: number, whole: number): number => (whole === 0 ? 0 : part / whole);
 
-/** The largest share of the cell that a team holds of any one resource. */
+/** The team's dominant share: its largest share of any one resource of the cell. */
 export const dominantShare = (used: Resources, capacity: Resources): number =>
   Math.max(
     share(used.processorMillis, capacity.processorMillis),
@@ -34,41 +38,47 @@
     share(used.acceleratorCount, capacity.acceleratorCount),
   );
 
-/** What the teams' batch tasks hold in this cell, kept up while a round assigns. */
-export class TeamUse {
+/** What each team's batch tasks use in this cell, updated while a round assigns tasks. */
+export class TeamUsage {
   readonly #used = new Map<string, Resources>();
 
   readonly #capacity: Resources;
 
   readonly #parts: QuotaParts;
 
-  /** Teams of which a task waits that is larger than the cell's equal part. */
-  readonly #largeWaiting = new Set<string>();
+  /** Teams with a queued task that is larger than the cell's equal part of the team's quota. */
+  readonly #teamsWithLargeTaskWaiting = new Set<string>();
 
-  /** `rows` are all shards of the cell: also a cancelled job holds what still runs. */
+  /** `rows` are all shards of the cell, because the running tasks of a cancelled job count too. */
   constructor(
     rows: readonly WorkRow[],
     capacity: Resources,
     parts: QuotaParts,
-    unfitShardIds: ReadonlySet<string>,
+    oversizedShardIds: ReadonlySet<string>,
   ) {
     this.#capacity = capacity;
     this.#parts = parts;
     rows.forEach((row) => {
-      const count = row.tasks.filter(({ state }) => state === BatchTaskState.Assigned).length;
-      if (count > 0) this.take(row.team, multipliedResources(row.size, count));
+      const assignedCount = row.tasks.filter(
+        ({ state }) => state === BatchTaskState.Assigned,
+      ).length;
+      if (assignedCount > 0) this.add(row.team, multipliedResources(row.size, assignedCount));
       const isWaiting = row.tasks.some(({ state }) => state === BatchTaskState.Queued);
-      if (isWaiting && !unfitShardIds.has(row.shardId) && this.#isLarge(row.team, row.size)) {
-        this.#largeWaiting.add(row.team);
+      if (
+        isWaiting &&
+        !oversizedShardIds.has(row.shardId) &&
+        this.#isLargerThanPart(row.team, row.size)
+      ) {
+        this.#teamsWithLargeTaskWaiting.add(row.team);
       }
     });
   }
 
   get teams(): readonly string[] {
-    return [...new Set([...this.#used.keys(), ...this.#largeWaiting])];
+    return [...new Set([...this.#used.keys(), ...this.#teamsWithLargeTaskWaiting])];
   }
 
-  take(team: string, size: Resources): void {
+  add(team: string, size: Resources): void {
     this.#used.set(team, addResources(this.used(team), size));
   }
 
@@ -76,8 +86,8 @@
     return this.#used.get(team) ?? NO_RESOURCES;
   }
 
-  isLargeWaiting(team: string): boolean {
-    return this.#largeWaiting.has(team);
+  hasLargeTaskWaiting(team: string): boolean {
+    return this.#teamsWithLargeTaskWaiting.has(team);
   }
 
   dominantShare(team: string): number {
@@ -85,29 +95,33 @@
   }
 
   /**
-   * False when one more task would exceed the cell's part of the team's quota. What other cells
-   * have ceded is for tasks larger than the cell's own part; while one of these waits for it the
-   * team's small ones wait too, for they would use up again what the others give up.
+   * Whether one more task of this size stays within the cell's part of the team's quota. Amounts
+   * that other cells have ceded are for tasks larger than the cell's own part. While such a task
+   * waits for ceded amounts, the team's small tasks wait too, because they would use up what the
+   * other cells give up.
    */
   isWithinQuota(team: string, size: Resources): boolean {
     if (this.#parts.limit(team) === undefined) return true;
-    const isLarge = this.#isLarge(team, size);
-    if (!isLarge && this.#parts.hasAsked(team) && this.isLargeWaiting(team)) return false;
+    const isLarge = this.#isLargerThanPart(team, size);
+    if (!isLarge && this.#parts.hasAsked(team) && this.hasLargeTaskWaiting(team)) return false;
     const part = isLarge ? this.#parts.part(team) : this.#parts.ownPart(team);
     return fitsInto(addResources(this.used(team), size), part);
   }
 
-  #isLarge(team: string, size: Resources): boolean {
+  #isLargerThanPart(team: string, size: Resources): boolean {
     const limit = this.#parts.limit(team);
     if (limit === undefined || !fitsInto(size, limit)) return false;
     return !fitsInto(size, this.#parts.equalPart(team));
   }
 }
 
-/** The urgent first; among equals the team that holds least; then as submitted. */
-export const orderedShards = (rows: readonly WorkRow[], use: TeamUse): readonly WorkRow[] =>
+/**
+ * Sorts urgent shards first, then those of teams with the lowest dominant share, then by
+ * submission.
+ */
+export const orderedShards = (rows: readonly WorkRow[], usage: TeamUsage): readonly WorkRow[] =>
   rows
-    .map((row) => ({ row, teamShare: use.dominantShare(row.team) }))
+    .map((row) => ({ row, teamShare: usage.dominantShare(row.team) }))
     .sort(
       (left, right) =>
         URGENCY_ORDER[left.row.urgency] - URGENCY_ORDER[right.row.urgency] ||
