--- a/bench/fleet/ablations.ts
+++ b/bench/fleet/ablations.ts
@@ -10,7 +10,7 @@
   type FleetPolicy,
 } from '../../src/scheduler/common/fleet/fleetPolicy.js';
 import type { FleetWorkerView } from '../../src/scheduler/common/fleet/fleetWorkerView.js';
-import type { InterferenceAnswer } from '../../src/scheduler/common/fleet/interferenceControl.js';
+import type { InterferenceChanges } from '../../src/scheduler/common/fleet/interferenceControl.js';
 import { LearningInterferenceControl } from '../../src/scheduler/common/fleet/learningInterferenceControl.js';
 import { DEFAULT_INTERFERENCE_OPTIONS } from '../../src/scheduler/common/fleet/interferenceModel.js';
 import type { TaskRecord } from '../../src/scheduler/common/fleet/taskRecords.js';
@@ -18,8 +18,8 @@
 
 /** Stops fillers that slow a service and never changes their pace. */
 class StoppingControl extends LearningInterferenceControl {
-  override answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer {
-    const { paces, moves } = super.answer(view, nowMs);
+  override decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
+    const { paces, moves } = super.decide(view, nowMs);
     const slowed = paces.filter(({ run, percent }) => percent < run.pacePercent);
     return { paces: [], moves: [...moves, ...slowed.map(({ run }) => run)] };
   }
@@ -27,8 +27,8 @@
 
 /** Slows fillers and never stops one to restart it elsewhere. */
 class PacingControl extends LearningInterferenceControl {
-  override answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer {
-    const { paces, moves } = super.answer(view, nowMs);
+  override decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
+    const { paces, moves } = super.decide(view, nowMs);
     const stopped = moves
       .filter(({ pacePercent }) => pacePercent > 0)
       .map((run) => ({ run, percent: 0 }));
--- a/bench/fleet/baselines.ts
+++ b/bench/fleet/baselines.ts
@@ -3,9 +3,9 @@
 import type { FleetWorkerView } from '../../src/scheduler/common/fleet/fleetWorkerView.js';
 import {
   type Admission,
-  type InterferenceAnswer,
+  type InterferenceChanges,
   type InterferenceControl,
-  NO_ANSWER,
+  NO_CHANGES,
   type PaceChange,
 } from '../../src/scheduler/common/fleet/interferenceControl.js';
 import type { TaskRecord, TaskRun } from '../../src/scheduler/common/fleet/taskRecords.js';
@@ -40,8 +40,8 @@
     return { percent: FULL_PERCENT, headroom: 1 };
   }
 
-  answer(): InterferenceAnswer {
-    return NO_ANSWER;
+  decide(): InterferenceChanges {
+    return NO_CHANGES;
   }
 }
 
@@ -80,10 +80,10 @@
     return least >= 0 ? { percent: FULL_PERCENT, headroom: least } : undefined;
   }
 
-  answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer {
+  decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
     const runs = [...view.runs.values()];
     const fillers = runs.filter(({ task }) => task.step.isFiller);
-    if (fillers.length === 0) return NO_ANSWER;
+    if (fillers.length === 0) return NO_CHANGES;
     const costs = fillers.map((run) => ({ run, cost: this.#worstCost(view, run, nowMs) }));
     costs.sort((left, right) => right.cost - left.cost);
     const paces = new Map(fillers.map((run) => [run, FULL_PERCENT]));
--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -113,7 +113,7 @@
   }
 
   /** Reserves room for persistent tasks on leaving workers; returns the runs to stop now. */
-  nextLasting(input: RoundInput, nowMs: number): readonly TaskRun[] {
+  nextPersistent(input: RoundInput, nowMs: number): readonly TaskRun[] {
     return this.#next(input, ({ task }) => task.step.isPersistent, nowMs);
   }
 
--- a/src/scheduler/common/fleet/drainNotice.ts
+++ b/src/scheduler/common/fleet/drainNotice.ts
@@ -21,7 +21,7 @@
   }
 
   /** Processes an entry that was read at `readAtMs` or later. */
-  note(entry: DrainEntry, reportIntervalMs: number, readAtMs: number): void {
+  update(entry: DrainEntry, reportIntervalMs: number, readAtMs: number): void {
     // Responses to list requests may arrive out of order.
     if (readAtMs < this.#lastReadAtMs) return;
     const { isDraining, remainingMs, incarnation } = entry;
--- a/src/scheduler/common/fleet/fillerPacing.ts
+++ b/src/scheduler/common/fleet/fillerPacing.ts
@@ -41,7 +41,7 @@
   effects(tenure: Tenure, nowMs: number): readonly FleetEffect[] {
     const effects = this.#startEffects(tenure);
     tenure.views.forEach((view) => {
-      const { paces, moves } = tenure.interference.answer(view, nowMs);
+      const { paces, moves } = tenure.interference.decide(view, nowMs);
       if (paces.length + moves.length > 0) view.pacedAtMs = nowMs;
       tenure.keeper.requestStops(moves, StopReason.Interference, nowMs);
       const changes = paces.filter(({ run }) => !this.#inFlight.has(run));
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -77,7 +77,7 @@
     this.#limits = limits;
     this.#nowMs = nowMs;
     this.#usable = new UsableWorkers(input, nowMs);
-    input.misses.begin(this.#usable.all);
+    input.misses.beginRound(this.#usable.all);
   }
 
   place(group: TaskGroup): void {
@@ -120,7 +120,7 @@
     const placedCount = this.#placeBySearch(due, search);
     this.ratingCount += search.ratingCount;
     const leftCount = due.length - placedCount;
-    if (leftCount > 0 && !this.#hasAllStarts) misses.note(opened, key, this.#nowMs);
+    if (leftCount > 0 && !this.#hasAllStarts) misses.recordMiss(opened, key, this.#nowMs);
     return leftCount;
   }
 
@@ -156,7 +156,7 @@
       this.ratingCount += search.ratingCount;
       return isWhole;
     });
-    if (!isPlaced) misses.note(opened, key, this.#nowMs);
+    if (!isPlaced) misses.recordMiss(opened, key, this.#nowMs);
     return isPlaced ? 0 : dueCount;
   }
 
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -369,7 +369,8 @@
     const outcome = placeWaiting(
       input,
       limits,
-      () => keeper.requestStops(this.#moves.nextLasting(input, nowMs), StopReason.Draining, nowMs),
+      () =>
+        keeper.requestStops(this.#moves.nextPersistent(input, nowMs), StopReason.Draining, nowMs),
       nowMs,
     );
     const unfinishable = this.#moves.nextUnfinishable(input, nowMs);
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -160,7 +160,7 @@
   /** Takes in what the table lists of the worker, read no earlier than `readAtMs`. */
   noteEntry(entry: FleetWorkerEntry, timing: FleetTiming, readAtMs: number): void {
     this.entry = entry;
-    this.#drainNotice.note(entry, timing.workerReportIntervalMs, readAtMs);
+    this.#drainNotice.update(entry, timing.workerReportIntervalMs, readAtMs);
   }
 
   /** Tasks for which room is kept here until they start. */
--- a/src/scheduler/common/fleet/interferenceControl.ts
+++ b/src/scheduler/common/fleet/interferenceControl.ts
@@ -17,13 +17,13 @@
 }
 
 /** The changes to make to the fillers of one worker. */
-export interface InterferenceAnswer {
+export interface InterferenceChanges {
   readonly paces: readonly PaceChange[];
   /** Runs to stop so that their tasks can continue where they slow no service. */
   readonly moves: readonly TaskRun[];
 }
 
-export const NO_ANSWER: InterferenceAnswer = { paces: [], moves: [] };
+export const NO_CHANGES: InterferenceChanges = { paces: [], moves: [] };
 
 export interface InterferenceControl {
   /** Loads the estimates of the previous owner. */
@@ -39,5 +39,5 @@
   admit(view: FleetWorkerView, filler: TaskRecord, nowMs: number): Admission | undefined;
 
   /** Decides which fillers on the worker change their pace or move away. */
-  answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer;
+  decide(view: FleetWorkerView, nowMs: number): InterferenceChanges;
 }
--- a/src/scheduler/common/fleet/learningInterferenceControl.ts
+++ b/src/scheduler/common/fleet/learningInterferenceControl.ts
@@ -3,9 +3,9 @@
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import {
   type Admission,
-  type InterferenceAnswer,
+  type InterferenceChanges,
   type InterferenceControl,
-  NO_ANSWER,
+  NO_CHANGES,
   type PaceChange,
 } from './interferenceControl.js';
 import {
@@ -116,12 +116,12 @@
     return percent < MINIMUM_START_PERCENT ? undefined : { percent, headroom };
   }
 
-  answer(view: FleetWorkerView, nowMs: number): InterferenceAnswer {
-    if (nowMs - view.pacedAtMs < SETTLING_MS) return NO_ANSWER;
-    if (view.pacingSampledAtMs === view.sampledAtMs) return NO_ANSWER;
+  decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
+    if (nowMs - view.pacedAtMs < SETTLING_MS) return NO_CHANGES;
+    if (view.pacingSampledAtMs === view.sampledAtMs) return NO_CHANGES;
     view.pacingSampledAtMs = view.sampledAtMs;
     const fillers = fillerRuns(view);
-    if (fillers.length === 0) return NO_ANSWER;
+    if (fillers.length === 0) return NO_CHANGES;
     const { paces, moves } = this.#decideChanges(view, fillers, nowMs);
     const changed = new Set([...paces.map(({ run }) => run), ...moves]);
     const throttled = fillers.filter((run) => !changed.has(run) && isThrottledTooLong(run, nowMs));
@@ -132,7 +132,7 @@
     view: FleetWorkerView,
     fillers: readonly TaskRun[],
     nowMs: number,
-  ): InterferenceAnswer {
+  ): InterferenceChanges {
     const serving = servingRuns(view);
     const suspended = this.#fillersToSuspend(view, serving, fillers, nowMs);
     if (suspended.length > 0) {
@@ -143,7 +143,7 @@
       return this.#slowDown(view, lowest, fillers);
     }
     // A task over its target may be slowed more than its image's estimate, so nothing speeds up.
-    if (isAnyOverTarget(view)) return NO_ANSWER;
+    if (isAnyOverTarget(view)) return NO_CHANGES;
     return { paces: this.#speedUp(view, fillers, nowMs), moves: [] };
   }
 
@@ -183,7 +183,7 @@
     view: FleetWorkerView,
     lowest: LowestHeadroom,
     fillers: readonly TaskRun[],
-  ): InterferenceAnswer {
+  ): InterferenceChanges {
     const { image } = lowest;
     const antagonists = fillers
       .map((run) => ({ run, loss: this.#model.lossAtCurrentPace(image, run, view) }))
--- a/src/scheduler/common/fleet/roomMisses.ts
+++ b/src/scheduler/common/fleet/roomMisses.ts
@@ -45,7 +45,7 @@
   #round = 0;
 
   /** Begins a round with the workers that can accept tasks. */
-  begin(views: readonly FleetWorkerView[]): void {
+  beginRound(views: readonly FleetWorkerView[]): void {
     this.#round += 1;
     this.#changed.clear();
     this.#byChange = undefined;
@@ -66,7 +66,7 @@
   }
 
   /** Records that the step found no room among its candidates. */
-  note(occurrence: OccurrenceRecord, step: string, nowMs: number): void {
+  recordMiss(occurrence: OccurrenceRecord, step: string, nowMs: number): void {
     const misses = this.#misses.get(occurrence) ?? new Map<string, Miss>();
     this.#misses.set(occurrence, misses);
     const known = misses.get(step);
--- a/src/scheduler/common/fleet/sizeBalance.ts
+++ b/src/scheduler/common/fleet/sizeBalance.ts
@@ -56,7 +56,7 @@
     this.#countsOf(sizeClass).counted += 1;
   }
 
-  noteComplete(sizeClass: SizeClass, isReserved: boolean): void {
+  recordComplete(sizeClass: SizeClass, isReserved: boolean): void {
     this.#all.served += 1;
     if (!isReserved) this.#countsOf(sizeClass).served += 1;
   }
--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionBook.ts
@@ -45,7 +45,7 @@
   const { queueWork, sizeClass, isReserved } = record;
   if (record.state === SubmissionState.Complete) {
     countOnce(record);
-    queueWork.balance.noteComplete(sizeClass, isReserved);
+    queueWork.balance.recordComplete(sizeClass, isReserved);
   } else if (isReserved) queueWork.balance.release(sizeClass);
 };
 
--- a/src/scheduler/test/fleet/drainNotice.test.ts
+++ b/src/scheduler/test/fleet/drainNotice.test.ts
@@ -12,10 +12,10 @@
 const READY = { isDraining: false, incarnation: 1 };
 
 const staysUntilMs = (
-  ...readings: readonly (readonly [number, Parameters<DrainNotice['note']>[0]])[]
+  ...readings: readonly (readonly [number, Parameters<DrainNotice['update']>[0]])[]
 ): number | undefined => {
   const notice = new DrainNotice();
-  readings.forEach(([readAtMs, entry]) => notice.note(entry, REPORT_INTERVAL_MS, readAtMs));
+  readings.forEach(([readAtMs, entry]) => notice.update(entry, REPORT_INTERVAL_MS, readAtMs));
   return notice.staysUntilMs;
 };
 
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -80,7 +80,7 @@
       run.recentFigure = (run.task.step.size.processorMillis * run.pacePercent) / 100;
     });
     control.observe(scenario.view, nowMs);
-    const { paces, moves } = control.answer(scenario.view, nowMs);
+    const { paces, moves } = control.decide(scenario.view, nowMs);
     if (paces.length + moves.length > 0) scenario.view.pacedAtMs = nowMs;
     paces.forEach(({ run, percent }) => {
       if (percent < run.pacePercent) run.pacedSinceMs = nowMs;
--- a/src/scheduler/test/fleet/roomMisses.test.ts
+++ b/src/scheduler/test/fleet/roomMisses.test.ts
@@ -33,9 +33,9 @@
     const views = Array.from({ length: 300 }, (_, index) => viewOf(`worker-${index}`));
     const misses = new RoomMisses();
     const candidatesAt = (nowMs: number): readonly FleetWorkerView[] => {
-      misses.begin(views);
+      misses.beginRound(views);
       const candidates = misses.candidates(occurrence, STEP_NAME, 'service', views, nowMs);
-      misses.note(occurrence, STEP_NAME, nowMs);
+      misses.recordMiss(occurrence, STEP_NAME, nowMs);
       return candidates;
     };
     expect(candidatesAt(0)).toHaveLength(300);
--- a/src/scheduler/test/fleet/sizeBalance.test.ts
+++ b/src/scheduler/test/fleet/sizeBalance.test.ts
@@ -9,7 +9,7 @@
     const size = (index * 37) % 100;
     const sizeClass = balance.classify(size);
     balance.count(sizeClass);
-    if (size < servedBelow) balance.noteComplete(sizeClass, false);
+    if (size < servedBelow) balance.recordComplete(sizeClass, false);
   }
   return balance;
 };
