--- a/src/scheduler/common/fleet/loadEstimate.ts
+++ b/src/scheduler/common/fleet/loadEstimate.ts
@@ -46,9 +46,10 @@
 
   #slopeVariance = INITIAL_SLOPE_VARIANCE;
 
-  /** The lowest level of the current window; the next field has that of the previous window. */
+  /** The lowest level of the current window. */
   #low: number;
 
+  /** The lowest level of the previous window. */
   #previousLow = Number.POSITIVE_INFINITY;
 
   #windowStartedAtMs: number;
--- a/src/scheduler/common/fleet/sizeBalance.ts
+++ b/src/scheduler/common/fleet/sizeBalance.ts
@@ -11,7 +11,7 @@
 const LARGEST_RANK = 0.9;
 /** The number of recent sizes that a new submission is compared with. */
 const RECENT_SIZE_COUNT = 256;
-/** With fewer sizes, no submission is classified as large. */
+/** With fewer recent sizes, no submission is classified as large. */
 const MINIMUM_SIZE_COUNT = 10;
 /** Counts are halved at this limit, so that recent submissions weigh most. */
 const COUNT_LIMIT = 1_024;
--- a/src/scheduler/test/fleet/largeSubmissions.test.ts
+++ b/src/scheduler/test/fleet/largeSubmissions.test.ts
@@ -23,7 +23,7 @@
 const [QUEUE] = CONFIGURATION.queues as [(typeof CONFIGURATION.queues)[number]];
 const OBJECTIVE_MS = QUEUE.objectiveStretch * STEP_COUNT * TASK_MS + QUEUE.objectiveMs;
 
-/** Draws the number of tasks of each step. */
+/** Draws the number of tasks per step from a log-normal distribution. */
 const taskCountFrom = (random: SeededRandom): number => {
   const normal =
     Math.sqrt(-2 * Math.log(1 - random.nextFraction())) *
