--- a/src/scheduler/common/fleet/fleetCalls.ts
+++ b/src/scheduler/common/fleet/fleetCalls.ts
@@ -1,4 +1,4 @@
-/** The calls to workers that are due by what the scheduler knows. */
+/** The calls to workers that are due in the present state of the scheduler. */
 import type { RunningTask, RunReference } from '../../../services/fleet/common/fleetWorker.js';
 import type { FleetEffect } from './fleetEffects.js';
 import type { PaceChange } from './interferenceControl.js';
@@ -19,7 +19,7 @@
   fence: view.fence(epoch),
 });
 
-/** A run that nobody knows is stopped; until then nothing more is started there. */
+/** Notes a listed run that the owner does not know, so that it is stopped. */
 export const noteStray = (tenure: Tenure, view: FleetWorkerView, running: RunningTask): void => {
   tenure.strays.set(`${view.id}#${running.taskName}#${running.run}`, {
     workerId: view.id,
@@ -30,7 +30,7 @@
   });
 };
 
-/** Stops runs that stand still, so that their tasks start elsewhere. */
+/** Stops runs that make no progress, so that their tasks start elsewhere. */
 export const stopStuck = (tenure: Tenure, view: FleetWorkerView, nowMs: number): void => {
   view.runs.forEach((run) => {
     if (run.state !== RunState.Running || !isStuck(run, nowMs)) return;
@@ -39,7 +39,7 @@
   });
 };
 
-/** The start of a run that has been given room, with the lease that it works under. */
+/** The start of an assigned run, with the end of the lease under which it runs. */
 export const startEffect = (
   tenure: Tenure,
   view: FleetWorkerView,
@@ -65,7 +65,7 @@
   return { kind: 'pace', epoch, reference: toReference(run, view, epoch), percent };
 };
 
-/** Stops that are due. */
+/** The stops that are due. */
 export const stopEffects = (tenure: Tenure, nowMs: number): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
   const { epoch } = tenure;
@@ -77,7 +77,7 @@
   return effects;
 };
 
-/** Holds that are due, with the leases that may be granted. */
+/** The holds that are due, with the leases that the owner may grant. */
 export const holdEffects = (
   tenure: Tenure,
   timing: FleetTiming,
@@ -95,7 +95,7 @@
       mayGrant && !view.isSilent ? view.grantLease(timing, limitAtMs, nowMs) : undefined;
     const isRenewal = leaseEndWorkerMs !== undefined;
     view.isHoldInFlight = true;
-    // A process that has started anew meanwhile would forget its own ends under these numbers.
+    // A process that has restarted meanwhile would forget its own ends that have these numbers.
     view.acknowledgingSequence = view.isSilent ? 0 : view.recordedSequence;
     const request = {
       workerId: view.id,
--- a/src/scheduler/common/fleet/fleetEffects.ts
+++ b/src/scheduler/common/fleet/fleetEffects.ts
@@ -1,4 +1,4 @@
-/** What the scheduler asks its surroundings to do. */
+/** The effects that the scheduler returns for its caller to perform. */
 import type {
   HoldRequest,
   RunReference,
@@ -16,10 +16,10 @@
       readonly step: LeaseStepKind;
       readonly transaction: Transaction;
     }
-  /** Read everything that is stored, as the new owner of this epoch. */
+  /** Read the stored state as the new owner of this epoch. */
   | { readonly kind: 'load'; readonly epoch: number }
   | { readonly kind: 'commit'; readonly epoch: number; readonly transaction: Transaction }
-  /** Read the rows of a transaction whose fate is unknown. */
+  /** Read the rows of a transaction whose outcome is unknown. */
   | { readonly kind: 'resolve'; readonly epoch: number; readonly request: ReadRequest }
   | { readonly kind: 'hold'; readonly epoch: number; readonly request: HoldRequest }
   | { readonly kind: 'start'; readonly epoch: number; readonly request: StartRequest }
--- a/src/scheduler/common/fleet/fleetNotes.ts
+++ b/src/scheduler/common/fleet/fleetNotes.ts
@@ -1,4 +1,4 @@
-/** What the scheduler has decided and learnt, for the log. */
+/** Collects what the scheduler decides and observes as records for the log. */
 import type { FinishedRun } from '../../../services/fleet/common/fleetWorker.js';
 import type { LogFields } from '../../../services/log/common/log.js';
 import type { LogEvent } from '../../../services/log/common/logEvents.js';
@@ -17,29 +17,33 @@
 export const StopReason = {
   Cancelled: 'cancelled',
   Failed: 'failed',
-  /** Another run of the task has ended it, or nobody wants it. */
+  /** Another run has ended the task, or the task is no longer open. */
   NotWanted: 'not-wanted',
-  /** It slows what serves beside it. */
+  /** It slows down the serving tasks on its worker. */
   Interference: 'interference',
-  /** It lasts, its worker is about to leave, and another one has room. */
+  /** It is persistent, its worker is about to leave, and another worker has room. */
   Draining: 'draining',
-  /** Its worker leaves before it can end, and another one has room. */
+  /** Its worker leaves before it can end, and another worker has room. */
   Unfinishable: 'unfinishable',
   /** It makes no progress. */
   Stuck: 'stuck',
-  /** Its process may forget its end, being told of ends that its predecessor had under the number. */
+  /**
+   * Its process may forget its end: the process may have received an acknowledgement of the former
+   * process's ends, which used the same sequence numbers.
+   */
   Forgettable: 'forgettable',
 } as const;
 export type StopReason = (typeof StopReason)[keyof typeof StopReason];
 
 const describeRun = ({ task, run, workerId }: TaskRun): string => `${task.name}#${run}@${workerId}`;
 
-/** Runs as TASK#RUN@WORKER, so that a search for a submission's id finds them. */
+/** Describes runs as TASK#RUN@WORKER, so that a search for a submission's id finds them. */
 const describeRuns = (runs: readonly TaskRun[]): string => runs.map(describeRun).join(' ');
 
 /**
- * Starts and ends of this time share a line each. One for each worker and round were some 150 a
- * second in a burst, and crowded the lines on submissions out of the log's limit.
+ * The starts within this time share one log line, and so do the ends. With a line for each worker
+ * and round, a burst wrote some 150 lines a second, and the log's rate limit then dropped the lines
+ * about submissions.
  */
 const GATHER_MS = 200;
 
@@ -54,7 +58,7 @@
 
   #ends: string[] = [];
 
-  /** When the oldest start or end that is gathered came. */
+  /** When the oldest start or end that is not yet logged was added. */
   #gatheredSinceMs: number | undefined;
 
   add(event: LogEvent, fields: LogFields): void {
@@ -93,19 +97,19 @@
     this.add('runs-lost', {
       workerId: view.id,
       reason,
-      // Left out for a worker that has not answered this owner.
+      // Omitted for a worker that has not answered this owner.
       ...(view.isHeard && { answeredAgoMs: Math.round(nowMs - view.lastAnswerAtMs) }),
       leasesLeftMs: Math.round(view.leasesOverAtMs - nowMs),
       runs: describeRuns(lost),
     });
   }
 
-  /** The table no longer lists the worker. */
+  /** Records that the table no longer lists the worker. */
   addUnlisted({ id, runs, staysUntilMs }: FleetWorkerView, nowMs: number): void {
     this.add('worker-unlisted', {
       workerId: id,
       runs: runs.size,
-      // Left out for a worker that did not tell for how long it would stay.
+      // Omitted for a worker that did not announce how long it would stay.
       ...(staysUntilMs !== undefined && { stayedLongerMs: Math.round(nowMs - staysUntilMs) }),
     });
   }
@@ -127,13 +131,15 @@
       .forEach((fields) => this.add('tasks-waiting', fields));
   }
 
-  /** Workers that have not answered this owner and may run what a former owner started. */
+  /**
+   * Records the workers that have not answered this owner and may still run former owners' tasks.
+   */
   addAwaited(views: Iterable<FleetWorkerView>, nowMs: number): void {
     const fields = this.#waitReport.workers(views, nowMs);
     if (fields !== undefined) this.add('workers-awaited', fields);
   }
 
-  /** Everything that is due to be told. */
+  /** Removes and returns the records that are due. */
   drain(epoch: number, nowMs: number): readonly FleetNote[] {
     const since = this.#gatheredSinceMs;
     if (since !== undefined && nowMs - since >= GATHER_MS) this.#tellGathered(epoch);
--- a/src/scheduler/common/fleet/fleetOwnership.ts
+++ b/src/scheduler/common/fleet/fleetOwnership.ts
@@ -1,4 +1,4 @@
-/** Whether this daemon schedules the fleet, by the same lease as a cell's. */
+/** Decides whether this daemon owns the fleet, through the same kind of lease as a cell's. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../../services/errors/common/errorKinds.js';
@@ -27,20 +27,20 @@
 import type { FleetEffect } from './fleetEffects.js';
 import { type FleetTiming, longestLeaseMs } from './fleetTiming.js';
 
-/** The fleet is one cell: all workers of the users' platform, whatever their zone. */
+/** The fleet is a single cell with all workers of the users' platform, whatever their zone. */
 const FLEET_CELL = 'fleet';
 
-/** Heartbeats that may be missing before an owner is in doubt whether it still is the owner. */
+/** Missed heartbeats after which an owner is no longer sure that it still owns the fleet. */
 const HEARTBEATS_UNTIL_OVERDUE = 2;
 
-/** What is known of the owner before this one when its place is taken. */
+/** What is known of the previous owner at the time of the takeover. */
 interface FormerOwner {
   readonly epoch: number;
-  /** Since when its heartbeat was seen to stand still. */
+  /** When its heartbeat was last seen to change. */
   readonly quietSinceMs: number;
-  /** When all leases that it may have granted to workers are over. */
+  /** When all leases that it may have granted to workers have ended. */
   readonly leasesOverAtMs: number;
-  /** The same of the owners before it. */
+  /** When the leases of the owners before it end. */
   readonly earlierLeases: readonly FormerLeases[];
 }
 
@@ -62,7 +62,7 @@
 
   #yieldedEpoch: number | undefined;
 
-  /** As of the last attempt to take the fleet. */
+  /** The previous owner, as known at the last attempt to acquire the lease. */
   #former = NO_FORMER_OWNER;
 
   constructor(selfId: string, timing: FleetTiming, acquireDelayMs: number, nowMs: number) {
@@ -82,51 +82,55 @@
     return this.#lease.selfId;
   }
 
-  /** Since when the heartbeat of the owner before this one was seen to stand still. */
+  /** When the heartbeat of the previous owner was last seen to change. */
   get predecessorQuietSinceMs(): number {
     return this.#former.quietSinceMs;
   }
 
   /**
-   * When all leases that former owners may have granted to a worker of the roster are over. What is
-   * stored may be later than what the last owner granted: it need not have reached the worker.
+   * When all leases that former owners may have granted to a worker of the roster have ended. The
+   * stored instant can be later than the end of the leases that the last owner granted, because
+   * that owner may not have reached the worker.
    */
   formerLeasesOverAtMs(entry: RosterEntry, rosterEpoch: number, nowMs: number): number {
     const { leasesOverAtMs, earlierLeases } = this.#former;
-    // An owner grants nothing until the roster is of its epoch.
+    // An owner grants no leases until it has stored the roster under its own epoch.
     const granted = earlierLeases.find(({ upToEpoch }) => upToEpoch >= rosterEpoch);
     const storedMs = entry.limitTableMs ?? granted?.overTableMs;
     const { tableClock } = this.#lease;
     if (storedMs === undefined || tableClock === undefined) return leasesOverAtMs;
-    // The table's clock is at least as far as it was when its answer came.
+    // The table read its clock before its answer arrived, so its clock is at least this far now.
     const tableNowMs = tableClock.tableMs + nowMs - tableClock.readAtMs;
     return nowMs + storedMs - tableNowMs;
   }
 
-  /** An instant of this process on the table's clock, at the latest. */
+  /** Converts an instant of this process's clock to the latest possible instant of the table's. */
   toTableMs(atMs: number): number | undefined {
     const { tableClock } = this.#lease;
     if (tableClock === undefined) return undefined;
     return Math.ceil(tableClock.tableMs + atMs - tableClock.askedAtMs);
   }
 
-  /** Named by each transaction of the owner: a former owner commits nothing more. */
+  /** The condition of every transaction of the owner. It keeps a former owner from committing. */
   get condition(): RowCondition {
     return { key: cellOwnerKey(FLEET_CELL), version: this.#lease.ownerRowVersion };
   }
 
-  /** The epoch of an owner whose heartbeat was seen to move lately; undefined without one. */
+  /** The epoch of the owner if its heartbeat has changed within the lease time; else undefined. */
   liveEpoch(nowMs: number): number | undefined {
     const isLive = nowMs - this.#lease.unchangedSinceMs < this.#timing.leaseMs;
     return this.#lease.epoch > 0 && isLive ? this.#lease.epoch : undefined;
   }
 
-  /** Whether leases may be granted: others take it that an owner goes on for so long. */
+  /**
+   * Whether the owner may grant leases to workers. Successors assume that an owner without the
+   * table goes on granting for `maximumGrantWithoutTableMs` after its last stored heartbeat.
+   */
   mayGrant(nowMs: number): boolean {
     return this.#unprovenMs(nowMs) <= this.#timing.maximumGrantWithoutTableMs;
   }
 
-  /** Whether heartbeats are missing, so that grants may have to end soon. */
+  /** Whether heartbeats are overdue, so that the owner may soon have to stop granting leases. */
   isProofOverdue(nowMs: number): boolean {
     const overdueMs = HEARTBEATS_UNTIL_OVERDUE * this.#timing.heartbeatIntervalMs;
     return this.#unprovenMs(nowMs) > overdueMs;
@@ -181,32 +185,35 @@
   }
 
   /**
-   * A worker has shown that another daemon owns the fleet. Should that turn out to be wrong, the
-   * fleet is taken anew: the leases granted in this epoch, and the fences of workers that were
-   * found to be another process, are known no more.
+   * Gives the fleet up because a worker has shown that another daemon owns it. If that turns out to
+   * be wrong, this daemon acquires the fleet under a new epoch. It has by then forgotten the leases
+   * that it granted in this epoch and the raised fences of workers whose process was replaced.
    */
   yield(nowMs: number): void {
     this.#yieldedEpoch = this.#lease.epoch;
     this.#lease = withLeaseLost(this.#lease, this.#timing, nowMs);
   }
 
-  /** Hands the fleet over before this daemon ends; returns what to write, if it is the owner. */
+  /** Releases the fleet before this daemon ends. An owner gets the transaction to write. */
   release(): Transaction | undefined {
     const wasOwner = this.isOwner;
     this.#isReleased = true;
     return wasOwner ? releaseTransaction(this.#lease, `${this.selfId}:release`) : undefined;
   }
 
-  /** How long ago the last heartbeat that is known to be stored was sent. */
+  /** The time since the last heartbeat that is known to be stored was sent. */
   #unprovenMs(nowMs: number): number {
     return nowMs - this.#lease.heldAtMs;
   }
 
-  /** When the heartbeat of another owner was sent at the latest: seen late, it may be older. */
+  /**
+   * The latest possible send time of the other owner's last heartbeat. This daemon may have seen
+   * the heartbeat only long after it was sent.
+   */
   #heartbeatAtMs(): number {
     const { unchangedSinceMs, heartbeatSentTableMs, tableClock } = this.#lease;
     if (heartbeatSentTableMs === undefined || tableClock === undefined) return unchangedSinceMs;
-    // The table's clock was at least as far when its answer came.
+    // The table read its clock before its answer arrived.
     const sentAtMs = tableClock.readAtMs + heartbeatSentTableMs - tableClock.tableMs;
     return Math.min(unchangedSinceMs, sentAtMs);
   }
@@ -214,8 +221,8 @@
   #formerOwner(nowMs: number): FormerOwner {
     const { epoch, isReleased, unchangedSinceMs, formerLeases: earlierLeases } = this.#lease;
     const { maximumGrantWithoutTableMs, maximumLeaseMs } = this.#timing;
-    // One that gave the fleet up granted nothing afterwards; another one may have gone on until it
-    // noticed that it does not reach the table.
+    // An owner that released the fleet granted no leases afterwards. Any other owner may have gone
+    // on granting until it noticed that it could not reach the table.
     const lastGrantAtMs = isReleased ? nowMs : this.#heartbeatAtMs() + maximumGrantWithoutTableMs;
     return {
       epoch,
@@ -225,12 +232,12 @@
     };
   }
 
-  /** What the owner row of this daemon's epoch is to say. */
+  /** The former owners' leases, as stored in the owner row of this daemon's epoch. */
   #formerLeases(former: FormerOwner, nowMs: number): readonly FormerLeases[] {
     const overTableMs = this.toTableMs(former.leasesOverAtMs);
     const tableNowMs = this.toTableMs(nowMs);
     if (overTableMs === undefined || tableNowMs === undefined) return [];
-    // Of those that are over the last one tells it of all before.
+    // The last entry that has ended also covers all entries before it.
     const firstOpen = former.earlierLeases.findIndex((one) => one.overTableMs > tableNowMs);
     const kept =
       firstOpen < 0
--- a/src/scheduler/common/fleet/fleetPolicy.ts
+++ b/src/scheduler/common/fleet/fleetPolicy.ts
@@ -13,7 +13,7 @@
   readonly servingPlacement: ServingPlacement;
   /** For tasks that are neither serving tasks nor fillers. */
   readonly placement: PlacementCosts;
-  /** Called once for each tenure of an owner. */
+  /** Called once for each epoch of this owner. */
   readonly newInterferenceControl: () => InterferenceControl;
 }
 
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -1,4 +1,4 @@
-/** Gives waiting tasks room on workers. */
+/** Places waiting tasks on workers. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
 import { newRun } from './runKeeper.js';
 import { isInterrupted, type TaskRecord, type TaskRun } from './taskRecords.js';
@@ -7,12 +7,14 @@
 import { type WaitCounts, WaitReason } from './waitReport.js';
 import { type PlacementChoice, WorkerSearch } from './workerSearch.js';
 
-/** Run numbers that one epoch may use of a task before they meet those of the next. */
+/** How many run numbers of a task one epoch can use before they overlap with the next epoch's. */
 const RUNS_PER_EPOCH = 1_000;
-/** Starts of one round; more would hold up the answers that come in meanwhile. */
+/**
+ * The maximum number of starts in one round. More would delay the answers that come in meanwhile.
+ */
 export const MAXIMUM_STARTS = 150;
 
-/** How much one round may do; what is left over comes in the next one. */
+/** Limits on the work of one round. The rest is left to the next round. */
 export interface RoundLimits {
   readonly startCount: number;
   readonly ratingCount: number;
@@ -28,13 +30,17 @@
 const NOTHING_PLACED: RoundOutcome = { waits: new Map(), startCount: 0, ratingCount: 0 };
 
 /**
- * Rises over all owners: a worker refuses a run that is not higher than one it has stopped or
- * ended, and an owner does not know which numbers its predecessor used on workers out of reach.
+ * Returns a run number that is higher than any that this or a former owner has used for the tasks.
+ * A worker refuses a run whose number is not higher than that of a run it has stopped or ended, and
+ * an owner does not know which numbers its predecessor used on workers that it cannot reach.
  */
 export const nextRunNumber = (tasks: readonly TaskRecord[], epoch: number): number =>
   Math.max((epoch - 1) * RUNS_PER_EPOCH, ...tasks.map(({ lastRun }) => lastRun)) + 1;
 
-/** Gives a task room on a worker; the start is sent once the assignment is stored. */
+/**
+ * Assigns a task to a worker and takes its room there. The start is sent after the assignment is
+ * stored.
+ */
 export const assignRun = (
   { book }: Pick<RoundInput, 'book'>,
   task: TaskRecord,
@@ -108,7 +114,7 @@
     this.waits.set(reason, (this.waits.get(reason) ?? 0) + count);
   }
 
-  /** Returns how many of the tasks, all of one step, were not placed. */
+  /** Places tasks of one step. Returns how many were not placed. */
   #placeSingly(due: readonly TaskRecord[], key: string): number {
     const [first] = due as [TaskRecord];
     const opened = first.submission.occurrences.get(first.occurrence);
@@ -124,7 +130,7 @@
     return leftCount;
   }
 
-  /** Returns how many of the tasks were placed before no room was found or the round was full. */
+  /** Places tasks until no room is found or the round is full. Returns how many were placed. */
   #placeBySearch(due: readonly TaskRecord[], search: WorkerSearch): number {
     const { epoch } = this.#input;
     const firstLeftIndex = due.findIndex((task) => {
@@ -135,7 +141,9 @@
     return firstLeftIndex < 0 ? due.length : firstLeftIndex;
   }
 
-  /** All members at once or none: a part of a gang would hold room and do no work. */
+  /**
+   * Places all members of a gang or none, because part of a gang would take room and do no work.
+   */
   #placeGang(task: TaskRecord, key: string, dueCount: number): number {
     const opened = task.submission.occurrences.get(task.occurrence);
     const members = opened?.tasks[task.stepIndex] ?? [];
@@ -185,15 +193,15 @@
   }
 }
 
-/** Interrupted tasks have groups of their own, which an order is to put first. */
+/** Interrupted tasks are in groups of their own. A queue order has to put these groups first. */
 const isOfInterrupted = ({ tasks }: TaskGroup): boolean => {
   const [first] = tasks;
   return first !== undefined && isInterrupted(first);
 };
 
 /**
- * Gives tasks that wait room on workers; their starts are sent once the assignments are stored.
- * `afterInterrupted` is called once those that were interrupted have had their turn.
+ * Places waiting tasks on workers. Their starts are sent after the assignments are stored. Calls
+ * `afterInterrupted` after the round has tried to place the interrupted tasks.
  */
 export const placeWaiting = (
   input: RoundInput,
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -1,12 +1,13 @@
 /**
- * Schedules submissions on workers that keep their own leases. One daemon at a time owns all of
- * it. Events come in through the handlers, each with the present time; `step` says what to do
- * next. It holds no socket, timer or clock.
+ * Schedules submissions on workers that enforce their own leases. One daemon at a time owns the
+ * whole fleet. Events come in through the `handle` methods, each with the current time; `step`
+ * returns the effects that are due. The class uses no socket, timer or clock.
  *
- * Which worker is given which task is stored before the start is sent. Workers list what runs
- * and refuse orders under a lower fence than the highest they have seen, so an owner that has held
- * a worker under its own fence knows all that runs there. On a worker that it does not reach only
- * the tasks may run that are stored as assigned to it: these wait until its leases are over.
+ * The assignment of a task to a worker is stored before the start is sent. Workers list their runs
+ * and refuse orders under a lower fence than the highest they have seen. An owner that has received
+ * a worker's hold answer under its own fence therefore knows all runs there. A worker that the
+ * owner cannot reach can only run the tasks that are stored as assigned to it. Those tasks wait
+ * until the worker's leases have ended.
  */
 import { type Either, isLeft, isRight } from 'fp-ts/lib/Either.js';
 
@@ -73,7 +74,7 @@
 
   #loadingEpoch = 0;
 
-  /** Epochs that have ended and that the log has not been told of. */
+  /** Epochs that have ended and whose end has not been logged yet. */
   #endedEpochs: number[] = [];
 
   readonly #startsInFlight = new Map<string, TaskRun>();
@@ -100,12 +101,12 @@
     return this.#ownership.isOwner;
   }
 
-  /** The epoch in which this daemon schedules; undefined until it has read what is stored. */
+  /** The epoch in which this daemon schedules; undefined until it has loaded the stored state. */
   get epoch(): number | undefined {
     return this.#tenure?.epoch;
   }
 
-  /** For how long the owner before this one had been silent, or had given the fleet up. */
+  /** The time in milliseconds since the previous owner's last seen heartbeat or its release. */
   predecessorQuietMs(nowMs: number): number {
     return nowMs - this.#ownership.predecessorQuietSinceMs;
   }
@@ -133,7 +134,9 @@
     this.#dropEndedTenure();
   }
 
-  /** Takes in what is stored; undefined when it could not be read, and is to be read again. */
+  /**
+   * Takes over the stored state. If it is undefined, reading failed and `step` requests a new load.
+   */
   handleLoaded(epoch: number, stored: StoredState | undefined, nowMs: number): void {
     if (this.#loadingEpoch !== epoch) return;
     this.#loadingEpoch = 0;
@@ -149,12 +152,12 @@
     takeChanges(this.#tenure, changes, NOTHING_STORED, nowMs);
   }
 
-  /** Everything that callers had done by `nowMs` has been taken in. */
+  /** All submissions and cancellations that callers made before `nowMs` have been handled. */
   handleCaughtUp(epoch: number, nowMs: number): void {
     if (this.#tenure?.epoch === epoch) this.#tenure.caughtUpAtMs = nowMs;
   }
 
-  /** Takes in the workers that the table lists, asked for at `sentAtMs`. */
+  /** Handles the list of workers in the table, which was requested at `sentAtMs`. */
   handleWorkers(
     epoch: number,
     entries: readonly FleetWorkerEntry[],
@@ -248,7 +251,7 @@
     } else FillerPacing.recordAccepted(run, percent, nowMs);
   }
 
-  /** Returns the starts of runs whose assignments are stored now, or what is to be read again. */
+  /** Returns the starts of runs whose assignments are now stored, or the rows to read again. */
   handleCommitted(
     epoch: number,
     result: Either<Failure, TransactionResult>,
@@ -260,18 +263,18 @@
     const { request, recorded } = commits.handleCommitted(result, book, roster);
     if (request !== undefined) return [{ kind: 'resolve', epoch, request }];
     const effects = [...this.#start(tenure, recorded, nowMs)];
-    // What has gathered meanwhile need not wait for the next step, which may be far off.
+    // Commits the changes that came in meanwhile at once, because the next step may be far off.
     this.#commit(tenure, effects, nowMs);
     return effects;
   }
 
-  /** Returns false when the rows are to be read again. */
+  /** Returns false if the rows have to be read again. */
   handleResolved(epoch: number, result: Either<Failure, ReadResult>): boolean {
     if (this.#tenure?.epoch !== epoch) return true;
     return this.#tenure.commits.handleResolved(result);
   }
 
-  /** Hands over before the daemon ends; returns what to write. */
+  /** Releases the fleet before the daemon ends. Returns the transaction to write. */
   release(): Transaction | undefined {
     const tenure = this.#tenure;
     this.#tenure = undefined;
@@ -279,22 +282,22 @@
     if (transaction === undefined || tenure === undefined) return transaction;
     const toTableMs = (atMs: number): number | undefined => this.#ownership.toTableMs(atMs);
     const row = tenure.roster.last([...tenure.views.values()], toTableMs);
-    // Needs no condition of its own: a commit that is under way names the owner row, so that it is
-    // stored before this transaction or not at all.
+    // The roster row needs no condition of its own: a commit in flight has a condition on the owner
+    // row, so it is stored either before this transaction or not at all.
     return { ...transaction, writes: [...transaction.writes, { key: ROSTER_KEY, value: row }] };
   }
 
-  /** A step that was due at `dueAtMs` has been taken. Returns whether fewer tasks start from now on. */
+  /** Records a step that was due at `dueAtMs`. Returns whether the start rate has been reduced. */
   handleStepTaken(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
     return this.#load.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#tenure !== undefined;
   }
 
-  /** The starts a second that this daemon's processor is taken to carry. */
+  /** The limit of starts per second, which follows what this daemon's processor can handle. */
   get startLimitPerS(): number {
     return this.#load.startLimitPerS;
   }
 
-  /** Everything that is due now. */
+  /** Returns the effects that are due now. */
   step(wallNowMs: number, nowMs: number): readonly FleetEffect[] {
     const effects: FleetEffect[] = [];
     const leaseEffect = this.#ownership.next(nowMs);
@@ -328,7 +331,10 @@
     effects.push({ kind: 'load', epoch });
   }
 
-  /** Whether a refusal tells of another owner: calls sent before a fence was raised are refused too. */
+  /**
+   * Whether a fenced refusal shows that another daemon owns the fleet. A worker also refuses calls
+   * that this owner sent before it raised the worker's fence.
+   */
   #isOvertaken({ workerId, fence }: RunReference, epoch: number): boolean {
     const view = this.#tenure?.views.get(workerId);
     return view === undefined || fence >= view.fence(epoch);
@@ -339,7 +345,10 @@
     this.#dropEndedTenure();
   }
 
-  /** At once, so that no answer that comes next is acted on under the condition of a later epoch. */
+  /**
+   * Drops the state of an epoch that has ended. This happens at once, so that the next answer is
+   * not handled under the condition of a later epoch.
+   */
   #dropEndedTenure(): void {
     const { isOwner, epoch } = this.#ownership;
     if (this.#tenure === undefined || (isOwner && this.#tenure.epoch === epoch)) return;
@@ -354,7 +363,7 @@
     return roundInput(tenure, this.#operator, this.#policy, this.#timing);
   }
 
-  /** Callers are promised that nothing starts some seconds after they have cancelled it. */
+  /** Callers are promised that a submission starts nothing some seconds after its cancellation. */
   #mayStart(tenure: Tenure, nowMs: number): boolean {
     const isCaughtUp = nowMs - tenure.caughtUpAtMs <= this.#timing.feedFreshnessMs;
     return isCaughtUp && this.#ownership.mayGrant(nowMs);
--- a/src/scheduler/common/fleet/fleetTenure.ts
+++ b/src/scheduler/common/fleet/fleetTenure.ts
@@ -1,4 +1,6 @@
-/** What exists only while a daemon owns the fleet and has read what is stored. */
+/**
+ * The state of the fleet that a daemon keeps while it is the owner and has loaded the stored state.
+ */
 import type { OperatorState } from '../../../services/fleet/common/fleetConfiguration.js';
 import type { FleetWorkerEntry, RunReference } from '../../../services/fleet/common/fleetWorker.js';
 import type { Submission } from '../../../services/submissions/common/submission.js';
@@ -26,22 +28,22 @@
 import { NO_ASSIGNMENTS } from './taskRecords.js';
 import type { RoundInput } from './usableWorkers.js';
 
-/** A submission or a cancellation as read from the table. */
+/** A submission or a cancellation that was read from the table. */
 export type SubmissionChange =
   | { readonly kind: 'submission'; readonly submission: Submission }
   | { readonly kind: 'cancellation'; readonly id: string };
 
-/** What a new owner reads before it does anything. */
+/** The state that a new owner reads from the table before it schedules. */
 export interface StoredState {
   readonly changes: readonly SubmissionChange[];
   readonly progress: ReadonlyMap<string, Progress>;
   readonly assignments: ReadonlyMap<string, Assignments>;
   /** Versions of the rows that only the owner writes, by key. */
   readonly versions: ReadonlyMap<string, number>;
-  /** Workers to which the former owners have granted leases. */
+  /** Workers to which former owners have granted leases. */
   readonly roster: RosterRow;
   readonly workers: readonly FleetWorkerEntry[];
-  /** Interference between images, as learnt by the former owners. */
+  /** Interference between images that former owners have learnt. */
   readonly interference: LearntInterference;
 }
 
@@ -55,18 +57,18 @@
   readonly interference: InterferenceControl;
   readonly notes: FleetNotes;
   readonly misses: RoomMisses;
-  /** When everything that callers had done was known last. */
+  /** When all submissions and cancellations of callers were last known. */
   caughtUpAtMs: number;
   /**
-   * Fences for workers that are off the list, should they come back: the process may have seen
-   * the former one, or be another.
+   * How often the fence has to be raised for a worker that was forgotten and comes back. Its
+   * process may have seen the previous fence, or may be a different process.
    */
   readonly fenceRaises: Map<string, number>;
-  /** Runs that workers list and nobody asked for, to be stopped. */
+  /** Listed runs that the owner does not know and stops, by worker, task and run number. */
   readonly strays: Map<string, RunReference>;
 }
 
-/** A worker of which only the name and the address are known; nothing is started on it. */
+/** The entry of a worker of which only id and address are known. No task is started on it. */
 const unlistedEntry = ({ id, address }: RosterEntry): FleetWorkerEntry => ({
   id,
   address,
@@ -87,14 +89,14 @@
   const known = views.get(entry.id);
   const view = known ?? new FleetWorkerView(entry, nowMs, nowMs, fenceRaises.get(entry.id));
   view.entry = entry;
-  // Nothing was asked of it while it was off the list and ran nothing: it may be another process.
+  // An unlisted worker without runs is not called, so it may be a different process by now.
   if (view.isHeard && !view.isListed && !view.isHoldInFlight) view.isSilent = true;
   view.isListed = true;
   views.set(entry.id, view);
   return view;
 };
 
-/** Nothing is stored of submissions that have just come. */
+/** Nothing is stored yet for submissions that have just come in. */
 export const NOTHING_STORED: Pick<StoredState, 'progress' | 'assignments'> = {
   progress: new Map(),
   assignments: new Map(),
@@ -118,7 +120,10 @@
   });
 };
 
-/** `leasesOverAtMs` tells when all that former owners may have granted to a worker is over. */
+/**
+ * The state of a new owner. `leasesOverAtMs` returns when all leases that former owners may have
+ * granted to a worker have ended.
+ */
 export const newTenure = (
   epoch: number,
   stored: StoredState,
@@ -153,7 +158,9 @@
   return tenure;
 };
 
-/** Takes in the workers that the table lists, read no earlier than `readAtMs`. */
+/**
+ * Updates the views with the table's list of workers, which was read no earlier than `readAtMs`.
+ */
 export const noteWorkers = (
   tenure: Tenure,
   entries: readonly FleetWorkerEntry[],
@@ -170,7 +177,7 @@
   });
 };
 
-/** What a round of placing goes by. */
+/** The input of a placement round. */
 export const roundInput = (
   tenure: Tenure,
   operator: OperatorState,
@@ -184,12 +191,15 @@
   };
 };
 
-/** Whatever a worker held is over once its leases are, if nobody has heard of it since. */
+/**
+ * Drops the runs of workers that have not answered recently and whose leases have ended. Forgets
+ * such a worker if the table does not list it.
+ */
 export const loseLapsed = (tenure: Tenure, timing: FleetTiming, nowMs: number): void => {
   tenure.views.forEach((view, id) => {
     if (view.isFresh(timing, nowMs) || nowMs < view.leasesOverAtMs) return;
     tenure.keeper.loseAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
-    // The answer to a call under way would count as that of a view made anew.
+    // The answer to a call in flight would be taken for an answer to the worker's next view.
     if (view.isListed || view.isHoldInFlight) return;
     tenure.views.delete(id);
     tenure.fenceRaises.set(id, view.fenceRaises + 1);
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -1,4 +1,4 @@
-/** What the scheduler knows of one worker: its room, its runs, its clock and its leases. */
+/** The scheduler's view of one worker: its free capacity, runs, clock and leases. */
 import type { FleetWorkerEntry, HoldAnswer } from '../../../services/fleet/common/fleetWorker.js';
 import {
   addResources,
@@ -11,10 +11,10 @@
 import type { ServiceLoad } from './serviceLoad.js';
 import { countedSize, type TaskRecord, type TaskRun } from './taskRecords.js';
 
-/** Incarnations of one worker that one owner tells apart; it would take hours to meet so many. */
+/** How often one owner can raise a worker's fence. So many restarts would take hours. */
 const FENCES_PER_EPOCH = 1_000;
 
-/** How far a worker's clock may run from real time. */
+/** The rate at which a worker's clock may deviate from real time. */
 const CLOCK_DRIFT = 0.02;
 
 export const runKey = (taskName: string, run: number): string => `${taskName}#${run}`;
@@ -22,34 +22,34 @@
 export class FleetWorkerView {
   entry: FleetWorkerEntry;
 
-  /** False once the table no longer lists the worker. */
+  /** False if the table no longer lists the worker. */
   isListed = true;
 
   /**
-   * Whether the last hold got no answer. Nothing is granted then: each grant may have been taken,
-   * so that granting on would put off for ever the instant from which its leases are surely over.
+   * Whether the last hold got no answer. Such a worker gets no new leases: it may have accepted
+   * each of them, so further grants would postpone the certain end of its leases again and again.
    */
   isSilent = false;
 
-  /** Whether it has answered a hold of this ownership, so that all its runs are known. */
+  /** Whether the worker has answered a hold of this owner, so that all its runs are known. */
   isHeard = false;
 
   incarnation: number;
 
-  /** Ends up to this sequence have been taken in. */
+  /** Ends up to this sequence number have been handled. */
   takenSequence = 0;
 
-  /** Ends up to this sequence are recorded in the table. */
+  /** Ends up to this sequence number are recorded in the table. */
   recordedSequence = 0;
 
   isHoldInFlight = false;
 
-  /** Ends up to this sequence are acknowledged by the call under way. */
+  /** The call in flight acknowledges ends up to this sequence number. */
   acknowledgingSequence = 0;
 
   /**
-   * The process was told, before it was known to be another one, that ends of its predecessor are
-   * recorded: it may forget its own under their numbers.
+   * Whether the process may forget ends of its own runs. Before the owner knew that the process had
+   * been replaced, it acknowledged ends of the former process, whose numbers the new one reuses.
    */
   mayForgetEnds = false;
 
@@ -57,48 +57,52 @@
 
   lastAnswerAtMs = Number.NEGATIVE_INFINITY;
 
-  /** How often the fence of its calls was raised in this ownership. */
+  /** How often the fence of the worker's calls was raised in this epoch. */
   #fenceRaises: number;
 
-  /** Since when it is known that its process is another one. */
+  /** When the owner found that the worker's process had been replaced. */
   #rebornAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Its process is another one, and no list made under the raised fence has come yet. */
+  /** Whether the process was replaced and has not yet answered under the raised fence. */
   isReborn = false;
 
-  /** When pacing of this worker's fillers was last changed. */
+  /** When the pace of this worker's fillers was last changed. */
   pacedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The loads of its serving tasks, by step; see `interferenceModel.ts`. */
+  /** The loads of the worker's serving tasks by step; see `interferenceModel.ts`. */
   readonly loads = new Map<string, ServiceLoad>();
 
-  /** Rises with every change of `runs` and of the room that is kept. */
+  /** Increases with every change of `runs` and of the reservations. */
   changeCount = 0;
 
-  /** When the figures of its runs were last taken in. */
+  /** When the load figures of the worker's runs were last sampled. */
   sampledAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The `sampledAtMs` of the figures used by the last decision on the pace of its fillers. */
+  /** The `sampledAtMs` of the figures behind the last decision on the pace of its fillers. */
   pacingSampledAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Runs that the worker lists and nobody asked for any more, with unknown sizes. */
+  /** The number of listed runs that the owner does not know. Their sizes are unknown. */
   strayCount = 0;
 
   readonly runs = new Map<string, TaskRun>();
 
-  /** When, on this process's clock, every lease granted to the worker has surely ended. */
+  /**
+   * The instant on this process's clock from which all leases of the worker have certainly ended.
+   */
   leasesOverAtMs: number;
 
   readonly #drainNotice = new DrainNotice();
 
   #used: Resources = NO_RESOURCES;
 
-  /** Room for tasks that are yet to be given to the worker. */
+  /** Room that is reserved for tasks that are not yet assigned to the worker. */
   #kept: Resources = NO_RESOURCES;
 
   readonly #keptTasks = new Set<TaskRecord>();
 
-  /** What is left of the capacity that `#freeOf` tells; undefined after a change of the runs. */
+  /**
+   * The cached free part of the capacity `#freeOf`; undefined after runs or reservations change.
+   */
   #free: Resources | undefined;
 
   #freeOf: Resources = NO_RESOURCES;
@@ -134,7 +138,7 @@
     return this.#free;
   }
 
-  /** Processors that fillers on this worker would use if they could. */
+  /** The processors that the fillers on this worker would use without pacing. */
   get fillerProcessorMillis(): number {
     return this.#fillerProcessorMillis;
   }
@@ -144,26 +148,26 @@
   }
 
   /**
-   * Whether the entry in the table is of the process that answers. One that has started again under
-   * its id may have another capacity, and other labels, than the entry of the former one.
+   * Whether the table's entry was written by the process that answers. A process that restarted
+   * under the same id may have a different capacity and different labels.
    */
   get isEntryCurrent(): boolean {
     const isTold = this.entry.incarnation !== 0 && this.incarnation !== 0;
     return !isTold || this.entry.incarnation === this.incarnation;
   }
 
-  /** Until when the worker surely goes on; undefined where that is not told. */
+  /** The instant until which the worker is certain to stay; undefined if it announced none. */
   get staysUntilMs(): number | undefined {
     return this.#drainNotice.staysUntilMs;
   }
 
-  /** Takes in what the table lists of the worker, read no earlier than `readAtMs`. */
+  /** Updates the worker's entry from the table, which was read no earlier than `readAtMs`. */
   noteEntry(entry: FleetWorkerEntry, timing: FleetTiming, readAtMs: number): void {
     this.entry = entry;
     this.#drainNotice.note(entry, timing.workerReportIntervalMs, readAtMs);
   }
 
-  /** Tasks for which room is kept here until they start. */
+  /** Tasks for which room is reserved here until they start. */
   get keptTasks(): ReadonlySet<TaskRecord> {
     return this.#keptTasks;
   }
@@ -208,15 +212,18 @@
     this.#free = undefined;
   }
 
-  /** A worker that has answered refuses former owners from then on, also what is under way. */
+  /**
+   * Limits former owners' leases. A worker that has answered refuses even their calls in flight.
+   */
   boundFormerLeases(timing: FleetTiming, nowMs: number): void {
     const longestMs = longestLeaseMs(timing.maximumLeaseMs);
     this.leasesOverAtMs = Math.min(this.leasesOverAtMs, nowMs + longestMs);
   }
 
   /**
-   * A process that was called by the clock of the former one may have taken leases that are as long
-   * to its own clock as it takes any.
+   * Extends the known end of the leases after the process was replaced. Lease ends were computed
+   * for the former process's clock, so the new process may hold leases up to the longest it
+   * accepts.
    */
   boundLeasesOfNewProcess(timing: FleetTiming, nowMs: number): void {
     const longestMs = longestLeaseMs(timing.workerLeaseLimitMs);
@@ -233,20 +240,20 @@
   }
 
   /**
-   * The fence of all calls to the worker. It rises with each incarnation: a process that has just
-   * started has seen no fence, nor which runs were stopped, and would carry out a start that was
-   * sent to the one before it and is still on its way.
+   * The fence of all calls to the worker. It rises with each incarnation. A process that has just
+   * started has seen no fence and no stops, so it would execute a start that was sent to the former
+   * process and is still in flight.
    */
   fence(epoch: number): number {
     return epoch * FENCES_PER_EPOCH + this.#fenceRaises;
   }
 
-  /** Whether a list asked for at `sentAtMs` was made after the fence had risen. */
+  /** Whether a call sent at `sentAtMs` was sent after the fence was raised. */
   isFencedSince(sentAtMs: number): boolean {
     return sentAtMs >= this.#rebornAtMs;
   }
 
-  /** The runs died with their process. */
+  /** Records that a new process answers for the worker. The former process's runs have ended. */
   noteIncarnation(incarnation: number, nowMs: number): void {
     this.incarnation = incarnation;
     this.#fenceRaises += 1;
@@ -259,9 +266,9 @@
   }
 
   /**
-   * The end of a lease granted now, on the worker's clock, that is over by `limitAtMs`; undefined
-   * where that leaves none. The record of when it is surely over is kept before the grant is sent,
-   * since a grant without an answer may have been taken.
+   * Grants a lease that ends by `limitAtMs`. Returns its end on the worker's clock, or undefined if
+   * the limit leaves no time for one. `leasesOverAtMs` is updated before the grant is sent, because
+   * the worker may accept a grant whose answer is lost.
    */
   grantLease(timing: FleetTiming, limitAtMs: number, nowMs: number): number | undefined {
     if (!this.knowsClock) return undefined;
--- a/src/scheduler/common/fleet/holdPace.ts
+++ b/src/scheduler/common/fleet/holdPace.ts
@@ -1,22 +1,28 @@
-/** How often, and with which wait, each worker is asked for its lists. */
+/**
+ * Decides when each worker gets its next hold call, and how long the worker may wait to answer it.
+ */
 import type { FleetTiming } from './fleetTiming.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 
-/** After a failed call; the worker's leases allow for many such pauses. */
+/** The pause after a failed hold. A worker's lease covers many such pauses. */
 export const NEXT_HOLD_AFTER_FAILURE_MS = 300;
 /**
- * Ends that are not recorded yet would be listed again at once. The next call waits for the
- * record, which takes some 20 ms, but not for a table that is out.
+ * How long the next hold waits until the last ends are recorded. Without this wait the worker would
+ * list them again at once. Recording takes some 20 ms; the limit ends the wait if the table is
+ * unavailable.
  */
 const RECORDING_PATIENCE_MS = 250;
-/** Tails of serving tasks have to be seen before they have been over their target for long. */
+/** Short enough to see a serving task's tail latency soon after it exceeds the target. */
 const SERVING_WAIT_MS = 600;
-/** While the table is out leases are renewed up to the last moment, and at once when it is back. */
+/**
+ * The wait while the owner's heartbeat is overdue. It lets the owner renew the workers' leases up
+ * to the last moment, and at once when the table is available again.
+ */
 const OVERDUE_PROOF_WAIT_MS = 500;
 
 export const isHoldDue = (view: FleetWorkerView, nowMs: number): boolean => {
   if (view.isHoldInFlight || nowMs < view.nextHoldAtMs) return false;
-  // One that is not listed may hide runs of a former owner until it has been heard.
+  // An unlisted worker may have runs of a former owner until it has answered.
   if (!view.isListed && view.runs.size === 0 && view.isHeard) return false;
   if (view.isReborn) return true;
   const isRecording = view.takenSequence > view.recordedSequence;
@@ -34,28 +40,29 @@
 };
 
 /**
- * A call that renews a lease comes back so long before it runs out that the next one is in time. A
- * lease is short while the roster still limits those of a worker that is in reach again.
+ * A call that renews a lease returns this long before the lease ends, so that the next call can
+ * renew it in time. Leases are short while the roster still limits those of a worker that has
+ * become reachable again.
  */
 const RENEWAL_MARGIN_MS = 1_000;
 const LEAST_RENEWING_WAIT_MS = 100;
 
-/** How long the worker may wait for an end where nothing of its leases hurries the answer. */
+/** How long the worker may wait for a run to end, if no lease makes an earlier answer necessary. */
 const unhurriedWaitMs = (view: FleetWorkerView, timing: FleetTiming): number => {
-  // The first answer is wanted at once, also after the worker was out of reach.
+  // The first answer is needed at once, also from a worker that was unreachable.
   if (!view.isHeard || view.isReborn || view.isSilent) return 0;
   if (view.takenSequence > view.recordedSequence) return 0;
   return hasFillersBesideServing(view) ? SERVING_WAIT_MS : timing.holdWaitMs;
 };
 
 export interface HoldUrgency {
-  /** The call grants a lease. */
+  /** Whether the call grants a lease. */
   readonly isRenewal: boolean;
-  /** The owner's own lease has not been renewed when it was due, so that grants may end soon. */
+  /** Whether the renewal of the owner's own lease is overdue, so that it may soon stop granting. */
   readonly isProofOverdue: boolean;
 }
 
-/** How long the worker may wait for an end. */
+/** How long the worker may wait for a run to end before it answers. */
 export const holdWaitMs = (
   view: FleetWorkerView,
   timing: FleetTiming,
--- a/src/scheduler/common/fleet/ownerLoad.ts
+++ b/src/scheduler/common/fleet/ownerLoad.ts
@@ -1,4 +1,4 @@
-/** What the owner's processor carries, as its steps show it. */
+/** Limits the owner's rounds to the work that its processor can handle, judged by its steps. */
 import { MAXIMUM_STARTS, type RoundLimits, type RoundOutcome } from './fleetRound.js';
 import { RoundBudget } from './roundBudget.js';
 import { StartPace } from './startPace.js';
@@ -8,7 +8,7 @@
 
   readonly #starts = new StartPace();
 
-  /** Of the rounds of the present step. */
+  /** The ratings of the present step's rounds. */
   #ratingCount = 0;
 
   get startLimitPerS(): number {
@@ -31,7 +31,7 @@
     this.#starts.noteAnswered();
   }
 
-  /** Returns whether fewer tasks are started from now on. */
+  /** Records a step. Returns whether the start rate has been reduced. */
   noteStep(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
     this.#budget.note(this.#ratingCount, beganAtMs, endedAtMs);
     this.#ratingCount = 0;
--- a/src/scheduler/common/fleet/roster.ts
+++ b/src/scheduler/common/fleet/roster.ts
@@ -1,16 +1,17 @@
 /**
- * Until when leases may be granted to each worker, as a successor has to know it. Without a stored
- * limit the owner may grant at any time; with one, no lease lasts longer. Later owners carry the
- * limits on, so that a worker that is lost is waited for once, whatever the owner.
+ * The stored limits of each worker's leases, which tell a successor how long it has to wait for a
+ * worker. If a worker has no limit, the owner may grant it leases at any time. If it has a limit,
+ * no lease lasts longer. Later owners keep the limits, so the fleet waits for a lost worker only
+ * once even if the owner changes.
  */
 import type { RosterRow } from '../../../services/submissions/common/submissionRows.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 
-/** After a takeover the row changes with each worker that answers; it is tens of kilobytes. */
+/** Limits writes after a takeover, when the row of tens of kilobytes changes with every answer. */
 const WRITE_INTERVAL_MS = 150;
 /**
- * How far ahead leases are granted to a worker that drains, and when the limit is moved on. It may
- * leave while the owner changes; the next owner then waits no longer than this.
+ * How far ahead the limit of a draining worker is set, and the remaining time at which it is
+ * extended. If the worker leaves while the owner changes, the next owner waits no longer than this.
  */
 const DRAINING_GRANT_MS = 4_500;
 const DRAINING_LEAST_MS = 3_000;
@@ -18,12 +19,14 @@
 const NO_LIMIT = Number.POSITIVE_INFINITY;
 const NO_GRANTS = Number.NEGATIVE_INFINITY;
 
-/** Converts an instant of this process to the table's clock, where that is known. */
+/**
+ * Converts an instant of this process's clock to the table's; undefined if that clock is unknown.
+ */
 export type ToTableMs = (atMs: number) => number | undefined;
 
 interface Entry {
   readonly address: string;
-  /** On this process's clock. */
+  /** The limit on this process's clock. */
   readonly limitAtMs: number;
 }
 
@@ -37,9 +40,9 @@
   });
 
 /**
- * Leases are wanted for a worker that answers; a silent one is granted none, and the sooner that is
- * stored the shorter a successor waits. One that has just been listed and has never been granted any
- * is included at once, so that its first start need not wait for the row.
+ * Whether the owner wants to grant leases to the worker. It grants none to a silent worker, and the
+ * sooner it stores that, the shorter a successor waits. A newly listed worker that has never had a
+ * lease is included at once, so that its first start does not have to wait for the row.
  */
 const isWanted = (view: FleetWorkerView, nowMs: number): boolean =>
   view.isHeard ? !view.isSilent : view.isListed && view.leasesOverAtMs <= nowMs;
@@ -49,7 +52,7 @@
 
   #written: Entries | undefined;
 
-  /** Rows that were sent and of which it is not known whether they are stored. */
+  /** Rows that were sent but may not be stored. */
   #unconfirmed: readonly Entries[] = [];
 
   #nextWriteAtMs = Number.NEGATIVE_INFINITY;
@@ -58,7 +61,7 @@
     this.#epoch = epoch;
   }
 
-  /** By when each lease of the worker has to be over, by all rows that are or may be stored. */
+  /** The instant by which leases of the worker must end under every row that may be stored. */
   grantLimitMs(workerId: string): number {
     if (this.#written === undefined) return NO_GRANTS;
     let limitAtMs = this.#written.get(workerId)?.limitAtMs ?? NO_GRANTS;
@@ -68,12 +71,12 @@
     return limitAtMs;
   }
 
-  /** Whether tasks may be started on the worker. */
+  /** Whether the worker has no lease limit, so that tasks may be started on it. */
   isUnlimited(workerId: string): boolean {
     return this.grantLimitMs(workerId) === NO_LIMIT;
   }
 
-  /** The row to be written, if it is due. */
+  /** The row to write, if a write is due. */
   next(
     views: readonly FleetWorkerView[],
     toTableMs: ToTableMs,
@@ -83,14 +86,14 @@
     const isStored = this.#unconfirmed.length === 0 && this.#written !== undefined;
     const due = this.#entries(views, DRAINING_LEAST_MS, nowMs);
     if (isStored && isSame(this.#written as Entries, due)) return undefined;
-    // One row moves the limits of all that drain on, so that they are due together from then on.
+    // Extends the limits of all draining workers in one row, so that their next write is shared.
     const entries = this.#entries(views, DRAINING_GRANT_MS, nowMs);
     this.#nextWriteAtMs = nowMs + WRITE_INTERVAL_MS;
     this.#unconfirmed = [...this.#unconfirmed, entries];
     return this.#toRow(entries, toTableMs);
   }
 
-  /** The row of an owner that grants nothing any more. */
+  /** The last row of an owner, which grants no leases afterwards. */
   last(views: readonly FleetWorkerView[], toTableMs: ToTableMs): RosterRow {
     const entries = views.map(
       ({ id, entry, leasesOverAtMs }) =>
@@ -99,13 +102,13 @@
     return this.#toRow(new Map(entries), toTableMs);
   }
 
-  /** The row that was sent last is stored; those before it can take effect no more. */
+  /** Records that the last sent row is stored. Rows sent before it can no longer take effect. */
   noteStored(): void {
     this.#written = this.#unconfirmed.at(-1) ?? this.#written;
     this.#unconfirmed = [];
   }
 
-  /** Limits of workers that drain are moved on once they are less than `leastMs` ahead. */
+  /** The workers' limits. Extends a draining worker's limit if it is less than `leastMs` ahead. */
   #entries(views: readonly FleetWorkerView[], leastMs: number, nowMs: number): Entries {
     return new Map(
       views.map((view) => {
--- a/src/scheduler/common/fleet/roundBudget.ts
+++ b/src/scheduler/common/fleet/roundBudget.ts
@@ -1,16 +1,16 @@
 /**
- * How many workers one round of placing may rate. A round that rated all workers for all steps that
- * wait would hold up lease renewals and answers for as long as its queue is long, which on a small
- * part of a core is seconds.
+ * Limits how many workers a placement round may rate. A round that rated all workers for all
+ * waiting steps would delay lease renewals and answers in proportion to the length of the queue. On
+ * a small part of a core the delay would be seconds.
  */
 
-/** What the ratings of one round may take. */
+/** The time that the ratings of one round may take. */
 const ROUND_MS = 20;
-/** Each round gets on, however slow the processor is. */
+/** Lets each round make progress, however slow the processor is. */
 const LEAST_RATINGS = 500;
-/** Where nothing is known yet. */
+/** The assumed cost of a rating before the first measurement. */
 const INITIAL_MS_PER_RATING = 0.001;
-/** Weight of the last round in what a rating is taken to cost. */
+/** The weight of the last round in the moving average of the cost of a rating. */
 const WEIGHT = 0.2;
 
 export class RoundBudget {
@@ -20,7 +20,10 @@
     return Math.max(LEAST_RATINGS, Math.floor(ROUND_MS / this.#msPerRating));
   }
 
-  /** A step with so many ratings has been taken. Short ones tell more of what else a step does. */
+  /**
+   * Records a step with this many ratings. Ignores steps with few ratings, whose time mostly goes
+   * to other work.
+   */
   note(ratingCount: number, beganAtMs: number, endedAtMs: number): void {
     if (ratingCount < LEAST_RATINGS) return;
     const msPerRating = (endedAtMs - beganAtMs) / ratingCount;
--- a/src/scheduler/common/fleet/runEvidence.ts
+++ b/src/scheduler/common/fleet/runEvidence.ts
@@ -1,7 +1,8 @@
 /**
- * Decides whether a run is over, so that its room is free and its task may start elsewhere. That a
- * worker is out of reach proves nothing, however many ways to it fail at once: a cut between zones
- * refuses connections and expires its entry in the table, while it works on under its leases.
+ * Decides whether a run is over, so that its room is free and its task may start elsewhere. An
+ * unreachable worker proves nothing, even if several ways to it fail at once. A network partition
+ * between availability zones refuses connections and lets the worker's table entry expire, while
+ * the worker continues to run under its leases.
  */
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import { RunState, type TaskRun } from './taskRecords.js';
@@ -9,15 +10,15 @@
 export const EvidenceKind = {
   /** No start has been sent. */
   NotSent: 'not-sent',
-  /** The only start of the run was refused, or its call surely never left. */
+  /** The only start of the run was refused, or the call was certainly never sent. */
   Refused: 'refused',
   /** The worker lists the end of the run. */
   EndListed: 'end-listed',
-  /** The worker's lists have neither the run nor its end. */
+  /** The worker lists neither the run nor its end. */
   Unlisted: 'unlisted',
-  /** Another process answers for the worker. */
+  /** A new process answers for the worker. */
   AnotherProcess: 'another-process',
-  /** Time has passed without an answer. */
+  /** All leases of the worker have ended without an answer from it. */
   LeasesOver: 'leases-over',
 } as const;
 export type EvidenceKind = (typeof EvidenceKind)[keyof typeof EvidenceKind];
@@ -31,7 +32,10 @@
   readonly kind: typeof EvidenceKind.AnotherProcess | typeof EvidenceKind.LeasesOver;
 }
 
-/** A list tells of a run once its start, or the stop that bars it, was answered before the asking. */
+/**
+ * Whether the list would contain the run if it were not over. This holds if the answer to its
+ * start, or to the stop that bars it, came before the list was requested.
+ */
 const wouldBeListed = (
   { state, isStopConfirmed, settledAtMs }: TaskRun,
   askedAtMs: number,
--- a/src/scheduler/common/fleet/runForecast.ts
+++ b/src/scheduler/common/fleet/runForecast.ts
@@ -1,13 +1,14 @@
-/** For how long a run is likely to go on. */
+/** Estimates how long a run will continue. */
 import type { TaskRun } from './taskRecords.js';
 
 const WHOLE_PERCENT = 100;
-/** Percentages are whole numbers, so that a smaller change tells little of the speed. */
+/** Percentages are whole numbers, so a smaller gain says little about the speed. */
 const TELLING_PERCENT = 10;
 
 /**
- * By the speed that its worker has shown, else by the callers' estimate. A run may have been found
- * at work, or have begun with a checkpoint, so that when it started tells nothing of its speed.
+ * Estimates the remaining time by the run's progress since its first listing, or by the caller's
+ * estimate if the progress is too small. The start time does not show the speed, because the run
+ * may have been taken over from a former owner or have resumed from a checkpoint.
  */
 export const likelyRemainingMs = (run: TaskRun, listedAtMs: number, nowMs: number): number => {
   const { estimateMs } = run.task.step;
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runKeeper.ts
@@ -1,4 +1,4 @@
-/** Keeps the runs on the workers in step with what the workers list and answer. */
+/** Tracks the runs on the workers by what the workers list and answer. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import { type Failure, WorkOutcome } from '../../../services/errors/common/errorKinds.js';
@@ -21,12 +21,12 @@
 import type { InheritedTask, SubmissionBook } from './submissionBook.js';
 import { failureCount, isOpen, RunState, type TaskRecord, type TaskRun } from './taskRecords.js';
 
-/** How long a task waits after a worker has refused it, so that the next round looks elsewhere. */
+/** How long a refused task waits, so that the next round tries other workers first. */
 const REFUSED_RETRY_MS = 100;
-/** How long a stop without an answer is waited with before it is sent again. */
+/** The delay before a stop that failed or got no answer is sent again. */
 const STOP_RETRY_MS = 300;
 const FULL_PERCENT = 100;
-/** Of a task of which there are no figures yet: as at half the target. */
+/** The headroom of a task without latency figures, which counts as being at half its target. */
 const UNKNOWN_HEADROOM = 2;
 
 export interface StopDue {
@@ -60,7 +60,7 @@
   pacedSinceMs: nowMs,
 });
 
-/** Whether a failure shows that the order cannot have been carried out. */
+/** Whether a failure shows that the order was certainly not executed. */
 const isSurelyUndone = (cause: Failure): boolean => cause.workOutcome === WorkOutcome.NotRun;
 
 export class RunKeeper {
@@ -72,7 +72,7 @@
 
   readonly #notes: FleetNotes;
 
-  /** Runs that need a stop, with when to send the next. */
+  /** Runs to stop, each with the instant at which its next stop is sent. */
   readonly #stops = new Map<TaskRun, number>();
 
   #health: WorkerHealth;
@@ -95,7 +95,7 @@
     return this.#health;
   }
 
-  /** Takes in a worker's lists, asked for at `sentAtMs`. Returns runs that nobody knows. */
+  /** Handles a worker's lists, which were requested at `sentAtMs`. Returns the unknown runs. */
   handleLists(
     view: FleetWorkerView,
     answer: HoldAnswer,
@@ -107,7 +107,7 @@
       this.#notes.add('worker-reborn', { workerId: view.id, incarnation: answer.incarnation });
       view.noteIncarnation(answer.incarnation, nowMs);
     }
-    // Until the new process has seen the raised fence, a start sent to the old one may still come.
+    // Until the new process has seen the raised fence, it may still execute a start to the old one.
     if (!view.isFencedSince(sentAtMs)) return [];
     if (view.isReborn) this.loseAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
     view.noteAnswer(answer, nowMs);
@@ -120,7 +120,10 @@
     return unknown;
   }
 
-  /** A run whose end may be forgotten would look like one that is lost, and be started again. */
+  /**
+   * Stops the runs of a process that may forget their ends. A run with a forgotten end would count
+   * as lost, and its task would start again.
+   */
   #stopForgettable(view: FleetWorkerView, nowMs: number): void {
     const runs = [...view.runs.values()].filter(({ task }) => !task.step.isPersistent);
     this.requestStops(runs, StopReason.Forgettable, nowMs);
@@ -152,7 +155,7 @@
       this.#stops.set(run, nowMs + STOP_RETRY_MS);
       return;
     }
-    // From here on the worker refuses the run, should its start still be under way.
+    // From now on the worker refuses the run, even if its start is still in flight.
     this.#stops.delete(run);
     run.isStopConfirmed = true;
     run.settledAtMs = nowMs;
@@ -163,7 +166,7 @@
     this.#stops.set(run, nowMs);
   }
 
-  /** Wants runs stopped; their room stays taken until the workers no longer list them. */
+  /** Requests stops of runs. Their room stays taken until the workers no longer list them. */
   requestStops(runs: readonly TaskRun[], reason: StopReason, nowMs: number): void {
     const wanted = runs.filter(({ state }) => state !== RunState.Stopping);
     this.#notes.addStops(wanted, reason);
@@ -173,15 +176,16 @@
     });
   }
 
-  /** Takes back a run of which no start has been sent. */
+  /** Withdraws a run whose start has not been sent. */
   withdraw(run: TaskRun, nowMs: number): void {
     const view = this.#views.get(run.workerId);
     if (view !== undefined) this.#drop(view, run, { kind: EvidenceKind.NotSent }, nowMs);
   }
 
   /**
-   * Takes a former owner's runs for running until their workers list them or their leases are
-   * over. A worker that is not known has none: owners keep it on the roster until they are over.
+   * Takes over the runs of a former owner. They count as running until their workers list them or
+   * the workers' leases have ended. An unknown worker has no runs, because owners keep a worker on
+   * the roster until its runs are over.
    */
   inherit(tasks: readonly InheritedTask[], nowMs: number): void {
     tasks.forEach(({ task, inherited }) => {
@@ -210,14 +214,14 @@
     return due;
   }
 
-  /** Drops all runs of the worker that the evidence shows to be over. */
+  /** Drops all runs of the worker that are over by the evidence. */
   loseAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
     const runs = [...view.runs.values()];
     const lost = runs.filter((run) => this.#drop(view, run, evidence, nowMs));
     this.#notes.addLosses(view, lost, evidence.kind, nowMs);
   }
 
-  /** Returns false for an end that was taken before, or of a submission that is not known. */
+  /** Returns false for an end that was handled before or whose submission is unknown. */
   #takeEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
     if (finished.sequence <= view.takenSequence) return false;
     view.takenSequence = finished.sequence;
@@ -252,7 +256,7 @@
     this.noteFault(view, task, nowMs, startedAtMs);
   }
 
-  /** A task failed or stood still on the worker. */
+  /** Records that a task failed or made no progress on the worker. */
   noteFault(view: FleetWorkerView, task: TaskRecord, nowMs: number, startedAtMs = nowMs): void {
     const { id } = task.submission.submission;
     this.#health = this.#health.withFailure(view.id, id, this.#views.size, nowMs, startedAtMs);
@@ -267,7 +271,7 @@
     this.requestStops(this.#book.fail(task.submission), StopReason.Failed, nowMs);
   }
 
-  /** Returns false for a run of a submission that is not known. */
+  /** Returns false for a run whose submission is unknown. */
   #takeRunning(view: FleetWorkerView, running: RunningTask, nowMs: number): boolean {
     const known = view.runs.get(runKey(running.taskName, running.run));
     const run = known ?? this.#adopt(view, running, nowMs);
@@ -290,7 +294,7 @@
     return true;
   }
 
-  /** A run that was given up and was carried out late. */
+  /** Adds a run that this owner gave up and that the worker started late. */
   #adopt(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
     const task = this.#book.find(running.taskName);
     if (task === undefined) return undefined;
@@ -311,8 +315,8 @@
   }
 
   /**
-   * An order without an answer may be carried out seconds later. The run keeps its room until
-   * the worker has confirmed a stop, which bars it for good, or lists it as running.
+   * Handles a start without an answer, which the worker may execute seconds later. The run keeps
+   * its room until the worker lists it as running or confirms a stop, which bars the run for good.
    */
   #noteUnanswered(run: TaskRun, nowMs: number): void {
     if (run.state !== RunState.Starting) return;
@@ -325,7 +329,9 @@
     this.#drop(view, run, { kind: EvidenceKind.Refused }, nowMs);
   }
 
-  /** The only way in which a run gives its room back; returns false where it may not be over. */
+  /**
+   * Drops a run and frees its room, which happens only here. Returns false if it may not be over.
+   */
   #drop(view: FleetWorkerView, run: TaskRun, evidence: RunEvidence, nowMs: number): boolean {
     if (!isRunOver(run, view, evidence, nowMs)) return false;
     this.#stops.delete(run);
--- a/src/scheduler/common/fleet/runStarts.ts
+++ b/src/scheduler/common/fleet/runStarts.ts
@@ -1,10 +1,10 @@
-/** Which runs may start now that their assignments are stored. */
+/** Decides which runs may start after their assignments are stored. */
 import { RunState, stepName, type TaskRun } from './taskRecords.js';
 import { isUsable, type RoundInput } from './usableWorkers.js';
 
 export interface RecordedRuns {
   readonly startable: readonly TaskRun[];
-  /** Their workers may not be given work any more, or the other members of their gang cannot start. */
+  /** Runs whose worker may no longer get work, or whose gang has a member that cannot start. */
   readonly blocked: readonly TaskRun[];
 }
 
@@ -14,7 +14,7 @@
   mayStart: boolean,
   nowMs: number,
 ): RecordedRuns => {
-  // One that was withdrawn or lost while its assignment was being stored has no room any more.
+  // A run that was withdrawn or lost while its assignment was being stored no longer has room.
   const assigned = recorded.filter((run) => {
     const view = input.views.get(run.workerId);
     return run.state === RunState.Assigned && view?.hasRun(run) === true;
@@ -25,7 +25,7 @@
       return mayStart && view !== undefined && isUsable(view, input, nowMs);
     }),
   );
-  // A gang starts whole: a part of it would hold room and do no work.
+  // A gang starts as a whole, because part of a gang would take room and do no work.
   const brokenGangs = new Set(
     recorded
       .filter((run) => run.task.step.isGang && !usable.has(run))
--- a/src/scheduler/common/fleet/startPace.ts
+++ b/src/scheduler/common/fleet/startPace.ts
@@ -1,37 +1,42 @@
 /**
- * How many tasks may be started now. Made for an owner whose processor carries fewer starts than
- * are asked for: each start costs it calls and answers, and calls that pile up in its event loop
- * delay the renewals of leases. Starts are cut down until the loop is punctual again, so that what
- * runs goes on and the room is given to what comes first in the queue.
+ * Limits the rate at which the owner starts tasks, for an owner whose processor can handle fewer
+ * starts than are requested. Each start costs the owner calls and answers, and calls that queue in
+ * its event loop delay the renewals of leases. The limiter reduces the rate until steps run on time
+ * again. Running tasks then continue, and the tasks first in the queue get the room.
  */
 
 /**
- * Lateness is judged by the most punctual step of a window: answers that come in a wave delay some
- * steps on a processor with time to spare, a standing queue delays all of them.
+ * The lag of a window is that of its most punctual step. A wave of answers delays some steps even
+ * if the processor has spare time; a standing queue delays all of them.
  */
 const WINDOW_MS = 250;
-/** Weight of a window in the rate of starts that are answered. */
+/** The weight of a window in the moving average of answered starts per second. */
 const ANSWERED_WEIGHT = 0.7;
-/** Steps that all begin so late show that more is asked of the processor than it has. */
+/** If all steps of a window begin at least this late, the processor is overloaded. */
 const LATE_MS = 60;
-/** Below this the processor has time to spare. */
+/** Up to this lag, the processor has spare time. */
 const PUNCTUAL_MS = 30;
 const INITIAL_PER_S = 200;
-/** The rate grows no further beyond what has been worked off. */
+/** Limits the rate to this multiple of the rate of answered starts. */
 const CEILING_FACTOR = 2;
 const LEAST_PER_S = 20;
 const GREATEST_PER_S = 5_000;
-/** Starts that gather while none are wanted, as time at the present rate. */
+/** The largest burst of starts after a time without any, as time at the current rate. */
 const BURST_MS = 150;
 const LEAST_BURST = 10;
-/** What has been started before a cut still has to be worked off, unless the queue still grows. */
+/**
+ * The time between two cuts, because the starts from before a cut still have to be handled. A
+ * growing lag allows an earlier cut.
+ */
 const CUT_INTERVAL_MS = 1_000;
-/** A cut goes below the starts that the processor has worked off, so that the queue gets shorter. */
+/** A cut goes below the rate of answered starts, so that the queue in the event loop shrinks. */
 const CUT_SHARE = 0.8;
 const MILDEST_CUT_SHARE = 0.9;
-/** Of an owner that has just begun, or was frozen, hardly any starts have been answered. */
+/** Limits a cut for an owner that has just begun or was frozen, which has few answered starts. */
 const DEEPEST_CUT_SHARE = 0.5;
-/** By which part of itself the rate grows in a second, and for a while after a cut. */
+/**
+ * The growth of the rate in a second as a share of itself, normally and for a while after a cut.
+ */
 const GROWTH_PER_S = 3;
 const CAREFUL_GROWTH_PER_S = 0.15;
 const CAREFUL_MS = 2_000;
@@ -46,27 +51,28 @@
 
   #cutAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The lateness that brought the last cut. */
+  /** The lag that caused the last cut. */
   #cutLateMs = 0;
 
-  /** The least lateness in the present window. */
+  /** The smallest lag of a step in the current window. */
   #leastLateMs = Number.POSITIVE_INFINITY;
 
   #windowBeganAtMs: number | undefined;
 
-  /** Starts answered in the present window, and a second over the last ones. */
+  /** The starts answered in the current window. */
   #answeredCount = 0;
 
+  /** The moving average of answered starts per second. */
   #answeredPerS = 0;
 
   #isPunctual = true;
 
-  /** The present limit of starts a second. */
+  /** The current limit of starts per second. */
   get limitPerS(): number {
     return this.#perS;
   }
 
-  /** How many starts may be sent now. */
+  /** The number of starts that may be sent now. */
   allowance(nowMs: number): number {
     this.#count(nowMs);
     return Math.floor(this.#tokens);
@@ -76,12 +82,12 @@
     this.#tokens -= count;
   }
 
-  /** A start has been answered, or is known to have failed. */
+  /** Records that a start has been answered or has failed. */
   noteAnswered(): void {
     this.#answeredCount += 1;
   }
 
-  /** A step that was due at `dueAtMs` begins. Returns whether the limit has been cut. */
+  /** Records that a step due at `dueAtMs` begins. Returns whether the limit has been cut. */
   handleStep(dueAtMs: number, nowMs: number): boolean {
     this.#count(nowMs);
     this.#leastLateMs = Math.min(this.#leastLateMs, nowMs - dueAtMs);
@@ -110,7 +116,7 @@
     return true;
   }
 
-  /** A rate that is not made use of tells nothing of what the processor carries. */
+  /** Whether starts use up the rate. An unused rate does not show what the processor can handle. */
   get #isUsed(): boolean {
     return this.#tokens < this.#greatestBurst / 2;
   }
--- a/src/scheduler/common/fleet/stepPace.ts
+++ b/src/scheduler/common/fleet/stepPace.ts
@@ -1,29 +1,29 @@
 /**
- * When the scheduler may take its next step. A step looks at every worker and everything that
- * waits, so that one for each answer would leave a busy processor no time for the answers
- * themselves: of 300 workers some six hundred a second come in.
+ * Throttles the scheduler's steps. A step goes through all workers and all waiting tasks. One step
+ * for each answer would leave a busy processor no time to handle the answers themselves, of which
+ * 300 workers send some six hundred a second.
  */
 
-/** The part of the time that steps may take for long. */
+/** The share of the time that steps may take on average. */
 const STEP_SHARE = 1 / 3;
-/** What steps may take on top of that after a quiet while: then each answer is acted on at once. */
+/** The extra step time that a quiet period allows, so that each answer leads to a step at once. */
 const SPARE_MS = 50;
-/** Renewals are sent by steps as well, and must not wait for all that a long one would owe. */
+/** Limits the pause after a long step, because steps also send the renewals of leases. */
 const LONGEST_PAUSE_MS = 150;
 
 export class StepPace {
-  /** What steps may still take; below nothing, they have to wait. */
+  /** The time that steps may still take. While it is negative, steps have to wait. */
   #budgetMs = SPARE_MS;
 
   #countedAtMs = Number.POSITIVE_INFINITY;
 
-  /** How long the next step has to wait. */
+  /** The time that the next step has to wait. */
   waitMs(nowMs: number): number {
     this.#count(nowMs);
     return this.#budgetMs >= 0 ? 0 : -this.#budgetMs / STEP_SHARE;
   }
 
-  /** A step has been taken. */
+  /** Records a step. */
   note(beganAtMs: number, endedAtMs: number): void {
     this.#count(endedAtMs);
     const leftMs = this.#budgetMs - (endedAtMs - beganAtMs);
