--- a/src/scheduler/node/callTurns.ts
+++ b/src/scheduler/node/callTurns.ts
@@ -1,7 +1,7 @@
 /**
- * Lets few calls at a time begin. The first call to a worker opens a connection, and its answer is
- * the longest; those of a whole fleet at once take a slow processor for seconds, in which the owner
- * gets no answer to its own renewals.
+ * Limits how many calls run at the same time. The first call to a worker opens a connection and has
+ * the longest answer. The first calls to a whole fleet at once occupy a slow processor for seconds,
+ * during which the owner handles no answers to its own renewals.
  */
 export class CallTurns {
   readonly #limit: number;
@@ -12,13 +12,13 @@
 
   #underWay = 0;
 
-  /** A call that has no answer after the patience makes way for another one. */
+  /** A call without an answer after `patienceMs` stops counting towards the limit. */
   constructor(limit: number, patienceMs: number) {
     this.#limit = limit;
     this.#patienceMs = patienceMs;
   }
 
-  /** Resolves when the call may begin, with what to call when it is over. */
+  /** Resolves when the call may begin. The caller calls the result when the call is over. */
   async next(): Promise<() => void> {
     if (this.#underWay >= this.#limit) {
       await new Promise<void>((resolve) => {
--- a/src/scheduler/node/cellTask.ts
+++ b/src/scheduler/node/cellTask.ts
@@ -1,4 +1,4 @@
-/** Runs the state machine of one cell: owns its timer, its table calls and worker clients. */
+/** Runs the state machine of one cell. Owns its timer, its table calls and its worker clients. */
 import type { Clock } from '../../base/common/clock.js';
 import { type Disposable, DisposableStore } from '../../base/common/lifecycle.js';
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
--- a/src/scheduler/node/cellTasks.ts
+++ b/src/scheduler/node/cellTasks.ts
@@ -1,4 +1,4 @@
-/** Keeps one task for each cell that the instance list or the configuration shows. */
+/** Runs one `CellTask` for each cell in the instance list or the configuration. */
 import { type Disposable, DisposableStore } from '../../base/common/lifecycle.js';
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
 import { isWorker } from '../../services/instanceList/common/instanceList.js';
@@ -7,10 +7,10 @@
 import { SpreadAndPackPolicy } from '../common/placement.js';
 import { CellTask, type CellTaskServices } from './cellTask.js';
 
-/** Extra patience per rank with cells of other zones, so that cells spread over daemons. */
+/** The extra acquire delay per rank for cells of other zones. It spreads the cells over daemons. */
 const FOREIGN_CELL_DELAY_MS = 400;
 const FOREIGN_RANK_COUNT = 4;
-/** Long enough for some dozens of requests of a server, short beside how long tasks stay. */
+/** Long enough for some dozens of requests to a server, and short beside the lifetime of tasks. */
 const SAMPLE_INTERVAL_MS = 2_000;
 const HASH_FACTOR = 31;
 const HASH_LIMIT = 2 ** 31;
@@ -18,7 +18,9 @@
 const hashOf = (text: string): number =>
   [...text].reduce((hash, char) => (hash * HASH_FACTOR + char.charCodeAt(0)) % HASH_LIMIT, 7);
 
-/** How long this daemon lets others go first for a cell; none for the cell of its own zone. */
+/**
+ * The time that this daemon lets others acquire a cell first. It is 0 for the cell of its own zone.
+ */
 export const acquireDelayMs = (cell: string, ownZone: string, instanceId: string): number => {
   if (cell === ownZone) return 0;
   const rank = 1 + (hashOf(`${cell}/${instanceId}`) % FOREIGN_RANK_COUNT);
@@ -39,8 +41,8 @@
   readonly #latencies: LatencySampleSource | undefined;
 
   /**
-   * `selfId` names this life of this process. Without `latencies`, as where no entry runs in it,
-   * nothing is learnt of interference.
+   * `selfId` identifies this run of the process. Without `latencies`, as in a process that runs no
+   * entry, the cells learn nothing about interference.
    */
   constructor(
     services: CellTaskServices,
@@ -71,7 +73,7 @@
 
   #addCells(): void {
     const workers = this.#services.directory.instances.filter(isWorker);
-    // A zone whose workers have all left the list may still have work to be moved elsewhere.
+    // A zone whose workers have all left the list may still have work that has to move elsewhere.
     const zones = this.#services.configuration.current?.zones.keys() ?? [];
     const cells = new Set([...workers.map(({ availabilityZone }) => availabilityZone), ...zones]);
     cells.forEach((cell) => {
--- a/src/scheduler/node/fleetTask.ts
+++ b/src/scheduler/node/fleetTask.ts
@@ -1,4 +1,4 @@
-/** Runs the fleet's scheduler: owns its timers, its table calls and its calls to workers. */
+/** Runs the fleet's scheduler. Owns its timers, its table calls and its calls to workers. */
 import { type Either, isLeft, isRight } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../base/common/clock.js';
@@ -27,18 +27,18 @@
 import { RenewalWatch } from './renewalWatch.js';
 import { StoredStateReader } from './storedStateReader.js';
 
-/** How often the scheduler looks what is due when nothing happens. */
+/** The interval between steps when no events come in. */
 const TICK_MS = 50;
-/** How often the owner reads which workers there are; they drain in twice this time. */
+/** The interval at which the owner reads the list of workers. Workers drain in twice this time. */
 const WORKERS_INTERVAL_MS = 1_000;
-/** How long a feed waits for a change; also bounds what a silent connection costs. */
+/** How long a feed call waits for a change. This also limits the delay by a dead connection. */
 const FEED_WAIT_MS = 1_000;
 const RETRY_MS = 200;
-/** First calls to workers that are under way at a time, and for how long one counts as such. */
+/** The maximum number of concurrent first holds, and how long each counts towards it. */
 const FIRST_HOLDS_AT_A_TIME = 24;
 const FIRST_HOLD_PATIENCE_MS = 150;
 
-/** Whether the worker is asked for its first answer, which it gives at once. */
+/** Whether the call asks a worker for its first answer, which comes at once. */
 const isFirstHold = ({ leaseEndWorkerMs, waitMs }: HoldRequest): boolean =>
   leaseEndWorkerMs === undefined && waitMs === 0;
 
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Hands the fleet over, so that the next owner need not wait for the lease, and learns how long
-   * those of the workers last. Without an answer it is written again for `patienceMs`; a conflict
-   * tells that it is stored or that there is a next owner.
+   * Releases the fleet, so that the next owner does not wait for the lease and knows when the
+   * workers' leases end. Without an answer, the write is retried for `patienceMs`. A conflict shows
+   * that the release is stored or that there is a new owner.
    */
   async release(patienceMs: number): Promise<void> {
     const transaction = this.#scheduler.release();
@@ -122,7 +122,7 @@
     const untilMs = clock.nowMs() + patienceMs;
     let result = await table.transact(transaction)();
     while (isLeft(result) && clock.nowMs() < untilMs) {
-      // eslint-disable-next-line no-await-in-loop -- each repeats what the last one may not have done
+      // eslint-disable-next-line no-await-in-loop -- each attempt repeats the last one
       await this.#pause(RETRY_MS);
       // eslint-disable-next-line no-await-in-loop
       result = await table.transact(transaction)();
@@ -135,7 +135,7 @@
     this.#disposables.dispose();
   }
 
-  /** Events of one turn are acted on together. */
+  /** Schedules a step. Events of one turn of the event loop share a step. */
   #stepSoon(): void {
     if (this.#isStepDue) return;
     this.#isStepDue = true;
@@ -278,14 +278,14 @@
     if (!this.#disposables.isDisposed) this.#perform([effect]);
   }
 
-  /** Follows what callers submit and cancel for as long as this epoch lasts. */
+  /** Follows the callers' submissions and cancellations until this epoch ends. */
   async #follow(epoch: number, fromPosition: number): Promise<void> {
     const { feed, clock } = this.#services;
     let position = fromPosition;
-    // Reading what is stored may have taken seconds, in which callers may have cancelled.
+    // Does not wait at first: callers may have cancelled during the load, which can take seconds.
     let waitMs = 0;
     while (this.#scheduler.epoch === epoch && !this.#disposables.isDisposed) {
-      // One call after the other: each goes on where the last one ended.
+      // Calls run one after the other, because each continues where the last one ended.
       // eslint-disable-next-line no-await-in-loop
       const page = await feed.follow(SUBMISSION_TABLE, position, waitMs)();
       if (isLeft(page)) {
--- a/src/scheduler/node/renewalWatch.ts
+++ b/src/scheduler/node/renewalWatch.ts
@@ -1,9 +1,9 @@
-/** Tells how punctually the owner renews its lease. */
+/** Reports how punctually the owner renews its lease. */
 import type { Log } from '../../services/log/common/log.js';
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import { LeaseStepKind } from '../common/cellLease.js';
 
-/** Renewals further apart than this share of the lease are told of. */
+/** Renewals that are further apart than this share of the lease are logged. */
 const LATE_SHARE = 0.6;
 
 export class RenewalWatch {
@@ -21,7 +21,7 @@
     this.#metrics = metrics;
   }
 
-  /** Takes in the answer to a call by which the lease was to be acquired or renewed. */
+  /** Handles the answer to a call that acquires or renews the lease. */
   note(step: LeaseStepKind, sentAtMs: number, answeredAtMs: number): void {
     const beforeMs = this.#sentAtMs;
     this.#sentAtMs = sentAtMs;
--- a/src/scheduler/node/storedStateReader.ts
+++ b/src/scheduler/node/storedStateReader.ts
@@ -1,4 +1,4 @@
-/** Reads what a new owner of the fleet has to know, and decodes the rows. */
+/** Reads and decodes the stored state that a new owner of the fleet needs. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { FleetDirectory } from '../../services/fleet/common/fleetDirectory.js';
@@ -28,7 +28,7 @@
 
 export interface ReadSubmissions {
   readonly changes: readonly SubmissionChange[];
-  /** Where a feed of the submissions goes on. */
+  /** The position from which a feed of the submissions continues. */
   readonly position: number;
 }
 
@@ -50,7 +50,7 @@
     this.#log = log;
   }
 
-  /** Undefined when any part of it could not be read. */
+  /** Reads the stored state. Returns undefined if any part of it could not be read. */
   async readAll(): Promise<LoadedState | undefined> {
     const [submissions, progressRows, assignmentRows, own, workers] = await Promise.all([
       this.readSubmissions(),
@@ -88,7 +88,7 @@
     return { changes: this.toChanges(rows), position };
   }
 
-  /** Cancellations go first, so that a submission that was cancelled starts nothing. */
+  /** Puts cancellations first, so that a cancelled submission starts nothing. */
   toChanges(rows: readonly TableRow[]): readonly SubmissionChange[] {
     const changes = rows.flatMap((row) => this.#toChange(row));
     const isFirst = (change: SubmissionChange): boolean => change.kind === 'cancellation';
@@ -97,7 +97,7 @@
 
   #toChange(row: TableRow): SubmissionChange[] {
     const parts = parseSubmissionKey(row.key);
-    // Rows that were removed are those of submissions that ended long ago.
+    // Removed rows belong to submissions that ended long ago.
     if (row.value === null) return [];
     if (parts?.isCancellation === true) return [{ kind: 'cancellation', id: parts.id }];
     const parsed = submissionSchema.safeParse(row.value);
--- a/src/scheduler/node/workerClients.ts
+++ b/src/scheduler/node/workerClients.ts
@@ -1,4 +1,4 @@
-/** The clients of a cell's workers, each on a connection of its own. */
+/** The clients for a cell's workers, each on its own connection. */
 import type { Disposable } from '../../base/common/lifecycle.js';
 import type { Tracing } from '../../services/tracing/common/tracing.js';
 import { TracedWorkerClient } from '../../services/worker/common/tracedWorkerClient.js';
@@ -12,9 +12,9 @@
 }
 
 /**
- * A worker that is replaced under the same id has another address: its client is made anew, or
- * the owner would call the old address for ever and give the new worker's tasks up as lost.
- * Clients of workers that are gone are closed; 110 instances are replaced on an ordinary day.
+ * A worker that is replaced under the same id has a new address and gets a new client. Otherwise
+ * the owner would call the old address for ever and give up the new worker's tasks as lost. Clients
+ * of workers that are gone are closed, because 110 instances are replaced on an ordinary day.
  */
 export class WorkerClients implements Disposable {
   readonly #timeoutMs: number;
@@ -42,7 +42,7 @@
     return client;
   }
 
-  /** Closes the clients of all workers but these. */
+  /** Closes the clients of all workers except these. */
   retain(workerIds: { has(workerId: string): boolean }): void {
     this.#entries.forEach(({ connection }, workerId) => {
       if (workerIds.has(workerId)) return;
