--- a/src/scheduler/test/cellTasks.test.ts
+++ b/src/scheduler/test/cellTasks.test.ts
@@ -32,15 +32,15 @@
   connectionCount: 64,
 } as const;
 
-describe('the cells of a daemon', () => {
+describe('CellTasks', () => {
   afterEach(() => {
     vi.useRealTimers();
   });
 
-  // What the entry of the process measures has to reach the owner of the cell that the worker
-  // stands in. The worker answers nothing here, so the sample is counted as one that cannot be
-  // learnt from; one of a worker in no cell of this daemon is not counted.
-  it('hear what the entry of the same process measured', async () => {
+  // The latencies that the entry of the process measures have to reach the owner of the worker's
+  // cell. The worker here never answers, so its sample is counted as stale. A sample of a worker in
+  // no cell of this daemon is not counted.
+  it('passes the latencies measured by the entry of the same process to the cells', async () => {
     vi.useFakeTimers();
     let nowMs = 0;
     const counters = new Map<string, number>();
@@ -84,7 +84,7 @@
       },
     );
     for (; nowMs < 20_000; nowMs += 100) {
-      // Table calls settle between two steps of the timers.
+      // Table calls complete between two steps of the timers.
       // eslint-disable-next-line no-await-in-loop
       await vi.advanceTimersByTimeAsync(100);
     }
--- a/src/scheduler/test/fleet/acquireDelay.test.ts
+++ b/src/scheduler/test/fleet/acquireDelay.test.ts
@@ -3,13 +3,13 @@
 import { acquireDelayMs } from '../../common/fleet/acquireDelay.js';
 import { FLEET_TIMING } from '../../common/fleet/fleetTiming.js';
 
-describe('the patience of daemons that would own the fleet', () => {
-  it('lets one with more processor look at the heartbeat before a weak one takes the lease', () => {
+describe('acquireDelayMs', () => {
+  it('lets a daemon with more processor time read the heartbeat before a weak one acquires', () => {
     const { heartbeatIntervalMs } = FLEET_TIMING;
     expect(acquireDelayMs(0.186) - acquireDelayMs(1.35)).toBeGreaterThan(heartbeatIntervalMs);
   });
 
-  it('is bounded, so that daemons with hardly any processor take over as well', () => {
+  it('is less than a lease, so that a daemon with little processor time can take over too', () => {
     expect(acquireDelayMs(0.01)).toBeLessThan(FLEET_TIMING.leaseMs);
   });
 });
--- a/src/scheduler/test/fleet/busyOwner.test.ts
+++ b/src/scheduler/test/fleet/busyOwner.test.ts
@@ -3,13 +3,13 @@
 import { BusyFleet, type Costs } from './busyFleet.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 
-/** What it takes on a fifth of a core. */
+/** The costs on a fifth of a core. */
 const WEAK: Costs = { sendMs: 1, answerMs: 1, connectMs: 1.7, stepMs: 60, rowMs: 0.4 };
 const STRONG: Costs = { sendMs: 0.15, answerMs: 0.15, connectMs: 0.3, stepMs: 8, rowMs: 0.05 };
 const FREE: Costs = { sendMs: 0, answerMs: 0, connectMs: 0, stepMs: 0, rowMs: 0 };
 const WORKERS = 300;
 
-/** Submits work steadily, twenty tasks at a time. */
+/** Submits tasks at a steady rate, twenty at a time. */
 const loadFor = async (fleet: BusyFleet, seconds: number, tasksPerS: number): Promise<void> => {
   const { world } = fleet;
   const perSecond = tasksPerS / 20;
@@ -22,7 +22,10 @@
   }
 };
 
-/** A fleet at work whose owner dies; the daemon takes it, and a free one would take it next. */
+/**
+ * Returns a busy fleet that the named daemon has taken over from a dead owner. A rival without
+ * costs takes over as soon as that daemon loses its lease.
+ */
 const takenOver = async (name: string, costs: Costs, tasksPerS: number): Promise<BusyFleet> => {
   const fleet = new BusyFleet(WORKERS, () => 2_000);
   fleet.world.stubTimers();
@@ -44,7 +47,7 @@
 describe('a busy owner', () => {
   afterEach(() => vi.unstubAllGlobals());
 
-  it('does not spend its time on a step for each answer', async () => {
+  it('limits the share of its time that it spends on steps', async () => {
     const fleet = await takenOver('strong', STRONG, 300);
     const before = fleet.stepCount;
     await loadFor(fleet, 5, 300);
@@ -52,7 +55,7 @@
     expect(stepShare).toBeLessThan(0.36);
   });
 
-  it('with a fifth of a core does not lose its lease to the first calls to three hundred workers', async () => {
+  it('keeps its lease on a fifth of a core while it calls three hundred workers for the first time', async () => {
     const fleet = await takenOver('weak', WEAK, 100);
     await loadFor(fleet, 15, 100);
     expect(ownersOf(fleet)).toEqual(['first', 'weak']);
--- a/src/scheduler/test/fleet/callTurns.test.ts
+++ b/src/scheduler/test/fleet/callTurns.test.ts
@@ -2,11 +2,11 @@
 
 import { CallTurns } from '../../node/callTurns.js';
 
-describe('turns of calls', () => {
+describe('CallTurns', () => {
   beforeEach(() => vi.useFakeTimers());
   afterEach(() => vi.useRealTimers());
 
-  it('let few calls begin at a time, in order', async () => {
+  it('lets a limited number of calls run at a time, in the order of their requests', async () => {
     const turns = new CallTurns(2, 150);
     const begun: number[] = [];
     const ends: (() => void)[] = [];
@@ -24,7 +24,7 @@
     expect(begun).toEqual([0, 1, 2]);
   });
 
-  it('are not kept by calls that get no answer', async () => {
+  it('lets the next call begin when a call has had no answer for too long', async () => {
     const turns = new CallTurns(1, 150);
     const begun: number[] = [];
     [0, 1].forEach((call) => void turns.next().then(() => begun.push(call)));
--- a/src/scheduler/test/fleet/checkIns.ts
+++ b/src/scheduler/test/fleet/checkIns.ts
@@ -1,4 +1,7 @@
-/** Workers' entries in the table: renewed by check-ins, dropped after silence, and back later. */
+/**
+ * Simulates the workers' entries in the table. A check-in renews or restores an entry, and the
+ * table drops the entry of a worker without recent check-ins.
+ */
 import type { FleetWorld } from './fleetWorld.js';
 import { ENTRY_EXPIRY_MS } from './zoneCut.js';
 
@@ -9,10 +12,10 @@
 
   readonly #lastAtMs = new Map<string, number>();
 
-  /** Until when a worker's check-ins are lost although it lives. */
+  /** The instants until which the check-ins of a running worker are lost. */
   readonly #lostUntilMs = new Map<string, number>();
 
-  /** Workers whose check-ins reach the table, as far as cuts go. */
+  /** Whether network partitions let the worker's check-ins reach the table. */
   readonly #reachesTable: (workerId: string) => boolean;
 
   constructor(world: FleetWorld, reachesTable: (workerId: string) => boolean) {
@@ -23,7 +26,7 @@
     );
   }
 
-  /** Drops the entry now; it comes back with the first check-in after `durationMs`. */
+  /** Drops the entry now. It comes back with the first check-in after `durationMs`. */
   lapse(workerId: string, durationMs: number): void {
     const { nowMs, listedWorkers } = this.#world;
     listedWorkers.delete(workerId);
--- a/src/scheduler/test/fleet/fleetNotes.test.ts
+++ b/src/scheduler/test/fleet/fleetNotes.test.ts
@@ -10,10 +10,10 @@
 
 const ID = '00000000000000a2';
 
-describe('what the scheduler tells the log', () => {
-  it('has each end of a burst in it, in a few lines', () => {
+describe('the log of ended tasks', () => {
+  it('reports every end of a burst in a few lines', () => {
     // A thousand tasks on fifty workers end within a second. One line for each list of a worker
-    // would reach the log's limit and leave out the lines on submissions that were accepted.
+    // would reach the log's rate limit, which would then drop the lines about accepted submissions.
     const notes = new FleetNotes();
     const lines: string[] = [];
     const take = (nowMs: number): void =>
@@ -32,8 +32,8 @@
   });
 });
 
-describe('what the scheduler tells of waiting', () => {
-  it('names the oldest task and why tasks are not placed, once a second at most', () => {
+describe('the log of waiting tasks', () => {
+  it('names the oldest task and why tasks are not placed, at most once a second', () => {
     const notes = new FleetNotes();
     const waiting = [
       { name: 'younger', waitingSinceMs: 900, step: STEP },
@@ -60,7 +60,7 @@
     });
   });
 
-  it('tells for each worker why it does not take a task', async () => {
+  it('counts the workers by the obstacle that keeps tasks off them', async () => {
     const world = new FleetWorld(3, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1', 'worker-2'].forEach((id) => world.addWorker(id));
     world.addScheduler();
@@ -75,8 +75,8 @@
   });
 });
 
-describe('what the scheduler tells of lost runs', () => {
-  it('has how fresh its knowledge of the worker was', async () => {
+describe('the log of lost runs', () => {
+  it('reports the time since the last answer of the worker and the rest of its leases', async () => {
     const world = new FleetWorld(3, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
     world.addScheduler();
--- a/src/scheduler/test/fleet/foundOwner.test.ts
+++ b/src/scheduler/test/fleet/foundOwner.test.ts
@@ -13,7 +13,10 @@
 const SHORT_ID = '00000000000000a2';
 const LOST_AFTER_MS = 700;
 
-/** Has the answer to the scheduler's first acquisition lost, and tells that once it is overdue. */
+/**
+ * Loses the answer to the scheduler's first acquisition. The returned function reports the loss to
+ * the scheduler.
+ */
 const loseAcquisition = (world: FleetWorld, scheduler: FleetScheduler): (() => void) => {
   const handle = scheduler.handleLeaseWritten.bind(scheduler);
   let sentAtMs: number | undefined;
@@ -30,8 +33,8 @@
   };
 };
 
-describe('an owner that has found its acquisition stored by reading it', () => {
-  it('grants no leases beyond those that its successor waits for', async () => {
+describe('an owner that learns from a read that its unanswered acquisition is stored', () => {
+  it('grants no leases that end after its successor stops waiting for them', async () => {
     const world = new FleetWorld(5, (taskName) => ({
       workMs: taskName.startsWith(ID) ? 90_000 : 600,
       end: RunEnd.Done,
@@ -40,17 +43,17 @@
     const seat = world.seats[world.addScheduler()];
     const tellLost = loseAcquisition(world, seat?.scheduler as FleetScheduler);
     await world.runFor(480);
-    // Sees the heartbeat that the acquisition has written.
+    // The second scheduler sees the heartbeat that the acquisition has written.
     world.addScheduler();
     world.seats[1]?.unreachableWorkers.add('worker-0');
     seat?.unreachableWorkers.add('worker-1');
     await world.runFor(LOST_AFTER_MS);
     tellLost();
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
-    // Its end is listed again and again while it cannot be stored.
+    // The worker lists the end of this task again and again while it cannot be stored.
     world.submit(submissionOf(SHORT_ID, [STEP]));
     while (world.runsOf(TASK).length === 0 && world.nowMs < 5_000) {
-      // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(10);
     }
     Object.assign(seat ?? {}, { isCutFromTable: true });
--- a/src/scheduler/test/fleet/handOver.test.ts
+++ b/src/scheduler/test/fleet/handOver.test.ts
@@ -9,12 +9,12 @@
 
 const LASTING_ID = '00000000000000c2';
 const LASTING_STEP = { ...STEP, isPersistent: true };
-/** A lease, the slack of clocks and calls, and the time in which a worker is found to be gone. */
+/** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
-/** For how long a task that lasts may be away while there is room for it. */
+/** The longest time that a persistent task may be away while there is room for it. */
 const LONGEST_ABSENCE_MS = 9_000;
 const BATCH_MS = 1_000;
-/** More than the room beside the tasks that last carries. */
+/** Short enough that batch tasks come faster than they fit beside the persistent tasks. */
 const BACKLOG_INTERVAL_MS = 60;
 
 const taskNames = (taskCount: number): readonly string[] =>
@@ -39,7 +39,7 @@
   world.submit(submissionOf(id, [{ ...STEP, estimateMs: 1_000 }]));
 };
 
-/** Keeps more batch work coming than there is room for. */
+/** Submits more batch work than there is room for. */
 const addBacklog = (world: FleetWorld): void => {
   if (world.nowMs % BACKLOG_INTERVAL_MS === 0) submitBatch(world);
 };
@@ -61,12 +61,15 @@
   const untilMs = world.nowMs + 20_000;
   while (!isMet() && world.nowMs < untilMs) {
     eachTick();
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
 };
 
-/** For how long a task is away whose worker ends `beforeMs` before a hand-over during a commit. */
+/**
+ * Returns for how long a task is away if its worker ends `beforeMs` before the owner hands over
+ * with a commit in flight.
+ */
 const awayAcrossHandOverMs = async (phaseMs: number, beforeMs: number): Promise<number> => {
   const world = await worldOf(3, 1);
   const [taskName] = taskNames(1) as [string];
@@ -84,7 +87,7 @@
   return world.nowMs - sinceMs;
 };
 
-/** Loses a worker with two of six tasks under a backlog; returns once its leases are over. */
+/** Loses a worker with two of six tasks under a backlog. Returns when its leases have ended. */
 const lostUnderBacklog = async (): Promise<FleetWorld> => {
   const world = await worldOf(3, 6);
   await untilMet(
@@ -102,7 +105,7 @@
   return world;
 };
 
-/** Runs under the backlog until all tasks that last are back, and returns how long that took. */
+/** Runs under the backlog until all persistent tasks are back, and returns how long that took. */
 const untilBackMs = async (world: FleetWorld): Promise<number> => {
   const sinceMs = world.nowMs;
   const isBack = (): boolean => taskNames(6).every((taskName) => !isAway(world, taskName));
@@ -115,7 +118,7 @@
 describe('an owner that hands the fleet over', () => {
   afterEach(() => vi.unstubAllGlobals());
 
-  it('leaves no task away for longer than the leases of its worker when a commit is under way', async () => {
+  it('leaves no task away for longer than the leases of its worker if a commit is in flight', async () => {
     let longestMs = 0;
     for (let phaseMs = 0; phaseMs < 1_600; phaseMs += 200) {
       // eslint-disable-next-line no-await-in-loop -- one world after the other
@@ -124,7 +127,7 @@
     expect(longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
   });
 
-  it('repeats what gets no answer, so that its successor learns how long leases last', async () => {
+  it('repeats a release without an answer, so that its successor learns when leases end', async () => {
     const fleet = new BusyFleet(3, () => 2_000);
     fleet.world.stubTimers();
     const { loop, task } = fleet.addDaemon('first', FREE);
@@ -144,8 +147,8 @@
   });
 });
 
-describe('tasks that last and wait when the owner changes', () => {
-  it('do not wait behind batch work as if they had never run, also if others found a place', async () => {
+describe('interrupted persistent tasks that wait while the owner changes', () => {
+  it('are placed before new batch work, even if some of them were placed before the change', async () => {
     const backAfterMs = async (waitingCount: number): Promise<number> => {
       const world = await lostUnderBacklog();
       const awayCount = (): number =>
--- a/src/scheduler/test/fleet/lateHandOver.test.ts
+++ b/src/scheduler/test/fleet/lateHandOver.test.ts
@@ -34,7 +34,9 @@
   return world;
 };
 
-/** Its hand-over arrives three times: soon, after a pause, and seconds after the process has ended. */
+/**
+ * Stops the owner. Its handover arrives three times: soon, after a pause, and after some seconds.
+ */
 const stopOwner = (world: FleetWorld): void => {
   const index = world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
   if (index < 0) return;
@@ -54,7 +56,7 @@
   world.startScheduler(index);
 };
 
-/** A worker is cut off and works on, or drains, while the owner changes during a commit. */
+/** Cuts off a worker that continues to run, or drains one, and stops the owner during a commit. */
 const changeOwner = async (world: FleetWorld, round: number): Promise<void> => {
   const { random } = world;
   const workerId = WORKER_IDS[random.nextIndex(WORKER_IDS.length)] as string;
@@ -76,17 +78,14 @@
   world.addWorker(`worker-new-${round}`);
 };
 
-describe('a hand-over that arrives more than once, and late', () => {
-  it.each(SEEDS)(
-    'lets no task run twice beside workers that are out of reach (seed %i)',
-    async (seed) => {
-      const world = await worldOf(seed);
-      for (let round = 0; round < OWNER_CHANGES; round += 1) {
-        // eslint-disable-next-line no-await-in-loop -- one change after the other
-        await changeOwner(world, round);
-      }
-      await world.runFor(4_000);
-      expect(world.judge.broken).toEqual([]);
-    },
-  );
+describe('a handover that arrives several times, some of them late', () => {
+  it.each(SEEDS)('lets no task run twice while a worker is unreachable (seed %i)', async (seed) => {
+    const world = await worldOf(seed);
+    for (let round = 0; round < OWNER_CHANGES; round += 1) {
+      // eslint-disable-next-line no-await-in-loop -- one change after the other
+      await changeOwner(world, round);
+    }
+    await world.runFor(4_000);
+    expect(world.judge.broken).toEqual([]);
+  });
 });
--- a/src/scheduler/test/fleet/lostTogether.test.ts
+++ b/src/scheduler/test/fleet/lostTogether.test.ts
@@ -7,10 +7,10 @@
 
 const ID = '00000000000000c1';
 const TASK = `${ID}.0.0.0`;
-/** For how long a task that lasts may be away while there is room for it. */
+/** The longest time that a persistent task may be away while there is room for it. */
 const LONGEST_ABSENCE_MS = 9_000;
 
-/** Two workers, two daemons and a task that lasts at work. */
+/** Returns a world with two workers, two daemons and a running persistent task. */
 const worldOf = async (): Promise<FleetWorld> => {
   const world = new FleetWorld(5, (taskName) => ({
     workMs: taskName.startsWith(ID) ? 90_000 : 300,
@@ -27,7 +27,7 @@
 const untilRunning = async (world: FleetWorld): Promise<void> => {
   const untilMs = world.nowMs + 30_000;
   while (world.runsOf(TASK).length === 0 && world.nowMs < untilMs) {
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
 };
@@ -36,7 +36,7 @@
   it.each([
     ['its address refuses connections', false],
     ['its address does not answer', true],
-  ])('leaves no task that lasts away for long when %s', async (_, isRemoved) => {
+  ])('does not keep a persistent task away for long if %s', async (_, isRemoved) => {
     const world = await worldOf();
     const [workerId] = world.runsOf(TASK) as [string];
     const sinceMs = world.nowMs;
@@ -50,8 +50,8 @@
   });
 });
 
-describe('a worker that ends before the owner and has not been found to be gone', () => {
-  it('leaves no task that lasts away for long', async () => {
+describe('a worker that ends undetected before the owner dies', () => {
+  it('does not keep a persistent task away for long', async () => {
     const awayAfterMs = async (phaseMs: number): Promise<number> => {
       const world = await worldOf();
       world.faults.doHeldCallsHang = true;
@@ -69,8 +69,8 @@
   });
 });
 
-describe('a worker that ends while the table is out and all daemons start anew', () => {
-  it('leaves no task that lasts away for longer than the former owner may have granted', async () => {
+describe('a worker that ends while the table is unavailable and all daemons restart', () => {
+  it('keeps a persistent task away no longer than the leases that its last owner may have granted', async () => {
     const world = await worldOf();
     const sinceMs = world.nowMs;
     world.removeWorker(world.runsOf(TASK)[0] as string);
@@ -86,9 +86,9 @@
   });
 });
 
-describe('a worker that ends while work keeps coming', () => {
+describe('a worker that ends while new work comes in', () => {
   it.each([200, 1_400, 2_000])(
-    'leaves no task that lasts away for long when starts are sent to it after %i ms',
+    'does not keep a persistent task away for long if starts are sent to it after %i ms',
     async (startsAfterMs) => {
       const awayAfterMs = async (phaseMs: number): Promise<number> => {
         const world = await worldOf();
@@ -112,8 +112,8 @@
   );
 });
 
-describe('tasks on workers that are in reach', () => {
-  it('outlive an outage of the table of seven seconds', async () => {
+describe('a task on a reachable worker', () => {
+  it('keeps running through a table outage of seven seconds', async () => {
     const world = await worldOf();
     world.faults.isTableDown = true;
     await world.runFor(7_000);
--- a/src/scheduler/test/fleet/overloadedOwner.test.ts
+++ b/src/scheduler/test/fleet/overloadedOwner.test.ts
@@ -6,12 +6,12 @@
 const WORKERS = 60;
 const SECONDS = 20;
 const URGENT_PER_S = 2;
-/** Tasks of batch work a second: ten times as many calls as the processor carries. */
+/** Batch tasks per second, which cause ten times as many calls as the processor can handle. */
 const BATCH_PER_S = 900;
-/** Calls to workers take two thirds of such a processor at ninety starts a second. */
+/** With these costs, the calls for ninety starts a second take two thirds of the processor. */
 const SMALL: Costs = { sendMs: 2, answerMs: 2, connectMs: 3, stepMs: 6, rowMs: 0.2 };
 const TASK_MS = 200;
-/** Longer than the test; its progress is seen by the second. */
+/** Longer than the test, but short enough that a task's percentage changes within a second. */
 const FOREVER_MS = 60_000;
 
 const [QUEUE] = CONFIGURATION.queues as [(typeof CONFIGURATION.queues)[number]];
@@ -24,7 +24,7 @@
 const BATCH_ID = 2;
 const SERVICE_ID = idOf(3, 0);
 
-describe('an owner of whom ten times as much is asked as its processor carries', () => {
+describe('an owner that is asked for ten times as much work as its processor can handle', () => {
   let fleet: BusyFleet;
   const urgentSentAtMs = new Map<string, number>();
   const urgentDoneAtMs = new Map<string, number>();
@@ -52,7 +52,7 @@
     for (let tenth = 0; tenth < SECONDS * 10; tenth += 1) {
       submitBatch(tenth);
       if (tenth % (10 / URGENT_PER_S) === 0) submitUrgent(tenth);
-      // eslint-disable-next-line no-await-in-loop -- virtual time goes on step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await world.runUntil(fromMs + (tenth + 1) * 100);
       noteUrgentDone();
     }
@@ -71,13 +71,13 @@
     const service = { ...STEP, taskCount: 20, isPersistent: true };
     fleet.submit({ ...submissionOf(SERVICE_ID, [service]), queueName: 'urgent' });
     await fleet.world.runUntil(6_000);
-    // It would take the fleet over as soon as the owner no longer renews its lease.
+    // The rival takes over the fleet as soon as the owner fails to renew its lease.
     fleet.addDaemon('rival', { ...SMALL, sendMs: 0, answerMs: 0, stepMs: 0 });
     await play();
   });
   afterEach(() => vi.unstubAllGlobals());
 
-  it('keeps its lease and those of the workers, and serves what is urgent in time', () => {
+  it("keeps its own and the workers' leases, and completes urgent tasks within their objective", () => {
     expect(fleet.owners.map(({ daemon }) => daemon)).toEqual(['small']);
     expect(fleet.lapseCount).toBe(0);
     const serviceStarts = [...fleet.startCounts].filter(([name]) => name.startsWith(SERVICE_ID));
--- a/src/scheduler/test/fleet/ownerChanges.test.ts
+++ b/src/scheduler/test/fleet/ownerChanges.test.ts
@@ -14,16 +14,16 @@
 const ID = '00000000000000d1';
 const TASK = `${ID}.0.0.0`;
 const LASTING_STEP = { ...STEP, isPersistent: true };
-/** From the death of an owner until its successor has placed what waits. */
+/** The time from the death of an owner until its successor has placed the waiting tasks. */
 const TAKEOVER_MS = 4_000;
-/** From the death of an owner until all leases that it may have granted are over. */
+/** The time from the death of an owner until all leases that it may have granted have ended. */
 const FORMER_LEASES_MS =
   TIMING.leaseMs + TIMING.maximumGrantWithoutTableMs + longestLeaseMs(TIMING.maximumLeaseMs);
-/** For how long a task that lasts may be away while there is room for it. */
+/** The longest time that a persistent task may be away while there is room for it. */
 const LONGEST_ABSENCE_MS = 9_000;
-/** What the table takes as one row. */
+/** The largest row that the table accepts. */
 const MAXIMUM_ROW_BYTES = 65_536;
-/** The fleet that the scheduler is designed for. */
+/** The number of workers that the scheduler is designed for. */
 const DESIGNED_WORKERS = 860;
 
 const ENTRY = {
@@ -59,13 +59,13 @@
 ): Promise<number> => {
   const sinceMs = world.nowMs;
   while (!isMet() && world.nowMs - sinceMs < limitMs) {
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
   return world.nowMs - sinceMs;
 };
 
-/** Gives the owner the answer of a worker that has seen a higher fence than its order had. */
+/** Gives the owner a worker's refusal of an order with the fence `orderFence`. */
 const fence = (world: FleetWorld, workerId: string, orderFence: number): void => {
   const scheduler = world.seats[ownerIndex(world)]?.scheduler as FleetScheduler;
   scheduler.handleStopped(
@@ -76,11 +76,11 @@
   );
 };
 
-/** No order has a higher one. */
+/** A fence that is not below the current one of any worker. */
 const CURRENT_FENCE = Number.MAX_SAFE_INTEGER;
 
-describe('an owner that has not heard of its callers for long', () => {
-  it('starts nothing that was cancelled meanwhile', async () => {
+describe('an owner that has not received the changes of callers for long', () => {
+  it('starts no task of a submission that was cancelled meanwhile', async () => {
     const world = await worldOf(2, 1);
     world.faults.isFeedSilent = true;
     await world.runFor(3_000);
@@ -97,7 +97,7 @@
 });
 
 describe('an owner whose order is refused', () => {
-  it('stays owner when the order was sent before it raised the fence of the worker', async () => {
+  it('stays the owner if it sent the order before it raised the fence of the worker', async () => {
     const world = await worldOf(2, 1);
     const scheduler = world.seats[0]?.scheduler as FleetScheduler;
     const { epoch } = scheduler;
@@ -106,7 +106,7 @@
     expect(scheduler.epoch).toBe(epoch);
   });
 
-  it('sends no start for an assignment of its former epoch that is stored after it has yielded', async () => {
+  it('sends no start for an assignment that is stored after it has given up the epoch', async () => {
     const world = await worldOf(2, 1);
     world.faults.transactionMs = 600;
     world.submit(submissionOf(ID, [STEP]));
@@ -119,8 +119,8 @@
   });
 });
 
-describe('an owner that gives the fleet up and finds itself still the owner', () => {
-  it('never has a task running twice, by leases that it granted before', async () => {
+describe('an owner that gives up the fleet while it is still the owner', () => {
+  it('does not run a task twice under leases that it granted before', async () => {
     const world = await worldOf(2, 1);
     world.submit(submissionOf(ID, [LASTING_STEP]));
     await world.runFor(12_000);
@@ -132,7 +132,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('is not refused by a worker that has seen its fence rise', async () => {
+  it('is not refused by a worker that has seen a raised fence', async () => {
     const world = await worldOf(2, 1);
     world.workers.get('worker-0')?.crash();
     await world.runFor(100);
@@ -146,7 +146,7 @@
 });
 
 describe('a gang whose assignments are being stored', () => {
-  it('does not start in part when a worker becomes another process meanwhile', async () => {
+  it('does not start in part if a worker restarts meanwhile', async () => {
     const world = await worldOf(2, 1);
     world.faults.transactionMs = 600;
     const size = { ...STEP.size, processorMillis: 3_000 };
@@ -160,8 +160,8 @@
   });
 });
 
-describe('workers that drain', () => {
-  it('keep tasks that last for which others have no room', async () => {
+describe('draining workers', () => {
+  it('keep persistent tasks for which other workers have no room', async () => {
     const world = await worldOf(1, 1);
     world.submit(submissionOf(ID, [{ ...LASTING_STEP, taskCount: 4 }]));
     await world.runFor(500);
@@ -176,7 +176,7 @@
 });
 
 describe('a successor', () => {
-  it('starts nothing that was cancelled after it had read what is stored', async () => {
+  it('starts no task of a submission that was cancelled after it had read the stored state', async () => {
     const world = await worldOf(2, 2);
     world.killScheduler(ownerIndex(world));
     world.submit(submissionOf(ID, [STEP]));
@@ -189,7 +189,7 @@
     expect(world.judge.startsOf.get(TASK)).toBeUndefined();
   });
 
-  it('shows a submission as running whose first start its predecessor has not recorded', async () => {
+  it('shows a submission as running if its predecessor died before recording the first start', async () => {
     const world = await worldOf(2, 2);
     world.submit(submissionOf(ID, [STEP]));
     await untilMet(world, () => world.runsOf(TASK).length > 0, 1_000);
@@ -199,7 +199,7 @@
     expect(world.progress(ID)?.state).toBe('running');
   });
 
-  it('does not wait anew for a lost worker, however many owners end before their first roster', async () => {
+  it('does not restart the wait for a lost worker, even if several owners end before their first roster', async () => {
     const world = await worldOf(2, 8);
     world.submit(submissionOf(ID, [LASTING_STEP]));
     await world.runFor(500);
@@ -208,7 +208,7 @@
     world.killScheduler(ownerIndex(world));
     for (let round = 0; round < 6; round += 1) {
       const owner = (): number => world.seats.findIndex(({ scheduler }) => scheduler?.isOwner);
-      // eslint-disable-next-line no-await-in-loop -- each owner ends as soon as it is one
+      // eslint-disable-next-line no-await-in-loop -- each owner ends as soon as it acquires the lease
       await untilMet(world, () => owner() >= 0, 5_000);
       world.killScheduler(owner());
     }
@@ -217,7 +217,7 @@
     expect(awayMs).toBeLessThan(FORMER_LEASES_MS + TAKEOVER_MS);
   });
 
-  it('leaves no task that lasts away for long whose worker was lost just before the owner', async () => {
+  it('does not keep a persistent task away for long if its worker was lost just before the owner', async () => {
     const world = await worldOf(2, 2);
     world.submit(submissionOf(ID, [LASTING_STEP]));
     await world.runFor(4_000);
@@ -229,7 +229,7 @@
     expect(world.nowMs - sinceMs).toBeLessThan(LONGEST_ABSENCE_MS);
   });
 
-  it('starts no task anew that ended in an occurrence which is not due by its own time of day', async () => {
+  it('does not restart an ended task of an occurrence that is not due yet by its own wall clock', async () => {
     const world = await worldOf(2, 2, 800);
     const first = ownerIndex(world);
     const late = world.seats[1 - first]?.scheduler as FleetScheduler;
@@ -248,7 +248,7 @@
     expect(world.judge.startsOf.get(TASK)).toBe(1);
   });
 
-  it('writes no assignments anew that are stored as they are', async () => {
+  it('does not rewrite assignments that are already stored', async () => {
     const world = await worldOf(20, 2);
     for (let index = 0; index < 60; index += 1) {
       world.submit(submissionOf(`00000000000e${index.toString().padStart(4, '0')}`, [STEP]));
@@ -263,7 +263,7 @@
     expect(versions()).toEqual(before);
   });
 
-  it('stores a roster of the whole fleet in one row while it has heard of no worker', () => {
+  it('stores the roster of the whole fleet in one row before any worker has answered', () => {
     const views = Array.from({ length: DESIGNED_WORKERS }, (_, index) => {
       const id = `i-${index.toString(16).padStart(10, '0')}`;
       const address = `10.1.${Math.floor(index / 250)}.${index % 250}:8109`;
--- a/src/scheduler/test/fleet/rebirth.test.ts
+++ b/src/scheduler/test/fleet/rebirth.test.ts
@@ -55,11 +55,11 @@
   world.workers.get('worker-0')?.restart(world.nowMs);
 };
 
-describe('a worker whose process has started anew under its id', () => {
+describe('a worker whose process has restarted under its id', () => {
   it('is fenced before its tasks are started elsewhere', () => {
-    // A start is on its way when the process dies and starts again under the same id. The new one
-    // has seen no fence and would carry the start out, while the task already runs elsewhere. So
-    // the fence rises, and the run counts as lost only by a list made under the raised fence.
+    // A start is in flight when the process dies and restarts under the same id. The new process has
+    // seen no fence and would execute the start while the task already runs elsewhere. The owner
+    // therefore raises the fence, and the run counts as lost only after a list under the new fence.
     const book = new SubmissionBook();
     const view = newView();
     const views = new Map([[view.id, view]]);
@@ -91,7 +91,7 @@
     expect(view.runs.size).toBe(0);
   });
 
-  it('is not told which ends of the former process were recorded', async () => {
+  it("gets no acknowledgement of the former process's ends", async () => {
     const world = await worldOf();
     world.submit(submissionOf('00000000000000c2', [{ ...STEP, taskCount: 4 }]));
     await world.runFor(3_000);
@@ -104,11 +104,11 @@
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
-  it('is given nothing once it was told that ends of its number are recorded', async () => {
+  it('gets no tasks after an acknowledgement of ends whose numbers it reuses', async () => {
     const world = await worldOf();
     world.submit(submissionOf('00000000000000c2', [{ ...STEP, taskCount: 4 }]));
     await world.runFor(3_000);
-    // No call is under way while the next end waits to be recorded.
+    // No call is in flight while the next end waits to be recorded.
     world.faults.transactionMs = 600;
     world.submit(submissionOf('00000000000000c4', [STEP]));
     while (world.judge.startsOf.get('00000000000000c4.0.0.0') === undefined) {
@@ -125,9 +125,9 @@
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
-  it('is given nothing before the table tells its capacity', async () => {
+  it('gets no tasks before the table lists its capacity', async () => {
     const world = await worldOf();
-    // Just after the list of workers has been read.
+    // The owner has just read the list of workers.
     await world.runFor(2_550);
     await restart(world, 400);
     world.submit(submissionOf(ID, [STEP]));
@@ -137,7 +137,7 @@
     expect(world.judge.startsOf.get(`${ID}.0.0.0`)).toBe(1);
   });
 
-  it('is not called under a lower fence after it was off the list', async () => {
+  it('is not called under a lower fence after it was unlisted for a while', async () => {
     const world = await worldOf();
     await restart(world, 400);
     await world.runFor(2_000);
--- a/src/scheduler/test/fleet/remadeView.test.ts
+++ b/src/scheduler/test/fleet/remadeView.test.ts
@@ -5,14 +5,14 @@
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
 
-/** All leases of a worker that does not answer are over by then, and it is forgotten. */
+/** After this time all leases of a silent worker have ended, and the owner has forgotten it. */
 const FORGOTTEN_MS = 8_000;
-/** Around when all leases of a worker that was cut off are over, and steps of that time. */
+/** The range of time around the end of all leases of a cut-off worker, and the step through it. */
 const LEASES_OVER_MS = { from: 5_000, until: 7_000, step: 100 };
 const CALLS_MS = 15_000;
 
-describe('a worker that was forgotten while it was cut off', () => {
-  it('does not refuse the owner for a fence that the owner itself has raised', async () => {
+describe('a worker that the owner forgot while it was cut off', () => {
+  it('does not refuse the owner because of a fence that the same owner had raised', async () => {
     const world = new FleetWorld(11, () => ({ workMs: 500, end: RunEnd.Done }));
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
     world.addScheduler();
@@ -33,7 +33,7 @@
     expect(world.logged.filter(({ event }) => event === 'fleet-lost')).toEqual([]);
   });
 
-  /** Calls that carry lists, to a worker that is back after it was out of reach for a while. */
+  /** Counts the hold calls to a worker that is back after it was unreachable for `awayMs`. */
   const callsAfter = async (awayMs: number): Promise<number> => {
     const world = new FleetWorld(11, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
@@ -53,7 +53,7 @@
     return calls.mock.calls.length;
   };
 
-  it('is asked for its lists by one call at a time when it is back', async () => {
+  it('gets one hold call at a time when it is back', async () => {
     const counts: number[] = [];
     for (let ms = LEASES_OVER_MS.from; ms < LEASES_OVER_MS.until; ms += LEASES_OVER_MS.step) {
       // eslint-disable-next-line no-await-in-loop -- one world after the other
--- a/src/scheduler/test/fleet/renewalWatch.test.ts
+++ b/src/scheduler/test/fleet/renewalWatch.test.ts
@@ -6,8 +6,8 @@
 import { LeaseStepKind } from '../../common/cellLease.js';
 import { RenewalWatch } from '../../node/renewalWatch.js';
 
-describe('the watch of renewals', () => {
-  it('tells of one that is late, but not of the first one after an acquisition', () => {
+describe('RenewalWatch', () => {
+  it('logs a late renewal, but not the first renewal after an acquisition', () => {
     const told: [LogEvent, LogFields | undefined][] = [];
     const gaps: number[] = [];
     const watch = new RenewalWatch(
--- a/src/scheduler/test/fleet/restartedWorkers.test.ts
+++ b/src/scheduler/test/fleet/restartedWorkers.test.ts
@@ -9,10 +9,10 @@
 const TASK = `${ID}.0.0.0`;
 const WORK_MS = 300;
 const DOWN_MS = 200;
-/** More than the owner grants. */
+/** Longer than the leases that the owner grants. */
 const LONGER_LEASE_MS = TIMING.workerLeaseLimitMs;
 
-/** Cuts the worker off, lets another process of it start under its id, and ends the cut. */
+/** Cuts the worker off, restarts its process under the same id, and ends the cut. */
 const restartUnheard = async (
   world: FleetWorld,
   workerId: string,
@@ -26,11 +26,11 @@
   world.cutWorkers.delete(workerId);
 };
 
-describe('a worker that has started anew under its id, unknown to the owner', () => {
+describe('a worker that has restarted under its id without the owner noticing', () => {
   it.each([
-    ['has done', RunEnd.Done],
-    ['has failed', RunEnd.Failed],
-  ])('keeps the end of a task that it %s until the owner has taken it in', async (_, end) => {
+    ['completed', RunEnd.Done],
+    ['failed', RunEnd.Failed],
+  ])('keeps the end of a %s task until the owner has handled it', async (_, end) => {
     const world = new FleetWorld(11, (taskName) => ({
       workMs: WORK_MS,
       end: taskName.startsWith(ID) ? end : RunEnd.Done,
@@ -45,17 +45,17 @@
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(4_000);
     expect(world.judge.broken).toEqual([]);
-    // By three attempts at the most.
+    // A task gets at most three attempts.
     expect(world.judge.startsOf.get(TASK)).toBe(end === RunEnd.Done ? 1 : 3);
   });
 });
 
-describe('a worker that takes longer leases than the owner grants', () => {
-  it('does not work on beyond the leases that the owner knows after it has started anew', async () => {
+describe('a worker that accepts longer leases than the owner grants', () => {
+  it('does not run tasks beyond the leases that the owner knows after it has restarted', async () => {
     const world = new FleetWorld(11, () => ({ workMs: 90_000, end: RunEnd.Done }));
     world.addWorker('worker-0', LONGER_LEASE_MS);
     world.addScheduler();
-    // The clock of the former process is ahead of that of the new one by more than a lease.
+    // Puts the clock of the former process ahead of the new process's clock by more than a lease.
     await world.runFor(20_000);
     await restartUnheard(world, 'worker-0');
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
@@ -70,12 +70,12 @@
   });
 });
 
-describe('a worker that has started anew under its id as another kind', () => {
-  it('is given no more than it has room for, before the table is read again', async () => {
+describe('a worker that has restarted under its id with another capacity', () => {
+  it('gets no more tasks than fit before the table is read again', async () => {
     const world = new FleetWorld(11, () => ({ workMs: 90_000, end: RunEnd.Done }));
     world.addWorker('worker-0');
     world.addScheduler();
-    // Just after the list of workers has been read.
+    // The owner has just read the list of workers.
     await world.runFor(2_010);
     const worker = world.workers.get('worker-0');
     worker?.crash();
@@ -88,8 +88,8 @@
   });
 });
 
-describe('an end on a process that has just started under the id of another', () => {
-  it('is not acknowledged by the numbers of the former process', async () => {
+describe('the end of a run on a process that has just restarted under its id', () => {
+  it('is not acknowledged by the sequence numbers of the former process', async () => {
     const world = new FleetWorld(1, () => ({ workMs: WORK_MS, end: RunEnd.Done }));
     world.addWorker('worker-0');
     world.addScheduler();
--- a/src/scheduler/test/fleet/runEvidence.test.ts
+++ b/src/scheduler/test/fleet/runEvidence.test.ts
@@ -23,8 +23,8 @@
 
 const unlisted = (askedAtMs: number) => ({ kind: EvidenceKind.Unlisted, askedAtMs }) as const;
 
-describe('a run', () => {
-  it('that was never sent is over as soon as nobody wants it, any other is not', () => {
+describe('isRunOver', () => {
+  it('is true for a withdrawn run only if its start was never sent', () => {
     const evidence = { kind: EvidenceKind.NotSent };
     expect(isRunOver(runOf(RunState.Assigned), viewOf(), evidence, 0)).toBe(true);
     [RunState.Starting, RunState.Unanswered, RunState.Running, RunState.Stopping].forEach((state) =>
@@ -32,13 +32,13 @@
     );
   });
 
-  it('that runs is over by a list that lacks it, unless that was asked for before', () => {
+  it('is true for a running run that a list lacks, unless the list was requested too early', () => {
     const run = runOf(RunState.Running);
     expect(isRunOver(run, viewOf(), unlisted(SETTLED_AT_MS), 0)).toBe(true);
     expect(isRunOver(run, viewOf(), unlisted(SETTLED_AT_MS - 1), 0)).toBe(false);
   });
 
-  it('whose start has no answer is not over by a list that lacks it, until a stop bars it', () => {
+  it('is false for an unlisted run whose start has no answer until a stop is confirmed', () => {
     const run = runOf(RunState.Unanswered);
     expect(isRunOver(run, viewOf(), unlisted(SETTLED_AT_MS), 0)).toBe(false);
     run.state = RunState.Stopping;
@@ -47,7 +47,7 @@
     expect(isRunOver(run, viewOf(), unlisted(SETTLED_AT_MS), 0)).toBe(true);
   });
 
-  it('is over when another process answers under a raised fence, and not otherwise', () => {
+  it('is true if a new process answers under a raised fence, and false otherwise', () => {
     const view = viewOf();
     const evidence = { kind: EvidenceKind.AnotherProcess };
     expect(isRunOver(runOf(RunState.Running), view, evidence, 0)).toBe(false);
@@ -55,7 +55,7 @@
     expect(isRunOver(runOf(RunState.Running), view, evidence, 0)).toBe(true);
   });
 
-  it('is over by time only once all leases are, listed or not', () => {
+  it('is true without an answer only after all leases have ended, even for an unlisted worker', () => {
     const view = viewOf();
     view.isListed = false;
     const evidence = { kind: EvidenceKind.LeasesOver };
--- a/src/scheduler/test/fleet/savedWork.test.ts
+++ b/src/scheduler/test/fleet/savedWork.test.ts
@@ -9,7 +9,7 @@
 const WORK_MS = 8_000;
 const SAVES_EACH_MS = 500;
 
-/** What a task goes on from whose worker is gone after six seconds of work. */
+/** Returns the work from which a task resumes after its worker is gone after six seconds. */
 const resumedMs = async (doesOwnerChange: boolean): Promise<number> => {
   const world = new FleetWorld(7, () => ({
     workMs: WORK_MS,
@@ -27,7 +27,7 @@
     world.stopScheduler(world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined));
   }
   while (world.runsOf(BATCH_TASK).length === 0 && world.nowMs < 30_000) {
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
   const holder = world.runsOf(BATCH_TASK)[0] as string;
@@ -35,11 +35,11 @@
   return world.workers.get(holder)?.runs.get(BATCH_TASK)?.resumedMs ?? 0;
 };
 
-describe('work that a run has saved', () => {
-  it('is not done again because the owner changes before the task starts elsewhere', async () => {
+describe('the saved work of a lost run', () => {
+  it('is not repeated if the owner changes before the task starts elsewhere', async () => {
     const keptMs = await resumedMs(false);
     expect(keptMs).toBeGreaterThan(WORK_MS / 2);
-    // A successor may know the last save but one.
+    // A successor may know only the save before the last one.
     expect(await resumedMs(true)).toBeGreaterThanOrEqual(keptMs - 2 * SAVES_EACH_MS);
   });
 });
--- a/src/scheduler/test/fleet/startPace.test.ts
+++ b/src/scheduler/test/fleet/startPace.test.ts
@@ -5,7 +5,10 @@
 
 const STEP_MS = 50;
 
-/** Steps that start as much as they may, on a processor that carries so many starts a second. */
+/**
+ * Returns the starts per second of steps that start as many tasks as the limiter allows, on a
+ * processor that handles `carriedPerS` starts per second.
+ */
 const startsAt = (pace: StartPace, carriedPerS: number, seconds: number): number => {
   let backlog = 0;
   let started = 0;
@@ -23,28 +26,28 @@
   return started / seconds;
 };
 
-/** Starts as much as it may, and has all of it answered. */
+/** Starts as many tasks as the limiter allows and answers all of them. */
 const startAll = (pace: StartPace, nowMs: number): void => {
   const count = pace.allowance(nowMs);
   pace.take(count);
   for (let answered = 0; answered < count; answered += 1) pace.noteAnswered();
 };
 
-describe('the pace of starts', () => {
-  it('finds what the processor carries, and leaves its loop punctual', () => {
+describe('StartPace', () => {
+  it('settles near the rate of starts that the processor can handle', () => {
     const pace = new StartPace();
     expect(startsAt(pace, 100, 20)).toBeGreaterThan(80);
     expect(startsAt(new StartPace(), 1_500, 20)).toBeGreaterThan(1_000);
   });
 
-  it('is not raised by a time in which nothing was to be started', () => {
+  it('does not raise the limit while there is nothing to start', () => {
     const pace = new StartPace();
     const beforePerS = pace.limitPerS;
     for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) pace.handleStep(nowMs, nowMs);
     expect(pace.limitPerS).toBe(beforePerS);
   });
 
-  it('is not cut by answers that come in waves and are worked off between them', () => {
+  it('does not cut the limit for waves of answers that the processor handles between them', () => {
     const pace = new StartPace();
     const beforePerS = pace.limitPerS;
     for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) {
@@ -55,7 +58,7 @@
     expect(pace.limitPerS).toBeGreaterThan(beforePerS);
   });
 
-  it('is soon as high again for an owner whose first seconds went to other calls', () => {
+  it('soon restores the limit of an owner that spent its first seconds on other calls', () => {
     const pace = new StartPace();
     const beforePerS = pace.limitPerS;
     let nowMs = 0;
@@ -70,7 +73,7 @@
     expect(pace.limitPerS).toBeGreaterThan(beforePerS);
   });
 
-  it('is cut once for a process that was frozen, and soon as high again', () => {
+  it('cuts the limit once for a process that was frozen, and soon restores it', () => {
     const pace = new StartPace();
     const beforePerS = pace.limitPerS;
     pace.handleStep(0, 5_000);
@@ -84,8 +87,8 @@
   });
 });
 
-describe('the budget of a round', () => {
-  it('allows fewer ratings where they take longer, and never none', () => {
+describe('RoundBudget', () => {
+  it('allows fewer ratings if they take longer, but never less than a minimum', () => {
     const budget = new RoundBudget();
     const before = budget.ratingLimit;
     for (let count = 0; count < 50; count += 1) budget.note(10_000, 0, 100);
--- a/src/scheduler/test/fleet/takeover.test.ts
+++ b/src/scheduler/test/fleet/takeover.test.ts
@@ -8,9 +8,9 @@
 const LASTING_ID = '00000000000000c2';
 const LASTING_TASK = `${LASTING_ID}.0.0.0`;
 const LASTING_STEP = { ...STEP, isPersistent: true };
-/** A lease, the slack of clocks and calls, and the time in which a worker is found to be gone. */
+/** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
-/** From the death of an owner until its successor has placed what waits. */
+/** The time from the death of an owner until its successor has placed the waiting tasks. */
 const TAKEOVER_MS = 4_000;
 
 const taskOf = (taskName: string): { workMs: number; end: RunEnd } => ({
@@ -37,13 +37,13 @@
 ): Promise<number> => {
   const sinceMs = world.nowMs;
   while (world.runsOf(taskName).length === 0 && world.nowMs - sinceMs < limitMs) {
-    // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(50);
   }
   return world.nowMs - sinceMs;
 };
 
-/** For how long tasks ran nowhere. */
+/** Measures the longest time that a task ran nowhere. */
 class Absences {
   readonly #awaySinceMs = new Map<string, number>();
 
@@ -66,7 +66,7 @@
 }
 
 describe('a takeover of the fleet', () => {
-  it('does not hold tasks back that cannot run on the worker that is out of reach', async () => {
+  it('does not delay tasks that cannot be running on the unreachable worker', async () => {
     const world = await worldOf(3, 2);
     world.submit(submissionOf(ID, [STEP, { ...STEP, after: [0] }]));
     await world.runFor(400);
@@ -80,7 +80,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('does not put off when the tasks of a lost worker start, however many owners follow', async () => {
+  it("does not postpone the restart of a lost worker's tasks, even after several owner changes", async () => {
     const world = await worldOf(3, 7);
     world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
     await world.runFor(500);
@@ -94,7 +94,7 @@
     expect(world.judge.broken).toEqual([]);
   });
 
-  it('keeps tasks that last at work while owners are stopped in turn and workers leave', async () => {
+  it('keeps persistent tasks running while owners are stopped in turn and workers leave', async () => {
     const world = await worldOf(8, 4);
     world.submit(submissionOf(LASTING_ID, [{ ...LASTING_STEP, taskCount: 8 }]));
     await world.runFor(1_000);
@@ -110,7 +110,7 @@
         world.stopScheduler(owner);
         world.startScheduler(owner);
       }
-      // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
       absences.look(world);
     }
@@ -119,8 +119,8 @@
   });
 });
 
-describe('a worker that drains', () => {
-  it('does not keep tasks that last until it leaves while others have room', async () => {
+describe('a draining worker', () => {
+  it('does not keep a persistent task until it leaves if other workers have room', async () => {
     const world = await worldOf(2, 1);
     world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
     await world.runFor(500);
@@ -128,7 +128,7 @@
     world.drainingWorkers.add(drained as string);
     const absences = new Absences([LASTING_TASK]);
     for (let tick = 0; tick < 30; tick += 1) {
-      // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
       absences.look(world);
     }
@@ -137,7 +137,7 @@
     expect(absences.longestMs).toBeLessThan(STOP_MS);
   });
 
-  it('leaves no lease behind that a successor waits for much longer than it was there', async () => {
+  it('has leases so short that a successor does not wait long for them after it has left', async () => {
     const world = await worldOf(1, 2);
     world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
     await world.runFor(500);
@@ -153,8 +153,10 @@
   });
 });
 
-describe('an owner that is cut from the table', () => {
-  /** The former owner reaches only the worker that runs the task, its successor only the other. */
+describe('an owner that is cut off from the table', () => {
+  /**
+   * The former owner reaches only the worker that runs the task. Its successor reaches the other.
+   */
   const splitWorld = async (isDraining: boolean): Promise<FleetWorld> => {
     const world = await worldOf(1, 2);
     world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
@@ -169,14 +171,14 @@
     return world;
   };
 
-  it('never has a task running twice, by leases that it grants while its successor waits', async () => {
+  it('does not run a task twice under leases that it grants while its successor waits', async () => {
     const world = await splitWorld(false);
     await world.runFor(20_000);
     expect(world.judge.broken).toEqual([]);
     expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
   });
 
-  it('never has a task running twice when its successor hands over at once', async () => {
+  it('does not run a task twice if its successor hands over at once', async () => {
     const world = await worldOf(1, 3);
     world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
     await world.runFor(500);
@@ -191,7 +193,7 @@
         ({ scheduler }, index) => index !== former && scheduler?.epoch !== undefined,
       );
     while (next() < 0) {
-      // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(50);
     }
     await world.runFor(200);
@@ -201,7 +203,7 @@
     expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
   });
 
-  it('grants a worker that drains no lease beyond what its successor knows', async () => {
+  it('grants a draining worker no lease beyond the limit that its successor knows', async () => {
     const world = await splitWorld(true);
     await world.runFor(7_000);
     expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
--- a/src/scheduler/test/fleet/zoneCut.test.ts
+++ b/src/scheduler/test/fleet/zoneCut.test.ts
@@ -7,9 +7,9 @@
 
 const ID = '00000000000000c1';
 const TASK = `${ID}.0.0.0`;
-/** A look at the list of workers, a round, a start. */
+/** Covers a read of the list of workers, a round and a start. */
 const LOOK_MS = 1_500;
-/** What an owner without the table may grant, the longest lease, and the slack of clocks. */
+/** Covers the grants of an owner without the table, the longest lease and the slack of clocks. */
 const ALL_LEASES_MS = 11_500;
 
 const worldOf = async (workMs: number, isPersistent = false): Promise<FleetWorld> => {
@@ -26,11 +26,11 @@
 const ownerIndex = (world: FleetWorld): number =>
   world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
-describe('tasks on workers that are cut off and refuse connections', () => {
+describe('a task on a cut-off worker whose address refuses connections', () => {
   it.each([
     ['ends meanwhile', 2_500],
-    ['runs on', 9_000],
-  ])('do not start elsewhere when the run %s', async (_, workMs) => {
+    ['continues', 9_000],
+  ])('does not start elsewhere if the run %s', async (_, workMs) => {
     const world = await worldOf(workMs);
     const cut = new ZoneCut(world, world.runsOf(TASK));
     await world.runFor(ENTRY_EXPIRY_MS);
@@ -43,7 +43,7 @@
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
-  it('do not start elsewhere when the owner is cut off with them', async () => {
+  it('does not start elsewhere if the owner is cut off together with the worker', async () => {
     const world = await worldOf(2_500);
     const cut = new ZoneCut(world, world.runsOf(TASK), [ownerIndex(world)]);
     await world.runFor(ENTRY_EXPIRY_MS);
@@ -57,9 +57,9 @@
   });
 
   it.each([
-    ['stays', false],
+    ['stays connected', false],
     ['is cut off too', true],
-  ])('start elsewhere once all leases are over, where the owner %s', async (_, isOwnerCut) => {
+  ])('starts elsewhere after all leases have ended if the owner %s', async (_, isOwnerCut) => {
     const world = await worldOf(90_000, true);
     const owners = isOwnerCut ? [ownerIndex(world)] : [];
     const cut = new ZoneCut(world, world.runsOf(TASK), owners);
--- a/src/scheduler/test/fleet/zoneCut.ts
+++ b/src/scheduler/test/fleet/zoneCut.ts
@@ -1,7 +1,10 @@
-/** Cuts an availability zone off from the others and from the table; all in it works on. */
+/**
+ * Simulates a network partition that cuts an availability zone off from the other zones and from
+ * the table. Everything in the zone continues to run.
+ */
 import type { FleetWorld } from './fleetWorld.js';
 
-/** The table drops the entry of a worker that has been silent for so long. */
+/** The table drops the entry of a worker that has been silent for this long. */
 export const ENTRY_EXPIRY_MS = 3_300;
 
 export class ZoneCut {
--- a/src/scheduler/test/workerClients.test.ts
+++ b/src/scheduler/test/workerClients.test.ts
@@ -11,7 +11,7 @@
 const cleanups: (() => unknown)[] = [];
 afterEach(() => cleanups.splice(0).forEach((cleanup) => cleanup()));
 
-/** A worker that runs nothing and reports so. */
+/** Starts a worker that reports no tasks. Returns its port. */
 const startWorker = async (): Promise<number> => {
   const report = { workerId: 'w1', incarnation: 'i1', workerNowMs: 0, tasks: [] };
   const server = createServer((_request, response) => {
@@ -27,10 +27,10 @@
   return (server.address() as { port: number }).port;
 };
 
-describe('the clients of workers', () => {
-  // A worker is replaced under its id at another address. Its client kept the old address, so
-  // the worker was never reached again and its tasks were given up although they ran.
-  it('follow a worker to another address', () => {
+describe('WorkerClients', () => {
+  // A worker is replaced under its id at another address. If its client kept the old address, the
+  // worker would never be reached again, and its tasks would be given up although they run.
+  it('creates a new client for a worker whose address has changed', () => {
     const clients = new WorkerClients(100, silentTracing);
     const first = clients.client('w1', 'http://127.0.0.1:1');
     expect(clients.client('w1', 'http://127.0.0.1:1')).toBe(first);
@@ -43,14 +43,14 @@
   });
 });
 
-describe('a connection to a worker that has gone silent', () => {
-  // Something between the cell's owner and a worker forgets their connection. The call on it
-  // fails within its timeout (platform.callTimeoutMs, 800 ms by default) and the connection is
-  // closed; the next call goes over a new one. Kept, the worker's leases would run out although
-  // it works, and its tasks would be given up.
-  it.each([Silence.ToServer, Silence.ToClient, Silence.Both])('costs one call: %s', async (way) => {
+describe('a dead connection to a worker', () => {
+  // A network device between the cell's owner and a worker drops their connection silently. The next
+  // call on it fails within its timeout (platform.callTimeoutMs, 800 ms by default) and closes the
+  // connection, and the call after that opens a new one. If the connection were kept, the worker's
+  // leases would end although it works, and its tasks would be given up.
+  it.each([Silence.ToServer, Silence.ToClient, Silence.Both])('fails one call: %s', async (way) => {
     const relay = new SilentRelay(await startWorker());
-    // An answered call must not take so long, however busy the machine.
+    // An answered call takes less than this timeout even on a busy machine.
     const clients = new WorkerClients(2_000, silentTracing);
     cleanups.push(
       () => clients.dispose(),
