--- a/src/scheduler/common/fleet/fleetCalls.ts
+++ b/src/scheduler/common/fleet/fleetCalls.ts
@@ -20,8 +20,12 @@
 });
 
 /** Notes a listed run that the owner does not know, so that it is stopped. */
-export const noteStray = (tenure: Tenure, view: FleetWorkerView, running: RunningTask): void => {
-  tenure.strays.set(`${view.id}#${running.taskName}#${running.run}`, {
+export const noteUnknownRun = (
+  tenure: Tenure,
+  view: FleetWorkerView,
+  running: RunningTask,
+): void => {
+  tenure.unknownRuns.set(`${view.id}#${running.taskName}#${running.run}`, {
     workerId: view.id,
     address: view.entry.address,
     taskName: running.taskName,
@@ -31,7 +35,7 @@
 };
 
 /** Stops runs that make no progress, so that their tasks start elsewhere. */
-export const stopStuck = (tenure: Tenure, view: FleetWorkerView, nowMs: number): void => {
+export const stopStuckRuns = (tenure: Tenure, view: FleetWorkerView, nowMs: number): void => {
   view.runs.forEach((run) => {
     if (run.state !== RunState.Running || !isStuck(run, nowMs)) return;
     tenure.keeper.noteFault(view, run.task, nowMs);
@@ -72,8 +76,8 @@
   tenure.keeper.takeDueStops(nowMs).forEach(({ run, view }) => {
     effects.push({ kind: 'stop', epoch, reference: toReference(run, view, epoch) });
   });
-  tenure.strays.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
-  tenure.strays.clear();
+  tenure.unknownRuns.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
+  tenure.unknownRuns.clear();
   return effects;
 };
 
@@ -81,13 +85,13 @@
 export const holdEffects = (
   tenure: Tenure,
   timing: FleetTiming,
-  ownership: Pick<FleetOwnership, 'mayGrant' | 'isProofOverdue'>,
+  ownership: Pick<FleetOwnership, 'mayGrant' | 'isHeartbeatOverdue'>,
   nowMs: number,
 ): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
   const { epoch, roster } = tenure;
   const mayGrant = ownership.mayGrant(nowMs);
-  const isProofOverdue = ownership.isProofOverdue(nowMs);
+  const isHeartbeatOverdue = ownership.isHeartbeatOverdue(nowMs);
   tenure.views.forEach((view) => {
     if (!isHoldDue(view, nowMs)) return;
     const limitAtMs = roster.grantLimitMs(view.id);
@@ -103,7 +107,7 @@
       fence: view.fence(epoch),
       acknowledgedSequence: view.acknowledgingSequence,
       ...(leaseEndWorkerMs === undefined ? {} : { leaseEndWorkerMs }),
-      waitMs: holdWaitMs(view, timing, { isRenewal, isProofOverdue }, nowMs),
+      waitMs: holdWaitMs(view, timing, { isRenewal, isHeartbeatOverdue }, nowMs),
     };
     effects.push({ kind: 'hold', epoch, request });
   });
--- a/src/scheduler/common/fleet/fleetNotes.ts
+++ b/src/scheduler/common/fleet/fleetNotes.ts
@@ -45,12 +45,12 @@
  * and round, a burst wrote some 150 lines a second, and the log's rate limit then dropped the lines
  * about submissions.
  */
-const GATHER_MS = 200;
+const BATCH_MS = 200;
 
 export class FleetNotes {
   readonly #waitReport = new WaitReport();
 
-  #notes: FleetNote[] = [];
+  #entries: FleetNote[] = [];
 
   #starts: string[] = [];
 
@@ -59,15 +59,15 @@
   #ends: string[] = [];
 
   /** When the oldest start or end that is not yet logged was added. */
-  #gatheredSinceMs: number | undefined;
+  #batchedSinceMs: number | undefined;
 
   add(event: LogEvent, fields: LogFields): void {
-    this.#notes.push({ event, fields });
+    this.#entries.push({ event, fields });
   }
 
   addStarts(runs: readonly TaskRun[], nowMs: number): void {
     if (runs.length === 0) return;
-    this.#gatheredSinceMs ??= nowMs;
+    this.#batchedSinceMs ??= nowMs;
     runs.forEach((run) => {
       const waitedMs = Math.round(nowMs - run.task.waitingSinceMs);
       this.#longestWaitMs = Math.max(this.#longestWaitMs, waitedMs);
@@ -77,7 +77,7 @@
 
   addEnds(workerId: string, ended: readonly FinishedRun[], nowMs: number): void {
     if (ended.length === 0) return;
-    this.#gatheredSinceMs ??= nowMs;
+    this.#batchedSinceMs ??= nowMs;
     ended.forEach(({ taskName, run, end }) => {
       this.#ends.push(`${taskName}#${run}@${workerId}=${end}`);
     });
@@ -141,14 +141,14 @@
 
   /** Removes and returns the records that are due. */
   drain(epoch: number, nowMs: number): readonly FleetNote[] {
-    const since = this.#gatheredSinceMs;
-    if (since !== undefined && nowMs - since >= GATHER_MS) this.#tellGathered(epoch);
-    const notes = this.#notes;
-    this.#notes = [];
-    return notes;
+    const sinceMs = this.#batchedSinceMs;
+    if (sinceMs !== undefined && nowMs - sinceMs >= BATCH_MS) this.#addBatched(epoch);
+    const entries = this.#entries;
+    this.#entries = [];
+    return entries;
   }
 
-  #tellGathered(epoch: number): void {
+  #addBatched(epoch: number): void {
     if (this.#starts.length > 0) {
       const runs = this.#starts.join(' ');
       this.add('tasks-started', { epoch, waitedMs: this.#longestWaitMs, runs });
@@ -157,6 +157,6 @@
     this.#starts = [];
     this.#ends = [];
     this.#longestWaitMs = 0;
-    this.#gatheredSinceMs = undefined;
+    this.#batchedSinceMs = undefined;
   }
 }
--- a/src/scheduler/common/fleet/fleetOwnership.ts
+++ b/src/scheduler/common/fleet/fleetOwnership.ts
@@ -60,7 +60,7 @@
 
   #isReleased = false;
 
-  #yieldedEpoch: number | undefined;
+  #givenUpEpoch: number | undefined;
 
   /** The previous owner, as known at the last attempt to acquire the lease. */
   #former = NO_FORMER_OWNER;
@@ -127,16 +127,16 @@
    * table goes on granting for `maximumGrantWithoutTableMs` after its last stored heartbeat.
    */
   mayGrant(nowMs: number): boolean {
-    return this.#unprovenMs(nowMs) <= this.#timing.maximumGrantWithoutTableMs;
+    return this.#sinceConfirmedHeartbeatMs(nowMs) <= this.#timing.maximumGrantWithoutTableMs;
   }
 
   /** Whether heartbeats are overdue, so that the owner may soon have to stop granting leases. */
-  isProofOverdue(nowMs: number): boolean {
+  isHeartbeatOverdue(nowMs: number): boolean {
     const overdueMs = HEARTBEATS_UNTIL_OVERDUE * this.#timing.heartbeatIntervalMs;
-    return this.#unprovenMs(nowMs) > overdueMs;
+    return this.#sinceConfirmedHeartbeatMs(nowMs) > overdueMs;
   }
 
-  next(nowMs: number): FleetEffect | undefined {
+  nextEffect(nowMs: number): FleetEffect | undefined {
     if (this.#isReleased) return undefined;
     this.#operationCount += 1;
     const operationId = `${this.selfId}:lease:${this.#operationCount}`;
@@ -156,7 +156,7 @@
     this.#lease = isLeft(result)
       ? withLeaseCallFailed(this.#lease, this.#timing, nowMs)
       : withLeaseRows(this.#lease, this.#timing, result.right, sentAtMs, nowMs);
-    if (this.#lease.isOwner && this.#lease.epoch === this.#yieldedEpoch) {
+    if (this.#lease.isOwner && this.#lease.epoch === this.#givenUpEpoch) {
       this.#lease = withLeaseGivenUp(this.#lease);
     }
   }
@@ -189,8 +189,8 @@
    * be wrong, this daemon acquires the fleet under a new epoch. It has by then forgotten the leases
    * that it granted in this epoch and the raised fences of workers whose process was replaced.
    */
-  yield(nowMs: number): void {
-    this.#yieldedEpoch = this.#lease.epoch;
+  giveUp(nowMs: number): void {
+    this.#givenUpEpoch = this.#lease.epoch;
     this.#lease = withLeaseLost(this.#lease, this.#timing, nowMs);
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** The time since the last heartbeat that is known to be stored was sent. */
-  #unprovenMs(nowMs: number): number {
+  #sinceConfirmedHeartbeatMs(nowMs: number): number {
     return nowMs - this.#lease.heldAtMs;
   }
 
@@ -238,11 +238,11 @@
     const tableNowMs = this.toTableMs(nowMs);
     if (overTableMs === undefined || tableNowMs === undefined) return [];
     // The last entry that has ended also covers all entries before it.
-    const firstOpen = former.earlierLeases.findIndex((one) => one.overTableMs > tableNowMs);
+    const firstCurrentIndex = former.earlierLeases.findIndex((one) => one.overTableMs > tableNowMs);
     const kept =
-      firstOpen < 0
+      firstCurrentIndex < 0
         ? former.earlierLeases.slice(-1)
-        : former.earlierLeases.slice(Math.max(0, firstOpen - 1));
+        : former.earlierLeases.slice(Math.max(0, firstCurrentIndex - 1));
     return [...kept, { upToEpoch: former.epoch, overTableMs }];
   }
 }
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -55,7 +55,7 @@
   return run;
 };
 
-class Round {
+class PlacementRound {
   readonly #input: RoundInput;
 
   readonly #configuration: FleetConfiguration;
@@ -94,19 +94,19 @@
     const due = [...group.tasks].filter(({ notBeforeMs }) => notBeforeMs <= this.#nowMs);
     const [first] = due;
     if (first === undefined) return;
-    const leftCount = first.step.isGang
+    const unplacedCount = first.step.isGang
       ? this.#placeGang(first, group.key, due.length)
-      : this.#placeSingly(due, group.key);
-    if (leftCount === 0) return;
+      : this.#placeEach(due, group.key);
+    if (unplacedCount === 0) return;
     const reason = this.#isRoundFull ? WaitReason.RoundFull : WaitReason.NoRoom;
-    this.#addWaits(reason, leftCount);
+    this.#addWaits(reason, unplacedCount);
   }
 
   get #isRoundFull(): boolean {
-    return this.#hasAllStarts || this.ratingCount >= this.#limits.ratingCount;
+    return this.#isStartLimitReached || this.ratingCount >= this.#limits.ratingCount;
   }
 
-  get #hasAllStarts(): boolean {
+  get #isStartLimitReached(): boolean {
     return this.placed.length >= this.#limits.startCount;
   }
 
@@ -115,44 +115,44 @@
   }
 
   /** Places tasks of one step. Returns how many were not placed. */
-  #placeSingly(due: readonly TaskRecord[], key: string): number {
+  #placeEach(due: readonly TaskRecord[], key: string): number {
     const [first] = due as [TaskRecord];
-    const opened = first.submission.occurrences.get(first.occurrence);
-    if (opened === undefined) return due.length;
+    const occurrence = first.submission.occurrences.get(first.occurrence);
+    if (occurrence === undefined) return due.length;
     const { misses } = this.#input;
     const { serviceName, views, context } = this.#usable.poolOf(first, this.#configuration);
-    const candidates = misses.candidates(opened, key, serviceName, views, this.#nowMs);
+    const candidates = misses.candidates(occurrence, key, serviceName, views, this.#nowMs);
     const search = new WorkerSearch(candidates, context, this.#nowMs);
     const placedCount = this.#placeBySearch(due, search);
     this.ratingCount += search.ratingCount;
-    const leftCount = due.length - placedCount;
-    if (leftCount > 0 && !this.#hasAllStarts) misses.note(opened, key, this.#nowMs);
-    return leftCount;
+    const unplacedCount = due.length - placedCount;
+    if (unplacedCount > 0 && !this.#isStartLimitReached) misses.note(occurrence, key, this.#nowMs);
+    return unplacedCount;
   }
 
   /** Places tasks until no room is found or the round is full. Returns how many were placed. */
   #placeBySearch(due: readonly TaskRecord[], search: WorkerSearch): number {
     const { epoch } = this.#input;
-    const firstLeftIndex = due.findIndex((task) => {
-      const choice = this.#hasAllStarts ? undefined : search.next(task);
-      if (choice !== undefined) this.#take(task, nextRunNumber([task], epoch), choice);
+    const firstUnplacedIndex = due.findIndex((task) => {
+      const choice = this.#isStartLimitReached ? undefined : search.next(task);
+      if (choice !== undefined) this.#assign(task, nextRunNumber([task], epoch), choice);
       return choice === undefined;
     });
-    return firstLeftIndex < 0 ? due.length : firstLeftIndex;
+    return firstUnplacedIndex < 0 ? due.length : firstUnplacedIndex;
   }
 
   /**
    * Places all members of a gang or none, because part of a gang would take room and do no work.
    */
   #placeGang(task: TaskRecord, key: string, dueCount: number): number {
-    const opened = task.submission.occurrences.get(task.occurrence);
-    const members = opened?.tasks[task.stepIndex] ?? [];
+    const occurrence = task.submission.occurrences.get(task.occurrence);
+    const members = occurrence?.tasks[task.stepIndex] ?? [];
     const { book, misses, epoch } = this.#input;
-    if (opened === undefined || members.some((member) => !book.waiting.has(member)))
+    if (occurrence === undefined || members.some((member) => !book.waiting.has(member)))
       return dueCount;
     const { serviceName, views, context } = this.#usable.poolOf(task, this.#configuration);
-    const changed = misses.candidates(opened, key, serviceName, views, this.#nowMs);
-    if (changed.length === 0) return dueCount;
+    const changedViews = misses.candidates(occurrence, key, serviceName, views, this.#nowMs);
+    if (changedViews.length === 0) return dueCount;
     const run = nextRunNumber(members, epoch);
     const racks = task.step.prefersOneRack
       ? [...new Set(views.map((view) => view.entry.rack))]
@@ -160,33 +160,33 @@
     const groups = racks.map((rack) => views.filter((view) => view.entry.rack === rack));
     const isPlaced = [...groups, views].some((group) => {
       const search = new WorkerSearch(group, context, this.#nowMs);
-      const isWhole = this.#placeAll(members, run, search);
+      const isComplete = this.#placeAll(members, run, search);
       this.ratingCount += search.ratingCount;
-      return isWhole;
+      return isComplete;
     });
-    if (!isPlaced) misses.note(opened, key, this.#nowMs);
+    if (!isPlaced) misses.note(occurrence, key, this.#nowMs);
     return isPlaced ? 0 : dueCount;
   }
 
   #placeAll(members: readonly TaskRecord[], run: number, search: WorkerSearch): boolean {
-    const taken: TaskRun[] = [];
-    const isWhole = members.every((member) => {
+    const assigned: TaskRun[] = [];
+    const isComplete = members.every((member) => {
       const choice = search.next(member);
       if (choice === undefined) return false;
-      taken.push(this.#take(member, run, choice));
+      assigned.push(this.#assign(member, run, choice));
       return true;
     });
-    if (!isWhole) taken.forEach((one) => this.#giveBack(one));
-    return isWhole;
+    if (!isComplete) assigned.forEach((assignedRun) => this.#unassign(assignedRun));
+    return isComplete;
   }
 
-  #take(task: TaskRecord, number: number, choice: PlacementChoice): TaskRun {
+  #assign(task: TaskRecord, number: number, choice: PlacementChoice): TaskRun {
     const run = assignRun(this.#input, task, number, choice, this.#nowMs);
     this.placed.push(run);
     return run;
   }
 
-  #giveBack(run: TaskRun): void {
+  #unassign(run: TaskRun): void {
     this.#input.views.get(run.workerId)?.removeRun(run);
     this.#input.book.noteRunGone(run, this.#nowMs);
     this.placed.splice(this.placed.indexOf(run), 1);
@@ -214,7 +214,7 @@
     afterInterrupted();
     return NOTHING_PLACED;
   }
-  const round = new Round(input, configuration, limits, nowMs);
+  const round = new PlacementRound(input, configuration, limits, nowMs);
   const groups = input.policy.order.sort(input.book.waiting.groups, configuration, nowMs);
   const firstOtherIndex = groups.findIndex((group) => !isOfInterrupted(group));
   const interruptedCount = firstOtherIndex < 0 ? groups.length : firstOtherIndex;
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -33,7 +33,13 @@
   TransactionResult,
 } from '../../../services/table/common/table.js';
 import type { LeaseStepKind } from '../cellLease.js';
-import { holdEffects, noteStray, startEffect, stopEffects, stopStuck } from './fleetCalls.js';
+import {
+  holdEffects,
+  noteUnknownRun,
+  startEffect,
+  stopEffects,
+  stopStuckRuns,
+} from './fleetCalls.js';
 import { FillerPacing } from './fillerPacing.js';
 import type { FleetEffect } from './fleetEffects.js';
 import { StopReason } from './fleetNotes.js';
@@ -41,19 +47,19 @@
 import { DrainMoves } from './drainMoves.js';
 import { placeWaiting } from './fleetRound.js';
 import {
-  loseLapsed,
+  dropExpiredRuns,
   newTenure,
   NOTHING_STORED,
-  noteWorkers,
+  updateWorkers,
   roundInput,
   type StoredState,
   type SubmissionChange,
-  takeChanges,
+  applyChanges,
   type Tenure,
 } from './fleetTenure.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { FleetTiming } from './fleetTiming.js';
-import { NEXT_HOLD_AFTER_FAILURE_MS } from './holdPace.js';
+import { HOLD_RETRY_MS } from './holdPace.js';
 import { runKey } from './fleetWorkerView.js';
 import { splitRecorded } from './runStarts.js';
 import { OwnerLoad } from './ownerLoad.js';
@@ -83,7 +89,7 @@
 
   readonly #moves = new DrainMoves();
 
-  readonly #load = new OwnerLoad();
+  readonly #loadLimiter = new OwnerLoad();
 
   constructor(
     selfId: string,
@@ -149,7 +155,7 @@
 
   handleChanges(epoch: number, changes: readonly SubmissionChange[], nowMs: number): void {
     if (this.#tenure?.epoch !== epoch) return;
-    takeChanges(this.#tenure, changes, NOTHING_STORED, nowMs);
+    applyChanges(this.#tenure, changes, NOTHING_STORED, nowMs);
   }
 
   /** All submissions and cancellations that callers made before `nowMs` have been handled. */
@@ -166,7 +172,7 @@
   ): void {
     const tenure = this.#tenure;
     if (tenure?.epoch !== epoch) return;
-    noteWorkers(tenure, entries, this.#timing, sentAtMs, nowMs);
+    updateWorkers(tenure, entries, this.#timing, sentAtMs, nowMs);
   }
 
   handleHeld(
@@ -183,20 +189,20 @@
     view.nextHoldAtMs = nowMs;
     const outcome = isRight(result) ? result.right : undefined;
     if (outcome?.kind === 'fenced') {
-      this.#yield(nowMs);
+      this.#giveUpFleet(nowMs);
       return;
     }
     if (outcome?.kind !== 'held') {
       view.isSilent = true;
-      view.nextHoldAtMs = nowMs + NEXT_HOLD_AFTER_FAILURE_MS;
+      view.nextHoldAtMs = nowMs + HOLD_RETRY_MS;
       return;
     }
     if (!view.isHeard) view.boundFormerLeases(this.#timing, nowMs);
     const unknown = tenure.keeper.handleLists(view, outcome.answer, sentAtMs, nowMs);
     if (view.isReborn) view.boundLeasesOfNewProcess(this.#timing, nowMs);
-    unknown.forEach((running) => noteStray(tenure, view, running));
+    unknown.forEach((running) => noteUnknownRun(tenure, view, running));
     tenure.interference.observe(view, nowMs);
-    stopStuck(tenure, view, nowMs);
+    stopStuckRuns(tenure, view, nowMs);
   }
 
   handleStarted(
@@ -207,10 +213,10 @@
   ): void {
     const key = runKey(reference.taskName, reference.run);
     const run = this.#startsInFlight.get(key);
-    if (this.#startsInFlight.delete(key)) this.#load.noteStartAnswered();
+    if (this.#startsInFlight.delete(key)) this.#loadLimiter.noteStartAnswered();
     if (this.#tenure?.epoch !== epoch || run === undefined) return;
     const isFenced = isRight(result) && result.right === StartOutcome.Fenced;
-    if (isFenced && this.#isOvertaken(reference, epoch)) this.#yield(nowMs);
+    if (isFenced && this.#isSuperseded(reference, epoch)) this.#giveUpFleet(nowMs);
     else {
       this.#tenure.keeper.handleStarted(run, result, nowMs);
       this.#pacing.handleStarted(run);
@@ -225,8 +231,8 @@
   ): void {
     if (this.#tenure?.epoch !== epoch) return;
     const isFenced = isRight(result) && result.right === OrderOutcome.Fenced;
-    if (isFenced && this.#isOvertaken(reference, epoch)) {
-      this.#yield(nowMs);
+    if (isFenced && this.#isSuperseded(reference, epoch)) {
+      this.#giveUpFleet(nowMs);
       return;
     }
     const view = this.#tenure.views.get(reference.workerId);
@@ -247,7 +253,7 @@
     this.#pacing.handleAnswered(run);
     if (isLeft(result)) return;
     if (result.right === OrderOutcome.Fenced) {
-      if (this.#isOvertaken(reference, epoch)) this.#yield(nowMs);
+      if (this.#isSuperseded(reference, epoch)) this.#giveUpFleet(nowMs);
     } else FillerPacing.recordAccepted(run, percent, nowMs);
   }
 
@@ -262,7 +268,7 @@
     const { commits, book, roster } = tenure;
     const { request, recorded } = commits.handleCommitted(result, book, roster);
     if (request !== undefined) return [{ kind: 'resolve', epoch, request }];
-    const effects = [...this.#start(tenure, recorded, nowMs)];
+    const effects = [...this.#startRecorded(tenure, recorded, nowMs)];
     // Commits the changes that came in meanwhile at once, because the next step may be far off.
     this.#commit(tenure, effects, nowMs);
     return effects;
@@ -289,26 +295,26 @@
 
   /** Records a step that was due at `dueAtMs`. Returns whether the start rate has been reduced. */
   handleStepTaken(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
-    return this.#load.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#tenure !== undefined;
+    return this.#loadLimiter.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#tenure !== undefined;
   }
 
   /** The limit of starts per second, which follows what this daemon's processor can handle. */
   get startLimitPerS(): number {
-    return this.#load.startLimitPerS;
+    return this.#loadLimiter.startLimitPerS;
   }
 
   /** Returns the effects that are due now. */
   step(wallNowMs: number, nowMs: number): readonly FleetEffect[] {
     const effects: FleetEffect[] = [];
-    const leaseEffect = this.#ownership.next(nowMs);
+    const leaseEffect = this.#ownership.nextEffect(nowMs);
     if (leaseEffect !== undefined) effects.push(leaseEffect);
     this.#followOwnership(effects);
     const tenure = this.#tenure;
     if (tenure === undefined) return effects;
-    loseLapsed(tenure, this.#timing, nowMs);
+    dropExpiredRuns(tenure, this.#timing, nowMs);
     tenure.book.openDue(wallNowMs, nowMs);
     tenure.keeper.inherit(tenure.book.takeInherited(), nowMs);
-    this.#place(tenure, nowMs);
+    this.#placeWaiting(tenure, nowMs);
     effects.push(...stopEffects(tenure, nowMs));
     effects.push(...holdEffects(tenure, this.#timing, this.#ownership, nowMs));
     effects.push(...this.#pacing.effects(tenure, nowMs));
@@ -335,13 +341,13 @@
    * Whether a fenced refusal shows that another daemon owns the fleet. A worker also refuses calls
    * that this owner sent before it raised the worker's fence.
    */
-  #isOvertaken({ workerId, fence }: RunReference, epoch: number): boolean {
+  #isSuperseded({ workerId, fence }: RunReference, epoch: number): boolean {
     const view = this.#tenure?.views.get(workerId);
     return view === undefined || fence >= view.fence(epoch);
   }
 
-  #yield(nowMs: number): void {
-    this.#ownership.yield(nowMs);
+  #giveUpFleet(nowMs: number): void {
+    this.#ownership.giveUp(nowMs);
     this.#dropEndedTenure();
   }
 
@@ -369,9 +375,9 @@
     return isCaughtUp && this.#ownership.mayGrant(nowMs);
   }
 
-  #place(tenure: Tenure, nowMs: number): void {
+  #placeWaiting(tenure: Tenure, nowMs: number): void {
     if (!this.#mayStart(tenure, nowMs)) return;
-    const limits = this.#load.roundLimits(nowMs);
+    const limits = this.#loadLimiter.roundLimits(nowMs);
     const input = this.#roundInput(tenure);
     this.#moves.placeMoved(input, nowMs);
     const { keeper } = tenure;
@@ -383,21 +389,25 @@
     );
     const unfinishable = this.#moves.nextUnfinishable(input, nowMs);
     keeper.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
-    this.#load.noteRound(outcome);
+    this.#loadLimiter.noteRound(outcome);
     const obstacles: ObstaclesOf = (task) => obstaclesOf(task, input, nowMs);
     tenure.notes.addWaits(tenure.book.waiting, outcome.waits, obstacles, nowMs);
   }
 
-  #start(tenure: Tenure, recorded: readonly TaskRun[], nowMs: number): readonly FleetEffect[] {
+  #startRecorded(
+    tenure: Tenure,
+    recorded: readonly TaskRun[],
+    nowMs: number,
+  ): readonly FleetEffect[] {
     const input = this.#roundInput(tenure);
     const mayStart = this.#mayStart(tenure, nowMs);
     const { startable, blocked } = splitRecorded(recorded, input, mayStart, nowMs);
     blocked.forEach((run) => tenure.keeper.withdraw(run, nowMs));
     tenure.notes.addStarts(startable, nowMs);
-    return startable.flatMap((run) => this.#send(tenure, run, nowMs));
+    return startable.flatMap((run) => this.#sendStart(tenure, run, nowMs));
   }
 
-  #send(tenure: Tenure, run: TaskRun, nowMs: number): readonly FleetEffect[] {
+  #sendStart(tenure: Tenure, run: TaskRun, nowMs: number): readonly FleetEffect[] {
     const view = tenure.views.get(run.workerId);
     const limitAtMs = tenure.roster.grantLimitMs(run.workerId);
     const leaseEndWorkerMs = view?.grantLease(this.#timing, limitAtMs, nowMs);
--- a/src/scheduler/common/fleet/fleetTenure.ts
+++ b/src/scheduler/common/fleet/fleetTenure.ts
@@ -65,7 +65,7 @@
    */
   readonly fenceRaises: Map<string, number>;
   /** Listed runs that the owner does not know and stops, by worker, task and run number. */
-  readonly strays: Map<string, RunReference>;
+  readonly unknownRuns: Map<string, RunReference>;
 }
 
 /** The entry of a worker of which only id and address are known. No task is started on it. */
@@ -81,7 +81,7 @@
   incarnation: 0,
 });
 
-const noteListed = (
+const updateListedWorker = (
   { views, fenceRaises }: Pick<Tenure, 'views' | 'fenceRaises'>,
   entry: FleetWorkerEntry,
   nowMs: number,
@@ -102,7 +102,7 @@
   assignments: new Map(),
 };
 
-export const takeChanges = (
+export const applyChanges = (
   tenure: Tenure,
   changes: readonly SubmissionChange[],
   stored: Pick<StoredState, 'progress' | 'assignments'>,
@@ -144,24 +144,24 @@
     views.set(known.id, view);
   });
   const fenceRaises = new Map<string, number>();
-  stored.workers.forEach((entry) => noteListed({ views, fenceRaises }, entry, nowMs));
+  stored.workers.forEach((entry) => updateListedWorker({ views, fenceRaises }, entry, nowMs));
   const interference = policy.newInterferenceControl();
   interference.inherit(stored.interference, nowMs);
   const roster = new Roster(epoch);
   const tenure: Tenure = {
     ...{ epoch, book, views, keeper, commits, roster, interference, notes, fenceRaises },
     misses: new RoomMisses(),
-    strays: new Map(),
+    unknownRuns: new Map(),
     caughtUpAtMs: Number.NEGATIVE_INFINITY,
   };
-  takeChanges(tenure, stored.changes, stored, nowMs);
+  applyChanges(tenure, stored.changes, stored, nowMs);
   return tenure;
 };
 
 /**
  * Updates the views with the table's list of workers, which was read no earlier than `readAtMs`.
  */
-export const noteWorkers = (
+export const updateWorkers = (
   tenure: Tenure,
   entries: readonly FleetWorkerEntry[],
   timing: FleetTiming,
@@ -169,7 +169,9 @@
   nowMs: number,
 ): void => {
   const listed = new Set(entries.map(({ id }) => id));
-  entries.forEach((entry) => noteListed(tenure, entry, nowMs).noteEntry(entry, timing, readAtMs));
+  entries.forEach((entry) =>
+    updateListedWorker(tenure, entry, nowMs).noteEntry(entry, timing, readAtMs),
+  );
   tenure.views.forEach((view, id) => {
     if (listed.has(id)) return;
     if (view.isListed) tenure.notes.addUnlisted(view, nowMs);
@@ -195,10 +197,10 @@
  * Drops the runs of workers that have not answered recently and whose leases have ended. Forgets
  * such a worker if the table does not list it.
  */
-export const loseLapsed = (tenure: Tenure, timing: FleetTiming, nowMs: number): void => {
+export const dropExpiredRuns = (tenure: Tenure, timing: FleetTiming, nowMs: number): void => {
   tenure.views.forEach((view, id) => {
     if (view.isFresh(timing, nowMs) || nowMs < view.leasesOverAtMs) return;
-    tenure.keeper.loseAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
+    tenure.keeper.dropAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
     // The answer to a call in flight would be taken for an answer to the worker's next view.
     if (view.isListed || view.isHoldInFlight) return;
     tenure.views.delete(id);
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -61,7 +61,7 @@
   #fenceRaises: number;
 
   /** When the owner found that the worker's process had been replaced. */
-  #rebornAtMs = Number.NEGATIVE_INFINITY;
+  #newProcessSinceMs = Number.NEGATIVE_INFINITY;
 
   /** Whether the process was replaced and has not yet answered under the raised fence. */
   isReborn = false;
@@ -96,16 +96,16 @@
   #used: Resources = NO_RESOURCES;
 
   /** Room that is reserved for tasks that are not yet assigned to the worker. */
-  #kept: Resources = NO_RESOURCES;
+  #reserved: Resources = NO_RESOURCES;
 
-  readonly #keptTasks = new Set<TaskRecord>();
+  readonly #reservedTasks = new Set<TaskRecord>();
 
   /**
-   * The cached free part of the capacity `#freeOf`; undefined after runs or reservations change.
+   * The cached free part of `#freeForCapacity`. It is undefined after runs or reservations change.
    */
   #free: Resources | undefined;
 
-  #freeOf: Resources = NO_RESOURCES;
+  #freeForCapacity: Resources = NO_RESOURCES;
 
   #fillerProcessorMillis = 0;
 
@@ -131,9 +131,9 @@
 
   get free(): Resources {
     const { capacity } = this.entry;
-    if (this.#free === undefined || this.#freeOf !== capacity) {
-      this.#free = subtractResources(subtractResources(capacity, this.#used), this.#kept);
-      this.#freeOf = capacity;
+    if (this.#free === undefined || this.#freeForCapacity !== capacity) {
+      this.#free = subtractResources(subtractResources(capacity, this.#used), this.#reserved);
+      this.#freeForCapacity = capacity;
     }
     return this.#free;
   }
@@ -152,8 +152,8 @@
    * under the same id may have a different capacity and different labels.
    */
   get isEntryCurrent(): boolean {
-    const isTold = this.entry.incarnation !== 0 && this.incarnation !== 0;
-    return !isTold || this.entry.incarnation === this.incarnation;
+    const areBothKnown = this.entry.incarnation !== 0 && this.incarnation !== 0;
+    return !areBothKnown || this.entry.incarnation === this.incarnation;
   }
 
   /** The instant until which the worker is certain to stay; undefined if it announced none. */
@@ -169,7 +169,7 @@
 
   /** Tasks for which room is reserved here until they start. */
   get keptTasks(): ReadonlySet<TaskRecord> {
-    return this.#keptTasks;
+    return this.#reservedTasks;
   }
 
   hasRun(run: TaskRun): boolean {
@@ -197,17 +197,17 @@
   }
 
   keepRoomFor(task: TaskRecord): void {
-    this.#keptTasks.add(task);
-    this.#noteKept(addResources(this.#kept, countedSize(task.step)));
+    this.#reservedTasks.add(task);
+    this.#setReserved(addResources(this.#reserved, countedSize(task.step)));
   }
 
   giveRoomBack(task: TaskRecord): void {
-    if (!this.#keptTasks.delete(task)) return;
-    this.#noteKept(subtractResources(this.#kept, countedSize(task.step)));
+    if (!this.#reservedTasks.delete(task)) return;
+    this.#setReserved(subtractResources(this.#reserved, countedSize(task.step)));
   }
 
-  #noteKept(kept: Resources): void {
-    this.#kept = kept;
+  #setReserved(reserved: Resources): void {
+    this.#reserved = reserved;
     this.changeCount += 1;
     this.#free = undefined;
   }
@@ -250,14 +250,14 @@
 
   /** Whether a call sent at `sentAtMs` was sent after the fence was raised. */
   isFencedSince(sentAtMs: number): boolean {
-    return sentAtMs >= this.#rebornAtMs;
+    return sentAtMs >= this.#newProcessSinceMs;
   }
 
   /** Records that a new process answers for the worker. The former process's runs have ended. */
   noteIncarnation(incarnation: number, nowMs: number): void {
     this.incarnation = incarnation;
     this.#fenceRaises += 1;
-    this.#rebornAtMs = nowMs;
+    this.#newProcessSinceMs = nowMs;
     this.isReborn = true;
     this.mayForgetEnds = this.acknowledgingSequence > 0;
     this.takenSequence = 0;
--- a/src/scheduler/common/fleet/ownerLoad.ts
+++ b/src/scheduler/common/fleet/ownerLoad.ts
@@ -4,37 +4,37 @@
 import { StartPace } from './startPace.js';
 
 export class OwnerLoad {
-  readonly #budget = new RoundBudget();
+  readonly #roundBudget = new RoundBudget();
 
-  readonly #starts = new StartPace();
+  readonly #startLimiter = new StartPace();
 
   /** The ratings of the present step's rounds. */
   #ratingCount = 0;
 
   get startLimitPerS(): number {
-    return this.#starts.limitPerS;
+    return this.#startLimiter.limitPerS;
   }
 
   roundLimits(nowMs: number): RoundLimits {
     return {
-      startCount: Math.min(MAXIMUM_STARTS, this.#starts.allowance(nowMs)),
-      ratingCount: this.#budget.ratingLimit,
+      startCount: Math.min(MAXIMUM_STARTS, this.#startLimiter.allowance(nowMs)),
+      ratingCount: this.#roundBudget.ratingLimit,
     };
   }
 
   noteRound({ startCount, ratingCount }: RoundOutcome): void {
-    this.#starts.take(startCount);
+    this.#startLimiter.take(startCount);
     this.#ratingCount += ratingCount;
   }
 
   noteStartAnswered(): void {
-    this.#starts.noteAnswered();
+    this.#startLimiter.noteAnswered();
   }
 
   /** Records a step. Returns whether the start rate has been reduced. */
   noteStep(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
-    this.#budget.note(this.#ratingCount, beganAtMs, endedAtMs);
+    this.#roundBudget.note(this.#ratingCount, beganAtMs, endedAtMs);
     this.#ratingCount = 0;
-    return this.#starts.handleStep(dueAtMs, beganAtMs);
+    return this.#startLimiter.handleStep(dueAtMs, beganAtMs);
   }
 }
--- a/src/scheduler/common/fleet/roster.ts
+++ b/src/scheduler/common/fleet/roster.ts
@@ -32,7 +32,7 @@
 
 type Entries = ReadonlyMap<string, Entry>;
 
-const isSame = (one: Entries, other: Entries): boolean =>
+const areEqual = (one: Entries, other: Entries): boolean =>
   one.size === other.size &&
   [...other].every(([id, { address, limitAtMs }]) => {
     const known = one.get(id);
@@ -44,7 +44,7 @@
  * sooner it stores that, the shorter a successor waits. A newly listed worker that has never had a
  * lease is included at once, so that its first start does not have to wait for the row.
  */
-const isWanted = (view: FleetWorkerView, nowMs: number): boolean =>
+const isGrantWanted = (view: FleetWorkerView, nowMs: number): boolean =>
   view.isHeard ? !view.isSilent : view.isListed && view.leasesOverAtMs <= nowMs;
 
 export class Roster {
@@ -85,7 +85,7 @@
     if (nowMs < this.#nextWriteAtMs) return undefined;
     const isStored = this.#unconfirmed.length === 0 && this.#written !== undefined;
     const due = this.#entries(views, DRAINING_LEAST_MS, nowMs);
-    if (isStored && isSame(this.#written as Entries, due)) return undefined;
+    if (isStored && areEqual(this.#written as Entries, due)) return undefined;
     // Extends the limits of all draining workers in one row, so that their next write is shared.
     const entries = this.#entries(views, DRAINING_GRANT_MS, nowMs);
     this.#nextWriteAtMs = nowMs + WRITE_INTERVAL_MS;
@@ -119,7 +119,7 @@
   }
 
   #limitAtMs(view: FleetWorkerView, leastMs: number, nowMs: number): number {
-    if (!isWanted(view, nowMs)) return view.leasesOverAtMs;
+    if (!isGrantWanted(view, nowMs)) return view.leasesOverAtMs;
     if (!view.entry.isDraining) return NO_LIMIT;
     const known = this.#written?.get(view.id)?.limitAtMs ?? NO_LIMIT;
     if (known !== NO_LIMIT && known - nowMs >= leastMs) return known;
--- a/src/scheduler/common/fleet/runEvidence.ts
+++ b/src/scheduler/common/fleet/runEvidence.ts
@@ -25,7 +25,7 @@
 
 export type RunEvidence =
   | { readonly kind: Exclude<EvidenceKind, typeof EvidenceKind.Unlisted> }
-  | { readonly kind: typeof EvidenceKind.Unlisted; readonly askedAtMs: number };
+  | { readonly kind: typeof EvidenceKind.Unlisted; readonly requestedAtMs: number };
 
 /** Evidence that holds for all runs of a worker. */
 export interface WorkerEvidence {
@@ -38,8 +38,8 @@
  */
 const wouldBeListed = (
   { state, isStopConfirmed, settledAtMs }: TaskRun,
-  askedAtMs: number,
-): boolean => (state === RunState.Running || isStopConfirmed) && settledAtMs <= askedAtMs;
+  requestedAtMs: number,
+): boolean => (state === RunState.Running || isStopConfirmed) && settledAtMs <= requestedAtMs;
 
 export const isRunOver = (
   run: TaskRun,
@@ -54,7 +54,7 @@
     case EvidenceKind.EndListed:
       return true;
     case EvidenceKind.Unlisted:
-      return wouldBeListed(run, evidence.askedAtMs);
+      return wouldBeListed(run, evidence.requestedAtMs);
     case EvidenceKind.AnotherProcess:
       return view.isReborn;
     default:
--- a/src/scheduler/common/fleet/runForecast.ts
+++ b/src/scheduler/common/fleet/runForecast.ts
@@ -3,7 +3,7 @@
 
 const WHOLE_PERCENT = 100;
 /** Percentages are whole numbers, so a smaller gain says little about the speed. */
-const TELLING_PERCENT = 10;
+const SIGNIFICANT_PERCENT = 10;
 
 /**
  * Estimates the remaining time by the run's progress since its first listing, or by the caller's
@@ -16,7 +16,7 @@
   if (firstListed === undefined) return Math.max(0, estimateMs - (nowMs - run.startedAtMs));
   const gainedPercent = workedPercent - firstListed.percent;
   const msPerPercent =
-    gainedPercent >= TELLING_PERCENT
+    gainedPercent >= SIGNIFICANT_PERCENT
       ? (listedAtMs - firstListed.atMs) / gainedPercent
       : estimateMs / WHOLE_PERCENT;
   const leftMs = (WHOLE_PERCENT - workedPercent) * msPerPercent;
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runKeeper.ts
@@ -61,7 +61,8 @@
 });
 
 /** Whether a failure shows that the order was certainly not executed. */
-const isSurelyUndone = (cause: Failure): boolean => cause.workOutcome === WorkOutcome.NotRun;
+const isCertainlyNotExecuted = (cause: Failure): boolean =>
+  cause.workOutcome === WorkOutcome.NotRun;
 
 export class RunKeeper {
   readonly #book: SubmissionBook;
@@ -109,11 +110,11 @@
     }
     // Until the new process has seen the raised fence, it may still execute a start to the old one.
     if (!view.isFencedSince(sentAtMs)) return [];
-    if (view.isReborn) this.loseAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
+    if (view.isReborn) this.dropAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
     view.noteAnswer(answer, nowMs);
-    const ended = answer.finished.filter((finished) => this.#takeEnd(view, finished, nowMs));
+    const ended = answer.finished.filter((finished) => this.#handleEnd(view, finished, nowMs));
     this.#notes.addEnds(view.id, ended, nowMs);
-    const unknown = answer.running.filter((running) => !this.#takeRunning(view, running, nowMs));
+    const unknown = answer.running.filter((running) => !this.#handleRunning(view, running, nowMs));
     if (!answer.isFinishedCut) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
     view.strayCount = unknown.length;
     if (view.mayForgetEnds) this.#stopForgettable(view, nowMs);
@@ -133,7 +134,7 @@
     const view = this.#views.get(run.workerId);
     if (view?.hasRun(run) !== true) return;
     if (isLeft(result)) {
-      if (isSurelyUndone(result.left)) this.#dropRefused(view, run, nowMs);
+      if (isCertainlyNotExecuted(result.left)) this.#dropRefused(view, run, nowMs);
       else this.#noteUnanswered(run, nowMs);
       return;
     }
@@ -168,9 +169,9 @@
 
   /** Requests stops of runs. Their room stays taken until the workers no longer list them. */
   requestStops(runs: readonly TaskRun[], reason: StopReason, nowMs: number): void {
-    const wanted = runs.filter(({ state }) => state !== RunState.Stopping);
-    this.#notes.addStops(wanted, reason);
-    wanted.forEach((run) => {
+    const toStop = runs.filter(({ state }) => state !== RunState.Stopping);
+    this.#notes.addStops(toStop, reason);
+    toStop.forEach((run) => {
       if (run.state === RunState.Assigned) this.withdraw(run, nowMs);
       else this.#requestStop(run, nowMs);
     });
@@ -215,14 +216,14 @@
   }
 
   /** Drops all runs of the worker that are over by the evidence. */
-  loseAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
+  dropAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
     const runs = [...view.runs.values()];
     const lost = runs.filter((run) => this.#drop(view, run, evidence, nowMs));
     this.#notes.addLosses(view, lost, evidence.kind, nowMs);
   }
 
   /** Returns false for an end that was handled before or whose submission is unknown. */
-  #takeEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
+  #handleEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
     if (finished.sequence <= view.takenSequence) return false;
     view.takenSequence = finished.sequence;
     const task = this.#book.find(finished.taskName);
@@ -230,7 +231,7 @@
     const wasOpen = isOpen(task.submission);
     task.lastRun = Math.max(task.lastRun, finished.run);
     if (finished.checkpoint !== '') task.checkpoint = finished.checkpoint;
-    this.#learn(view, finished, task, nowMs);
+    this.#updateHealth(view, finished, task, nowMs);
     const others = this.#book.noteEnd(task, finished.run, finished.end, nowMs);
     const run = view.runs.get(runKey(finished.taskName, finished.run));
     this.requestStops(
@@ -238,7 +239,7 @@
       StopReason.NotWanted,
       nowMs,
     );
-    this.#failIfSpent(task, nowMs);
+    this.#failIfOutOfAttempts(task, nowMs);
     if (run !== undefined) this.#drop(view, run, { kind: EvidenceKind.EndListed }, nowMs);
     if (wasOpen && !isOpen(task.submission)) {
       const { submission, state } = task.submission;
@@ -247,7 +248,12 @@
     return true;
   }
 
-  #learn(view: FleetWorkerView, finished: FinishedRun, task: TaskRecord, nowMs: number): void {
+  #updateHealth(
+    view: FleetWorkerView,
+    finished: FinishedRun,
+    task: TaskRecord,
+    nowMs: number,
+  ): void {
     const startedAtMs = view.runs.get(runKey(task.name, finished.run))?.startedAtMs;
     if (finished.end === RunEnd.Done) {
       this.#health = this.#health.withSuccess(view.id, startedAtMs);
@@ -262,7 +268,7 @@
     this.#health = this.#health.withFailure(view.id, id, this.#views.size, nowMs, startedAtMs);
   }
 
-  #failIfSpent(task: TaskRecord, nowMs: number): void {
+  #failIfOutOfAttempts(task: TaskRecord, nowMs: number): void {
     if (task.step.isPersistent || !isOpen(task.submission)) return;
     const { configuration } = this.#operator();
     const { queueName } = task.submission.submission;
@@ -272,9 +278,9 @@
   }
 
   /** Returns false for a run whose submission is unknown. */
-  #takeRunning(view: FleetWorkerView, running: RunningTask, nowMs: number): boolean {
+  #handleRunning(view: FleetWorkerView, running: RunningTask, nowMs: number): boolean {
     const known = view.runs.get(runKey(running.taskName, running.run));
-    const run = known ?? this.#adopt(view, running, nowMs);
+    const run = known ?? this.#addLateRun(view, running, nowMs);
     if (run === undefined) return false;
     const { task } = run;
     if (running.checkpoint !== '') task.checkpoint = running.checkpoint;
@@ -295,7 +301,7 @@
   }
 
   /** Adds a run that this owner gave up and that the worker started late. */
-  #adopt(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
+  #addLateRun(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
     const task = this.#book.find(running.taskName);
     if (task === undefined) return undefined;
     const isWanted = isOpen(task.submission) && !task.isDone && task.runs.length === 0;
@@ -310,7 +316,7 @@
     const listed = new Set(answer.running.map(({ taskName, run }) => runKey(taskName, run)));
     [...view.runs].forEach(([key, run]) => {
       if (listed.has(key)) return;
-      this.#drop(view, run, { kind: EvidenceKind.Unlisted, askedAtMs: sentAtMs }, nowMs);
+      this.#drop(view, run, { kind: EvidenceKind.Unlisted, requestedAtMs: sentAtMs }, nowMs);
     });
   }
 
--- a/src/scheduler/common/fleet/startPace.ts
+++ b/src/scheduler/common/fleet/startPace.ts
@@ -13,9 +13,9 @@
 /** The weight of a window in the moving average of answered starts per second. */
 const ANSWERED_WEIGHT = 0.7;
 /** If all steps of a window begin at least this late, the processor is overloaded. */
-const LATE_MS = 60;
+const OVERLOAD_LAG_MS = 60;
 /** Up to this lag, the processor has spare time. */
-const PUNCTUAL_MS = 30;
+const PUNCTUAL_LAG_MS = 30;
 const INITIAL_PER_S = 200;
 /** Limits the rate to this multiple of the rate of answered starts. */
 const CEILING_FACTOR = 2;
@@ -38,24 +38,24 @@
  * The growth of the rate in a second as a share of itself, normally and for a while after a cut.
  */
 const GROWTH_PER_S = 3;
-const CAREFUL_GROWTH_PER_S = 0.15;
-const CAREFUL_MS = 2_000;
+const RECOVERY_GROWTH_PER_S = 0.15;
+const RECOVERY_MS = 2_000;
 const MS_PER_S = 1_000;
 
 export class StartPace {
-  #perS = INITIAL_PER_S;
+  #ratePerS = INITIAL_PER_S;
 
   #tokens = (INITIAL_PER_S * BURST_MS) / MS_PER_S;
 
-  #countedAtMs: number | undefined;
+  #refilledAtMs: number | undefined;
 
   #cutAtMs = Number.NEGATIVE_INFINITY;
 
   /** The lag that caused the last cut. */
-  #cutLateMs = 0;
+  #cutLagMs = 0;
 
   /** The smallest lag of a step in the current window. */
-  #leastLateMs = Number.POSITIVE_INFINITY;
+  #leastLagMs = Number.POSITIVE_INFINITY;
 
   #windowBeganAtMs: number | undefined;
 
@@ -69,12 +69,12 @@
 
   /** The current limit of starts per second. */
   get limitPerS(): number {
-    return this.#perS;
+    return this.#ratePerS;
   }
 
   /** The number of starts that may be sent now. */
   allowance(nowMs: number): number {
-    this.#count(nowMs);
+    this.#refill(nowMs);
     return Math.floor(this.#tokens);
   }
 
@@ -89,29 +89,32 @@
 
   /** Records that a step due at `dueAtMs` begins. Returns whether the limit has been cut. */
   handleStep(dueAtMs: number, nowMs: number): boolean {
-    this.#count(nowMs);
-    this.#leastLateMs = Math.min(this.#leastLateMs, nowMs - dueAtMs);
+    this.#refill(nowMs);
+    this.#leastLagMs = Math.min(this.#leastLagMs, nowMs - dueAtMs);
     this.#windowBeganAtMs ??= nowMs;
     const windowMs = nowMs - this.#windowBeganAtMs;
     if (windowMs < WINDOW_MS) return false;
-    const lateMs = this.#leastLateMs;
+    const lagMs = this.#leastLagMs;
     const answeredPerS = (this.#answeredCount * MS_PER_S) / windowMs;
     this.#answeredPerS += (answeredPerS - this.#answeredPerS) * ANSWERED_WEIGHT;
-    this.#leastLateMs = Number.POSITIVE_INFINITY;
+    this.#leastLagMs = Number.POSITIVE_INFINITY;
     this.#answeredCount = 0;
     this.#windowBeganAtMs = nowMs;
-    this.#isPunctual = lateMs <= PUNCTUAL_MS;
-    return lateMs >= LATE_MS && this.#isUsed && this.#cut(lateMs, nowMs);
+    this.#isPunctual = lagMs <= PUNCTUAL_LAG_MS;
+    return lagMs >= OVERLOAD_LAG_MS && this.#isUsed && this.#cut(lagMs, nowMs);
   }
 
-  #cut(lateMs: number, nowMs: number): boolean {
-    const isWorse = lateMs > this.#cutLateMs;
+  #cut(lagMs: number, nowMs: number): boolean {
+    const isWorse = lagMs > this.#cutLagMs;
     if (!isWorse && nowMs - this.#cutAtMs < CUT_INTERVAL_MS) return false;
-    this.#cutLateMs = lateMs;
+    this.#cutLagMs = lagMs;
     this.#cutAtMs = nowMs;
-    const carriedPerS = this.#answeredPerS * CUT_SHARE;
-    const lowestPerS = Math.max(LEAST_PER_S, this.#perS * DEEPEST_CUT_SHARE);
-    this.#perS = Math.max(lowestPerS, Math.min(this.#perS * MILDEST_CUT_SHARE, carriedPerS));
+    const handledPerS = this.#answeredPerS * CUT_SHARE;
+    const lowestPerS = Math.max(LEAST_PER_S, this.#ratePerS * DEEPEST_CUT_SHARE);
+    this.#ratePerS = Math.max(
+      lowestPerS,
+      Math.min(this.#ratePerS * MILDEST_CUT_SHARE, handledPerS),
+    );
     this.#tokens = Math.min(this.#tokens, this.#greatestBurst);
     return true;
   }
@@ -122,19 +125,19 @@
   }
 
   get #greatestBurst(): number {
-    return Math.max(LEAST_BURST, (this.#perS * BURST_MS) / MS_PER_S);
+    return Math.max(LEAST_BURST, (this.#ratePerS * BURST_MS) / MS_PER_S);
   }
 
-  #count(nowMs: number): void {
-    const passedS = Math.max(0, nowMs - (this.#countedAtMs ?? nowMs)) / MS_PER_S;
-    this.#countedAtMs = nowMs;
-    const isCareful = nowMs - this.#cutAtMs < CAREFUL_MS;
-    const growthPerS = isCareful ? CAREFUL_GROWTH_PER_S : GROWTH_PER_S;
-    const carriedPerS = Math.min(GREATEST_PER_S, this.#answeredPerS * CEILING_FACTOR);
-    const ceilingPerS = Math.max(INITIAL_PER_S, carriedPerS);
-    if (this.#isPunctual && this.#isUsed && this.#perS < ceilingPerS) {
-      this.#perS = Math.min(ceilingPerS, this.#perS * (1 + growthPerS * passedS));
+  #refill(nowMs: number): void {
+    const passedS = Math.max(0, nowMs - (this.#refilledAtMs ?? nowMs)) / MS_PER_S;
+    this.#refilledAtMs = nowMs;
+    const isRecovering = nowMs - this.#cutAtMs < RECOVERY_MS;
+    const growthPerS = isRecovering ? RECOVERY_GROWTH_PER_S : GROWTH_PER_S;
+    const handledPerS = Math.min(GREATEST_PER_S, this.#answeredPerS * CEILING_FACTOR);
+    const ceilingPerS = Math.max(INITIAL_PER_S, handledPerS);
+    if (this.#isPunctual && this.#isUsed && this.#ratePerS < ceilingPerS) {
+      this.#ratePerS = Math.min(ceilingPerS, this.#ratePerS * (1 + growthPerS * passedS));
     }
-    this.#tokens = Math.min(this.#greatestBurst, this.#tokens + this.#perS * passedS);
+    this.#tokens = Math.min(this.#greatestBurst, this.#tokens + this.#ratePerS * passedS);
   }
 }
--- a/src/scheduler/node/callTurns.ts
+++ b/src/scheduler/node/callTurns.ts
@@ -6,45 +6,45 @@
 export class CallTurns {
   readonly #limit: number;
 
-  readonly #patienceMs: number;
+  readonly #slotTimeoutMs: number;
 
   readonly #waiting: (() => void)[] = [];
 
-  #underWay = 0;
+  #activeCount = 0;
 
-  /** A call without an answer after `patienceMs` stops counting towards the limit. */
-  constructor(limit: number, patienceMs: number) {
+  /** A call without an answer after `slotTimeoutMs` stops counting towards the limit. */
+  constructor(limit: number, slotTimeoutMs: number) {
     this.#limit = limit;
-    this.#patienceMs = patienceMs;
+    this.#slotTimeoutMs = slotTimeoutMs;
   }
 
   /** Resolves when the call may begin. The caller calls the result when the call is over. */
-  async next(): Promise<() => void> {
-    if (this.#underWay >= this.#limit) {
+  async acquire(): Promise<() => void> {
+    if (this.#activeCount >= this.#limit) {
       await new Promise<void>((resolve) => {
         this.#waiting.push(resolve);
       });
     } else {
-      this.#underWay += 1;
+      this.#activeCount += 1;
     }
-    return this.#turn();
+    return this.#startSlot();
   }
 
-  #turn(): () => void {
+  #startSlot(): () => void {
     let timer: NodeJS.Timeout | undefined;
-    const end = (): void => {
+    const release = (): void => {
       if (timer === undefined) return;
       clearTimeout(timer);
       timer = undefined;
-      this.#pass();
+      this.#releaseSlot();
     };
-    timer = setTimeout(end, this.#patienceMs);
-    return end;
+    timer = setTimeout(release, this.#slotTimeoutMs);
+    return release;
   }
 
-  #pass(): void {
+  #releaseSlot(): void {
     const resolve = this.#waiting.shift();
-    if (resolve === undefined) this.#underWay -= 1;
+    if (resolve === undefined) this.#activeCount -= 1;
     else resolve();
   }
 }
--- a/src/scheduler/node/cellTask.ts
+++ b/src/scheduler/node/cellTask.ts
@@ -115,11 +115,11 @@
         this.#handle(call.toEvent(await this.#client(call.workerId).command(call.command)()));
         break;
       default:
-        this.#note(effect);
+        this.#record(effect);
     }
   }
 
-  #note(effect: CellEffect): void {
+  #record(effect: CellEffect): void {
     const { log, metrics } = this.#services;
     const { cell } = this.#options;
     if (effect.kind === 'count' && effect.amount > 0) {
--- a/src/scheduler/node/cellTasks.ts
+++ b/src/scheduler/node/cellTasks.ts
@@ -56,7 +56,7 @@
     this.#latencies = latencies;
     this.#subscriptions.add(services.directory.onDidChange(() => this.#addCells()));
     this.#subscriptions.add(services.configuration.onDidChange(() => this.#addCells()));
-    this.#subscriptions.add(new PeriodicTimer(SAMPLE_INTERVAL_MS, () => this.#passSamples()));
+    this.#subscriptions.add(new PeriodicTimer(SAMPLE_INTERVAL_MS, () => this.#forwardSamples()));
     this.#addCells();
   }
 
@@ -66,7 +66,7 @@
     this.#tasks.clear();
   }
 
-  #passSamples(): void {
+  #forwardSamples(): void {
     const samples = this.#latencies?.takeSamples(this.#services.clock.nowMs()) ?? [];
     if (samples.length > 0) this.#tasks.forEach((task) => task.handleSamples(samples));
   }
--- a/src/scheduler/node/fleetTask.ts
+++ b/src/scheduler/node/fleetTask.ts
@@ -35,8 +35,8 @@
 const FEED_WAIT_MS = 1_000;
 const RETRY_MS = 200;
 /** The maximum number of concurrent first holds, and how long each counts towards it. */
-const FIRST_HOLDS_AT_A_TIME = 24;
-const FIRST_HOLD_PATIENCE_MS = 150;
+const MAXIMUM_FIRST_HOLDS = 24;
+const FIRST_HOLD_SLOT_TIMEOUT_MS = 150;
 
 /** Whether the call asks a worker for its first answer, which comes at once. */
 const isFirstHold = ({ leaseEndWorkerMs, waitMs }: HoldRequest): boolean =>
@@ -63,13 +63,13 @@
 
   readonly #disposables = new DisposableStore();
 
-  readonly #renewals: RenewalWatch;
+  readonly #renewalMonitor: RenewalWatch;
 
-  readonly #pace = new StepPace();
+  readonly #stepThrottle = new StepPace();
 
-  readonly #firstHolds = new CallTurns(FIRST_HOLDS_AT_A_TIME, FIRST_HOLD_PATIENCE_MS);
+  readonly #firstHoldLimiter = new CallTurns(MAXIMUM_FIRST_HOLDS, FIRST_HOLD_SLOT_TIMEOUT_MS);
 
-  #isStepDue = false;
+  #isStepScheduled = false;
 
   constructor(
     services: FleetTaskServices,
@@ -80,7 +80,7 @@
     this.#services = services;
     const { clock, operator, table, directory, log } = services;
     this.#reader = new StoredStateReader(table, directory, log);
-    this.#renewals = new RenewalWatch(timing.leaseMs, log, services.metrics);
+    this.#renewalMonitor = new RenewalWatch(timing.leaseMs, log, services.metrics);
     this.#scheduler = new FleetScheduler(
       selfId,
       timing,
@@ -91,10 +91,10 @@
     this.#disposables.add(
       operator.onDidChange((state) => {
         this.#scheduler.handleOperatorState(state);
-        this.#stepSoon();
+        this.#scheduleStep();
       }),
     );
-    this.#disposables.add(new PeriodicTimer(TICK_MS, () => this.#stepSoon()));
+    this.#disposables.add(new PeriodicTimer(TICK_MS, () => this.#scheduleStep()));
     this.#disposables.add(new PeriodicTimer(WORKERS_INTERVAL_MS, () => this.#readWorkers()));
   }
 
@@ -112,14 +112,14 @@
 
   /**
    * Releases the fleet, so that the next owner does not wait for the lease and knows when the
-   * workers' leases end. Without an answer, the write is retried for `patienceMs`. A conflict shows
+   * workers' leases end. Without an answer, the write is retried for `retryForMs`. A conflict shows
    * that the release is stored or that there is a new owner.
    */
-  async release(patienceMs: number): Promise<void> {
+  async release(retryForMs: number): Promise<void> {
     const transaction = this.#scheduler.release();
     if (transaction === undefined) return;
     const { table, clock, log } = this.#services;
-    const untilMs = clock.nowMs() + patienceMs;
+    const untilMs = clock.nowMs() + retryForMs;
     let result = await table.transact(transaction)();
     while (isLeft(result) && clock.nowMs() < untilMs) {
       // eslint-disable-next-line no-await-in-loop -- each attempt repeats the last one
@@ -136,13 +136,13 @@
   }
 
   /** Schedules a step. Events of one turn of the event loop share a step. */
-  #stepSoon(): void {
-    if (this.#isStepDue) return;
-    this.#isStepDue = true;
+  #scheduleStep(): void {
+    if (this.#isStepScheduled) return;
+    this.#isStepScheduled = true;
     const nowMs = this.#services.clock.nowMs();
-    const waitMs = this.#pace.waitMs(nowMs);
+    const waitMs = this.#stepThrottle.waitMs(nowMs);
     const step = (): void => {
-      this.#isStepDue = false;
+      this.#isStepScheduled = false;
       this.#step(nowMs + waitMs);
     };
     if (waitMs > 0) setTimeout(step, waitMs);
@@ -155,7 +155,7 @@
     const beganAtMs = clock.nowMs();
     const effects = this.#scheduler.step(wallNowMs(), beganAtMs);
     const endedAtMs = clock.nowMs();
-    this.#pace.note(beganAtMs, endedAtMs);
+    this.#stepThrottle.note(beganAtMs, endedAtMs);
     if (this.#scheduler.handleStepTaken(dueAtMs, beganAtMs, endedAtMs)) {
       const limitPerS = Math.round(this.#scheduler.startLimitPerS);
       log.info('starts-limited', { limitPerS, lateMs: Math.round(beganAtMs - dueAtMs) });
@@ -179,7 +179,7 @@
       }
       case 'lease-write': {
         const result = await table.transact(effect.transaction)();
-        this.#renewals.note(effect.step, sentAtMs, clock.nowMs());
+        this.#renewalMonitor.note(effect.step, sentAtMs, clock.nowMs());
         scheduler.handleLeaseWritten(effect.step, result, sentAtMs, clock.nowMs());
         break;
       }
@@ -215,13 +215,13 @@
         break;
       }
       default:
-        this.#note(effect);
+        this.#logDecision(effect);
         return;
     }
-    this.#stepSoon();
+    this.#scheduleStep();
   }
 
-  #note({ event, fields }: Extract<FleetEffect, { kind: 'log' }>): void {
+  #logDecision({ event, fields }: Extract<FleetEffect, { kind: 'log' }>): void {
     const { log, metrics } = this.#services;
     log.info(event, fields);
     metrics.count('fleet_decisions', { event });
@@ -245,13 +245,13 @@
   async #hold({ epoch, request }: Extract<FleetEffect, { kind: 'hold' }>): Promise<void> {
     const { client, clock } = this.#services;
     const { workerId } = request;
-    const end = isFirstHold(request) ? await this.#firstHolds.next() : undefined;
+    const releaseSlot = isFirstHold(request) ? await this.#firstHoldLimiter.acquire() : undefined;
     if (this.#scheduler.epoch === epoch) {
       const sentAtMs = clock.nowMs();
       const result = await client.hold(request)();
       this.#scheduler.handleHeld(epoch, workerId, result, sentAtMs, clock.nowMs());
     }
-    end?.();
+    releaseSlot?.();
   }
 
   async #load(epoch: number): Promise<void> {
@@ -268,7 +268,7 @@
       knownWorkers: roster.workers.length,
       predecessorQuietMs: Math.round(this.#scheduler.predecessorQuietMs(clock.nowMs())),
     });
-    void this.#follow(epoch, loaded.position);
+    void this.#followChanges(epoch, loaded.position);
   }
 
   async #resolve(effect: Extract<FleetEffect, { kind: 'resolve' }>): Promise<void> {
@@ -279,7 +279,7 @@
   }
 
   /** Follows the callers' submissions and cancellations until this epoch ends. */
-  async #follow(epoch: number, fromPosition: number): Promise<void> {
+  async #followChanges(epoch: number, fromPosition: number): Promise<void> {
     const { feed, clock } = this.#services;
     let position = fromPosition;
     // Does not wait at first: callers may have cancelled during the load, which can take seconds.
@@ -305,7 +305,7 @@
         this.#scheduler.handleCaughtUp(epoch, clock.nowMs());
         waitMs = FEED_WAIT_MS;
       }
-      this.#stepSoon();
+      this.#scheduleStep();
     }
   }
 
@@ -317,7 +317,7 @@
     const result = await directory.workers()();
     if (isLeft(result)) return;
     this.#scheduler.handleWorkers(epoch, result.right, sentAtMs, clock.nowMs());
-    this.#stepSoon();
+    this.#scheduleStep();
   }
 
   #pause(durationMs: number): Promise<void> {
--- a/src/scheduler/node/renewalWatch.ts
+++ b/src/scheduler/node/renewalWatch.ts
@@ -4,7 +4,7 @@
 import { LeaseStepKind } from '../common/cellLease.js';
 
 /** Renewals that are further apart than this share of the lease are logged. */
-const LATE_SHARE = 0.6;
+const LATE_GAP_SHARE = 0.6;
 
 export class RenewalWatch {
   readonly #leaseMs: number;
@@ -13,7 +13,7 @@
 
   readonly #metrics: Metrics;
 
-  #sentAtMs: number | undefined;
+  #lastSentAtMs: number | undefined;
 
   constructor(leaseMs: number, log: Log, metrics: Metrics) {
     this.#leaseMs = leaseMs;
@@ -23,12 +23,12 @@
 
   /** Handles the answer to a call that acquires or renews the lease. */
   note(step: LeaseStepKind, sentAtMs: number, answeredAtMs: number): void {
-    const beforeMs = this.#sentAtMs;
-    this.#sentAtMs = sentAtMs;
-    if (step !== LeaseStepKind.Renew || beforeMs === undefined) return;
-    const gapMs = Math.round(sentAtMs - beforeMs);
+    const previousSentAtMs = this.#lastSentAtMs;
+    this.#lastSentAtMs = sentAtMs;
+    if (step !== LeaseStepKind.Renew || previousSentAtMs === undefined) return;
+    const gapMs = Math.round(sentAtMs - previousSentAtMs);
     this.#metrics.recordMs('lease_renewal_gap', gapMs);
-    if (gapMs <= this.#leaseMs * LATE_SHARE) return;
+    if (gapMs <= this.#leaseMs * LATE_GAP_SHARE) return;
     const answeredAfterMs = Math.round(answeredAtMs - sentAtMs);
     this.#log.warn('lease-renewed-late', { gapMs, answeredAfterMs });
   }
--- a/src/scheduler/node/storedStateReader.ts
+++ b/src/scheduler/node/storedStateReader.ts
@@ -52,7 +52,7 @@
 
   /** Reads the stored state. Returns undefined if any part of it could not be read. */
   async readAll(): Promise<LoadedState | undefined> {
-    const [submissions, progressRows, assignmentRows, own, workers] = await Promise.all([
+    const [submissions, progressRows, assignmentRows, ownerRows, workers] = await Promise.all([
       this.readSubmissions(),
       this.#table.read({ keys: [], prefixes: [PROGRESS_PREFIX] })(),
       this.#table.read({ keys: [], prefixes: [ASSIGNMENT_PREFIX] })(),
@@ -65,8 +65,12 @@
     if (submissions === undefined || isLeft(progressRows) || isLeft(assignmentRows)) {
       return undefined;
     }
-    if (isLeft(own) || isLeft(workers)) return undefined;
-    const rows = [...progressRows.right.rows, ...assignmentRows.right.rows, ...own.right.rows];
+    if (isLeft(ownerRows) || isLeft(workers)) return undefined;
+    const rows = [
+      ...progressRows.right.rows,
+      ...assignmentRows.right.rows,
+      ...ownerRows.right.rows,
+    ];
     return {
       position: submissions.position,
       stored: {
@@ -74,8 +78,8 @@
         progress: this.#toProgress(progressRows.right.rows),
         assignments: this.#toAssignments(assignmentRows.right.rows),
         versions: new Map(rows.map(({ key, version }) => [key, version])),
-        roster: this.#toRoster(own.right.rows),
-        interference: this.#toInterference(own.right.rows),
+        roster: this.#toRoster(ownerRows.right.rows),
+        interference: this.#toInterference(ownerRows.right.rows),
         workers: workers.right,
       },
     };
@@ -91,8 +95,11 @@
   /** Puts cancellations first, so that a cancelled submission starts nothing. */
   toChanges(rows: readonly TableRow[]): readonly SubmissionChange[] {
     const changes = rows.flatMap((row) => this.#toChange(row));
-    const isFirst = (change: SubmissionChange): boolean => change.kind === 'cancellation';
-    return [...changes.filter(isFirst), ...changes.filter((change) => !isFirst(change))];
+    const isCancellation = (change: SubmissionChange): boolean => change.kind === 'cancellation';
+    return [
+      ...changes.filter(isCancellation),
+      ...changes.filter((change) => !isCancellation(change)),
+    ];
   }
 
   #toChange(row: TableRow): SubmissionChange[] {
--- a/src/scheduler/test/fleet/busyOwner.test.ts
+++ b/src/scheduler/test/fleet/busyOwner.test.ts
@@ -10,7 +10,7 @@
 const WORKERS = 300;
 
 /** Submits tasks at a steady rate, twenty at a time. */
-const loadFor = async (fleet: BusyFleet, seconds: number, tasksPerS: number): Promise<void> => {
+const submitFor = async (fleet: BusyFleet, seconds: number, tasksPerS: number): Promise<void> => {
   const { world } = fleet;
   const perSecond = tasksPerS / 20;
   const fromMs = world.outside.nowMs();
@@ -26,17 +26,21 @@
  * Returns a busy fleet that the named daemon has taken over from a dead owner. A rival without
  * costs takes over as soon as that daemon loses its lease.
  */
-const takenOver = async (name: string, costs: Costs, tasksPerS: number): Promise<BusyFleet> => {
+const takenOverFleet = async (
+  name: string,
+  costs: Costs,
+  tasksPerS: number,
+): Promise<BusyFleet> => {
   const fleet = new BusyFleet(WORKERS, () => 2_000);
   fleet.world.stubTimers();
   const first = fleet.addDaemon('first', FREE);
-  await loadFor(fleet, 4, tasksPerS);
+  await submitFor(fleet, 4, tasksPerS);
   const next = fleet.addDaemon(name, costs);
-  await loadFor(fleet, 1, tasksPerS);
+  await submitFor(fleet, 1, tasksPerS);
   first.task.dispose();
   while (!next.task.isOwner) {
     // eslint-disable-next-line no-await-in-loop
-    await loadFor(fleet, 0.2, tasksPerS);
+    await submitFor(fleet, 0.2, tasksPerS);
   }
   fleet.addDaemon('rival', FREE);
   return fleet;
@@ -48,16 +52,16 @@
   afterEach(() => vi.unstubAllGlobals());
 
   it('limits the share of its time that it spends on steps', async () => {
-    const fleet = await takenOver('strong', STRONG, 300);
+    const fleet = await takenOverFleet('strong', STRONG, 300);
     const before = fleet.stepCount;
-    await loadFor(fleet, 5, 300);
+    await submitFor(fleet, 5, 300);
     const stepShare = ((fleet.stepCount - before) * STRONG.stepMs) / 5_000;
     expect(stepShare).toBeLessThan(0.36);
   });
 
   it('keeps its lease on a fifth of a core while it calls three hundred workers for the first time', async () => {
-    const fleet = await takenOver('weak', WEAK, 100);
-    await loadFor(fleet, 15, 100);
+    const fleet = await takenOverFleet('weak', WEAK, 100);
+    await submitFor(fleet, 15, 100);
     expect(ownersOf(fleet)).toEqual(['first', 'weak']);
   });
 });
--- a/src/scheduler/test/fleet/callTurns.test.ts
+++ b/src/scheduler/test/fleet/callTurns.test.ts
@@ -7,11 +7,11 @@
   afterEach(() => vi.useRealTimers());
 
   it('lets a limited number of calls run at a time, in the order of their requests', async () => {
-    const turns = new CallTurns(2, 150);
+    const limiter = new CallTurns(2, 150);
     const begun: number[] = [];
     const ends: (() => void)[] = [];
     [0, 1, 2, 3].forEach((call) => {
-      void turns.next().then((end) => {
+      void limiter.acquire().then((end) => {
         begun.push(call);
         ends.push(end);
       });
@@ -25,9 +25,9 @@
   });
 
   it('lets the next call begin when a call has had no answer for too long', async () => {
-    const turns = new CallTurns(1, 150);
+    const limiter = new CallTurns(1, 150);
     const begun: number[] = [];
-    [0, 1].forEach((call) => void turns.next().then(() => begun.push(call)));
+    [0, 1].forEach((call) => void limiter.acquire().then(() => begun.push(call)));
     await vi.advanceTimersByTimeAsync(149);
     expect(begun).toEqual([0]);
     await vi.advanceTimersByTimeAsync(1);
--- a/src/scheduler/test/fleet/checkIns.ts
+++ b/src/scheduler/test/fleet/checkIns.ts
@@ -36,12 +36,12 @@
 
   #checkIn(id: string): void {
     const { nowMs, listedWorkers, workers, faults, time } = this.#world;
-    const isHeard =
+    const isReceived =
       workers.get(id)?.isUp === true &&
       !faults.isTableDown &&
       this.#reachesTable(id) &&
       nowMs >= (this.#lostUntilMs.get(id) ?? 0);
-    if (isHeard) {
+    if (isReceived) {
       this.#lastAtMs.set(id, nowMs);
       listedWorkers.add(id);
       time.later(ENTRY_EXPIRY_MS, () => this.#expire(id));
--- a/src/scheduler/test/fleet/fleetNotes.test.ts
+++ b/src/scheduler/test/fleet/fleetNotes.test.ts
@@ -16,19 +16,19 @@
     // would reach the log's rate limit, which would then drop the lines about accepted submissions.
     const notes = new FleetNotes();
     const lines: string[] = [];
-    const take = (nowMs: number): void =>
+    const collect = (nowMs: number): void =>
       notes.drain(3, nowMs).forEach(({ fields }) => lines.push(String(fields.ends)));
     for (let index = 0; index < 1_000; index += 1) {
       const taskName = `00000000000000a1.0.0.${index}`;
       const ended = { sequence: index, taskName, run: 1, end: RunEnd.Done, checkpoint: '' };
       notes.addEnds(`worker-${index % 50}`, [ended], index);
-      take(index);
+      collect(index);
     }
-    take(1_200);
+    collect(1_200);
     expect(lines.length).toBeLessThanOrEqual(6);
-    const told = lines.join(' ').split(' ');
-    expect(told).toHaveLength(1_000);
-    expect(told).toContain('00000000000000a1.0.0.999#1@worker-49=done');
+    const reported = lines.join(' ').split(' ');
+    expect(reported).toHaveLength(1_000);
+    expect(reported).toContain('00000000000000a1.0.0.999#1@worker-49=done');
   });
 });
 
--- a/src/scheduler/test/fleet/foundOwner.test.ts
+++ b/src/scheduler/test/fleet/foundOwner.test.ts
@@ -41,14 +41,14 @@
     }));
     world.addWorker('worker-0');
     const seat = world.seats[world.addScheduler()];
-    const tellLost = loseAcquisition(world, seat?.scheduler as FleetScheduler);
+    const reportLoss = loseAcquisition(world, seat?.scheduler as FleetScheduler);
     await world.runFor(480);
     // The second scheduler sees the heartbeat that the acquisition has written.
     world.addScheduler();
     world.seats[1]?.unreachableWorkers.add('worker-0');
     seat?.unreachableWorkers.add('worker-1');
     await world.runFor(LOST_AFTER_MS);
-    tellLost();
+    reportLoss();
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     // The worker lists the end of this task again and again while it cannot be stored.
     world.submit(submissionOf(SHORT_ID, [STEP]));
--- a/src/scheduler/test/fleet/handOver.test.ts
+++ b/src/scheduler/test/fleet/handOver.test.ts
@@ -7,8 +7,8 @@
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
 
-const LASTING_ID = '00000000000000c2';
-const LASTING_STEP = { ...STEP, isPersistent: true };
+const PERSISTENT_ID = '00000000000000c2';
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
 /** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
 /** The longest time that a persistent task may be away while there is room for it. */
@@ -18,18 +18,18 @@
 const BACKLOG_INTERVAL_MS = 60;
 
 const taskNames = (taskCount: number): readonly string[] =>
-  Array.from({ length: taskCount }, (_, index) => `${LASTING_ID}.0.0.${index}`);
+  Array.from({ length: taskCount }, (_, index) => `${PERSISTENT_ID}.0.0.${index}`);
 
 const worldOf = async (workerCount: number, taskCount: number): Promise<FleetWorld> => {
   const world = new FleetWorld(5, (taskName) => ({
-    workMs: taskName.startsWith(LASTING_ID) ? 90_000 : BATCH_MS,
+    workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : BATCH_MS,
     end: RunEnd.Done,
   }));
   for (let index = 0; index < workerCount; index += 1) world.addWorker(`worker-${index}`);
   [0, 1].forEach(() => world.addScheduler());
   world.faults.doHeldCallsHang = true;
   await world.runFor(1_500);
-  world.submit(submissionOf(LASTING_ID, [{ ...LASTING_STEP, taskCount }]));
+  world.submit(submissionOf(PERSISTENT_ID, [{ ...PERSISTENT_STEP, taskCount }]));
   await world.runFor(2_000);
   return world;
 };
@@ -70,7 +70,7 @@
  * Returns for how long a task is away if its worker ends `beforeMs` before the owner hands over
  * with a commit in flight.
  */
-const awayAcrossHandOverMs = async (phaseMs: number, beforeMs: number): Promise<number> => {
+const awayAcrossHandoverMs = async (phaseMs: number, beforeMs: number): Promise<number> => {
   const world = await worldOf(3, 1);
   const [taskName] = taskNames(1) as [string];
   await world.runFor(2_000 + phaseMs);
@@ -88,7 +88,7 @@
 };
 
 /** Loses a worker with two of six tasks under a backlog. Returns when its leases have ended. */
-const lostUnderBacklog = async (): Promise<FleetWorld> => {
+const loseWorkerUnderBacklog = async (): Promise<FleetWorld> => {
   const world = await worldOf(3, 6);
   await untilMet(
     world,
@@ -122,7 +122,7 @@
     let longestMs = 0;
     for (let phaseMs = 0; phaseMs < 1_600; phaseMs += 200) {
       // eslint-disable-next-line no-await-in-loop -- one world after the other
-      longestMs = Math.max(longestMs, await awayAcrossHandOverMs(phaseMs, 2_000));
+      longestMs = Math.max(longestMs, await awayAcrossHandoverMs(phaseMs, 2_000));
     }
     expect(longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
   });
@@ -150,7 +150,7 @@
 describe('interrupted persistent tasks that wait while the owner changes', () => {
   it('are placed before new batch work, even if some of them were placed before the change', async () => {
     const backAfterMs = async (waitingCount: number): Promise<number> => {
-      const world = await lostUnderBacklog();
+      const world = await loseWorkerUnderBacklog();
       const awayCount = (): number =>
         taskNames(6).filter((taskName) => isAway(world, taskName)).length;
       await untilMet(
--- a/src/scheduler/test/fleet/lateHandOver.test.ts
+++ b/src/scheduler/test/fleet/lateHandOver.test.ts
@@ -5,7 +5,7 @@
 import { FleetWorld } from './fleetWorld.js';
 import type { SchedulerSeat } from './worldFaults.js';
 
-const LASTING_ID = '00000000000000c2';
+const PERSISTENT_ID = '00000000000000c2';
 const WORKER_IDS = ['worker-0', 'worker-1', 'worker-2', 'worker-3'];
 const SEEDS = Array.from({ length: 10 }, (_, index) => index + 1);
 const OWNER_CHANGES = 5;
@@ -14,14 +14,14 @@
 
 const worldOf = async (seed: number): Promise<FleetWorld> => {
   const world = new FleetWorld(seed, (taskName) => ({
-    workMs: taskName.startsWith(LASTING_ID) ? 90_000 : 700,
+    workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : 700,
     end: RunEnd.Done,
     savesEachMs: 200,
   }));
   WORKER_IDS.forEach((id) => world.addWorker(id));
   [0, 1, 2].forEach(() => world.addScheduler());
   await world.runFor(1_500);
-  world.submit(submissionOf(LASTING_ID, [{ ...STEP, taskCount: 6, isPersistent: true }]));
+  world.submit(submissionOf(PERSISTENT_ID, [{ ...STEP, taskCount: 6, isPersistent: true }]));
   await world.runFor(1_500);
   Object.assign(world.faults, {
     doHeldCallsHang: seed % 2 === 0,
--- a/src/scheduler/test/fleet/lostTogether.test.ts
+++ b/src/scheduler/test/fleet/lostTogether.test.ts
@@ -52,7 +52,7 @@
 
 describe('a worker that ends undetected before the owner dies', () => {
   it('does not keep a persistent task away for long', async () => {
-    const awayAfterMs = async (phaseMs: number): Promise<number> => {
+    const absenceMs = async (phaseMs: number): Promise<number> => {
       const world = await worldOf();
       world.faults.doHeldCallsHang = true;
       await world.runFor(phaseMs);
@@ -64,8 +64,8 @@
       expect(world.judge.broken).toEqual([]);
       return world.nowMs - sinceMs;
     };
-    const awaysMs = await Promise.all([0, 300, 600, 900, 1_200].map(awayAfterMs));
-    expect(Math.max(...awaysMs)).toBeLessThan(LONGEST_ABSENCE_MS);
+    const absencesMs = await Promise.all([0, 300, 600, 900, 1_200].map(absenceMs));
+    expect(Math.max(...absencesMs)).toBeLessThan(LONGEST_ABSENCE_MS);
   });
 });
 
@@ -90,7 +90,7 @@
   it.each([200, 1_400, 2_000])(
     'does not keep a persistent task away for long if starts are sent to it after %i ms',
     async (startsAfterMs) => {
-      const awayAfterMs = async (phaseMs: number): Promise<number> => {
+      const absenceMs = async (phaseMs: number): Promise<number> => {
         const world = await worldOf();
         world.faults.doHeldCallsHang = true;
         await world.runFor(phaseMs);
@@ -106,8 +106,8 @@
         expect(world.judge.broken).toEqual([]);
         return world.nowMs - sinceMs;
       };
-      const awaysMs = await Promise.all([0, 300, 600, 900, 1_200].map(awayAfterMs));
-      expect(Math.max(...awaysMs)).toBeLessThan(LONGEST_ABSENCE_MS);
+      const absencesMs = await Promise.all([0, 300, 600, 900, 1_200].map(absenceMs));
+      expect(Math.max(...absencesMs)).toBeLessThan(LONGEST_ABSENCE_MS);
     },
   );
 });
--- a/src/scheduler/test/fleet/overloadedOwner.test.ts
+++ b/src/scheduler/test/fleet/overloadedOwner.test.ts
@@ -46,7 +46,7 @@
       urgentDoneAtMs.set(id, fleet.world.outside.nowMs());
     });
 
-  const play = async (): Promise<void> => {
+  const runLoad = async (): Promise<void> => {
     const { world } = fleet;
     const fromMs = world.outside.nowMs();
     for (let tenth = 0; tenth < SECONDS * 10; tenth += 1) {
@@ -73,7 +73,7 @@
     await fleet.world.runUntil(6_000);
     // The rival takes over the fleet as soon as the owner fails to renew its lease.
     fleet.addDaemon('rival', { ...SMALL, sendMs: 0, answerMs: 0, stepMs: 0 });
-    await play();
+    await runLoad();
   });
   afterEach(() => vi.unstubAllGlobals());
 
@@ -83,12 +83,12 @@
     const serviceStarts = [...fleet.startCounts].filter(([name]) => name.startsWith(SERVICE_ID));
     expect(serviceStarts.map(([, count]) => count)).toEqual(Array(20).fill(1));
     const objectiveMs = URGENT.objectiveStretch * TASK_MS + URGENT.objectiveMs;
-    const settled = [...urgentSentAtMs].filter(
+    const judged = [...urgentSentAtMs].filter(
       ([, atMs]) => atMs + objectiveMs < fleet.world.outside.nowMs(),
     );
-    const inTime = settled.filter(
+    const inTime = judged.filter(
       ([id, atMs]) => (urgentDoneAtMs.get(id) ?? FOREVER_MS) - atMs <= objectiveMs,
     );
-    expect(inTime.length / settled.length).toBeGreaterThan(0.95);
+    expect(inTime.length / judged.length).toBeGreaterThan(0.95);
   });
 });
--- a/src/scheduler/test/fleet/ownerChanges.test.ts
+++ b/src/scheduler/test/fleet/ownerChanges.test.ts
@@ -13,7 +13,7 @@
 
 const ID = '00000000000000d1';
 const TASK = `${ID}.0.0.0`;
-const LASTING_STEP = { ...STEP, isPersistent: true };
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
 /** The time from the death of an owner until its successor has placed the waiting tasks. */
 const TAKEOVER_MS = 4_000;
 /** The time from the death of an owner until all leases that it may have granted have ended. */
@@ -66,7 +66,7 @@
 };
 
 /** Gives the owner a worker's refusal of an order with the fence `orderFence`. */
-const fence = (world: FleetWorld, workerId: string, orderFence: number): void => {
+const refuseOrder = (world: FleetWorld, workerId: string, orderFence: number): void => {
   const scheduler = world.seats[ownerIndex(world)]?.scheduler as FleetScheduler;
   scheduler.handleStopped(
     scheduler.epoch as number,
@@ -101,7 +101,7 @@
     const world = await worldOf(2, 1);
     const scheduler = world.seats[0]?.scheduler as FleetScheduler;
     const { epoch } = scheduler;
-    fence(world, 'worker-0', 1);
+    refuseOrder(world, 'worker-0', 1);
     await world.runFor(1_000);
     expect(scheduler.epoch).toBe(epoch);
   });
@@ -113,7 +113,7 @@
     await world.runFor(200);
     const scheduler = world.seats[0]?.scheduler as FleetScheduler;
     const epoch = scheduler.epoch as number;
-    fence(world, 'worker-0', CURRENT_FENCE);
+    refuseOrder(world, 'worker-0', CURRENT_FENCE);
     const committed = right({ outcome: TransactionOutcome.Committed, version: 1_000 });
     expect(scheduler.handleCommitted(epoch, committed, world.nowMs)).toEqual([]);
   });
@@ -122,12 +122,12 @@
 describe('an owner that gives up the fleet while it is still the owner', () => {
   it('does not run a task twice under leases that it granted before', async () => {
     const world = await worldOf(2, 1);
-    world.submit(submissionOf(ID, [LASTING_STEP]));
+    world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(12_000);
     const [holder] = world.runsOf(TASK);
     const [other] = [...world.workers.keys()].filter((id) => id !== holder);
     world.cutWorkers.add(holder as string);
-    fence(world, other as string, CURRENT_FENCE);
+    refuseOrder(world, other as string, CURRENT_FENCE);
     await world.runFor(3_000);
     expect(world.judge.broken).toEqual([]);
   });
@@ -138,7 +138,7 @@
     await world.runFor(100);
     world.workers.get('worker-0')?.restart(world.nowMs);
     await world.runFor(2_000);
-    fence(world, 'worker-0', CURRENT_FENCE);
+    refuseOrder(world, 'worker-0', CURRENT_FENCE);
     world.submit(submissionOf(ID, [STEP]));
     const waitedMs = await untilMet(world, () => world.runsOf(TASK).length > 0, 20_000);
     expect(waitedMs).toBeLessThan(TAKEOVER_MS);
@@ -163,7 +163,7 @@
 describe('draining workers', () => {
   it('keep persistent tasks for which other workers have no room', async () => {
     const world = await worldOf(1, 1);
-    world.submit(submissionOf(ID, [{ ...LASTING_STEP, taskCount: 4 }]));
+    world.submit(submissionOf(ID, [{ ...PERSISTENT_STEP, taskCount: 4 }]));
     await world.runFor(500);
     world.submit(submissionOf('00000000000000d2', [{ ...STEP, taskCount: 3 }]));
     world.addWorker('worker-1');
@@ -201,7 +201,7 @@
 
   it('does not restart the wait for a lost worker, even if several owners end before their first roster', async () => {
     const world = await worldOf(2, 8);
-    world.submit(submissionOf(ID, [LASTING_STEP]));
+    world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     world.removeWorker(world.runsOf(TASK)[0] as string);
     const sinceMs = world.nowMs;
@@ -219,7 +219,7 @@
 
   it('does not keep a persistent task away for long if its worker was lost just before the owner', async () => {
     const world = await worldOf(2, 2);
-    world.submit(submissionOf(ID, [LASTING_STEP]));
+    world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(4_000);
     world.removeWorker(world.runsOf(TASK)[0] as string);
     const sinceMs = world.nowMs;
@@ -232,9 +232,9 @@
   it('does not restart an ended task of an occurrence that is not due yet by its own wall clock', async () => {
     const world = await worldOf(2, 2, 800);
     const first = ownerIndex(world);
-    const late = world.seats[1 - first]?.scheduler as FleetScheduler;
-    const step = late.step.bind(late);
-    late.step = (wallNowMs, nowMs) => step(wallNowMs - 5_000, nowMs);
+    const lateScheduler = world.seats[1 - first]?.scheduler as FleetScheduler;
+    const step = lateScheduler.step.bind(lateScheduler);
+    lateScheduler.step = (wallNowMs, nowMs) => step(wallNowMs - 5_000, nowMs);
     world.submit({
       ...submissionOf(ID, [STEP]),
       occurrenceCount: 1,
--- a/src/scheduler/test/fleet/remadeView.test.ts
+++ b/src/scheduler/test/fleet/remadeView.test.ts
@@ -9,7 +9,7 @@
 const FORGOTTEN_MS = 8_000;
 /** The range of time around the end of all leases of a cut-off worker, and the step through it. */
 const LEASES_OVER_MS = { from: 5_000, until: 7_000, step: 100 };
-const CALLS_MS = 15_000;
+const COUNTING_MS = 15_000;
 
 describe('a worker that the owner forgot while it was cut off', () => {
   it('does not refuse the owner because of a fence that the same owner had raised', async () => {
@@ -34,7 +34,7 @@
   });
 
   /** Counts the hold calls to a worker that is back after it was unreachable for `awayMs`. */
-  const callsAfter = async (awayMs: number): Promise<number> => {
+  const holdCountAfter = async (awayMs: number): Promise<number> => {
     const world = new FleetWorld(11, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
     world.addScheduler();
@@ -49,7 +49,7 @@
     await world.runFor(6_000);
     const worker = world.workers.get('worker-0') as WorkerModel;
     const calls = vi.spyOn(worker, 'hold');
-    await world.runFor(CALLS_MS);
+    await world.runFor(COUNTING_MS);
     return calls.mock.calls.length;
   };
 
@@ -57,7 +57,7 @@
     const counts: number[] = [];
     for (let ms = LEASES_OVER_MS.from; ms < LEASES_OVER_MS.until; ms += LEASES_OVER_MS.step) {
       // eslint-disable-next-line no-await-in-loop -- one world after the other
-      counts.push(await callsAfter(ms));
+      counts.push(await holdCountAfter(ms));
     }
     expect(Math.max(...counts)).toBeLessThan(1.5 * Math.min(...counts));
   });
--- a/src/scheduler/test/fleet/renewalWatch.test.ts
+++ b/src/scheduler/test/fleet/renewalWatch.test.ts
@@ -8,18 +8,18 @@
 
 describe('RenewalWatch', () => {
   it('logs a late renewal, but not the first renewal after an acquisition', () => {
-    const told: [LogEvent, LogFields | undefined][] = [];
+    const logged: [LogEvent, LogFields | undefined][] = [];
     const gaps: number[] = [];
-    const watch = new RenewalWatch(
+    const monitor = new RenewalWatch(
       1_500,
-      { ...silentLog, warn: (event, fields) => told.push([event, fields]) },
+      { ...silentLog, warn: (event, fields) => logged.push([event, fields]) },
       { ...silentMetrics, recordMs: (_, gapMs) => gaps.push(gapMs) },
     );
-    watch.note(LeaseStepKind.Renew, 0, 5);
-    watch.note(LeaseStepKind.Acquire, 60_000, 60_005);
-    watch.note(LeaseStepKind.Renew, 60_450, 60_455);
-    watch.note(LeaseStepKind.Renew, 61_650, 61_700);
+    monitor.note(LeaseStepKind.Renew, 0, 5);
+    monitor.note(LeaseStepKind.Acquire, 60_000, 60_005);
+    monitor.note(LeaseStepKind.Renew, 60_450, 60_455);
+    monitor.note(LeaseStepKind.Renew, 61_650, 61_700);
     expect(gaps).toEqual([450, 1_200]);
-    expect(told).toEqual([['lease-renewed-late', { gapMs: 1_200, answeredAfterMs: 50 }]]);
+    expect(logged).toEqual([['lease-renewed-late', { gapMs: 1_200, answeredAfterMs: 50 }]]);
   });
 });
--- a/src/scheduler/test/fleet/restartedWorkers.test.ts
+++ b/src/scheduler/test/fleet/restartedWorkers.test.ts
@@ -13,7 +13,7 @@
 const LONGER_LEASE_MS = TIMING.workerLeaseLimitMs;
 
 /** Cuts the worker off, restarts its process under the same id, and ends the cut. */
-const restartUnheard = async (
+const restartUnnoticed = async (
   world: FleetWorld,
   workerId: string,
   downMs = DOWN_MS,
@@ -41,7 +41,7 @@
     world.submit(submissionOf(FIRST_ID, [STEP]));
     await world.runFor(1_000);
     expect(world.progress(FIRST_ID)?.state).toBe('complete');
-    await restartUnheard(world, 'worker-0');
+    await restartUnnoticed(world, 'worker-0');
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(4_000);
     expect(world.judge.broken).toEqual([]);
@@ -57,7 +57,7 @@
     world.addScheduler();
     // Puts the clock of the former process ahead of the new process's clock by more than a lease.
     await world.runFor(20_000);
-    await restartUnheard(world, 'worker-0');
+    await restartUnnoticed(world, 'worker-0');
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(2_000);
     expect(world.runsOf(TASK)).toEqual(['worker-0']);
@@ -96,7 +96,7 @@
     await world.runFor(1_500);
     world.submit(submissionOf(FIRST_ID, [STEP]));
     await world.runFor(1_000);
-    await restartUnheard(world, 'worker-0', 150);
+    await restartUnnoticed(world, 'worker-0', 150);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(5_000);
     expect(world.judge.broken).toEqual([]);
--- a/src/scheduler/test/fleet/runEvidence.test.ts
+++ b/src/scheduler/test/fleet/runEvidence.test.ts
@@ -21,7 +21,8 @@
   return Object.assign(newRun(task, 1, 'worker', 0), { state, settledAtMs: SETTLED_AT_MS });
 };
 
-const unlisted = (askedAtMs: number) => ({ kind: EvidenceKind.Unlisted, askedAtMs }) as const;
+const unlisted = (requestedAtMs: number) =>
+  ({ kind: EvidenceKind.Unlisted, requestedAtMs }) as const;
 
 describe('isRunOver', () => {
   it('is true for a withdrawn run only if its start was never sent', () => {
--- a/src/scheduler/test/fleet/startPace.test.ts
+++ b/src/scheduler/test/fleet/startPace.test.ts
@@ -7,19 +7,19 @@
 
 /**
  * Returns the starts per second of steps that start as many tasks as the limiter allows, on a
- * processor that handles `carriedPerS` starts per second.
+ * processor that handles `capacityPerS` starts per second.
  */
-const startsAt = (pace: StartPace, carriedPerS: number, seconds: number): number => {
+const startsPerS = (limiter: StartPace, capacityPerS: number, seconds: number): number => {
   let backlog = 0;
   let started = 0;
   for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += STEP_MS) {
-    const answered = Math.min(backlog, (carriedPerS * STEP_MS) / 1_000);
-    for (let count = 1; count <= answered; count += 1) pace.noteAnswered();
+    const answered = Math.min(backlog, (capacityPerS * STEP_MS) / 1_000);
+    for (let count = 1; count <= answered; count += 1) limiter.noteAnswered();
     backlog -= answered;
-    const lateMs = (backlog / carriedPerS) * 1_000;
-    pace.handleStep(nowMs - lateMs, nowMs);
-    const count = pace.allowance(nowMs);
-    pace.take(count);
+    const lagMs = (backlog / capacityPerS) * 1_000;
+    limiter.handleStep(nowMs - lagMs, nowMs);
+    const count = limiter.allowance(nowMs);
+    limiter.take(count);
     backlog += count;
     started += count;
   }
@@ -27,63 +27,63 @@
 };
 
 /** Starts as many tasks as the limiter allows and answers all of them. */
-const startAll = (pace: StartPace, nowMs: number): void => {
-  const count = pace.allowance(nowMs);
-  pace.take(count);
-  for (let answered = 0; answered < count; answered += 1) pace.noteAnswered();
+const startAll = (limiter: StartPace, nowMs: number): void => {
+  const count = limiter.allowance(nowMs);
+  limiter.take(count);
+  for (let answered = 0; answered < count; answered += 1) limiter.noteAnswered();
 };
 
 describe('StartPace', () => {
   it('settles near the rate of starts that the processor can handle', () => {
-    const pace = new StartPace();
-    expect(startsAt(pace, 100, 20)).toBeGreaterThan(80);
-    expect(startsAt(new StartPace(), 1_500, 20)).toBeGreaterThan(1_000);
+    const limiter = new StartPace();
+    expect(startsPerS(limiter, 100, 20)).toBeGreaterThan(80);
+    expect(startsPerS(new StartPace(), 1_500, 20)).toBeGreaterThan(1_000);
   });
 
   it('does not raise the limit while there is nothing to start', () => {
-    const pace = new StartPace();
-    const beforePerS = pace.limitPerS;
-    for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) pace.handleStep(nowMs, nowMs);
-    expect(pace.limitPerS).toBe(beforePerS);
+    const limiter = new StartPace();
+    const beforePerS = limiter.limitPerS;
+    for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) limiter.handleStep(nowMs, nowMs);
+    expect(limiter.limitPerS).toBe(beforePerS);
   });
 
   it('does not cut the limit for waves of answers that the processor handles between them', () => {
-    const pace = new StartPace();
-    const beforePerS = pace.limitPerS;
+    const limiter = new StartPace();
+    const beforePerS = limiter.limitPerS;
     for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) {
-      const lateMs = nowMs % 1_500 < 200 ? 180 : 5;
-      pace.handleStep(nowMs - lateMs, nowMs);
-      startAll(pace, nowMs);
+      const lagMs = nowMs % 1_500 < 200 ? 180 : 5;
+      limiter.handleStep(nowMs - lagMs, nowMs);
+      startAll(limiter, nowMs);
     }
-    expect(pace.limitPerS).toBeGreaterThan(beforePerS);
+    expect(limiter.limitPerS).toBeGreaterThan(beforePerS);
   });
 
   it('soon restores the limit of an owner that spent its first seconds on other calls', () => {
-    const pace = new StartPace();
-    const beforePerS = pace.limitPerS;
+    const limiter = new StartPace();
+    const beforePerS = limiter.limitPerS;
     let nowMs = 0;
     for (; nowMs < 3_000; nowMs += STEP_MS) {
-      pace.handleStep(nowMs - 300, nowMs);
-      pace.take(pace.allowance(nowMs));
+      limiter.handleStep(nowMs - 300, nowMs);
+      limiter.take(limiter.allowance(nowMs));
     }
     for (; nowMs < 6_000; nowMs += STEP_MS) {
-      pace.handleStep(nowMs, nowMs);
-      startAll(pace, nowMs);
+      limiter.handleStep(nowMs, nowMs);
+      startAll(limiter, nowMs);
     }
-    expect(pace.limitPerS).toBeGreaterThan(beforePerS);
+    expect(limiter.limitPerS).toBeGreaterThan(beforePerS);
   });
 
   it('cuts the limit once for a process that was frozen, and soon restores it', () => {
-    const pace = new StartPace();
-    const beforePerS = pace.limitPerS;
-    pace.handleStep(0, 5_000);
-    expect(pace.limitPerS).toBeGreaterThan(beforePerS / 2);
+    const limiter = new StartPace();
+    const beforePerS = limiter.limitPerS;
+    limiter.handleStep(0, 5_000);
+    expect(limiter.limitPerS).toBeGreaterThan(beforePerS / 2);
     let nowMs = 5_000;
     for (; nowMs < 12_000; nowMs += STEP_MS) {
-      pace.handleStep(nowMs, nowMs);
-      startAll(pace, nowMs);
+      limiter.handleStep(nowMs, nowMs);
+      startAll(limiter, nowMs);
     }
-    expect(pace.limitPerS).toBeGreaterThan(beforePerS);
+    expect(limiter.limitPerS).toBeGreaterThan(beforePerS);
   });
 });
 
--- a/src/scheduler/test/fleet/takeover.test.ts
+++ b/src/scheduler/test/fleet/takeover.test.ts
@@ -5,16 +5,16 @@
 import { FleetWorld } from './fleetWorld.js';
 
 const ID = '00000000000000c1';
-const LASTING_ID = '00000000000000c2';
-const LASTING_TASK = `${LASTING_ID}.0.0.0`;
-const LASTING_STEP = { ...STEP, isPersistent: true };
+const PERSISTENT_ID = '00000000000000c2';
+const PERSISTENT_TASK = `${PERSISTENT_ID}.0.0.0`;
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
 /** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
 /** The time from the death of an owner until its successor has placed the waiting tasks. */
 const TAKEOVER_MS = 4_000;
 
 const taskOf = (taskName: string): { workMs: number; end: RunEnd } => ({
-  workMs: taskName.startsWith(LASTING_ID) ? 90_000 : 800,
+  workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : 800,
   end: RunEnd.Done,
 });
 
@@ -55,7 +55,7 @@
     this.#names = names;
   }
 
-  look(world: FleetWorld): void {
+  sample(world: FleetWorld): void {
     this.#names.forEach((name) => {
       if (world.runsOf(name).length > 0) this.#awaySinceMs.delete(name);
       else if (!this.#awaySinceMs.has(name)) this.#awaySinceMs.set(name, world.nowMs);
@@ -82,23 +82,23 @@
 
   it("does not postpone the restart of a lost worker's tasks, even after several owner changes", async () => {
     const world = await worldOf(3, 7);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    world.removeWorker(world.runsOf(LASTING_TASK)[0] as string);
+    world.removeWorker(world.runsOf(PERSISTENT_TASK)[0] as string);
     for (let round = 0; round < 6; round += 1) {
       world.killScheduler(ownerIndex(world));
       // eslint-disable-next-line no-await-in-loop -- each owner lives until the next has taken over
       await world.runFor(2_500);
     }
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
+    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
     expect(world.judge.broken).toEqual([]);
   });
 
   it('keeps persistent tasks running while owners are stopped in turn and workers leave', async () => {
     const world = await worldOf(8, 4);
-    world.submit(submissionOf(LASTING_ID, [{ ...LASTING_STEP, taskCount: 8 }]));
+    world.submit(submissionOf(PERSISTENT_ID, [{ ...PERSISTENT_STEP, taskCount: 8 }]));
     await world.runFor(1_000);
-    const names = Array.from({ length: 8 }, (_, index) => `${LASTING_ID}.0.0.${index}`);
+    const names = Array.from({ length: 8 }, (_, index) => `${PERSISTENT_ID}.0.0.${index}`);
     const absences = new Absences(names);
     for (let tick = 0; tick < 300; tick += 1) {
       if (tick % 7 === 0 && tick < 50) {
@@ -112,7 +112,7 @@
       }
       // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
-      absences.look(world);
+      absences.sample(world);
     }
     expect(absences.longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
     expect(world.judge.broken).toEqual([]);
@@ -122,32 +122,32 @@
 describe('a draining worker', () => {
   it('does not keep a persistent task until it leaves if other workers have room', async () => {
     const world = await worldOf(2, 1);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    const [drained] = world.runsOf(LASTING_TASK);
+    const [drained] = world.runsOf(PERSISTENT_TASK);
     world.drainingWorkers.add(drained as string);
-    const absences = new Absences([LASTING_TASK]);
+    const absences = new Absences([PERSISTENT_TASK]);
     for (let tick = 0; tick < 30; tick += 1) {
       // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
-      absences.look(world);
+      absences.sample(world);
     }
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
-    expect(world.runsOf(LASTING_TASK)).not.toContain(drained);
+    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.runsOf(PERSISTENT_TASK)).not.toContain(drained);
     expect(absences.longestMs).toBeLessThan(STOP_MS);
   });
 
   it('has leases so short that a successor does not wait long for them after it has left', async () => {
     const world = await worldOf(1, 2);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     world.drainingWorkers.add('worker-0');
     await world.runFor(8_000);
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
+    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
     world.removeWorker('worker-0');
     world.addWorker('worker-1');
     world.killScheduler(ownerIndex(world));
-    const waitedMs = await untilRunningMs(world, LASTING_TASK, 20_000);
+    const waitedMs = await untilRunningMs(world, PERSISTENT_TASK, 20_000);
     expect(waitedMs).toBeLessThan(LEASE_AND_SLACK_MS);
     expect(world.judge.broken).toEqual([]);
   });
@@ -159,7 +159,7 @@
    */
   const splitWorld = async (isDraining: boolean): Promise<FleetWorld> => {
     const world = await worldOf(1, 2);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     const former = ownerIndex(world);
     world.seats[former]?.unreachableWorkers.add('worker-1');
@@ -175,12 +175,12 @@
     const world = await splitWorld(false);
     await world.runFor(20_000);
     expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
   it('does not run a task twice if its successor hands over at once', async () => {
     const world = await worldOf(1, 3);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     const former = ownerIndex(world);
     world.addWorker('worker-1');
@@ -200,13 +200,13 @@
     world.stopScheduler(next());
     await world.runFor(15_000);
     expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
   it('grants a draining worker no lease beyond the limit that its successor knows', async () => {
     const world = await splitWorld(true);
     await world.runFor(7_000);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
     await world.runFor(10_000);
     expect(world.judge.broken).toEqual([]);
   });
--- a/src/scheduler/test/fleet/zoneCut.test.ts
+++ b/src/scheduler/test/fleet/zoneCut.test.ts
@@ -8,7 +8,7 @@
 const ID = '00000000000000c1';
 const TASK = `${ID}.0.0.0`;
 /** Covers a read of the list of workers, a round and a start. */
-const LOOK_MS = 1_500;
+const PLACEMENT_MS = 1_500;
 /** Covers the grants of an owner without the table, the longest lease and the slack of clocks. */
 const ALL_LEASES_MS = 11_500;
 
@@ -35,7 +35,7 @@
     const cut = new ZoneCut(world, world.runsOf(TASK));
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(LOOK_MS);
+    await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(6_000);
     expect(world.judge.broken).toEqual([]);
@@ -48,7 +48,7 @@
     const cut = new ZoneCut(world, world.runsOf(TASK), [ownerIndex(world)]);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(LOOK_MS);
+    await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(3_000);
     expect(world.judge.broken).toEqual([]);
@@ -65,7 +65,7 @@
     const cut = new ZoneCut(world, world.runsOf(TASK), owners);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(ALL_LEASES_MS - ENTRY_EXPIRY_MS + LOOK_MS);
+    await world.runFor(ALL_LEASES_MS - ENTRY_EXPIRY_MS + PLACEMENT_MS);
     expect(world.runsOf(TASK)).toHaveLength(1);
     expect(world.judge.startsOf.get(TASK)).toBe(2);
     cut.heal();
