--- a/src/scheduler/common/fleet/fleetCalls.ts
+++ b/src/scheduler/common/fleet/fleetCalls.ts
@@ -7,7 +7,7 @@
 import type { Tenure } from './fleetTenure.js';
 import type { FleetTiming } from './fleetTiming.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
-import { holdWaitMs, isHoldDue } from './holdPace.js';
+import { holdWaitMs, isHoldDue } from './holdTiming.js';
 import { isStuck } from './stuckRuns.js';
 import { RunState, type TaskRun } from './taskRecords.js';
 
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -59,10 +59,10 @@
 } from './fleetTenure.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { FleetTiming } from './fleetTiming.js';
-import { HOLD_RETRY_MS } from './holdPace.js';
+import { HOLD_RETRY_MS } from './holdTiming.js';
 import { runKey } from './fleetWorkerView.js';
 import { splitRecorded } from './runStarts.js';
-import { OwnerLoad } from './ownerLoad.js';
+import { OwnerLoadLimiter } from './ownerLoadLimiter.js';
 import { RunState, type TaskRun } from './taskRecords.js';
 import { obstaclesOf, type RoundInput } from './usableWorkers.js';
 import type { ObstaclesOf } from './waitReport.js';
@@ -89,7 +89,7 @@
 
   readonly #moves = new DrainMoves();
 
-  readonly #loadLimiter = new OwnerLoad();
+  readonly #loadLimiter = new OwnerLoadLimiter();
 
   constructor(
     selfId: string,
@@ -198,7 +198,7 @@
       return;
     }
     if (!view.isHeard) view.boundFormerLeases(this.#timing, nowMs);
-    const unknown = tenure.keeper.handleLists(view, outcome.answer, sentAtMs, nowMs);
+    const unknown = tenure.keeper.handleHoldAnswer(view, outcome.answer, sentAtMs, nowMs);
     if (view.isReborn) view.boundLeasesOfNewProcess(this.#timing, nowMs);
     unknown.forEach((running) => noteUnknownRun(tenure, view, running));
     tenure.interference.observe(view, nowMs);
--- a/src/scheduler/common/fleet/ownerLoad.ts
+++ b/src/scheduler/common/fleet/ownerLoadLimiter.ts
@@ -1,12 +1,12 @@
 /** Limits the owner's rounds to the work that its processor can handle, judged by its steps. */
 import { MAXIMUM_STARTS, type RoundLimits, type RoundOutcome } from './fleetRound.js';
 import { RoundBudget } from './roundBudget.js';
-import { StartPace } from './startPace.js';
+import { StartRateLimiter } from './startRateLimiter.js';
 
-export class OwnerLoad {
+export class OwnerLoadLimiter {
   readonly #roundBudget = new RoundBudget();
 
-  readonly #startLimiter = new StartPace();
+  readonly #startLimiter = new StartRateLimiter();
 
   /** The ratings of the present step's rounds. */
   #ratingCount = 0;
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runKeeper.ts
@@ -97,7 +97,7 @@
   }
 
   /** Handles a worker's lists, which were requested at `sentAtMs`. Returns the unknown runs. */
-  handleLists(
+  handleHoldAnswer(
     view: FleetWorkerView,
     answer: HoldAnswer,
     sentAtMs: number,
--- a/src/scheduler/common/fleet/startPace.ts
+++ b/src/scheduler/common/fleet/startRateLimiter.ts
@@ -42,7 +42,7 @@
 const RECOVERY_MS = 2_000;
 const MS_PER_S = 1_000;
 
-export class StartPace {
+export class StartRateLimiter {
   #ratePerS = INITIAL_PER_S;
 
   #tokens = (INITIAL_PER_S * BURST_MS) / MS_PER_S;
--- a/src/scheduler/common/fleet/stepPace.ts
+++ b/src/scheduler/common/fleet/stepThrottle.ts
@@ -11,7 +11,7 @@
 /** Limits the pause after a long step, because steps also send the renewals of leases. */
 const LONGEST_PAUSE_MS = 150;
 
-export class StepPace {
+export class StepThrottle {
   /** The time that steps may still take. While it is negative, steps have to wait. */
   #budgetMs = BURST_MS;
 
@@ -24,7 +24,7 @@
   }
 
   /** Records a step. */
-  note(beganAtMs: number, endedAtMs: number): void {
+  noteStep(beganAtMs: number, endedAtMs: number): void {
     this.#refill(endedAtMs);
     const leftMs = this.#budgetMs - (endedAtMs - beganAtMs);
     this.#budgetMs = Math.max(-LONGEST_PAUSE_MS * STEP_SHARE, leftMs);
--- a/src/scheduler/node/callTurns.ts
+++ b/src/scheduler/node/concurrencyLimiter.ts
@@ -3,7 +3,7 @@
  * the longest answer. The first calls to a whole fleet at once occupy a slow processor for seconds,
  * during which the owner handles no answers to its own renewals.
  */
-export class CallTurns {
+export class ConcurrencyLimiter {
   readonly #limit: number;
 
   readonly #slotTimeoutMs: number;
--- a/src/scheduler/node/fleetTask.ts
+++ b/src/scheduler/node/fleetTask.ts
@@ -21,10 +21,10 @@
 import type { FleetEffect } from '../common/fleet/fleetEffects.js';
 import { DEFAULT_FLEET_POLICY } from '../common/fleet/fleetPolicy.js';
 import { FleetScheduler } from '../common/fleet/fleetScheduler.js';
-import { StepPace } from '../common/fleet/stepPace.js';
+import { StepThrottle } from '../common/fleet/stepThrottle.js';
 import type { FleetTiming } from '../common/fleet/fleetTiming.js';
-import { CallTurns } from './callTurns.js';
-import { RenewalWatch } from './renewalWatch.js';
+import { ConcurrencyLimiter } from './concurrencyLimiter.js';
+import { RenewalMonitor } from './renewalMonitor.js';
 import { StoredStateReader } from './storedStateReader.js';
 
 /** The interval between steps when no events come in. */
@@ -63,11 +63,14 @@
 
   readonly #disposables = new DisposableStore();
 
-  readonly #renewalMonitor: RenewalWatch;
+  readonly #renewalMonitor: RenewalMonitor;
 
-  readonly #stepThrottle = new StepPace();
+  readonly #stepThrottle = new StepThrottle();
 
-  readonly #firstHoldLimiter = new CallTurns(MAXIMUM_FIRST_HOLDS, FIRST_HOLD_SLOT_TIMEOUT_MS);
+  readonly #firstHoldLimiter = new ConcurrencyLimiter(
+    MAXIMUM_FIRST_HOLDS,
+    FIRST_HOLD_SLOT_TIMEOUT_MS,
+  );
 
   #isStepScheduled = false;
 
@@ -80,7 +83,7 @@
     this.#services = services;
     const { clock, operator, table, directory, log } = services;
     this.#reader = new StoredStateReader(table, directory, log);
-    this.#renewalMonitor = new RenewalWatch(timing.leaseMs, log, services.metrics);
+    this.#renewalMonitor = new RenewalMonitor(timing.leaseMs, log, services.metrics);
     this.#scheduler = new FleetScheduler(
       selfId,
       timing,
@@ -155,7 +158,7 @@
     const beganAtMs = clock.nowMs();
     const effects = this.#scheduler.step(wallNowMs(), beganAtMs);
     const endedAtMs = clock.nowMs();
-    this.#stepThrottle.note(beganAtMs, endedAtMs);
+    this.#stepThrottle.noteStep(beganAtMs, endedAtMs);
     if (this.#scheduler.handleStepTaken(dueAtMs, beganAtMs, endedAtMs)) {
       const limitPerS = Math.round(this.#scheduler.startLimitPerS);
       log.info('starts-limited', { limitPerS, lateMs: Math.round(beganAtMs - dueAtMs) });
--- a/src/scheduler/node/renewalWatch.ts
+++ b/src/scheduler/node/renewalMonitor.ts
@@ -6,7 +6,7 @@
 /** Renewals that are further apart than this share of the lease are logged. */
 const LATE_GAP_SHARE = 0.6;
 
-export class RenewalWatch {
+export class RenewalMonitor {
   readonly #leaseMs: number;
 
   readonly #log: Log;
--- a/src/scheduler/test/fleet/callTurns.test.ts
+++ b/src/scheduler/test/fleet/concurrencyLimiter.test.ts
@@ -1,13 +1,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { CallTurns } from '../../node/callTurns.js';
+import { ConcurrencyLimiter } from '../../node/concurrencyLimiter.js';
 
-describe('CallTurns', () => {
+describe('ConcurrencyLimiter', () => {
   beforeEach(() => vi.useFakeTimers());
   afterEach(() => vi.useRealTimers());
 
   it('lets a limited number of calls run at a time, in the order of their requests', async () => {
-    const limiter = new CallTurns(2, 150);
+    const limiter = new ConcurrencyLimiter(2, 150);
     const begun: number[] = [];
     const ends: (() => void)[] = [];
     [0, 1, 2, 3].forEach((call) => {
@@ -25,7 +25,7 @@
   });
 
   it('lets the next call begin when a call has had no answer for too long', async () => {
-    const limiter = new CallTurns(1, 150);
+    const limiter = new ConcurrencyLimiter(1, 150);
     const begun: number[] = [];
     [0, 1].forEach((call) => void limiter.acquire().then(() => begun.push(call)));
     await vi.advanceTimersByTimeAsync(149);
--- a/src/scheduler/test/fleet/rebirth.test.ts
+++ b/src/scheduler/test/fleet/newIncarnation.test.ts
@@ -73,7 +73,7 @@
     book.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
     const [task] = [...book.waiting];
     if (task === undefined) throw new Error('no task waits');
-    keeper.handleLists(view, answerOf(1), 0, 10);
+    keeper.handleHoldAnswer(view, answerOf(1), 0, 10);
     const fence = view.fence(EPOCH);
     const run = newRun(task, 1, view.id, 20);
     run.state = RunState.Starting;
@@ -81,12 +81,12 @@
     book.noteRun(run);
     keeper.handleStarted(run, right(StartOutcome.Started), 30);
 
-    keeper.handleLists(view, answerOf(2), 40, 50);
+    keeper.handleHoldAnswer(view, answerOf(2), 40, 50);
     expect(view.fence(EPOCH)).toBeGreaterThan(fence);
     expect(view.fence(EPOCH)).toBeLessThan(view.fence(EPOCH + 1));
     expect(book.waiting.size).toBe(0);
 
-    keeper.handleLists(view, answerOf(2), 60, 70);
+    keeper.handleHoldAnswer(view, answerOf(2), 60, 70);
     expect(book.waiting.size).toBe(1);
     expect(view.runs.size).toBe(0);
   });
--- a/src/scheduler/test/fleet/renewalWatch.test.ts
+++ b/src/scheduler/test/fleet/renewalMonitor.test.ts
@@ -4,13 +4,13 @@
 import type { LogEvent } from '../../../services/log/common/logEvents.js';
 import { silentMetrics } from '../../../services/metrics/common/metrics.js';
 import { LeaseStepKind } from '../../common/cellLease.js';
-import { RenewalWatch } from '../../node/renewalWatch.js';
+import { RenewalMonitor } from '../../node/renewalMonitor.js';
 
-describe('RenewalWatch', () => {
+describe('RenewalMonitor', () => {
   it('logs a late renewal, but not the first renewal after an acquisition', () => {
     const logged: [LogEvent, LogFields | undefined][] = [];
     const gaps: number[] = [];
-    const monitor = new RenewalWatch(
+    const monitor = new RenewalMonitor(
       1_500,
       { ...silentLog, warn: (event, fields) => logged.push([event, fields]) },
       { ...silentMetrics, recordMs: (_, gapMs) => gaps.push(gapMs) },
--- a/src/scheduler/test/fleet/startPace.test.ts
+++ b/src/scheduler/test/fleet/startRateLimiter.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { RoundBudget } from '../../common/fleet/roundBudget.js';
-import { StartPace } from '../../common/fleet/startPace.js';
+import { StartRateLimiter } from '../../common/fleet/startRateLimiter.js';
 
 const STEP_MS = 50;
 
@@ -9,7 +9,7 @@
  * Returns the starts per second of steps that start as many tasks as the limiter allows, on a
  * processor that handles `capacityPerS` starts per second.
  */
-const startsPerS = (limiter: StartPace, capacityPerS: number, seconds: number): number => {
+const startsPerS = (limiter: StartRateLimiter, capacityPerS: number, seconds: number): number => {
   let backlog = 0;
   let started = 0;
   for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += STEP_MS) {
@@ -27,28 +27,28 @@
 };
 
 /** Starts as many tasks as the limiter allows and answers all of them. */
-const startAll = (limiter: StartPace, nowMs: number): void => {
+const startAll = (limiter: StartRateLimiter, nowMs: number): void => {
   const count = limiter.allowance(nowMs);
   limiter.take(count);
   for (let answered = 0; answered < count; answered += 1) limiter.noteAnswered();
 };
 
-describe('StartPace', () => {
+describe('StartRateLimiter', () => {
   it('settles near the rate of starts that the processor can handle', () => {
-    const limiter = new StartPace();
+    const limiter = new StartRateLimiter();
     expect(startsPerS(limiter, 100, 20)).toBeGreaterThan(80);
-    expect(startsPerS(new StartPace(), 1_500, 20)).toBeGreaterThan(1_000);
+    expect(startsPerS(new StartRateLimiter(), 1_500, 20)).toBeGreaterThan(1_000);
   });
 
   it('does not raise the limit while there is nothing to start', () => {
-    const limiter = new StartPace();
+    const limiter = new StartRateLimiter();
     const beforePerS = limiter.limitPerS;
     for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) limiter.handleStep(nowMs, nowMs);
     expect(limiter.limitPerS).toBe(beforePerS);
   });
 
   it('does not cut the limit for waves of answers that the processor handles between them', () => {
-    const limiter = new StartPace();
+    const limiter = new StartRateLimiter();
     const beforePerS = limiter.limitPerS;
     for (let nowMs = 0; nowMs < 10_000; nowMs += STEP_MS) {
       const lagMs = nowMs % 1_500 < 200 ? 180 : 5;
@@ -59,7 +59,7 @@
   });
 
   it('soon restores the limit of an owner that spent its first seconds on other calls', () => {
-    const limiter = new StartPace();
+    const limiter = new StartRateLimiter();
     const beforePerS = limiter.limitPerS;
     let nowMs = 0;
     for (; nowMs < 3_000; nowMs += STEP_MS) {
@@ -74,7 +74,7 @@
   });
 
   it('cuts the limit once for a process that was frozen, and soon restores it', () => {
-    const limiter = new StartPace();
+    const limiter = new StartRateLimiter();
     const beforePerS = limiter.limitPerS;
     limiter.handleStep(0, 5_000);
     expect(limiter.limitPerS).toBeGreaterThan(beforePerS / 2);
