--- a/src/scheduler/common/fleet/fleetOwnership.ts
+++ b/src/scheduler/common/fleet/fleetOwnership.ts
@@ -186,8 +186,8 @@
 
   /**
    * Gives the fleet up because a worker has shown that another daemon owns it. If that turns out to
-   * be wrong, this daemon acquires the fleet under a new epoch. It has by then forgotten the leases
-   * that it granted in this epoch and the raised fences of workers whose process was replaced.
+   * be wrong, this daemon has to acquire the fleet under a new epoch, because it has forgotten the
+   * leases that it granted in this epoch and the raised fences of workers with a new process.
    */
   giveUp(nowMs: number): void {
     this.#givenUpEpoch = this.#lease.epoch;
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -248,7 +248,7 @@
     return epoch * FENCES_PER_EPOCH + this.#fenceRaises;
   }
 
-  /** Whether a call sent at `sentAtMs` was sent after the fence was raised. */
+  /** Whether a call that was sent at `sentAtMs` carried the current fence. */
   isFencedSince(sentAtMs: number): boolean {
     return sentAtMs >= this.#newProcessSinceMs;
   }
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runKeeper.ts
@@ -215,7 +215,7 @@
     return due;
   }
 
-  /** Drops all runs of the worker that are over by the evidence. */
+  /** Drops all runs of the worker that the evidence shows to be over. */
   dropAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
     const runs = [...view.runs.values()];
     const lost = runs.filter((run) => this.#drop(view, run, evidence, nowMs));
