--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -83,7 +83,7 @@
     this.#limits = limits;
     this.#nowMs = nowMs;
     this.#usable = new UsableWorkers(input, nowMs);
-    input.misses.begin(this.#usable.all);
+    input.misses.beginRound(this.#usable.all);
   }
 
   place(group: TaskGroup): void {
@@ -126,7 +126,8 @@
     const placedCount = this.#placeBySearch(due, search);
     this.ratingCount += search.ratingCount;
     const unplacedCount = due.length - placedCount;
-    if (unplacedCount > 0 && !this.#isStartLimitReached) misses.note(occurrence, key, this.#nowMs);
+    if (unplacedCount > 0 && !this.#isStartLimitReached)
+      misses.recordMiss(occurrence, key, this.#nowMs);
     return unplacedCount;
   }
 
@@ -164,7 +165,7 @@
       this.ratingCount += search.ratingCount;
       return isComplete;
     });
-    if (!isPlaced) misses.note(occurrence, key, this.#nowMs);
+    if (!isPlaced) misses.recordMiss(occurrence, key, this.#nowMs);
     return isPlaced ? 0 : dueCount;
   }
 
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -164,7 +164,7 @@
   /** Updates the worker's entry from the table, which was read no earlier than `readAtMs`. */
   noteEntry(entry: FleetWorkerEntry, timing: FleetTiming, readAtMs: number): void {
     this.entry = entry;
-    this.#drainNotice.note(entry, timing.workerReportIntervalMs, readAtMs);
+    this.#drainNotice.update(entry, timing.workerReportIntervalMs, readAtMs);
   }
 
   /** Tasks for which room is reserved here until they start. */
--- a/src/scheduler/common/lateFinishes.ts
+++ b/src/scheduler/common/lateFinishes.ts
@@ -1,4 +1,4 @@
-/** Tasks that finished on a worker after they had been given up there. */
+/** Records finishes that a worker reports after the scheduler has given up the attempt. */
 import { TaskClass, WorkerTaskState } from '../../services/worker/common/workerClient.js';
 import {
   type Assignment,
@@ -17,17 +17,17 @@
   readonly taskIndex: number;
 }
 
-/** Finished attempts of the report that the ledger no longer holds, by task id. */
-const finishedStrays = (view: WorkerView, rows: CellRows): readonly string[] => {
+/** Task ids of attempts that the worker reports as finished and the ledger no longer holds. */
+const finishedOutsideLedger = (view: WorkerView, rows: CellRows): readonly string[] => {
   const finished = [...view.tasks.values()].filter(
     ({ state }) => state === WorkerTaskState.Finished,
   );
   if (finished.length === 0) return [];
-  const listed = new Set(assignmentsOf(rows, view.instance.id).map(attemptKey));
-  return finished.filter((task) => !listed.has(attemptKey(task))).map(({ taskId }) => taskId);
+  const ledgerKeys = new Set(assignmentsOf(rows, view.instance.id).map(attemptKey));
+  return finished.filter((task) => !ledgerKeys.has(attemptKey(task))).map(({ taskId }) => taskId);
 };
 
-const openTask = (rows: readonly WorkRow[], taskId: string): LateFinish | undefined =>
+const findOpenTask = (rows: readonly WorkRow[], taskId: string): LateFinish | undefined =>
   rows
     .filter((row) => taskId.startsWith(`${row.jobId}/`))
     .flatMap((row) =>
@@ -36,27 +36,30 @@
         .map(({ index }) => ({ row, taskIndex: index })),
     )[0];
 
-/** Task ids whose late finish still has to be recorded; the worker must not forget them yet. */
+/**
+ * Task ids whose late finish is not recorded yet; the worker must keep reporting them until then.
+ */
 export const unrecordedFinishes = (rows: CellRows, view: WorkerView): ReadonlySet<string> =>
   new Set(
-    finishedStrays(view, rows).filter(
-      (taskId) => openTask([...rows.work.values()], taskId) !== undefined,
+    finishedOutsideLedger(view, rows).filter(
+      (taskId) => findOpenTask([...rows.work.values()], taskId) !== undefined,
     ),
   );
 
 /**
- * A worker that was cut off may have finished a task before its lease ran out, unheard, so that
- * the task was given up and queued again. When the worker is heard of while the task is still
- * open, the finish counts: the task is done and its next attempt, if it runs, is dropped from
- * the ledger and stopped as a stray. Without this it would be completed a second time.
+ * Records finishes that arrive late. A worker that was cut off may have finished a task before the
+ * task's lease ended. The owner received no report, gave up the attempt and queued the task again.
+ * If the worker's report arrives while the task is still open, the finish counts: the task is
+ * marked done, and its next attempt, if it runs, is removed from the ledger and stopped as a task
+ * without an assignment. Otherwise the task would be completed twice.
  */
 export const recordLateFinishes = (state: CellState, rows: CellRows, draft: CellDraft): void => {
   state.workers.forEach((view) => {
-    finishedStrays(view, rows).forEach((taskId) => {
-      const current = draft.shardIds
+    finishedOutsideLedger(view, rows).forEach((taskId) => {
+      const workRows = draft.shardIds
         .map((shardId) => draft.work(shardId))
         .filter((row): row is WorkRow => row !== undefined);
-      const late = openTask(current, taskId);
+      const late = findOpenTask(workRows, taskId);
       if (late === undefined || draft.rowCount >= state.timing.maximumRowsPerRound) return;
       const tasks = late.row.tasks.map((task) =>
         task.index === late.taskIndex ? { ...task, state: BatchTaskState.Done } : task,
--- a/src/scheduler/common/workerHealth.ts
+++ b/src/scheduler/common/workerHealth.ts
@@ -1,55 +1,65 @@
-/** Workers that fail what they start, told apart from jobs that fail wherever they run. */
+/** Tells workers that fail the tasks they start from jobs that fail wherever they run. */
 
-/** Failures of so many different jobs, with no success between them, make a worker suspect. */
+/** A worker is suspect after failures of this many different jobs without a success in between. */
 const SUSPECT_JOB_COUNT = 3;
-/** A suspect worker takes nothing for so long, doubled each time up to a limit. */
-const FIRST_ASIDE_MS = 30_000;
-const MAXIMUM_ASIDE_MS = 600_000;
-/** Never more than this share, or one worker: with more the fault is likely elsewhere. */
-const MAXIMUM_ASIDE_SHARE = 0.1;
-/** Failures on so many different workers make the job itself the likely cause. */
-const BAD_JOB_WORKER_COUNT = 3;
-/** Failures of so many different jobs in one streak trip a worker. */
+/** A suspect worker is quarantined for this long, doubled each time up to the maximum. */
+const INITIAL_QUARANTINE_MS = 30_000;
+const MAXIMUM_QUARANTINE_MS = 600_000;
+/**
+ * Maximum share of workers in quarantine, but at least one worker. If more fail, the cause is
+ * probably not the workers.
+ */
+const MAXIMUM_QUARANTINED_SHARE = 0.1;
+/** A job that has failed on this many different workers is probably faulty itself. */
+const FAULTY_JOB_WORKER_COUNT = 3;
+/** Failures of this many different jobs in one streak trip a worker's circuit breaker. */
 const TRIPPING_JOB_COUNT = 2;
-/** A tripped worker gets its next probe so long after a failure, doubled each time up to a limit. */
-const FIRST_PROBE_DELAY_MS = 500;
+/**
+ * Delay from a failure on a tripped worker to its next probe, doubled each time up to the maximum.
+ */
+const INITIAL_PROBE_DELAY_MS = 500;
 const MAXIMUM_PROBE_DELAY_MS = 2_000;
-/** A probe that has run for so long does not keep the next one off; it may be a task that lasts. */
-const PROBE_PATIENCE_MS = 5_000;
-/** A streak that nothing has been added to for so long is over; the worker may have been idle. */
+/**
+ * A probe that has run for this long no longer delays the next one, since it may be a long task.
+ */
+const PROBE_TIMEOUT_MS = 5_000;
+/** A streak without a new failure for this long is over; the worker may have been idle. */
 const STREAK_LIFETIME_MS = 60_000;
 
-/** Failures on a worker that no success of a run started later has ended. */
+/**
+ * Failures on a worker since its last success. Only a success of a later-started run ends the
+ * streak.
+ */
 interface FailureStreak {
   /** Jobs that count against the worker. */
   readonly jobIds: ReadonlySet<string>;
   readonly lastFailureAtMs: number;
-  /** When the last run that failed was started. */
+  /** The latest start time among the failed runs. */
   readonly lastFailedStartMs: number;
 }
 
 interface WorkerRecord {
   /** Jobs that count against the worker. */
   readonly failedJobIds: ReadonlySet<string>;
-  /** Up to two jobs that failed here since the last success, whatever the cause. */
+  /** Up to two jobs that failed here since the last success, whatever the cause of the failures. */
   readonly recentJobIds: ReadonlySet<string>;
-  readonly asideUntilMs: number;
-  readonly asideCount: number;
+  readonly quarantinedUntilMs: number;
+  readonly quarantineCount: number;
   readonly streak: FailureStreak | undefined;
 }
 
 interface JobRecord {
-  /** Workers on which it has failed. */
+  /** Workers on which the job has failed. */
   readonly workerIds: ReadonlySet<string>;
-  /** It failed where nothing else did. */
+  /** True when the failures are attributed to the job instead of the workers. */
   readonly isAtFault: boolean;
 }
 
-const CLEAN: WorkerRecord = {
+const NO_FAILURES: WorkerRecord = {
   failedJobIds: new Set(),
   recentJobIds: new Set(),
-  asideUntilMs: Number.NEGATIVE_INFINITY,
-  asideCount: 0,
+  quarantinedUntilMs: Number.NEGATIVE_INFINITY,
+  quarantineCount: 0,
   streak: undefined,
 };
 
@@ -58,13 +68,14 @@
 const NO_WORKERS: ReadonlySet<string> = new Set();
 
 /**
- * Made for a worker with a broken disk or network in a cell of a hundred: it is always free, so
- * packing sends it task after task and each uses up one of its tries. One bad job on many
- * workers must not set these aside: a job that has failed on three workers no longer counts
- * against any. Kept in memory only; a new owner learns it within three failures a worker.
+ * Tracks failures of workers and jobs. Designed for a worker with a broken disk or network in a
+ * cell of a hundred: it is always free, so packing sends it one task after another, and each of
+ * them uses up an attempt. One faulty job that fails on many workers must not quarantine these
+ * workers: a job that has failed on three workers no longer counts against any of them. The records
+ * are kept in memory only; a new owner learns them again within three failures per worker.
  *
- * The streaks are a circuit breaker beside it, which works within seconds: jobs of two submissions
- * trip it, and one task that was started afterwards and ends well closes it.
+ * The failure streaks form a separate circuit breaker that reacts within seconds. Failures of jobs
+ * from two submissions trip it, and the success of one task that was started afterwards closes it.
  */
 export class WorkerHealth {
   readonly #workers: ReadonlyMap<string, WorkerRecord>;
@@ -83,56 +94,61 @@
     return this.#workers.size > 0 || this.#jobs.size > 0;
   }
 
-  isSetAside(workerId: string, nowMs: number): boolean {
-    return nowMs < (this.#workers.get(workerId)?.asideUntilMs ?? Number.NEGATIVE_INFINITY);
+  isQuarantined(workerId: string, nowMs: number): boolean {
+    return nowMs < (this.#workers.get(workerId)?.quarantinedUntilMs ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Workers on which the job has failed; another try belongs elsewhere, if there is another. */
+  /** Workers on which the job has failed. Its next attempt should run elsewhere if possible. */
   failedOn(jobId: string): ReadonlySet<string> {
     return this.#jobs.get(jobId)?.workerIds ?? NO_WORKERS;
   }
 
-  /** Whether a job has failed there and nothing started since has ended well. */
+  /** Whether a job has failed on the worker and no run that started later has succeeded. */
   isFailing(workerId: string, nowMs: number): boolean {
     return this.#streakOf(workerId, nowMs) !== undefined;
   }
 
-  /** Whether different jobs have failed there, so that it should get probes only. */
+  /**
+   * Whether the circuit breaker has tripped because different jobs have failed; only probes may
+   * start.
+   */
   isTripped(workerId: string, nowMs: number): boolean {
     return (this.#streakOf(workerId, nowMs)?.jobIds.size ?? 0) >= TRIPPING_JOB_COUNT;
   }
 
-  /** Whether a tripped worker, given when its latest run started, may get one more task. */
+  /**
+   * Whether a tripped worker may get one more task. `lastStartMs` is the start of its latest run.
+   */
   isProbeDue(workerId: string, lastStartMs: number, nowMs: number): boolean {
     const streak = this.#streakOf(workerId, nowMs);
     if (streak === undefined) return true;
     const exponent = Math.max(0, streak.jobIds.size - TRIPPING_JOB_COUNT);
-    const delayMs = Math.min(MAXIMUM_PROBE_DELAY_MS, FIRST_PROBE_DELAY_MS * 2 ** exponent);
-    const isProbed =
-      lastStartMs > streak.lastFailureAtMs && nowMs < lastStartMs + PROBE_PATIENCE_MS;
-    return !isProbed && nowMs >= streak.lastFailureAtMs + delayMs;
+    const delayMs = Math.min(MAXIMUM_PROBE_DELAY_MS, INITIAL_PROBE_DELAY_MS * 2 ** exponent);
+    const isProbeRunning =
+      lastStartMs > streak.lastFailureAtMs && nowMs < lastStartMs + PROBE_TIMEOUT_MS;
+    return !isProbeRunning && nowMs >= streak.lastFailureAtMs + delayMs;
   }
 
   #streakOf(workerId: string, nowMs: number): FailureStreak | undefined {
     const streak = this.#workers.get(workerId)?.streak;
-    const isOver = streak !== undefined && nowMs >= streak.lastFailureAtMs + STREAK_LIFETIME_MS;
-    return isOver ? undefined : streak;
+    const isExpired = streak !== undefined && nowMs >= streak.lastFailureAtMs + STREAK_LIFETIME_MS;
+    return isExpired ? undefined : streak;
   }
 
   /**
-   * Whether a failure of the job on this worker tells against the job. Where other jobs have
-   * failed since the last success the worker is as likely the cause, and counting the failure
-   * fully would give good jobs up because of bad workers; see `failureWeight.ts`.
+   * Whether a failure of the job on this worker counts fully against the job. If other jobs have
+   * failed there since the last success, the worker is an equally likely cause. Counting the
+   * failure fully would give up good jobs because of bad workers; see `failureWeight.ts`.
    */
   isCredible(workerId: string, jobId: string): boolean {
-    const recent = this.#workers.get(workerId)?.recentJobIds;
-    return recent === undefined || [...recent].every((one) => one === jobId);
+    const recentJobIds = this.#workers.get(workerId)?.recentJobIds;
+    return recentJobIds === undefined || [...recentJobIds].every((one) => one === jobId);
   }
 
   /**
-   * A task that was started at `startedAtMs` ended well on the worker, so what failed before was
-   * not its fault. A run older than the last one that failed does not end the streak: a worker
-   * whose disk breaks may still finish what it began before.
+   * Records the success of a run that started at `startedAtMs`, so that earlier failures no longer
+   * count against the worker. The streak ends only if the run started after the last failed one
+   * did: a worker whose disk breaks may still finish older runs.
    */
   withSuccess(workerId: string, startedAtMs = Number.POSITIVE_INFINITY): WorkerHealth {
     const known = this.#workers.get(workerId);
@@ -140,7 +156,7 @@
     const { streak } = known;
     const workers = new Map(this.#workers);
     if (streak !== undefined && startedAtMs < streak.lastFailedStartMs) {
-      return new WorkerHealth(workers.set(workerId, { ...CLEAN, streak }), this.#jobs);
+      return new WorkerHealth(workers.set(workerId, { ...NO_FAILURES, streak }), this.#jobs);
     }
     workers.delete(workerId);
     const [onlyJobId] = streak?.jobIds.size === 1 ? streak.jobIds : [];
@@ -159,25 +175,31 @@
   ): WorkerHealth {
     const workerIds = new Set([...this.failedOn(jobId), workerId]);
     const wasAtFault = this.#jobs.get(jobId)?.isAtFault === true;
-    const isAtFault = wasAtFault || workerIds.size >= Math.min(BAD_JOB_WORKER_COUNT, workerCount);
+    const isAtFault =
+      wasAtFault || workerIds.size >= Math.min(FAULTY_JOB_WORKER_COUNT, workerCount);
     const jobs = this.#jobsWith(jobId, { workerIds, isAtFault });
-    const known = this.#workers.get(workerId) ?? CLEAN;
+    const known = this.#workers.get(workerId) ?? NO_FAILURES;
     const recentJobIds =
       known.recentJobIds.size < 2 ? new Set([...known.recentJobIds, jobId]) : known.recentJobIds;
     const streak = this.#streakWith(workerId, isAtFault ? [] : [jobId], startedAtMs, nowMs);
     const record = { ...known, recentJobIds, streak };
     if (isAtFault) {
-      const noted = new Map(this.#workers).set(workerId, record);
-      return new WorkerHealth(WorkerHealth.#withoutJob(noted, jobId), jobs);
+      const updated = new Map(this.#workers).set(workerId, record);
+      return new WorkerHealth(WorkerHealth.#withoutJob(updated, jobId), jobs);
     }
     const failedJobIds = new Set([...record.failedJobIds, jobId]);
     const workers = new Map(this.#workers);
-    // What was under way on a worker when it was set aside fails too and tells nothing new.
-    const isSuspect = failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isSetAside(workerId, nowMs);
-    const mayBeSet = this.#asideCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_ASIDE_SHARE);
+    // Tasks that ran on the worker when it was quarantined fail too; their failures are no new
+    // evidence.
+    const isSuspect =
+      failedJobIds.size >= SUSPECT_JOB_COUNT && !this.isQuarantined(workerId, nowMs);
+    const mayQuarantine =
+      this.#quarantinedCount(nowMs) + 1 <= Math.max(1, workerCount * MAXIMUM_QUARANTINED_SHARE);
     workers.set(
       workerId,
-      isSuspect && mayBeSet ? WorkerHealth.#aside(record, nowMs) : { ...record, failedJobIds },
+      isSuspect && mayQuarantine
+        ? WorkerHealth.#quarantined(record, nowMs)
+        : { ...record, failedJobIds },
     );
     return new WorkerHealth(workers, jobs);
   }
@@ -204,33 +226,40 @@
     };
   }
 
-  #asideCount(nowMs: number): number {
-    return [...this.#workers.keys()].filter((id) => this.isSetAside(id, nowMs)).length;
+  #quarantinedCount(nowMs: number): number {
+    return [...this.#workers.keys()].filter((id) => this.isQuarantined(id, nowMs)).length;
   }
 
   static #withoutJob(
     workers: ReadonlyMap<string, WorkerRecord>,
     jobId: string,
   ): ReadonlyMap<string, WorkerRecord> {
-    const without = (jobIds: ReadonlySet<string>): ReadonlySet<string> =>
+    const withoutJobId = (jobIds: ReadonlySet<string>): ReadonlySet<string> =>
       new Set([...jobIds].filter((one) => one !== jobId));
     return new Map(
       [...workers].map(([id, record]) => {
         const { failedJobIds, streak } = record;
-        const rest = streak && { ...streak, jobIds: without(streak.jobIds) };
-        return [id, { ...record, failedJobIds: without(failedJobIds), streak: rest }];
+        const remainingStreak = streak && { ...streak, jobIds: withoutJobId(streak.jobIds) };
+        return [
+          id,
+          { ...record, failedJobIds: withoutJobId(failedJobIds), streak: remainingStreak },
+        ];
       }),
     );
   }
 
-  static #aside(record: WorkerRecord, nowMs: number): WorkerRecord {
-    const asideMs = Math.min(MAXIMUM_ASIDE_MS, FIRST_ASIDE_MS * 2 ** record.asideCount);
+  static #quarantined(record: WorkerRecord, nowMs: number): WorkerRecord {
+    const quarantineMs = Math.min(
+      MAXIMUM_QUARANTINE_MS,
+      INITIAL_QUARANTINE_MS * 2 ** record.quarantineCount,
+    );
     return {
-      // Kept, so that its first failure afterwards sets it aside again and costs no job a try.
+      // These ids are kept so that the first failure afterwards quarantines the worker again,
+      // before more jobs lose an attempt.
       failedJobIds: record.failedJobIds,
       recentJobIds: record.recentJobIds,
-      asideUntilMs: nowMs + asideMs,
-      asideCount: record.asideCount + 1,
+      quarantinedUntilMs: nowMs + quarantineMs,
+      quarantineCount: record.quarantineCount + 1,
       streak: record.streak,
     };
   }
