--- a/bench/fleet/fleetDriver.ts
+++ b/bench/fleet/fleetDriver.ts
@@ -98,7 +98,7 @@
 
   #loading: Promise<void> | undefined;
 
-  /** Where the scheduler's notes go; writing them is part of its cost. */
+  /** Receives the scheduler's decision log. Writing it is part of the scheduler's cost. */
   log: Log = silentLog;
 
   constructor(
--- a/src/scheduler/common/fleet/fleetNotes.ts
+++ b/src/scheduler/common/fleet/decisionLog.ts
@@ -8,7 +8,7 @@
 import type { TaskRecord, TaskRun } from './taskRecords.js';
 import { type ObstaclesOf, type WaitCounts, WaitReport } from './waitReport.js';
 
-export interface FleetNote {
+export interface DecisionLogEntry {
   readonly event: LogEvent;
   readonly fields: LogFields;
 }
@@ -47,10 +47,10 @@
  */
 const BATCH_MS = 200;
 
-export class FleetNotes {
+export class DecisionLog {
   readonly #waitReport = new WaitReport();
 
-  #entries: FleetNote[] = [];
+  #entries: DecisionLogEntry[] = [];
 
   #starts: string[] = [];
 
@@ -98,7 +98,7 @@
       workerId: view.id,
       reason,
       // Omitted for a worker that has not answered this owner.
-      ...(view.isHeard && { answeredAgoMs: Math.round(nowMs - view.lastAnswerAtMs) }),
+      ...(view.hasAnswered && { answeredAgoMs: Math.round(nowMs - view.lastAnswerAtMs) }),
       leasesLeftMs: Math.round(view.leasesOverAtMs - nowMs),
       runs: describeRuns(lost),
     });
@@ -140,7 +140,7 @@
   }
 
   /** Removes and returns the records that are due. */
-  drain(epoch: number, nowMs: number): readonly FleetNote[] {
+  drain(epoch: number, nowMs: number): readonly DecisionLogEntry[] {
     const sinceMs = this.#batchedSinceMs;
     if (sinceMs !== undefined && nowMs - sinceMs >= BATCH_MS) this.#addBatched(epoch);
     const entries = this.#entries;
--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -14,7 +14,7 @@
 const LIKELY_OVERSTAY_MS = 1_000;
 
 const isLeaving = (view: FleetWorkerView): boolean =>
-  view.isListed && view.entry.isDraining && view.isHeard && !view.isSilent;
+  view.isListed && view.entry.isDraining && view.hasAnswered && !view.isSilent;
 
 /**
  * Whether the run should be stopped now.
@@ -64,8 +64,8 @@
  * A worker takes one reservation for a filler at a time: reservations don't count the processors of
  * fillers, so the room left for a second one is unknown.
  */
-const hasNoFillerReservation = ({ keptTasks }: FleetWorkerView): boolean =>
-  ![...keptTasks].some(({ step }) => step.isFiller);
+const hasNoFillerReservation = ({ reservedTasks }: FleetWorkerView): boolean =>
+  ![...reservedTasks].some(({ step }) => step.isFiller);
 
 const findRoom = (
   task: TaskRecord,
@@ -163,11 +163,11 @@
 
   #reserve(run: TaskRun, view: FleetWorkerView): void {
     this.#reservations.set(run, view);
-    view.keepRoomFor(run.task);
+    view.reserveRoom(run.task);
   }
 
   #release(run: TaskRun, view: FleetWorkerView): void {
     this.#reservations.delete(run);
-    view.giveRoomBack(run.task);
+    view.releaseRoom(run.task);
   }
 }
--- a/src/scheduler/common/fleet/fillerPacing.ts
+++ b/src/scheduler/common/fleet/fillerPacing.ts
@@ -4,8 +4,8 @@
  */
 import type { FleetEffect } from './fleetEffects.js';
 import { paceEffect } from './fleetCalls.js';
-import { StopReason } from './fleetNotes.js';
-import type { Tenure } from './fleetTenure.js';
+import { StopReason } from './decisionLog.js';
+import type { FleetState } from './fleetState.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { PaceChange } from './interferenceControl.js';
 import { RunState, type TaskRun } from './taskRecords.js';
@@ -38,35 +38,35 @@
   }
 
   /** Returns the pace commands that are due and requests stops for runs that must move. */
-  effects(tenure: Tenure, nowMs: number): readonly FleetEffect[] {
-    const effects = this.#startEffects(tenure);
-    tenure.views.forEach((view) => {
-      const { paces, moves } = tenure.interference.decide(view, nowMs);
+  effects(state: FleetState, nowMs: number): readonly FleetEffect[] {
+    const effects = this.#startEffects(state);
+    state.views.forEach((view) => {
+      const { paces, moves } = state.interference.decide(view, nowMs);
       if (paces.length + moves.length > 0) view.pacedAtMs = nowMs;
-      tenure.keeper.requestStops(moves, StopReason.Interference, nowMs);
+      state.runTracker.requestStops(moves, StopReason.Interference, nowMs);
       const changes = paces.filter(({ run }) => !this.#inFlight.has(run));
-      tenure.notes.addPaces(changes);
-      changes.forEach((change) => effects.push(this.#send(tenure, view, change)));
+      state.decisionLog.addPaces(changes);
+      changes.forEach((change) => effects.push(this.#send(state, view, change)));
     });
     return effects;
   }
 
-  #startEffects(tenure: Tenure): FleetEffect[] {
+  #startEffects(state: FleetState): FleetEffect[] {
     const effects: FleetEffect[] = [];
     this.#reducedStarts.forEach((run) => {
-      const view = tenure.views.get(run.workerId);
+      const view = state.views.get(run.workerId);
       const isRunning = run.state === RunState.Running && view?.hasRun(run) === true;
       if (!isRunning || this.#inFlight.has(run)) return;
       const change = { run, percent: run.plannedPercent };
-      tenure.notes.addPaces([change]);
-      effects.push(this.#send(tenure, view, change));
+      state.decisionLog.addPaces([change]);
+      effects.push(this.#send(state, view, change));
     });
     this.#reducedStarts.clear();
     return effects;
   }
 
-  #send(tenure: Tenure, view: FleetWorkerView, change: PaceChange): FleetEffect {
+  #send(state: FleetState, view: FleetWorkerView, change: PaceChange): FleetEffect {
     this.#inFlight.add(change.run);
-    return paceEffect(tenure, view, change);
+    return paceEffect(state, view, change);
   }
 }
--- a/src/scheduler/common/fleet/fleetCalls.ts
+++ b/src/scheduler/common/fleet/fleetCalls.ts
@@ -2,9 +2,9 @@
 import type { RunningTask, RunReference } from '../../../services/fleet/common/fleetWorker.js';
 import type { FleetEffect } from './fleetEffects.js';
 import type { PaceChange } from './interferenceControl.js';
-import { StopReason } from './fleetNotes.js';
+import { StopReason } from './decisionLog.js';
 import type { FleetOwnership } from './fleetOwnership.js';
-import type { Tenure } from './fleetTenure.js';
+import type { FleetState } from './fleetState.js';
 import type { FleetTiming } from './fleetTiming.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import { holdWaitMs, isHoldDue } from './holdTiming.js';
@@ -21,36 +21,36 @@
 
 /** Notes a listed run that the owner does not know, so that it is stopped. */
 export const noteUnknownRun = (
-  tenure: Tenure,
+  state: FleetState,
   view: FleetWorkerView,
   running: RunningTask,
 ): void => {
-  tenure.unknownRuns.set(`${view.id}#${running.taskName}#${running.run}`, {
+  state.unknownRuns.set(`${view.id}#${running.taskName}#${running.run}`, {
     workerId: view.id,
     address: view.entry.address,
     taskName: running.taskName,
     run: running.run,
-    fence: view.fence(tenure.epoch),
+    fence: view.fence(state.epoch),
   });
 };
 
 /** Stops runs that make no progress, so that their tasks start elsewhere. */
-export const stopStuckRuns = (tenure: Tenure, view: FleetWorkerView, nowMs: number): void => {
+export const stopStuckRuns = (state: FleetState, view: FleetWorkerView, nowMs: number): void => {
   view.runs.forEach((run) => {
     if (run.state !== RunState.Running || !isStuck(run, nowMs)) return;
-    tenure.keeper.noteFault(view, run.task, nowMs);
-    tenure.keeper.requestStops([run], StopReason.Stuck, nowMs);
+    state.runTracker.noteFault(view, run.task, nowMs);
+    state.runTracker.requestStops([run], StopReason.Stuck, nowMs);
   });
 };
 
 /** The start of an assigned run, with the end of the lease under which it runs. */
 export const startEffect = (
-  tenure: Tenure,
+  state: FleetState,
   view: FleetWorkerView,
   run: TaskRun,
   leaseEndWorkerMs: number,
 ): FleetEffect => {
-  const { epoch } = tenure;
+  const { epoch } = state;
   const request = {
     ...toReference(run, view, epoch),
     spec: run.task.submission.submission.spec,
@@ -61,38 +61,38 @@
 };
 
 export const paceEffect = (
-  tenure: Tenure,
+  state: FleetState,
   view: FleetWorkerView,
   { run, percent }: PaceChange,
 ): FleetEffect => {
-  const { epoch } = tenure;
+  const { epoch } = state;
   return { kind: 'pace', epoch, reference: toReference(run, view, epoch), percent };
 };
 
 /** The stops that are due. */
-export const stopEffects = (tenure: Tenure, nowMs: number): readonly FleetEffect[] => {
+export const stopEffects = (state: FleetState, nowMs: number): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
-  const { epoch } = tenure;
-  tenure.keeper.takeDueStops(nowMs).forEach(({ run, view }) => {
+  const { epoch } = state;
+  state.runTracker.takeDueStops(nowMs).forEach(({ run, view }) => {
     effects.push({ kind: 'stop', epoch, reference: toReference(run, view, epoch) });
   });
-  tenure.unknownRuns.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
-  tenure.unknownRuns.clear();
+  state.unknownRuns.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
+  state.unknownRuns.clear();
   return effects;
 };
 
 /** The holds that are due, with the leases that the owner may grant. */
 export const holdEffects = (
-  tenure: Tenure,
+  state: FleetState,
   timing: FleetTiming,
   ownership: Pick<FleetOwnership, 'mayGrant' | 'isHeartbeatOverdue'>,
   nowMs: number,
 ): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
-  const { epoch, roster } = tenure;
+  const { epoch, roster } = state;
   const mayGrant = ownership.mayGrant(nowMs);
   const isHeartbeatOverdue = ownership.isHeartbeatOverdue(nowMs);
-  tenure.views.forEach((view) => {
+  state.views.forEach((view) => {
     if (!isHoldDue(view, nowMs)) return;
     const limitAtMs = roster.grantLimitMs(view.id);
     const leaseEndWorkerMs =
--- a/src/scheduler/common/fleet/fleetPlacement.ts
+++ b/src/scheduler/common/fleet/fleetPlacement.ts
@@ -97,7 +97,7 @@
   view.runs.forEach((run) => {
     if (isSameStep(run.task, task)) count += 1;
   });
-  view.keptTasks.forEach((reservedTask) => {
+  view.reservedTasks.forEach((reservedTask) => {
     if (isSameStep(reservedTask, task)) count += 1;
   });
   return count;
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -1,6 +1,6 @@
 /** Places waiting tasks on workers. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
-import { newRun } from './runKeeper.js';
+import { newRun } from './runTracker.js';
 import { isInterrupted, type TaskRecord, type TaskRun } from './taskRecords.js';
 import { type RoundInput, UsableWorkers } from './usableWorkers.js';
 import type { TaskGroup } from './waitingTasks.js';
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -42,21 +42,21 @@
 } from './fleetCalls.js';
 import { FillerPacing } from './fillerPacing.js';
 import type { FleetEffect } from './fleetEffects.js';
-import { StopReason } from './fleetNotes.js';
+import { StopReason } from './decisionLog.js';
 import { FleetOwnership } from './fleetOwnership.js';
 import { DrainMoves } from './drainMoves.js';
 import { placeWaiting } from './fleetRound.js';
 import {
   dropExpiredRuns,
-  newTenure,
+  newFleetState,
   NOTHING_STORED,
   updateWorkers,
   roundInput,
   type StoredState,
   type SubmissionChange,
   applyChanges,
-  type Tenure,
-} from './fleetTenure.js';
+  type FleetState,
+} from './fleetState.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { FleetTiming } from './fleetTiming.js';
 import { HOLD_RETRY_MS } from './holdTiming.js';
@@ -76,7 +76,7 @@
 
   #operator: OperatorState = NO_OPERATOR_STATE;
 
-  #tenure: Tenure | undefined;
+  #state: FleetState | undefined;
 
   #loadingEpoch = 0;
 
@@ -109,7 +109,7 @@
 
   /** The epoch in which this daemon schedules; undefined until it has loaded the stored state. */
   get epoch(): number | undefined {
-    return this.#tenure?.epoch;
+    return this.#state?.epoch;
   }
 
   /** The time in milliseconds since the previous owner's last seen heartbeat or its release. */
@@ -127,7 +127,7 @@
 
   handleLeaseRead(result: Either<Failure, ReadResult>, sentAtMs: number, nowMs: number): void {
     this.#ownership.handleRead(result, sentAtMs, nowMs);
-    this.#dropEndedTenure();
+    this.#dropEndedState();
   }
 
   handleLeaseWritten(
@@ -137,7 +137,7 @@
     nowMs: number,
   ): void {
     this.#ownership.handleWritten(step, result, sentAtMs, nowMs);
-    this.#dropEndedTenure();
+    this.#dropEndedState();
   }
 
   /**
@@ -150,17 +150,17 @@
     const leasesOverAtMs = (entry: RosterEntry): number =>
       this.#ownership.formerLeasesOverAtMs(entry, stored.roster.epoch, nowMs);
     const operator = (): OperatorState => this.#operator;
-    this.#tenure = newTenure(epoch, stored, leasesOverAtMs, operator, this.#policy, nowMs);
+    this.#state = newFleetState(epoch, stored, leasesOverAtMs, operator, this.#policy, nowMs);
   }
 
   handleChanges(epoch: number, changes: readonly SubmissionChange[], nowMs: number): void {
-    if (this.#tenure?.epoch !== epoch) return;
-    applyChanges(this.#tenure, changes, NOTHING_STORED, nowMs);
+    if (this.#state?.epoch !== epoch) return;
+    applyChanges(this.#state, changes, NOTHING_STORED, nowMs);
   }
 
   /** All submissions and cancellations that callers made before `nowMs` have been handled. */
   handleCaughtUp(epoch: number, nowMs: number): void {
-    if (this.#tenure?.epoch === epoch) this.#tenure.caughtUpAtMs = nowMs;
+    if (this.#state?.epoch === epoch) this.#state.caughtUpAtMs = nowMs;
   }
 
   /** Handles the list of workers in the table, which was requested at `sentAtMs`. */
@@ -170,9 +170,9 @@
     sentAtMs: number,
     nowMs: number,
   ): void {
-    const tenure = this.#tenure;
-    if (tenure?.epoch !== epoch) return;
-    updateWorkers(tenure, entries, this.#timing, sentAtMs, nowMs);
+    const state = this.#state;
+    if (state?.epoch !== epoch) return;
+    updateWorkers(state, entries, this.#timing, sentAtMs, nowMs);
   }
 
   handleHeld(
@@ -182,9 +182,9 @@
     sentAtMs: number,
     nowMs: number,
   ): void {
-    const tenure = this.#tenure;
-    const view = tenure?.views.get(workerId);
-    if (tenure?.epoch !== epoch || view === undefined) return;
+    const state = this.#state;
+    const view = state?.views.get(workerId);
+    if (state?.epoch !== epoch || view === undefined) return;
     view.isHoldInFlight = false;
     view.nextHoldAtMs = nowMs;
     const outcome = isRight(result) ? result.right : undefined;
@@ -197,12 +197,12 @@
       view.nextHoldAtMs = nowMs + HOLD_RETRY_MS;
       return;
     }
-    if (!view.isHeard) view.boundFormerLeases(this.#timing, nowMs);
-    const unknown = tenure.keeper.handleHoldAnswer(view, outcome.answer, sentAtMs, nowMs);
-    if (view.isReborn) view.boundLeasesOfNewProcess(this.#timing, nowMs);
-    unknown.forEach((running) => noteUnknownRun(tenure, view, running));
-    tenure.interference.observe(view, nowMs);
-    stopStuckRuns(tenure, view, nowMs);
+    if (!view.hasAnswered) view.boundFormerLeases(this.#timing, nowMs);
+    const unknown = state.runTracker.handleHoldAnswer(view, outcome.answer, sentAtMs, nowMs);
+    if (view.isNewProcess) view.boundLeasesOfNewProcess(this.#timing, nowMs);
+    unknown.forEach((running) => noteUnknownRun(state, view, running));
+    state.interference.observe(view, nowMs);
+    stopStuckRuns(state, view, nowMs);
   }
 
   handleStarted(
@@ -214,11 +214,11 @@
     const key = runKey(reference.taskName, reference.run);
     const run = this.#startsInFlight.get(key);
     if (this.#startsInFlight.delete(key)) this.#loadLimiter.noteStartAnswered();
-    if (this.#tenure?.epoch !== epoch || run === undefined) return;
+    if (this.#state?.epoch !== epoch || run === undefined) return;
     const isFenced = isRight(result) && result.right === StartOutcome.Fenced;
     if (isFenced && this.#isSuperseded(reference, epoch)) this.#giveUpFleet(nowMs);
     else {
-      this.#tenure.keeper.handleStarted(run, result, nowMs);
+      this.#state.runTracker.handleStarted(run, result, nowMs);
       this.#pacing.handleStarted(run);
     }
   }
@@ -229,15 +229,15 @@
     result: Either<Failure, OrderOutcome>,
     nowMs: number,
   ): void {
-    if (this.#tenure?.epoch !== epoch) return;
+    if (this.#state?.epoch !== epoch) return;
     const isFenced = isRight(result) && result.right === OrderOutcome.Fenced;
     if (isFenced && this.#isSuperseded(reference, epoch)) {
       this.#giveUpFleet(nowMs);
       return;
     }
-    const view = this.#tenure.views.get(reference.workerId);
+    const view = this.#state.views.get(reference.workerId);
     const run = view?.runs.get(runKey(reference.taskName, reference.run));
-    if (run !== undefined) this.#tenure.keeper.handleStopped(run, result, nowMs);
+    if (run !== undefined) this.#state.runTracker.handleStopped(run, result, nowMs);
   }
 
   handlePaced(
@@ -247,9 +247,9 @@
     result: Either<Failure, OrderOutcome>,
     nowMs: number,
   ): void {
-    const view = this.#tenure?.views.get(reference.workerId);
+    const view = this.#state?.views.get(reference.workerId);
     const run = view?.runs.get(runKey(reference.taskName, reference.run));
-    if (run === undefined || this.#tenure?.epoch !== epoch) return;
+    if (run === undefined || this.#state?.epoch !== epoch) return;
     this.#pacing.handleAnswered(run);
     if (isLeft(result)) return;
     if (result.right === OrderOutcome.Fenced) {
@@ -263,31 +263,31 @@
     result: Either<Failure, TransactionResult>,
     nowMs: number,
   ): readonly FleetEffect[] {
-    const tenure = this.#tenure;
-    if (tenure?.epoch !== epoch) return [];
-    const { commits, book, roster } = tenure;
+    const state = this.#state;
+    if (state?.epoch !== epoch) return [];
+    const { commits, book, roster } = state;
     const { request, recorded } = commits.handleCommitted(result, book, roster);
     if (request !== undefined) return [{ kind: 'resolve', epoch, request }];
-    const effects = [...this.#startRecorded(tenure, recorded, nowMs)];
+    const effects = [...this.#startRecorded(state, recorded, nowMs)];
     // Commits the changes that came in meanwhile at once, because the next step may be far off.
-    this.#commit(tenure, effects, nowMs);
+    this.#commit(state, effects, nowMs);
     return effects;
   }
 
   /** Returns false if the rows have to be read again. */
   handleResolved(epoch: number, result: Either<Failure, ReadResult>): boolean {
-    if (this.#tenure?.epoch !== epoch) return true;
-    return this.#tenure.commits.handleResolved(result);
+    if (this.#state?.epoch !== epoch) return true;
+    return this.#state.commits.handleResolved(result);
   }
 
   /** Releases the fleet before the daemon ends. Returns the transaction to write. */
   release(): Transaction | undefined {
-    const tenure = this.#tenure;
-    this.#tenure = undefined;
+    const state = this.#state;
+    this.#state = undefined;
     const transaction = this.#ownership.release();
-    if (transaction === undefined || tenure === undefined) return transaction;
+    if (transaction === undefined || state === undefined) return transaction;
     const toTableMs = (atMs: number): number | undefined => this.#ownership.toTableMs(atMs);
-    const row = tenure.roster.last([...tenure.views.values()], toTableMs);
+    const row = state.roster.lastRow([...state.views.values()], toTableMs);
     // The roster row needs no condition of its own: a commit in flight has a condition on the owner
     // row, so it is stored either before this transaction or not at all.
     return { ...transaction, writes: [...transaction.writes, { key: ROSTER_KEY, value: row }] };
@@ -295,7 +295,7 @@
 
   /** Records a step that was due at `dueAtMs`. Returns whether the start rate has been reduced. */
   handleStepTaken(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
-    return this.#loadLimiter.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#tenure !== undefined;
+    return this.#loadLimiter.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#state !== undefined;
   }
 
   /** The limit of starts per second, which follows what this daemon's processor can handle. */
@@ -309,20 +309,20 @@
     const leaseEffect = this.#ownership.nextEffect(nowMs);
     if (leaseEffect !== undefined) effects.push(leaseEffect);
     this.#followOwnership(effects);
-    const tenure = this.#tenure;
-    if (tenure === undefined) return effects;
-    dropExpiredRuns(tenure, this.#timing, nowMs);
-    tenure.book.openDue(wallNowMs, nowMs);
-    tenure.keeper.inherit(tenure.book.takeInherited(), nowMs);
-    this.#placeWaiting(tenure, nowMs);
-    effects.push(...stopEffects(tenure, nowMs));
-    effects.push(...holdEffects(tenure, this.#timing, this.#ownership, nowMs));
-    effects.push(...this.#pacing.effects(tenure, nowMs));
-    this.#commit(tenure, effects, nowMs);
-    tenure.notes.addAwaited(tenure.views.values(), nowMs);
-    tenure.notes
-      .drain(tenure.epoch, nowMs)
-      .forEach((note) => effects.push({ kind: 'log', ...note }));
+    const state = this.#state;
+    if (state === undefined) return effects;
+    dropExpiredRuns(state, this.#timing, nowMs);
+    state.book.openDue(wallNowMs, nowMs);
+    state.runTracker.inherit(state.book.takeInherited(), nowMs);
+    this.#placeWaiting(state, nowMs);
+    effects.push(...stopEffects(state, nowMs));
+    effects.push(...holdEffects(state, this.#timing, this.#ownership, nowMs));
+    effects.push(...this.#pacing.effects(state, nowMs));
+    this.#commit(state, effects, nowMs);
+    state.decisionLog.addAwaited(state.views.values(), nowMs);
+    state.decisionLog
+      .drain(state.epoch, nowMs)
+      .forEach((entry) => effects.push({ kind: 'log', ...entry }));
     return effects;
   }
 
@@ -332,7 +332,7 @@
       effects.push({ kind: 'log', event: 'fleet-lost', fields: { epoch: ended } }),
     );
     this.#endedEpochs = [];
-    if (!isOwner || this.#tenure !== undefined || this.#loadingEpoch === epoch) return;
+    if (!isOwner || this.#state !== undefined || this.#loadingEpoch === epoch) return;
     this.#loadingEpoch = epoch;
     effects.push({ kind: 'load', epoch });
   }
@@ -342,88 +342,92 @@
    * that this owner sent before it raised the worker's fence.
    */
   #isSuperseded({ workerId, fence }: RunReference, epoch: number): boolean {
-    const view = this.#tenure?.views.get(workerId);
+    const view = this.#state?.views.get(workerId);
     return view === undefined || fence >= view.fence(epoch);
   }
 
   #giveUpFleet(nowMs: number): void {
     this.#ownership.giveUp(nowMs);
-    this.#dropEndedTenure();
+    this.#dropEndedState();
   }
 
   /**
    * Drops the state of an epoch that has ended. This happens at once, so that the next answer is
    * not handled under the condition of a later epoch.
    */
-  #dropEndedTenure(): void {
+  #dropEndedState(): void {
     const { isOwner, epoch } = this.#ownership;
-    if (this.#tenure === undefined || (isOwner && this.#tenure.epoch === epoch)) return;
-    this.#endedEpochs.push(this.#tenure.epoch);
-    this.#tenure = undefined;
+    if (this.#state === undefined || (isOwner && this.#state.epoch === epoch)) return;
+    this.#endedEpochs.push(this.#state.epoch);
+    this.#state = undefined;
     this.#startsInFlight.clear();
     this.#pacing.clear();
     this.#moves.clear();
   }
 
-  #roundInput(tenure: Tenure): RoundInput {
-    return roundInput(tenure, this.#operator, this.#policy, this.#timing);
+  #roundInput(state: FleetState): RoundInput {
+    return roundInput(state, this.#operator, this.#policy, this.#timing);
   }
 
   /** Callers are promised that a submission starts nothing some seconds after its cancellation. */
-  #mayStart(tenure: Tenure, nowMs: number): boolean {
-    const isCaughtUp = nowMs - tenure.caughtUpAtMs <= this.#timing.feedFreshnessMs;
+  #mayStart(state: FleetState, nowMs: number): boolean {
+    const isCaughtUp = nowMs - state.caughtUpAtMs <= this.#timing.feedFreshnessMs;
     return isCaughtUp && this.#ownership.mayGrant(nowMs);
   }
 
-  #placeWaiting(tenure: Tenure, nowMs: number): void {
-    if (!this.#mayStart(tenure, nowMs)) return;
+  #placeWaiting(state: FleetState, nowMs: number): void {
+    if (!this.#mayStart(state, nowMs)) return;
     const limits = this.#loadLimiter.roundLimits(nowMs);
-    const input = this.#roundInput(tenure);
+    const input = this.#roundInput(state);
     this.#moves.placeMoved(input, nowMs);
-    const { keeper } = tenure;
+    const { runTracker } = state;
     const outcome = placeWaiting(
       input,
       limits,
       () =>
-        keeper.requestStops(this.#moves.nextPersistent(input, nowMs), StopReason.Draining, nowMs),
+        runTracker.requestStops(
+          this.#moves.nextPersistent(input, nowMs),
+          StopReason.Draining,
+          nowMs,
+        ),
       nowMs,
     );
     const unfinishable = this.#moves.nextUnfinishable(input, nowMs);
-    keeper.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
+    runTracker.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
     this.#loadLimiter.noteRound(outcome);
     const obstacles: ObstaclesOf = (task) => obstaclesOf(task, input, nowMs);
-    tenure.notes.addWaits(tenure.book.waiting, outcome.waits, obstacles, nowMs);
+    state.decisionLog.addWaits(state.book.waiting, outcome.waits, obstacles, nowMs);
   }
 
   #startRecorded(
-    tenure: Tenure,
+    state: FleetState,
     recorded: readonly TaskRun[],
     nowMs: number,
   ): readonly FleetEffect[] {
-    const input = this.#roundInput(tenure);
-    const mayStart = this.#mayStart(tenure, nowMs);
+    const input = this.#roundInput(state);
+    const mayStart = this.#mayStart(state, nowMs);
     const { startable, blocked } = splitRecorded(recorded, input, mayStart, nowMs);
-    blocked.forEach((run) => tenure.keeper.withdraw(run, nowMs));
-    tenure.notes.addStarts(startable, nowMs);
-    return startable.flatMap((run) => this.#sendStart(tenure, run, nowMs));
+    blocked.forEach((run) => state.runTracker.withdraw(run, nowMs));
+    state.decisionLog.addStarts(startable, nowMs);
+    return startable.flatMap((run) => this.#sendStart(state, run, nowMs));
   }
 
-  #sendStart(tenure: Tenure, run: TaskRun, nowMs: number): readonly FleetEffect[] {
-    const view = tenure.views.get(run.workerId);
-    const limitAtMs = tenure.roster.grantLimitMs(run.workerId);
+  #sendStart(state: FleetState, run: TaskRun, nowMs: number): readonly FleetEffect[] {
+    const view = state.views.get(run.workerId);
+    const limitAtMs = state.roster.grantLimitMs(run.workerId);
     const leaseEndWorkerMs = view?.grantLease(this.#timing, limitAtMs, nowMs);
     if (view === undefined || leaseEndWorkerMs === undefined) {
-      tenure.keeper.withdraw(run, nowMs);
+      state.runTracker.withdraw(run, nowMs);
       return [];
     }
     run.state = RunState.Starting;
     run.startedAtMs = nowMs;
     this.#startsInFlight.set(runKey(run.task.name, run.run), run);
-    return [startEffect(tenure, view, run, leaseEndWorkerMs)];
+    return [startEffect(state, view, run, leaseEndWorkerMs)];
   }
 
-  #commit(tenure: Tenure, effects: FleetEffect[], nowMs: number): void {
-    const { epoch, book, views, commits, roster, interference } = tenure;
+  #commit(state: FleetState, effects: FleetEffect[], nowMs: number): void {
+    const { epoch, book, views, commits, roster, interference } = state;
     const { condition, selfId: id } = this.#ownership;
     const input = {
       ...{ book, views: views.values(), roster, interference },
--- a/src/scheduler/common/fleet/fleetTenure.ts
+++ b/src/scheduler/common/fleet/fleetState.ts
@@ -16,14 +16,14 @@
 import { WorkerHealth } from '../workerHealth.js';
 import type { FleetTiming } from './fleetTiming.js';
 import { FleetWorkerView } from './fleetWorkerView.js';
-import { FleetNotes, StopReason } from './fleetNotes.js';
+import { DecisionLog, StopReason } from './decisionLog.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { InterferenceControl } from './interferenceControl.js';
 import { ProgressCommits } from './progressCommits.js';
 import { RoomMisses } from './roomMisses.js';
 import { Roster } from './roster.js';
 import { EvidenceKind } from './runEvidence.js';
-import { RunKeeper } from './runKeeper.js';
+import { RunTracker } from './runTracker.js';
 import { SubmissionBook } from './submissionBook.js';
 import { NO_ASSIGNMENTS } from './taskRecords.js';
 import type { RoundInput } from './usableWorkers.js';
@@ -47,15 +47,15 @@
   readonly interference: LearntInterference;
 }
 
-export interface Tenure {
+export interface FleetState {
   readonly epoch: number;
   readonly book: SubmissionBook;
   readonly views: Map<string, FleetWorkerView>;
-  readonly keeper: RunKeeper;
+  readonly runTracker: RunTracker;
   readonly commits: ProgressCommits;
   readonly roster: Roster;
   readonly interference: InterferenceControl;
-  readonly notes: FleetNotes;
+  readonly decisionLog: DecisionLog;
   readonly misses: RoomMisses;
   /** When all submissions and cancellations of callers were last known. */
   caughtUpAtMs: number;
@@ -82,7 +82,7 @@
 });
 
 const updateListedWorker = (
-  { views, fenceRaises }: Pick<Tenure, 'views' | 'fenceRaises'>,
+  { views, fenceRaises }: Pick<FleetState, 'views' | 'fenceRaises'>,
   entry: FleetWorkerEntry,
   nowMs: number,
 ): FleetWorkerView => {
@@ -90,7 +90,7 @@
   const view = known ?? new FleetWorkerView(entry, nowMs, nowMs, fenceRaises.get(entry.id));
   view.entry = entry;
   // An unlisted worker without runs is not called, so it may be a different process by now.
-  if (view.isHeard && !view.isListed && !view.isHoldInFlight) view.isSilent = true;
+  if (view.hasAnswered && !view.isListed && !view.isHoldInFlight) view.isSilent = true;
   view.isListed = true;
   views.set(entry.id, view);
   return view;
@@ -103,20 +103,20 @@
 };
 
 export const applyChanges = (
-  tenure: Tenure,
+  state: FleetState,
   changes: readonly SubmissionChange[],
   stored: Pick<StoredState, 'progress' | 'assignments'>,
   nowMs: number,
 ): void => {
   changes.forEach((change) => {
     if (change.kind === 'cancellation') {
-      tenure.keeper.requestStops(tenure.book.cancel(change.id), StopReason.Cancelled, nowMs);
+      state.runTracker.requestStops(state.book.cancel(change.id), StopReason.Cancelled, nowMs);
       return;
     }
     const { submission } = change;
     const { id } = submission;
     const assignments = stored.assignments.get(id) ?? NO_ASSIGNMENTS;
-    tenure.book.add(submission, stored.progress.get(id), assignments, nowMs);
+    state.book.add(submission, stored.progress.get(id), assignments, nowMs);
   });
 };
 
@@ -124,18 +124,18 @@
  * The state of a new owner. `leasesOverAtMs` returns when all leases that former owners may have
  * granted to a worker have ended.
  */
-export const newTenure = (
+export const newFleetState = (
   epoch: number,
   stored: StoredState,
   leasesOverAtMs: (entry: RosterEntry) => number,
   operator: () => OperatorState,
   policy: FleetPolicy,
   nowMs: number,
-): Tenure => {
+): FleetState => {
   const book = new SubmissionBook();
   const views = new Map<string, FleetWorkerView>();
-  const notes = new FleetNotes();
-  const keeper = new RunKeeper(book, views, operator, new WorkerHealth(), notes);
+  const decisionLog = new DecisionLog();
+  const runTracker = new RunTracker(book, views, operator, new WorkerHealth(), decisionLog);
   const commits = new ProgressCommits();
   stored.versions.forEach((version, key) => commits.noteVersion(key, version));
   toRosterEntries(stored.roster).forEach((known) => {
@@ -148,21 +148,31 @@
   const interference = policy.newInterferenceControl();
   interference.inherit(stored.interference, nowMs);
   const roster = new Roster(epoch);
-  const tenure: Tenure = {
-    ...{ epoch, book, views, keeper, commits, roster, interference, notes, fenceRaises },
+  const state: FleetState = {
+    ...{
+      epoch,
+      book,
+      views,
+      runTracker,
+      commits,
+      roster,
+      interference,
+      decisionLog,
+      fenceRaises,
+    },
     misses: new RoomMisses(),
     unknownRuns: new Map(),
     caughtUpAtMs: Number.NEGATIVE_INFINITY,
   };
-  applyChanges(tenure, stored.changes, stored, nowMs);
-  return tenure;
+  applyChanges(state, stored.changes, stored, nowMs);
+  return state;
 };
 
 /**
  * Updates the views with the table's list of workers, which was read no earlier than `readAtMs`.
  */
 export const updateWorkers = (
-  tenure: Tenure,
+  state: FleetState,
   entries: readonly FleetWorkerEntry[],
   timing: FleetTiming,
   readAtMs: number,
@@ -170,24 +180,24 @@
 ): void => {
   const listed = new Set(entries.map(({ id }) => id));
   entries.forEach((entry) =>
-    updateListedWorker(tenure, entry, nowMs).noteEntry(entry, timing, readAtMs),
+    updateListedWorker(state, entry, nowMs).noteEntry(entry, timing, readAtMs),
   );
-  tenure.views.forEach((view, id) => {
+  state.views.forEach((view, id) => {
     if (listed.has(id)) return;
-    if (view.isListed) tenure.notes.addUnlisted(view, nowMs);
+    if (view.isListed) state.decisionLog.addUnlisted(view, nowMs);
     view.isListed = false;
   });
 };
 
 /** The input of a placement round. */
 export const roundInput = (
-  tenure: Tenure,
+  state: FleetState,
   operator: OperatorState,
   policy: FleetPolicy,
   timing: FleetTiming,
 ): RoundInput => {
-  const { book, views, epoch, interference, keeper, roster, misses } = tenure;
-  const { health } = keeper;
+  const { book, views, epoch, interference, runTracker, roster, misses } = state;
+  const { health } = runTracker;
   return {
     ...{ book, views, epoch, interference, operator, policy, timing, health, roster, misses },
   };
@@ -197,13 +207,13 @@
  * Drops the runs of workers that have not answered recently and whose leases have ended. Forgets
  * such a worker if the table does not list it.
  */
-export const dropExpiredRuns = (tenure: Tenure, timing: FleetTiming, nowMs: number): void => {
-  tenure.views.forEach((view, id) => {
+export const dropExpiredRuns = (state: FleetState, timing: FleetTiming, nowMs: number): void => {
+  state.views.forEach((view, id) => {
     if (view.isFresh(timing, nowMs) || nowMs < view.leasesOverAtMs) return;
-    tenure.keeper.dropAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
+    state.runTracker.dropAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
     // The answer to a call in flight would be taken for an answer to the worker's next view.
     if (view.isListed || view.isHoldInFlight) return;
-    tenure.views.delete(id);
-    tenure.fenceRaises.set(id, view.fenceRaises + 1);
+    state.views.delete(id);
+    state.fenceRaises.set(id, view.fenceRaises + 1);
   });
 };
--- a/src/scheduler/common/fleet/fleetWorkerView.ts
+++ b/src/scheduler/common/fleet/fleetWorkerView.ts
@@ -32,12 +32,12 @@
   isSilent = false;
 
   /** Whether the worker has answered a hold of this owner, so that all its runs are known. */
-  isHeard = false;
+  hasAnswered = false;
 
   incarnation: number;
 
   /** Ends up to this sequence number have been handled. */
-  takenSequence = 0;
+  handledSequence = 0;
 
   /** Ends up to this sequence number are recorded in the table. */
   recordedSequence = 0;
@@ -64,7 +64,7 @@
   #newProcessSinceMs = Number.NEGATIVE_INFINITY;
 
   /** Whether the process was replaced and has not yet answered under the raised fence. */
-  isReborn = false;
+  isNewProcess = false;
 
   /** When the pace of this worker's fillers was last changed. */
   pacedAtMs = Number.NEGATIVE_INFINITY;
@@ -82,7 +82,7 @@
   pacingSampledAtMs = Number.NEGATIVE_INFINITY;
 
   /** The number of listed runs that the owner does not know. Their sizes are unknown. */
-  strayCount = 0;
+  unknownRunCount = 0;
 
   readonly runs = new Map<string, TaskRun>();
 
@@ -168,7 +168,7 @@
   }
 
   /** Tasks for which room is reserved here until they start. */
-  get keptTasks(): ReadonlySet<TaskRecord> {
+  get reservedTasks(): ReadonlySet<TaskRecord> {
     return this.#reservedTasks;
   }
 
@@ -196,12 +196,12 @@
     }
   }
 
-  keepRoomFor(task: TaskRecord): void {
+  reserveRoom(task: TaskRecord): void {
     this.#reservedTasks.add(task);
     this.#setReserved(addResources(this.#reserved, countedSize(task.step)));
   }
 
-  giveRoomBack(task: TaskRecord): void {
+  releaseRoom(task: TaskRecord): void {
     if (!this.#reservedTasks.delete(task)) return;
     this.#setReserved(subtractResources(this.#reserved, countedSize(task.step)));
   }
@@ -231,8 +231,8 @@
   }
 
   noteAnswer(answer: HoldAnswer, nowMs: number): void {
-    this.isHeard = true;
-    this.isReborn = false;
+    this.hasAnswered = true;
+    this.isNewProcess = false;
     this.isSilent = false;
     this.lastAnswerAtMs = nowMs;
     this.#workerClockMs = answer.workerClockMs;
@@ -258,11 +258,11 @@
     this.incarnation = incarnation;
     this.#fenceRaises += 1;
     this.#newProcessSinceMs = nowMs;
-    this.isReborn = true;
+    this.isNewProcess = true;
     this.mayForgetEnds = this.acknowledgingSequence > 0;
-    this.takenSequence = 0;
+    this.handledSequence = 0;
     this.recordedSequence = 0;
-    this.strayCount = 0;
+    this.unknownRunCount = 0;
   }
 
   /**
@@ -281,6 +281,6 @@
   }
 
   isFresh(timing: FleetTiming, nowMs: number): boolean {
-    return this.isHeard && nowMs - this.lastAnswerAtMs <= timing.answerFreshnessMs;
+    return this.hasAnswered && nowMs - this.lastAnswerAtMs <= timing.answerFreshnessMs;
   }
 }
--- a/src/scheduler/common/fleet/holdTiming.ts
+++ b/src/scheduler/common/fleet/holdTiming.ts
@@ -23,9 +23,9 @@
 export const isHoldDue = (view: FleetWorkerView, nowMs: number): boolean => {
   if (view.isHoldInFlight || nowMs < view.nextHoldAtMs) return false;
   // An unlisted worker may have runs of a former owner until it has answered.
-  if (!view.isListed && view.runs.size === 0 && view.isHeard) return false;
-  if (view.isReborn) return true;
-  const isRecording = view.takenSequence > view.recordedSequence;
+  if (!view.isListed && view.runs.size === 0 && view.hasAnswered) return false;
+  if (view.isNewProcess) return true;
+  const isRecording = view.handledSequence > view.recordedSequence;
   return !isRecording || nowMs >= view.lastAnswerAtMs + RECORDING_TIMEOUT_MS;
 };
 
@@ -50,8 +50,8 @@
 /** How long the worker may wait for a run to end, if no lease makes an earlier answer necessary. */
 const baseWaitMs = (view: FleetWorkerView, timing: FleetTiming): number => {
   // The first answer is needed at once, also from a worker that was unreachable.
-  if (!view.isHeard || view.isReborn || view.isSilent) return 0;
-  if (view.takenSequence > view.recordedSequence) return 0;
+  if (!view.hasAnswered || view.isNewProcess || view.isSilent) return 0;
+  if (view.handledSequence > view.recordedSequence) return 0;
   return hasFillersBesideServing(view) ? SERVING_WAIT_MS : timing.holdWaitMs;
 };
 
--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -54,7 +54,7 @@
 const toSequence = (view: FleetWorkerView): RecordedSequence => ({
   view,
   incarnation: view.incarnation,
-  sequence: view.takenSequence,
+  sequence: view.handledSequence,
 });
 
 interface PendingCommit {
@@ -135,7 +135,7 @@
     if (book.dirty.size === 0 && book.unrecorded.size === 0 && shared.length === 0) {
       // Ends that changed nothing, of persistent or forgotten tasks, need no transaction.
       views.forEach((view) => {
-        view.recordedSequence = view.takenSequence;
+        view.recordedSequence = view.handledSequence;
       });
       return undefined;
     }
@@ -226,7 +226,7 @@
     const rows = [
       { key: WAITING_COUNTS_KEY, value: this.#dueCounts(book, owner.epoch, nowMs) },
       { key: INTERFERENCE_KEY, value: this.#dueInterference(interference, nowMs) },
-      { key: ROSTER_KEY, value: roster.next(views, toTableMs, nowMs) as JsonValue | undefined },
+      { key: ROSTER_KEY, value: roster.nextRow(views, toTableMs, nowMs) as JsonValue | undefined },
     ];
     return rows.flatMap(({ key, value }) => (value === undefined ? [] : [{ key, value }]));
   }
--- a/src/scheduler/common/fleet/roster.ts
+++ b/src/scheduler/common/fleet/roster.ts
@@ -45,7 +45,7 @@
  * lease is included at once, so that its first start does not have to wait for the row.
  */
 const isGrantWanted = (view: FleetWorkerView, nowMs: number): boolean =>
-  view.isHeard ? !view.isSilent : view.isListed && view.leasesOverAtMs <= nowMs;
+  view.hasAnswered ? !view.isSilent : view.isListed && view.leasesOverAtMs <= nowMs;
 
 export class Roster {
   readonly #epoch: number;
@@ -77,7 +77,7 @@
   }
 
   /** The row to write, if a write is due. */
-  next(
+  nextRow(
     views: readonly FleetWorkerView[],
     toTableMs: ToTableMs,
     nowMs: number,
@@ -94,7 +94,7 @@
   }
 
   /** The last row of an owner, which grants no leases afterwards. */
-  last(views: readonly FleetWorkerView[], toTableMs: ToTableMs): RosterRow {
+  lastRow(views: readonly FleetWorkerView[], toTableMs: ToTableMs): RosterRow {
     const entries = views.map(
       ({ id, entry, leasesOverAtMs }) =>
         [id, { address: entry.address, limitAtMs: leasesOverAtMs }] as const,
--- a/src/scheduler/common/fleet/runEvidence.ts
+++ b/src/scheduler/common/fleet/runEvidence.ts
@@ -56,7 +56,7 @@
     case EvidenceKind.Unlisted:
       return wouldBeListed(run, evidence.requestedAtMs);
     case EvidenceKind.AnotherProcess:
-      return view.isReborn;
+      return view.isNewProcess;
     default:
       return nowMs >= view.leasesOverAtMs;
   }
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -15,7 +15,7 @@
   StartOutcome,
 } from '../../../services/fleet/common/fleetWorker.js';
 import type { WorkerHealth } from '../workerHealth.js';
-import { type FleetNotes, StopReason } from './fleetNotes.js';
+import { type DecisionLog, StopReason } from './decisionLog.js';
 import { runKey, type FleetWorkerView } from './fleetWorkerView.js';
 import { EvidenceKind, isRunOver, type RunEvidence, type WorkerEvidence } from './runEvidence.js';
 import type { InheritedTask, SubmissionBook } from './submissionBook.js';
@@ -64,14 +64,14 @@
 const isCertainlyNotExecuted = (cause: Failure): boolean =>
   cause.workOutcome === WorkOutcome.NotRun;
 
-export class RunKeeper {
+export class RunTracker {
   readonly #book: SubmissionBook;
 
   readonly #views: ReadonlyMap<string, FleetWorkerView>;
 
   readonly #operator: () => OperatorState;
 
-  readonly #notes: FleetNotes;
+  readonly #decisionLog: DecisionLog;
 
   /** Runs to stop, each with the instant at which its next stop is sent. */
   readonly #stops = new Map<TaskRun, number>();
@@ -83,13 +83,13 @@
     views: ReadonlyMap<string, FleetWorkerView>,
     operator: () => OperatorState,
     health: WorkerHealth,
-    notes: FleetNotes,
+    decisionLog: DecisionLog,
   ) {
     this.#book = book;
     this.#views = views;
     this.#operator = operator;
     this.#health = health;
-    this.#notes = notes;
+    this.#decisionLog = decisionLog;
   }
 
   get health(): WorkerHealth {
@@ -103,20 +103,23 @@
     sentAtMs: number,
     nowMs: number,
   ): readonly RunningTask[] {
-    if (!view.isHeard) view.incarnation = answer.incarnation;
+    if (!view.hasAnswered) view.incarnation = answer.incarnation;
     if (answer.incarnation !== view.incarnation) {
-      this.#notes.add('worker-reborn', { workerId: view.id, incarnation: answer.incarnation });
+      this.#decisionLog.add('worker-reborn', {
+        workerId: view.id,
+        incarnation: answer.incarnation,
+      });
       view.noteIncarnation(answer.incarnation, nowMs);
     }
     // Until the new process has seen the raised fence, it may still execute a start to the old one.
     if (!view.isFencedSince(sentAtMs)) return [];
-    if (view.isReborn) this.dropAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
+    if (view.isNewProcess) this.dropAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
     view.noteAnswer(answer, nowMs);
     const ended = answer.finished.filter((finished) => this.#handleEnd(view, finished, nowMs));
-    this.#notes.addEnds(view.id, ended, nowMs);
+    this.#decisionLog.addEnds(view.id, ended, nowMs);
     const unknown = answer.running.filter((running) => !this.#handleRunning(view, running, nowMs));
     if (!answer.isFinishedCut) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
-    view.strayCount = unknown.length;
+    view.unknownRunCount = unknown.length;
     if (view.mayForgetEnds) this.#stopForgettable(view, nowMs);
     return unknown;
   }
@@ -170,7 +173,7 @@
   /** Requests stops of runs. Their room stays taken until the workers no longer list them. */
   requestStops(runs: readonly TaskRun[], reason: StopReason, nowMs: number): void {
     const toStop = runs.filter(({ state }) => state !== RunState.Stopping);
-    this.#notes.addStops(toStop, reason);
+    this.#decisionLog.addStops(toStop, reason);
     toStop.forEach((run) => {
       if (run.state === RunState.Assigned) this.withdraw(run, nowMs);
       else this.#requestStop(run, nowMs);
@@ -219,13 +222,13 @@
   dropAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
     const runs = [...view.runs.values()];
     const lost = runs.filter((run) => this.#drop(view, run, evidence, nowMs));
-    this.#notes.addLosses(view, lost, evidence.kind, nowMs);
+    this.#decisionLog.addLosses(view, lost, evidence.kind, nowMs);
   }
 
   /** Returns false for an end that was handled before or whose submission is unknown. */
   #handleEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
-    if (finished.sequence <= view.takenSequence) return false;
-    view.takenSequence = finished.sequence;
+    if (finished.sequence <= view.handledSequence) return false;
+    view.handledSequence = finished.sequence;
     const task = this.#book.find(finished.taskName);
     if (task === undefined) return false;
     const wasOpen = isOpen(task.submission);
@@ -243,7 +246,7 @@
     if (run !== undefined) this.#drop(view, run, { kind: EvidenceKind.EndListed }, nowMs);
     if (wasOpen && !isOpen(task.submission)) {
       const { submission, state } = task.submission;
-      this.#notes.add('submission-ended', { id: submission.id, state, taskName: task.name });
+      this.#decisionLog.add('submission-ended', { id: submission.id, state, taskName: task.name });
     }
     return true;
   }
--- a/src/scheduler/common/fleet/usableWorkers.ts
+++ b/src/scheduler/common/fleet/usableWorkers.ts
@@ -38,9 +38,9 @@
 ): PlacementObstacle | undefined => {
   if (!view.isListed || !view.isEntryCurrent) return PlacementObstacle.Unlisted;
   if (view.entry.isDraining) return PlacementObstacle.Draining;
-  const isKnown = view.knowsClock && !view.isReborn && !view.isSilent;
+  const isKnown = view.knowsClock && !view.isNewProcess && !view.isSilent;
   if (!isKnown || !view.isFresh(timing, nowMs)) return PlacementObstacle.Unanswered;
-  if (view.mayForgetEnds || view.strayCount > 0) return PlacementObstacle.Unsettled;
+  if (view.mayForgetEnds || view.unknownRunCount > 0) return PlacementObstacle.Unsettled;
   if (!roster.isUnlimited(view.id)) return PlacementObstacle.LeasesLimited;
   return operator.withdrawnZones.has(view.entry.availabilityZone)
     ? PlacementObstacle.ZoneWithdrawn
--- a/src/scheduler/common/fleet/waitReport.ts
+++ b/src/scheduler/common/fleet/waitReport.ts
@@ -92,7 +92,7 @@
   workers(views: Iterable<FleetWorkerView>, nowMs: number): LogFields | undefined {
     if (nowMs < this.#nextWorkersAtMs) return undefined;
     const awaited = [...views].filter(
-      ({ isHeard, leasesOverAtMs }) => !isHeard && nowMs < leasesOverAtMs,
+      ({ hasAnswered, leasesOverAtMs }) => !hasAnswered && nowMs < leasesOverAtMs,
     );
     if (awaited.length === 0) return undefined;
     this.#nextWorkersAtMs = nowMs + REPORT_INTERVAL_MS;
--- a/src/scheduler/node/storedStateReader.ts
+++ b/src/scheduler/node/storedStateReader.ts
@@ -22,7 +22,7 @@
   WAITING_COUNTS_KEY,
 } from '../../services/submissions/common/submissionRows.js';
 import type { TableRow, TableService } from '../../services/table/common/table.js';
-import type { StoredState, SubmissionChange } from '../common/fleet/fleetTenure.js';
+import type { StoredState, SubmissionChange } from '../common/fleet/fleetState.js';
 
 const NO_ROSTER: RosterRow = { epoch: 0, workers: [] };
 
--- a/src/scheduler/test/fleet/fleetNotes.test.ts
+++ b/src/scheduler/test/fleet/decisionLog.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
-import { type FleetNote, FleetNotes } from '../../common/fleet/fleetNotes.js';
+import { type DecisionLogEntry, DecisionLog } from '../../common/fleet/decisionLog.js';
 import type { TaskRecord } from '../../common/fleet/taskRecords.js';
 import { PlacementObstacle } from '../../common/fleet/placementObstacle.js';
 import { WaitReason } from '../../common/fleet/waitReport.js';
@@ -14,14 +14,14 @@
   it('reports every end of a burst in a few lines', () => {
     // A thousand tasks on fifty workers end within a second. One line for each list of a worker
     // would reach the log's rate limit, which would then drop the lines about accepted submissions.
-    const notes = new FleetNotes();
+    const decisionLog = new DecisionLog();
     const lines: string[] = [];
     const collect = (nowMs: number): void =>
-      notes.drain(3, nowMs).forEach(({ fields }) => lines.push(String(fields.ends)));
+      decisionLog.drain(3, nowMs).forEach(({ fields }) => lines.push(String(fields.ends)));
     for (let index = 0; index < 1_000; index += 1) {
       const taskName = `00000000000000a1.0.0.${index}`;
       const ended = { sequence: index, taskName, run: 1, end: RunEnd.Done, checkpoint: '' };
-      notes.addEnds(`worker-${index % 50}`, [ended], index);
+      decisionLog.addEnds(`worker-${index % 50}`, [ended], index);
       collect(index);
     }
     collect(1_200);
@@ -34,17 +34,17 @@
 
 describe('the log of waiting tasks', () => {
   it('names the oldest task and why tasks are not placed, at most once a second', () => {
-    const notes = new FleetNotes();
+    const decisionLog = new DecisionLog();
     const waiting = [
       { name: 'younger', waitingSinceMs: 900, step: STEP },
       { name: 'oldest', waitingSinceMs: 100, step: STEP },
     ] as unknown as TaskRecord[];
     const counts = new Map([[WaitReason.NoRoom, 2]]);
     const obstacles = new Map([[PlacementObstacle.NoProcessors, 3]]);
-    const lines: FleetNote[] = [];
+    const lines: DecisionLogEntry[] = [];
     for (let nowMs = 1_000; nowMs <= 3_000; nowMs += 10) {
-      notes.addWaits(waiting, counts, () => obstacles, nowMs);
-      lines.push(...notes.drain(3, nowMs));
+      decisionLog.addWaits(waiting, counts, () => obstacles, nowMs);
+      lines.push(...decisionLog.drain(3, nowMs));
     }
     expect(lines).toHaveLength(2);
     expect(lines[0]).toEqual({
--- a/src/scheduler/test/fleet/fleetWorld.ts
+++ b/src/scheduler/test/fleet/fleetWorld.ts
@@ -21,7 +21,7 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { type ModelTask, WorkerModel } from '../../../../standIns/fleet/workerModel.js';
 import type { FleetEffect } from '../../common/fleet/fleetEffects.js';
-import type { FleetNote } from '../../common/fleet/fleetNotes.js';
+import type { DecisionLogEntry } from '../../common/fleet/decisionLog.js';
 import { FleetScheduler } from '../../common/fleet/fleetScheduler.js';
 import { DEFAULT_FLEET_POLICY } from '../../common/fleet/fleetPolicy.js';
 import { StoredStateReader } from '../../node/storedStateReader.js';
@@ -47,7 +47,7 @@
   readonly seats: SchedulerSeat[] = [];
 
   /** What the schedulers have told the log. */
-  readonly logged: FleetNote[] = [];
+  readonly logged: DecisionLogEntry[] = [];
 
   readonly faults = noFaults();
 
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -3,7 +3,7 @@
 import { SeededRandom } from '../../../base/common/random.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRun } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
--- a/src/scheduler/test/fleet/newIncarnation.test.ts
+++ b/src/scheduler/test/fleet/newIncarnation.test.ts
@@ -4,9 +4,9 @@
 import { NO_OPERATOR_STATE } from '../../../services/fleet/common/fleetConfiguration.js';
 import { type HoldAnswer, StartOutcome } from '../../../services/fleet/common/fleetWorker.js';
 import { WorkerHealth } from '../../common/workerHealth.js';
-import { FleetNotes } from '../../common/fleet/fleetNotes.js';
+import { DecisionLog } from '../../common/fleet/decisionLog.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
-import { newRun, RunKeeper } from '../../common/fleet/runKeeper.js';
+import { newRun, RunTracker } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS, RunState } from '../../common/fleet/taskRecords.js';
 import { DONE_AFTER_500_MS, STEP, submissionOf, WORKER_CAPACITY } from './fleetFixtures.js';
@@ -63,30 +63,30 @@
     const book = new SubmissionBook();
     const view = newView();
     const views = new Map([[view.id, view]]);
-    const keeper = new RunKeeper(
+    const runTracker = new RunTracker(
       book,
       views,
       () => NO_OPERATOR_STATE,
       new WorkerHealth(),
-      new FleetNotes(),
+      new DecisionLog(),
     );
     book.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
     const [task] = [...book.waiting];
     if (task === undefined) throw new Error('no task waits');
-    keeper.handleHoldAnswer(view, answerOf(1), 0, 10);
+    runTracker.handleHoldAnswer(view, answerOf(1), 0, 10);
     const fence = view.fence(EPOCH);
     const run = newRun(task, 1, view.id, 20);
     run.state = RunState.Starting;
     view.addRun(run);
     book.noteRun(run);
-    keeper.handleStarted(run, right(StartOutcome.Started), 30);
+    runTracker.handleStarted(run, right(StartOutcome.Started), 30);
 
-    keeper.handleHoldAnswer(view, answerOf(2), 40, 50);
+    runTracker.handleHoldAnswer(view, answerOf(2), 40, 50);
     expect(view.fence(EPOCH)).toBeGreaterThan(fence);
     expect(view.fence(EPOCH)).toBeLessThan(view.fence(EPOCH + 1));
     expect(book.waiting.size).toBe(0);
 
-    keeper.handleHoldAnswer(view, answerOf(2), 60, 70);
+    runTracker.handleHoldAnswer(view, answerOf(2), 60, 70);
     expect(book.waiting.size).toBe(1);
     expect(view.runs.size).toBe(0);
   });
--- a/src/scheduler/test/fleet/ownerChanges.test.ts
+++ b/src/scheduler/test/fleet/ownerChanges.test.ts
@@ -269,7 +269,7 @@
       const address = `10.1.${Math.floor(index / 250)}.${index % 250}:8109`;
       return new FleetWorkerView({ ...ENTRY, id, address }, 12_000, 1_000);
     });
-    const row = new Roster(12).next(views, (atMs) => atMs + 1_000_000, 1_000);
+    const row = new Roster(12).nextRow(views, (atMs) => atMs + 1_000_000, 1_000);
     expect(JSON.stringify(row).length).toBeLessThan(MAXIMUM_ROW_BYTES);
   });
 });
--- a/src/scheduler/test/fleet/progressCommits.test.ts
+++ b/src/scheduler/test/fleet/progressCommits.test.ts
@@ -10,7 +10,7 @@
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
 import { ProgressCommits } from '../../common/fleet/progressCommits.js';
 import { Roster } from '../../common/fleet/roster.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
--- a/src/scheduler/test/fleet/roomMisses.test.ts
+++ b/src/scheduler/test/fleet/roomMisses.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { RoomMisses } from '../../common/fleet/roomMisses.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import {
--- a/src/scheduler/test/fleet/runEvidence.test.ts
+++ b/src/scheduler/test/fleet/runEvidence.test.ts
@@ -2,7 +2,7 @@
 
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { EvidenceKind, isRunOver } from '../../common/fleet/runEvidence.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRun } from '../../common/fleet/taskRecords.js';
 import { entryOf, STEP, submissionOf } from './fleetFixtures.js';
--- a/src/scheduler/test/fleet/waitingTasks.test.ts
+++ b/src/scheduler/test/fleet/waitingTasks.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS, type TaskRecord } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
--- a/src/scheduler/test/fleet/workerSearch.test.ts
+++ b/src/scheduler/test/fleet/workerSearch.test.ts
@@ -4,7 +4,7 @@
 import { NO_FAULTS } from '../../common/fleet/faultAvoidance.js';
 import { DEFAULT_FLEET_POLICY } from '../../common/fleet/fleetPolicy.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
+import { newRun } from '../../common/fleet/runTracker.js';
 import { SubmissionBook } from '../../common/fleet/submissionBook.js';
 import { NO_ASSIGNMENTS, type TaskRecord } from '../../common/fleet/taskRecords.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
--- a/src/services/log/test/logEvents.test.ts
+++ b/src/services/log/test/logEvents.test.ts
@@ -53,7 +53,7 @@
 
 /** Where events stand: calls of the log, and the choice of a cell's event. */
 const EVENT =
-  /\b(?:log|#log|services\.log)\s*\.(?:info|warn|error)\(\s*'([^']+)'|\b(?:notes|this)\.add\(\s*'([^']+)'|'(cell-(?:acquired|lost))'/gu;
+  /\b(?:log|#log|services\.log)\s*\.(?:info|warn|error)\(\s*'([^']+)'|\b(?:decisionLog|this)\.add\(\s*'([^']+)'|'(cell-(?:acquired|lost))'/gu;
 
 describe('the lines of the log', () => {
   it('are a closed list of changes of state and of decisions on requests', () => {
