--- a/src/scheduler/common/fleet/fleetCalls.ts
+++ b/src/scheduler/common/fleet/fleetCalls.ts
@@ -1,13 +1,13 @@
-/** The calls to workers that are due by what the scheduler knows. */
+/** The calls to workers that are due in the present state of the scheduler. */
 import type { RunningTask, RunReference } from '../../../services/fleet/common/fleetWorker.js';
 import type { FleetEffect } from './fleetEffects.js';
 import type { PaceChange } from './interferenceControl.js';
-import { StopReason } from './fleetNotes.js';
+import { StopReason } from './decisionLog.js';
 import type { FleetOwnership } from './fleetOwnership.js';
-import type { Tenure } from './fleetTenure.js';
+import type { FleetState } from './fleetState.js';
 import type { FleetTiming } from './fleetTiming.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
-import { holdWaitMs, isHoldDue } from './holdPace.js';
+import { holdWaitMs, isHoldDue } from './holdTiming.js';
 import { isStuck } from './stuckRuns.js';
 import { RunState, type TaskRun } from './taskRecords.js';
 
@@ -19,34 +19,38 @@
   fence: view.fence(epoch),
 });
 
-/** A run that nobody knows is stopped; until then nothing more is started there. */
-export const noteStray = (tenure: Tenure, view: FleetWorkerView, running: RunningTask): void => {
-  tenure.strays.set(`${view.id}#${running.taskName}#${running.run}`, {
+/** Notes a listed run that the owner does not know, so that it is stopped. */
+export const noteUnknownRun = (
+  state: FleetState,
+  view: FleetWorkerView,
+  running: RunningTask,
+): void => {
+  state.unknownRuns.set(`${view.id}#${running.taskName}#${running.run}`, {
     workerId: view.id,
     address: view.entry.address,
     taskName: running.taskName,
     run: running.run,
-    fence: view.fence(tenure.epoch),
+    fence: view.fence(state.epoch),
   });
 };
 
-/** Stops runs that stand still, so that their tasks start elsewhere. */
-export const stopStuck = (tenure: Tenure, view: FleetWorkerView, nowMs: number): void => {
+/** Stops runs that make no progress, so that their tasks start elsewhere. */
+export const stopStuckRuns = (state: FleetState, view: FleetWorkerView, nowMs: number): void => {
   view.runs.forEach((run) => {
     if (run.state !== RunState.Running || !isStuck(run, nowMs)) return;
-    tenure.keeper.noteFault(view, run.task, nowMs);
-    tenure.keeper.requestStops([run], StopReason.Stuck, nowMs);
+    state.runTracker.noteFault(view, run.task, nowMs);
+    state.runTracker.requestStops([run], StopReason.Stuck, nowMs);
   });
 };
 
-/** The start of a run that has been given room, with the lease that it works under. */
+/** The start of an assigned run, with the end of the lease under which it runs. */
 export const startEffect = (
-  tenure: Tenure,
+  state: FleetState,
   view: FleetWorkerView,
   run: TaskRun,
   leaseEndWorkerMs: number,
 ): FleetEffect => {
-  const { epoch } = tenure;
+  const { epoch } = state;
   const request = {
     ...toReference(run, view, epoch),
     spec: run.task.submission.submission.spec,
@@ -57,45 +61,45 @@
 };
 
 export const paceEffect = (
-  tenure: Tenure,
+  state: FleetState,
   view: FleetWorkerView,
   { run, percent }: PaceChange,
 ): FleetEffect => {
-  const { epoch } = tenure;
+  const { epoch } = state;
   return { kind: 'pace', epoch, reference: toReference(run, view, epoch), percent };
 };
 
-/** Stops that are due. */
-export const stopEffects = (tenure: Tenure, nowMs: number): readonly FleetEffect[] => {
+/** The stops that are due. */
+export const stopEffects = (state: FleetState, nowMs: number): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
-  const { epoch } = tenure;
-  tenure.keeper.takeDueStops(nowMs).forEach(({ run, view }) => {
+  const { epoch } = state;
+  state.runTracker.takeDueStops(nowMs).forEach(({ run, view }) => {
     effects.push({ kind: 'stop', epoch, reference: toReference(run, view, epoch) });
   });
-  tenure.strays.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
-  tenure.strays.clear();
+  state.unknownRuns.forEach((reference) => effects.push({ kind: 'stop', epoch, reference }));
+  state.unknownRuns.clear();
   return effects;
 };
 
-/** Holds that are due, with the leases that may be granted. */
+/** The holds that are due, with the leases that the owner may grant. */
 export const holdEffects = (
-  tenure: Tenure,
+  state: FleetState,
   timing: FleetTiming,
-  ownership: Pick<FleetOwnership, 'mayGrant' | 'isProofOverdue'>,
+  ownership: Pick<FleetOwnership, 'mayGrant' | 'isHeartbeatOverdue'>,
   nowMs: number,
 ): readonly FleetEffect[] => {
   const effects: FleetEffect[] = [];
-  const { epoch, roster } = tenure;
+  const { epoch, roster } = state;
   const mayGrant = ownership.mayGrant(nowMs);
-  const isProofOverdue = ownership.isProofOverdue(nowMs);
-  tenure.views.forEach((view) => {
+  const isHeartbeatOverdue = ownership.isHeartbeatOverdue(nowMs);
+  state.views.forEach((view) => {
     if (!isHoldDue(view, nowMs)) return;
     const limitAtMs = roster.grantLimitMs(view.id);
     const leaseEndWorkerMs =
       mayGrant && !view.isSilent ? view.grantLease(timing, limitAtMs, nowMs) : undefined;
     const isRenewal = leaseEndWorkerMs !== undefined;
     view.isHoldInFlight = true;
-    // A process that has started anew meanwhile would forget its own ends under these numbers.
+    // A process that has restarted meanwhile would forget its own ends that have these numbers.
     view.acknowledgingSequence = view.isSilent ? 0 : view.recordedSequence;
     const request = {
       workerId: view.id,
@@ -103,7 +107,7 @@
       fence: view.fence(epoch),
       acknowledgedSequence: view.acknowledgingSequence,
       ...(leaseEndWorkerMs === undefined ? {} : { leaseEndWorkerMs }),
-      waitMs: holdWaitMs(view, timing, { isRenewal, isProofOverdue }, nowMs),
+      waitMs: holdWaitMs(view, timing, { isRenewal, isHeartbeatOverdue }, nowMs),
     };
     effects.push({ kind: 'hold', epoch, request });
   });
