--- a/src/scheduler/common/fleet/imagePairs.ts
+++ b/src/scheduler/common/fleet/imagePairs.ts
@@ -58,7 +58,7 @@
   /** The pairs, least recently seen first. */
   readonly #byLastSeen = new Set<PairEstimate>();
 
-  /** Indexed by serving and filler image, because each rating of a worker looks up several pairs. */
+  /** Indexed by serving and filler image, because each worker rating looks up several pairs. */
   readonly #byImages = new Map<string, Map<string, PairEstimate>>();
 
   /**
