--- a/src/scheduler/common/learntFromEnds.ts
+++ b/src/scheduler/common/failureTracking.ts
@@ -1,23 +1,25 @@
-/** What the ends of attempts tell of workers and tasks. */
+/** Updates the health of workers and the retry backoff of tasks from the ends of attempts. */
 import type { CellState } from './cellState.js';
 import { toFailureCount } from './failureWeight.js';
 import { retryDelayMs } from './queueOrder.js';
 import { AssignmentEnd, type RecordedEnd } from './taskEnds.js';
 
 /**
- * A failure that says little about the task has it wait half as long: twenty of them are then over
- * within some 100 s, by which a job that fails everywhere among others is told so.
+ * Delay after a doubtful failure, relative to a credible one. Twenty doubtful failures then take
+ * about 100 s, after which a job that fails everywhere while others fail too is reported as failed.
  */
-const DOUBTFUL_DELAY_SHARE = 0.5;
+const DOUBTFUL_FAILURE_DELAY_RATIO = 0.5;
 
-export type LearntFromEnds = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
+export type FailureTracking = Pick<CellState, 'workerHealth' | 'retryAtMs'>;
 
-/** Takes failures and successes into the health of workers and the back-off of tasks. */
-export const learntFromEnds = (
+/**
+ * Applies the failures and successes of a round to the health of workers and the backoff of tasks.
+ */
+export const trackFailures = (
   state: CellState,
   ends: readonly RecordedEnd[],
   nowMs: number,
-): LearntFromEnds => {
+): FailureTracking => {
   const retryAtMs = new Map([...state.retryAtMs].filter(([, atMs]) => atMs > nowMs));
   const workerHealth = ends.reduce((health, { end, assignment, failureWeight }) => {
     const { taskId, workerId, shardId, taskIndex } = assignment;
@@ -26,7 +28,7 @@
     const jobId = shardId === '' ? assignment.serviceName : shardId;
     const delayMs = retryDelayMs(toFailureCount(failureWeight), taskIndex);
     const isCredible = state.workerHealth.isCredible(workerId, shardId);
-    retryAtMs.set(taskId, nowMs + (isCredible ? delayMs : delayMs * DOUBTFUL_DELAY_SHARE));
+    retryAtMs.set(taskId, nowMs + (isCredible ? delayMs : delayMs * DOUBTFUL_FAILURE_DELAY_RATIO));
     return health.withFailure(workerId, jobId, state.workers.size, nowMs);
   }, state.workerHealth);
   return { workerHealth, retryAtMs };
--- a/src/scheduler/common/fleet/fleetTenure.ts
+++ b/src/scheduler/common/fleet/fleetState.ts
@@ -1,4 +1,6 @@
-/** What exists only while a daemon owns the fleet and has read what is stored. */
+/**
+ * The state of the fleet that a daemon keeps while it is the owner and has loaded the stored state.
+ */
 import type { OperatorState } from '../../../services/fleet/common/fleetConfiguration.js';
 import type { FleetWorkerEntry, RunReference } from '../../../services/fleet/common/fleetWorker.js';
 import type { Submission } from '../../../services/submissions/common/submission.js';
@@ -14,59 +16,59 @@
 import { WorkerHealth } from '../workerHealth.js';
 import type { FleetTiming } from './fleetTiming.js';
 import { FleetWorkerView } from './fleetWorkerView.js';
-import { FleetNotes, StopReason } from './fleetNotes.js';
+import { DecisionLog, StopReason } from './decisionLog.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { InterferenceControl } from './interferenceControl.js';
 import { ProgressCommits } from './progressCommits.js';
 import { RoomMisses } from './roomMisses.js';
 import { Roster } from './roster.js';
 import { EvidenceKind } from './runEvidence.js';
-import { RunKeeper } from './runKeeper.js';
+import { RunTracker } from './runTracker.js';
 import { SubmissionBook } from './submissionBook.js';
 import { NO_ASSIGNMENTS } from './taskRecords.js';
 import type { RoundInput } from './usableWorkers.js';
 
-/** A submission or a cancellation as read from the table. */
+/** A submission or a cancellation that was read from the table. */
 export type SubmissionChange =
   | { readonly kind: 'submission'; readonly submission: Submission }
   | { readonly kind: 'cancellation'; readonly id: string };
 
-/** What a new owner reads before it does anything. */
+/** The state that a new owner reads from the table before it schedules. */
 export interface StoredState {
   readonly changes: readonly SubmissionChange[];
   readonly progress: ReadonlyMap<string, Progress>;
   readonly assignments: ReadonlyMap<string, Assignments>;
   /** Versions of the rows that only the owner writes, by key. */
   readonly versions: ReadonlyMap<string, number>;
-  /** Workers to which the former owners have granted leases. */
+  /** Workers to which former owners have granted leases. */
   readonly roster: RosterRow;
   readonly workers: readonly FleetWorkerEntry[];
-  /** Interference between images, as learnt by the former owners. */
+  /** Interference between images that former owners have learnt. */
   readonly interference: LearntInterference;
 }
 
-export interface Tenure {
+export interface FleetState {
   readonly epoch: number;
   readonly book: SubmissionBook;
   readonly views: Map<string, FleetWorkerView>;
-  readonly keeper: RunKeeper;
+  readonly runTracker: RunTracker;
   readonly commits: ProgressCommits;
   readonly roster: Roster;
   readonly interference: InterferenceControl;
-  readonly notes: FleetNotes;
+  readonly decisionLog: DecisionLog;
   readonly misses: RoomMisses;
-  /** When everything that callers had done was known last. */
+  /** When all submissions and cancellations of callers were last known. */
   caughtUpAtMs: number;
   /**
-   * Fences for workers that are off the list, should they come back: the process may have seen
-   * the former one, or be another.
+   * How often the fence has to be raised for a worker that was forgotten and comes back. Its
+   * process may have seen the previous fence, or may be a different process.
    */
   readonly fenceRaises: Map<string, number>;
-  /** Runs that workers list and nobody asked for, to be stopped. */
-  readonly strays: Map<string, RunReference>;
+  /** Listed runs that the owner does not know and stops, by worker, task and run number. */
+  readonly unknownRuns: Map<string, RunReference>;
 }
 
-/** A worker of which only the name and the address are known; nothing is started on it. */
+/** The entry of a worker of which only id and address are known. No task is started on it. */
 const unlistedEntry = ({ id, address }: RosterEntry): FleetWorkerEntry => ({
   id,
   address,
@@ -79,58 +81,61 @@
   incarnation: 0,
 });
 
-const noteListed = (
-  { views, fenceRaises }: Pick<Tenure, 'views' | 'fenceRaises'>,
+const updateListedWorker = (
+  { views, fenceRaises }: Pick<FleetState, 'views' | 'fenceRaises'>,
   entry: FleetWorkerEntry,
   nowMs: number,
 ): FleetWorkerView => {
   const known = views.get(entry.id);
   const view = known ?? new FleetWorkerView(entry, nowMs, nowMs, fenceRaises.get(entry.id));
   view.entry = entry;
-  // Nothing was asked of it while it was off the list and ran nothing: it may be another process.
-  if (view.isHeard && !view.isListed && !view.isHoldInFlight) view.isSilent = true;
+  // An unlisted worker without runs is not called, so it may be a different process by now.
+  if (view.hasAnswered && !view.isListed && !view.isHoldInFlight) view.isSilent = true;
   view.isListed = true;
   views.set(entry.id, view);
   return view;
 };
 
-/** Nothing is stored of submissions that have just come. */
+/** Nothing is stored yet for submissions that have just come in. */
 export const NOTHING_STORED: Pick<StoredState, 'progress' | 'assignments'> = {
   progress: new Map(),
   assignments: new Map(),
 };
 
-export const takeChanges = (
-  tenure: Tenure,
+export const applyChanges = (
+  state: FleetState,
   changes: readonly SubmissionChange[],
   stored: Pick<StoredState, 'progress' | 'assignments'>,
   nowMs: number,
 ): void => {
   changes.forEach((change) => {
     if (change.kind === 'cancellation') {
-      tenure.keeper.requestStops(tenure.book.cancel(change.id), StopReason.Cancelled, nowMs);
+      state.runTracker.requestStops(state.book.cancel(change.id), StopReason.Cancelled, nowMs);
       return;
     }
     const { submission } = change;
     const { id } = submission;
     const assignments = stored.assignments.get(id) ?? NO_ASSIGNMENTS;
-    tenure.book.add(submission, stored.progress.get(id), assignments, nowMs);
+    state.book.add(submission, stored.progress.get(id), assignments, nowMs);
   });
 };
 
-/** `leasesOverAtMs` tells when all that former owners may have granted to a worker is over. */
-export const newTenure = (
+/**
+ * The state of a new owner. `leasesOverAtMs` returns when all leases that former owners may have
+ * granted to a worker have ended.
+ */
+export const newFleetState = (
   epoch: number,
   stored: StoredState,
   leasesOverAtMs: (entry: RosterEntry) => number,
   operator: () => OperatorState,
   policy: FleetPolicy,
   nowMs: number,
-): Tenure => {
+): FleetState => {
   const book = new SubmissionBook();
   const views = new Map<string, FleetWorkerView>();
-  const notes = new FleetNotes();
-  const keeper = new RunKeeper(book, views, operator, new WorkerHealth(), notes);
+  const decisionLog = new DecisionLog();
+  const runTracker = new RunTracker(book, views, operator, new WorkerHealth(), decisionLog);
   const commits = new ProgressCommits();
   stored.versions.forEach((version, key) => commits.noteVersion(key, version));
   toRosterEntries(stored.roster).forEach((known) => {
@@ -139,59 +144,76 @@
     views.set(known.id, view);
   });
   const fenceRaises = new Map<string, number>();
-  stored.workers.forEach((entry) => noteListed({ views, fenceRaises }, entry, nowMs));
+  stored.workers.forEach((entry) => updateListedWorker({ views, fenceRaises }, entry, nowMs));
   const interference = policy.newInterferenceControl();
   interference.inherit(stored.interference, nowMs);
   const roster = new Roster(epoch);
-  const tenure: Tenure = {
-    ...{ epoch, book, views, keeper, commits, roster, interference, notes, fenceRaises },
+  const state: FleetState = {
+    ...{
+      epoch,
+      book,
+      views,
+      runTracker,
+      commits,
+      roster,
+      interference,
+      decisionLog,
+      fenceRaises,
+    },
     misses: new RoomMisses(),
-    strays: new Map(),
+    unknownRuns: new Map(),
     caughtUpAtMs: Number.NEGATIVE_INFINITY,
   };
-  takeChanges(tenure, stored.changes, stored, nowMs);
-  return tenure;
+  applyChanges(state, stored.changes, stored, nowMs);
+  return state;
 };
 
-/** Takes in the workers that the table lists, read no earlier than `readAtMs`. */
-export const noteWorkers = (
-  tenure: Tenure,
+/**
+ * Updates the views with the table's list of workers, which was read no earlier than `readAtMs`.
+ */
+export const updateWorkers = (
+  state: FleetState,
   entries: readonly FleetWorkerEntry[],
   timing: FleetTiming,
   readAtMs: number,
   nowMs: number,
 ): void => {
   const listed = new Set(entries.map(({ id }) => id));
-  entries.forEach((entry) => noteListed(tenure, entry, nowMs).noteEntry(entry, timing, readAtMs));
-  tenure.views.forEach((view, id) => {
+  entries.forEach((entry) =>
+    updateListedWorker(state, entry, nowMs).noteEntry(entry, timing, readAtMs),
+  );
+  state.views.forEach((view, id) => {
     if (listed.has(id)) return;
-    if (view.isListed) tenure.notes.addUnlisted(view, nowMs);
+    if (view.isListed) state.decisionLog.addUnlisted(view, nowMs);
     view.isListed = false;
   });
 };
 
-/** What a round of placing goes by. */
+/** The input of a placement round. */
 export const roundInput = (
-  tenure: Tenure,
+  state: FleetState,
   operator: OperatorState,
   policy: FleetPolicy,
   timing: FleetTiming,
 ): RoundInput => {
-  const { book, views, epoch, interference, keeper, roster, misses } = tenure;
-  const { health } = keeper;
+  const { book, views, epoch, interference, runTracker, roster, misses } = state;
+  const { health } = runTracker;
   return {
     ...{ book, views, epoch, interference, operator, policy, timing, health, roster, misses },
   };
 };
 
-/** Whatever a worker held is over once its leases are, if nobody has heard of it since. */
-export const loseLapsed = (tenure: Tenure, timing: FleetTiming, nowMs: number): void => {
-  tenure.views.forEach((view, id) => {
+/**
+ * Drops the runs of workers that have not answered recently and whose leases have ended. Forgets
+ * such a worker if the table does not list it.
+ */
+export const dropExpiredRuns = (state: FleetState, timing: FleetTiming, nowMs: number): void => {
+  state.views.forEach((view, id) => {
     if (view.isFresh(timing, nowMs) || nowMs < view.leasesOverAtMs) return;
-    tenure.keeper.loseAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
-    // The answer to a call under way would count as that of a view made anew.
+    state.runTracker.dropAll(view, { kind: EvidenceKind.LeasesOver }, nowMs);
+    // The answer to a call in flight would be taken for an answer to the worker's next view.
     if (view.isListed || view.isHoldInFlight) return;
-    tenure.views.delete(id);
-    tenure.fenceRaises.set(id, view.fenceRaises + 1);
+    state.views.delete(id);
+    state.fenceRaises.set(id, view.fenceRaises + 1);
   });
 };
--- a/src/scheduler/common/interference/learning.ts
+++ b/src/scheduler/common/interference/learning.ts
@@ -1,4 +1,4 @@
-/** Learns from samples of latency that surely belong to what a worker runs now. */
+/** Learns from latency samples that certainly belong to the tasks that a worker runs now. */
 import type { LatencySample } from '../../../services/worker/common/latencySamples.js';
 import type { WorkerView } from '../workerView.js';
 import type { InterferencePolicy } from './interferencePolicy.js';
@@ -6,52 +6,53 @@
 import type { Exposure } from './serviceModel.js';
 import type { WorkerLoad } from './workerLoad.js';
 
-/** How long a sample waits for the report that it needs. */
+/** How long a sample waits for the report that confirms the running tasks. */
 const MAXIMUM_SAMPLE_AGE_MS = 30_000;
-/** Weight of one more measurement of what a kind uses. */
-const USE_WEIGHT = 0.1;
-/** Use is measured on tasks that are throttled no further than this. */
-const LEAST_MEASURED_SHARE = 0.2;
+/** Weight of a new measurement in the usage ratio of a kind. */
+const USAGE_SAMPLE_WEIGHT = 0.1;
+/** Usage is measured only on tasks whose share is at least this value. */
+const MINIMUM_MEASURED_SHARE = 0.2;
 
-export const SampleFate = { Learnt: 'learnt', Stale: 'stale', Waiting: 'waiting' } as const;
-export type SampleFate = (typeof SampleFate)[keyof typeof SampleFate];
+export const SampleStatus = { Learnt: 'learnt', Stale: 'stale', Waiting: 'waiting' } as const;
+export type SampleStatus = (typeof SampleStatus)[keyof typeof SampleStatus];
 
-/** The instant after which the report in hand was surely made. */
+/** The instant after which the latest report was certainly made. */
 const reportMadeAfterMs = (view: WorkerView): number =>
   !view.isCommandInFlight && view.commandSentAtMs <= view.reportedAtMs
     ? view.commandSentAtMs
     : Number.NEGATIVE_INFINITY;
 
 /**
- * Tells whether a sample may be learnt from. Measurements lag: a sample that began before the
- * last change on its worker would charge a task that has just come with what one that has left
- * did, or clear a throttled one before the throttle took effect, and the two would alternate for
- * ever. So it has to begin after the change, and a report made after its end, late enough for
- * its usage, has to show the same tasks.
+ * Decides whether a sample can be learnt from. Samples arrive late. A sample that began before the
+ * last change on its worker would blame a new task for the slowdown caused by one that has left, or
+ * clear a throttled task before the throttle took effect, and throttling and releasing would
+ * alternate forever. A sample must therefore begin after the change. In addition, a report that was
+ * made after the sample's end, and at least `usageLagMs` after the change, must show the same
+ * tasks.
  */
-export const sampleFate = (
+export const sampleStatus = (
   sample: LatencySample,
   view: WorkerView | undefined,
   control: WorkerControl | undefined,
   policy: InterferencePolicy,
   nowMs: number,
-): SampleFate => {
-  if (view === undefined || control === undefined) return SampleFate.Stale;
+): SampleStatus => {
+  if (view === undefined || control === undefined) return SampleStatus.Stale;
   const isOld = nowMs - sample.endedAtMs > MAXIMUM_SAMPLE_AGE_MS;
-  if (isOld || sample.startedAtMs < control.changedAtMs) return SampleFate.Stale;
+  if (isOld || sample.startedAtMs < control.changedAtMs) return SampleStatus.Stale;
   const neededAtMs = Math.max(sample.endedAtMs, control.changedAtMs + policy.usageLagMs);
-  return reportMadeAfterMs(view) >= neededAtMs ? SampleFate.Learnt : SampleFate.Waiting;
+  return reportMadeAfterMs(view) >= neededAtMs ? SampleStatus.Learnt : SampleStatus.Waiting;
 };
 
-const withUse = (interference: InterferenceState, load: WorkerLoad): InterferenceState => {
-  const useRatios = new Map(interference.useRatios);
+const withUsageRatios = (interference: InterferenceState, load: WorkerLoad): InterferenceState => {
+  const usageRatios = new Map(interference.usageRatios);
   load.batch.forEach(({ kind, usedShare, declaredShare, processorShare }) => {
-    const granted = declaredShare * processorShare;
-    if (granted === 0 || processorShare < LEAST_MEASURED_SHARE) return;
-    const known = useRatios.get(kind) ?? 1;
-    useRatios.set(kind, known + (usedShare / granted - known) * USE_WEIGHT);
+    const grantedShare = declaredShare * processorShare;
+    if (grantedShare === 0 || processorShare < MINIMUM_MEASURED_SHARE) return;
+    const known = usageRatios.get(kind) ?? 1;
+    usageRatios.set(kind, known + (usedShare / grantedShare - known) * USAGE_SAMPLE_WEIGHT);
   });
-  return { ...interference, useRatios };
+  return { ...interference, usageRatios };
 };
 
 const exposuresOf = (load: WorkerLoad): ReadonlyMap<string, Exposure> => {
@@ -64,8 +65,8 @@
   return exposures;
 };
 
-/** Takes one sample into the estimates. */
-export const learntFrom = (
+/** Updates the estimates and usage ratios with one sample. */
+export const withLearntSample = (
   interference: InterferenceState,
   sample: LatencySample,
   load: WorkerLoad,
@@ -80,5 +81,5 @@
     },
     nowMs,
   );
-  return withUse({ ...interference, estimates }, load);
+  return withUsageRatios({ ...interference, estimates }, load);
 };
--- a/src/scheduler/common/quotaRound.ts
+++ b/src/scheduler/common/quotaRound.ts
@@ -1,4 +1,4 @@
-/** A round's dealings with quotas: what the teams use, what they wait for, what is published. */
+/** Applies quotas in a scheduling round: team usage, queued large tasks and the published share. */
 import { canonicalJson } from '../../base/common/json.js';
 import {
   addResources,
@@ -14,7 +14,7 @@
 import type { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
-import { TeamUse } from './queueOrder.js';
+import { TeamUsage } from './queueOrder.js';
 import {
   divisionKey,
   divisionOf,
@@ -24,15 +24,16 @@
 } from './quotaParts.js';
 
 /**
- * How long a large task may have its quota and find no worker with room before the ask for it is
- * withdrawn, and how long after that it is made again. Meanwhile the team's small tasks wait in
- * all cells: a task that no worker has room for must not hold them up for ever.
+ * How long a large task may have its quota granted without finding a worker before the ask is
+ * withdrawn, and when it is made again. Both count from when the wait began. While the ask is open,
+ * the team's small tasks wait in all cells, and a task that fits no worker must not block them
+ * forever.
  */
-const ASK_PATIENCE_MS = 30_000;
-const ASK_AGAIN_MS = 90_000;
+const ASK_TIMEOUT_MS = 30_000;
+const ASK_RETRY_MS = 90_000;
 
-const isPaused = (state: CellState, team: string, nowMs: number): boolean =>
-  nowMs - (state.quotaWaits.get(team) ?? nowMs) >= ASK_PATIENCE_MS;
+const isAskPaused = (state: CellState, team: string, nowMs: number): boolean =>
+  nowMs - (state.quotaWaits.get(team) ?? nowMs) >= ASK_TIMEOUT_MS;
 
 export const quotaPartsOf = (state: CellState, rows: CellRows): QuotaParts =>
   new QuotaParts(
@@ -43,7 +44,7 @@
     state.readDivision,
   );
 
-/** The cell's shards, those of cancelled jobs among them. */
+/** The cell's shards, including those of cancelled jobs. */
 export const allShards = (draft: CellDraft): readonly WorkRow[] =>
   draft.shardIds
     .map((shardId) => draft.work(shardId))
@@ -52,15 +53,16 @@
 export const cellCapacity = (state: CellState): Resources =>
   sumResources([...state.workers.values()].map((view) => view.instance.capacity));
 
-export const teamUseOf = (state: CellState, draft: CellDraft, parts: QuotaParts): TeamUse => {
-  const unfit = new Set(state.unfitSinceMs.keys());
-  return new TeamUse(allShards(draft), cellCapacity(state), parts, unfit);
+export const teamUsageOf = (state: CellState, draft: CellDraft, parts: QuotaParts): TeamUsage => {
+  const oversized = new Set(state.oversizedSinceMs.keys());
+  return new TeamUsage(allShards(draft), cellCapacity(state), parts, oversized);
 };
 
 /**
- * True when a team to which the round gives tasks then holds more than the cell may use of its
- * quota. Judged on the outcome, for two cells that each start a little too much exceed the whole
- * quota unseen. A team that holds too much because its part has shrunk breaks it only by a start.
+ * Whether a team that gains tasks in this round then holds more than the cell's part of its quota.
+ * The check runs on the round's outcome, because two cells that each start slightly too much would
+ * exceed the whole quota unnoticed. A team that holds too much because its part has shrunk violates
+ * the quota only if another task starts.
  */
 export const isQuotaExceeded = (
   state: CellState,
@@ -74,11 +76,11 @@
   const teams = [...gainedTeams].filter((team) => quotas.has(team));
   if (teams.length === 0) return false;
   const parts = quotaPartsOf(state, rows);
-  const use = teamUseOf(state, draft, parts);
-  return teams.some((team) => !fitsInto(use.used(team), parts.part(team)));
+  const usage = teamUsageOf(state, draft, parts);
+  return teams.some((team) => !fitsInto(usage.used(team), parts.part(team)));
 };
 
-/** Publishes what the cell tells the others of quotas, if that has changed. */
+/** Publishes the cell's quota share for the other cells if it has changed. */
 export const publishQuotaShare = (
   state: CellState,
   draft: CellDraft,
@@ -88,15 +90,17 @@
   const view = state.configuration?.view;
   if (view === undefined) return;
   const before = draft.exchange.quota;
-  const isSame = before !== undefined && divisionKey(before) === divisionKey(divisionOf(view));
-  if (isSame && view.quotas.size === 0) return;
+  const isSameDivision =
+    before !== undefined && divisionKey(before) === divisionKey(divisionOf(view));
+  if (isSameDivision && view.quotas.size === 0) return;
   const demands = new Map<string, TeamDemand>();
   if (view.quotas.size > 0) {
-    const use = teamUseOf(state, draft, parts);
+    const usage = teamUsageOf(state, draft, parts);
     const isAsking = state.withdrawnSinceMs === undefined;
-    use.teams.forEach((team) => {
-      const isAskWanted = isAsking && use.isLargeWaiting(team) && !isPaused(state, team, nowMs);
-      demands.set(team, { used: use.used(team), isAskWanted });
+    usage.teams.forEach((team) => {
+      const isAskWanted =
+        isAsking && usage.hasLargeTaskWaiting(team) && !isAskPaused(state, team, nowMs);
+      demands.set(team, { used: usage.used(team), isAskWanted });
     });
   }
   const next = nextQuotaShare(view, parts, before, demands);
@@ -104,7 +108,7 @@
   draft.setExchange({ ...draft.exchange, quota: next });
 };
 
-/** Teams of which a task waits for a worker although its quota would allow it. */
+/** Teams with a queued large task that the quota allows but that has found no worker. */
 const teamsWithoutRoom = (
   state: CellState,
   draft: CellDraft,
@@ -115,16 +119,16 @@
       parts.hasAsked(team) && tasks.some((task) => task.state === BatchTaskState.Queued),
   );
   if (asking.length === 0) return new Set();
-  const use = teamUseOf(state, draft, parts);
+  const usage = teamUsageOf(state, draft, parts);
   const allowed = asking.filter(
     ({ team, size }) =>
       !fitsInto(size, parts.equalPart(team)) &&
-      fitsInto(addResources(use.used(team), size), parts.part(team)),
+      fitsInto(addResources(usage.used(team), size), parts.part(team)),
   );
   return new Set(allowed.map(({ team }) => team));
 };
 
-/** Since when each team has waited for a worker with its quota granted, as of this round. */
+/** When each team's wait for a worker with a granted quota began, updated by this round. */
 export const nextQuotaWaits = (
   state: CellState,
   draft: CellDraft,
@@ -134,8 +138,8 @@
   const waiting = teamsWithoutRoom(state, draft, parts);
   if (waiting.size === 0 && state.quotaWaits.size === 0) return state.quotaWaits;
   const kept = [...state.quotaWaits].filter(([team, sinceMs]) => {
-    const isOver = nowMs - sinceMs >= ASK_AGAIN_MS;
-    return !isOver && (waiting.has(team) || isPaused(state, team, nowMs));
+    const isOver = nowMs - sinceMs >= ASK_RETRY_MS;
+    return !isOver && (waiting.has(team) || isAskPaused(state, team, nowMs));
   });
   const known = new Map(kept);
   return new Map([...[...waiting].map((team) => [team, nowMs] as const), ...known]);
--- a/src/scheduler/test/fleet/zoneCut.test.ts
+++ b/src/scheduler/test/fleet/zoneCut.test.ts
@@ -7,9 +7,9 @@
 
 const ID = '00000000000000c1';
 const TASK = `${ID}.0.0.0`;
-/** A look at the list of workers, a round, a start. */
-const LOOK_MS = 1_500;
-/** What an owner without the table may grant, the longest lease, and the slack of clocks. */
+/** Covers a read of the list of workers, a round and a start. */
+const PLACEMENT_MS = 1_500;
+/** Covers the grants of an owner without the table, the longest lease and the slack of clocks. */
 const ALL_LEASES_MS = 11_500;
 
 const worldOf = async (workMs: number, isPersistent = false): Promise<FleetWorld> => {
@@ -26,16 +26,16 @@
 const ownerIndex = (world: FleetWorld): number =>
   world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
-describe('tasks on workers that are cut off and refuse connections', () => {
+describe('a task on a cut-off worker whose address refuses connections', () => {
   it.each([
     ['ends meanwhile', 2_500],
-    ['runs on', 9_000],
-  ])('do not start elsewhere when the run %s', async (_, workMs) => {
+    ['continues', 9_000],
+  ])('does not start elsewhere if the run %s', async (_, workMs) => {
     const world = await worldOf(workMs);
     const cut = new ZoneCut(world, world.runsOf(TASK));
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(LOOK_MS);
+    await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(6_000);
     expect(world.judge.broken).toEqual([]);
@@ -43,12 +43,12 @@
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
-  it('do not start elsewhere when the owner is cut off with them', async () => {
+  it('does not start elsewhere if the owner is cut off together with the worker', async () => {
     const world = await worldOf(2_500);
     const cut = new ZoneCut(world, world.runsOf(TASK), [ownerIndex(world)]);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(LOOK_MS);
+    await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(3_000);
     expect(world.judge.broken).toEqual([]);
@@ -57,15 +57,15 @@
   });
 
   it.each([
-    ['stays', false],
+    ['stays connected', false],
     ['is cut off too', true],
-  ])('start elsewhere once all leases are over, where the owner %s', async (_, isOwnerCut) => {
+  ])('starts elsewhere after all leases have ended if the owner %s', async (_, isOwnerCut) => {
     const world = await worldOf(90_000, true);
     const owners = isOwnerCut ? [ownerIndex(world)] : [];
     const cut = new ZoneCut(world, world.runsOf(TASK), owners);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
-    await world.runFor(ALL_LEASES_MS - ENTRY_EXPIRY_MS + LOOK_MS);
+    await world.runFor(ALL_LEASES_MS - ENTRY_EXPIRY_MS + PLACEMENT_MS);
     expect(world.runsOf(TASK)).toHaveLength(1);
     expect(world.judge.startsOf.get(TASK)).toBe(2);
     cut.heal();
--- a/src/scheduler/test/interference/interference.test.ts
+++ b/src/scheduler/test/interference/interference.test.ts
@@ -11,16 +11,16 @@
 
 const BASE_MS = 20;
 const WINDOW_MS = 2_000;
-/** Samples come so many windows late. */
-const LATE_WINDOWS = 2;
+/** The number of windows by which samples arrive late. */
+const DELAY_WINDOWS = 2;
 const LARGE = { processorMillis: 8_000, memoryBytes: GIBIBYTE, acceleratorCount: 0 };
 const LONG_MS = 600_000;
 
-/** How many times longer a request takes beside these tasks. */
-type Truth = (running: readonly WorkerTaskReport[]) => number;
+/** The factor by which these tasks lengthen a request on the same worker. */
+type SlowdownModel = (runningTasks: readonly WorkerTaskReport[]) => number;
 
-/** What the owner last heard of a worker's running tasks. */
-const running = (cell: VirtualCell, workerId: string): readonly WorkerTaskReport[] =>
+/** The worker's running tasks, as last reported to the owner. */
+const runningTasks = (cell: VirtualCell, workerId: string): readonly WorkerTaskReport[] =>
   (cell.owner()?.state.workers.get(workerId)?.report?.tasks ?? []).filter(
     ({ state }) => state === WorkerTaskState.Running,
   );
@@ -30,8 +30,8 @@
 
 const shareOf = (task: WorkerTaskReport): number => task.processorShare ?? 1;
 
-/** Beside `cache` a request takes 40 % longer for each task that is not throttled. */
-const cacheHurts: Truth = (tasks) =>
+/** Each unthrottled task of team `cache` makes a request take 40 % longer. */
+const cacheSlowsService: SlowdownModel = (tasks) =>
   1 + ofTeam(tasks, 'cache').reduce((sum, task) => sum + 0.4 * shareOf(task), 0);
 
 const startService = (cell: VirtualCell, replicaCount: number): void =>
@@ -46,9 +46,9 @@
 const submitJob = (cell: VirtualCell, team: string, taskCount: number, workMs: number): void =>
   submit(cell, { ...shard(taskCount, workMs, `${team}.${Math.round(cell.nowMs)}`, LARGE), team });
 
-/** Runs with samples of each server that come late, as entries send them. */
-const runMeasured = (cell: VirtualCell, durationMs: number, truth: Truth): void => {
-  const late: (readonly LatencySample[])[] = [];
+/** Runs the cell and sends it late samples of each backend server, as entries do. */
+const runWithSamples = (cell: VirtualCell, durationMs: number, slowdownOf: SlowdownModel): void => {
+  const delayedSamples: (readonly LatencySample[])[] = [];
   for (let endMs = cell.nowMs + durationMs; cell.nowMs < endMs;) {
     const startedAtMs = cell.nowMs;
     cell.runFor(WINDOW_MS);
@@ -58,40 +58,40 @@
         workerId,
         serviceName: 'rounds',
         requestCount: 60,
-        meanLatencyMs: BASE_MS * truth(running(cell, workerId)),
+        meanLatencyMs: BASE_MS * slowdownOf(runningTasks(cell, workerId)),
         startedAtMs,
         endedAtMs: cell.nowMs,
       }));
-    late.push(samples);
-    if (late.length > LATE_WINDOWS) cell.measure(late.shift() ?? []);
+    delayedSamples.push(samples);
+    if (delayedSamples.length > DELAY_WINDOWS) cell.measure(delayedSamples.shift() ?? []);
   }
 };
 
-const allShares = (cell: VirtualCell, team: string): readonly number[] =>
-  [...cell.workers.keys()].flatMap((id) => ofTeam(running(cell, id), team)).map(shareOf);
+const processorSharesOf = (cell: VirtualCell, team: string): readonly number[] =>
+  [...cell.workers.keys()].flatMap((id) => ofTeam(runningTasks(cell, id), team)).map(shareOf);
 
 describe('interference in a cell', () => {
-  it('throttles the kind that slows a service, once known, and evicts nothing', () => {
+  it('throttles only the kind that slows a service and evicts nothing', () => {
     const cell = startCell(21);
     startService(cell, 4);
     submitJob(cell, 'quiet', 4, LONG_MS);
     cell.runFor(3_000);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'quiet')).toEqual([1, 1, 1, 1]);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     expect(cell.count('assignments_evicted')).toBe(0);
     expectNoHarm(cell);
   });
 
-  // A worker gives a throttled task its whole share back by itself. Nothing else about it changes,
-  // so its owner would repeat the quiet renewal for as long, and callers wait beside the task.
-  it('throttles again what a worker has let go', () => {
+  // A worker releases a throttle by itself. Nothing else about the worker changes, so the owner
+  // would repeat its unchanged renewal, and callers would keep waiting beside the unthrottled task.
+  it('throttles a task again after its worker has released the throttle', () => {
     const cell = startCell(26);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    const before = allShares(cell, 'cache');
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    const before = processorSharesOf(cell, 'cache');
     expect(before[0]).toBeLessThan(1);
     const views = [...(cell.owner()?.state.workers.values() ?? [])];
     const view = views.find(({ report }) => report?.tasks.some((task) => shareOf(task) < 1));
@@ -106,44 +106,44 @@
     };
     worker?.command(release, view?.report?.workerNowMs ?? 0);
     cell.runFor(1_100);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
     cell.runFor(3_000);
-    expect(allShares(cell, 'cache')).toEqual(before);
+    expect(processorSharesOf(cell, 'cache')).toEqual(before);
     expectNoHarm(cell);
   });
 
-  // The owner dies. What it had learnt is lost, what it had throttled is not: callers would feel
-  // all throttles go at each take-over. The next owner finds them in the workers' reports, keeps
-  // them until it knows the service, and releases them once the task no longer hurts.
-  it('keeps throttles over a change of owner and learns anew', () => {
+  // The owner dies, and its estimates are lost. The throttles must stay, because callers would feel
+  // all of them being released at each takeover. The next owner finds them in the workers' reports,
+  // keeps them until it knows the service, and releases them once the task no longer slows it.
+  it('keeps throttles when the owner changes and learns anew', () => {
     const cell = startCell(22);
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     const owner = cell.owner();
     if (owner !== undefined) owner.isAlive = false;
     cell.runFor(20_000);
     expect(cell.owner()?.id).not.toBe(owner?.id);
-    expect(allShares(cell, 'cache')).toEqual([0.25]);
-    runMeasured(cell, 60_000, () => 1);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
+    runWithSamples(cell, 60_000, () => 1);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
     expectNoHarm(cell);
   });
 
-  // A task that hurts ends and another kind takes its place at once. For some seconds samples
-  // still arrive that were measured beside the first. Learnt from, they would have the second
-  // throttled, although it never slowed the service.
+  // A harmful task ends and a task of another kind takes its place at once. For some seconds,
+  // samples still arrive that were measured beside the first task. Learning from them would
+  // throttle the second task, although it never slowed the service.
   it('does not attribute samples to a task that started after them', () => {
     const cell = startCell(23, { workerCount: 2 });
     startService(cell, 2);
     submitJob(cell, 'cache', 6, 30_000);
     cell.runFor(5_000);
     submitJob(cell, 'quiet', 6, LONG_MS);
-    runMeasured(cell, 20_000, cacheHurts);
+    runWithSamples(cell, 20_000, cacheSlowsService);
     const changesBefore = cell.count('interference_throttle_changes');
     cell.runFor(10_000);
-    expect(allShares(cell, 'cache')).toEqual([]);
+    expect(processorSharesOf(cell, 'cache')).toEqual([]);
     const startedAtMs = cell.nowMs - 20_000;
     const stale = ['w0', 'w1'].map((workerId) => ({
       workerId,
@@ -157,37 +157,43 @@
       cell.measure(stale);
       cell.runFor(1_000);
     }
-    expect(allShares(cell, 'quiet')).toEqual([1, 1, 1, 1, 1, 1]);
+    expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1, 1, 1]);
     expect(cell.count('interference_throttle_changes')).toBe(changesBefore);
     expect(cell.count('interference_samples_stale')).toBeGreaterThanOrEqual(40);
     expectNoHarm(cell);
   });
 
-  it('places a kind that hurts apart from the service once that is known', () => {
+  it('places a harmful kind apart from the service once its effect is known', () => {
     const cell = startCell(24, { workerCount: 3 });
     startService(cell, 1);
     cell.runFor(3_000);
     submitJob(cell, 'cache', 1, 40_000);
-    runMeasured(cell, 20_000, cacheHurts);
-    const [serving] = [...cell.workers].find(([, worker]) => worker.hasService('rounds')) ?? [''];
-    expect(ofTeam(running(cell, serving), 'cache')).toHaveLength(1);
-    // A second worker shows what the service takes alone.
+    runWithSamples(cell, 20_000, cacheSlowsService);
+    const [servingWorkerId] = [...cell.workers].find(([, worker]) =>
+      worker.hasService('rounds'),
+    ) ?? [''];
+    expect(ofTeam(runningTasks(cell, servingWorkerId), 'cache')).toHaveLength(1);
+    // A second worker shows the latency of the service without batch work.
     startService(cell, 2);
-    runMeasured(cell, 120_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([]);
+    runWithSamples(cell, 120_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([]);
     submitJob(cell, 'cache', 3, LONG_MS);
     cell.runFor(5_000);
-    const apart = [...cell.workers].filter(([, worker]) => !worker.hasService('rounds'));
-    expect(apart.flatMap(([id]) => ofTeam(running(cell, id), 'cache'))).toHaveLength(3);
+    const workersWithoutService = [...cell.workers].filter(
+      ([, worker]) => !worker.hasService('rounds'),
+    );
+    expect(
+      workersWithoutService.flatMap(([id]) => ofTeam(runningTasks(cell, id), 'cache')),
+    ).toHaveLength(3);
     expectNoHarm(cell);
   });
 
-  it('does nothing of all this when it is switched off', () => {
+  it('throttles nothing when interference control is disabled', () => {
     const timing = startCell(25).timing.interference;
     const cell = startCell(25, { timing: { interference: { ...timing, isEnabled: false } } });
     startService(cell, 4);
     submitJob(cell, 'cache', 1, LONG_MS);
-    runMeasured(cell, 60_000, cacheHurts);
-    expect(allShares(cell, 'cache')).toEqual([1]);
+    runWithSamples(cell, 60_000, cacheSlowsService);
+    expect(processorSharesOf(cell, 'cache')).toEqual([1]);
   });
 });
