--- a/bench/fleet/ownerProfile.ts
+++ b/bench/fleet/ownerProfile.ts
@@ -43,7 +43,7 @@
   roster: OwnerWork.Roster,
   'fleetScheduler.handleChanges': OwnerWork.Changes,
   'fleetScheduler.handleWorkers': OwnerWork.Changes,
-  'submissionBook.openDue': OwnerWork.Changes,
+  'submissionRegistry.openDueOccurrences': OwnerWork.Changes,
   decisionLog: OwnerWork.Log,
   waitReport: OwnerWork.Log,
   consolaLog: OwnerWork.Log,
--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -102,7 +102,7 @@
       const isStillNeeded = isTargetUsable && mustRestart(run.task);
       if (hasRun && isStillNeeded && isLeaving(view)) return;
       this.#release(run, target);
-      const isDue = input.book.waiting.has(run.task) && run.task.notBeforeMs <= nowMs;
+      const isDue = input.registry.waiting.has(run.task) && run.task.notBeforeMs <= nowMs;
       if (hasRun || !isTargetUsable || !isDue) return;
       const { context } = usable.poolOf(run.task, configuration);
       const choice = new WorkerSearch([target], context, nowMs).next(run.task);
--- a/src/scheduler/common/fleet/fillerPacing.ts
+++ b/src/scheduler/common/fleet/fillerPacing.ts
@@ -27,7 +27,7 @@
 
   /** Records a pace that the worker has accepted. */
   static recordAccepted(run: TaskRun, percent: number, nowMs: number): void {
-    if (percent < run.pacePercent) run.pacedSinceMs = nowMs;
+    if (percent < run.pacePercent) run.paceLoweredAtMs = nowMs;
     run.pacePercent = percent;
     run.plannedPercent = Math.max(run.plannedPercent, percent);
   }
--- a/src/scheduler/common/fleet/fleetOrder.ts
+++ b/src/scheduler/common/fleet/fleetOrder.ts
@@ -4,7 +4,12 @@
   type FleetConfiguration,
 } from '../../../services/fleet/common/fleetConfiguration.js';
 import type { Step, Submission } from '../../../services/submissions/common/submission.js';
-import { countOnce, isInterrupted, taskProcessorMs, type TaskRecord } from './taskRecords.js';
+import {
+  countInSizeBalance,
+  isInterrupted,
+  taskProcessorMs,
+  type TaskRecord,
+} from './taskRecords.js';
 import type { TaskGroup } from './waitingTasks.js';
 
 /** A result that takes longer than this many times the objective is worthless to its caller. */
@@ -124,7 +129,7 @@
     const { submission } = first;
     const { balance } = submission.queueWork;
     if (first.step.isPersistent) return rankedGroup;
-    if (rank.isHeldUp) countOnce(submission);
+    if (rank.isHeldUp) countInSizeBalance(submission);
     if (submission.isReserved && rank.usefulness === Usefulness.None) {
       submission.isReserved = false;
       balance.release(submission.sizeClass);
@@ -149,7 +154,7 @@
     Number(otherRank.isReserved) - Number(rank.isReserved) ||
     otherRank.valueDensity - rank.valueDensity ||
     task.submission.order - otherTask.submission.order ||
-    task.place - otherTask.place
+    task.position - otherTask.position
   );
 };
 
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -42,7 +42,7 @@
  * stored.
  */
 export const assignRun = (
-  { book }: Pick<RoundInput, 'book'>,
+  { registry }: Pick<RoundInput, 'registry'>,
   task: TaskRecord,
   number: number,
   { view, percent }: PlacementChoice,
@@ -50,8 +50,8 @@
 ): TaskRun => {
   const run = newRun(task, number, view.id, nowMs, percent);
   view.addRun(run);
-  book.noteRun(run);
-  book.markUnrecorded(task.submission);
+  registry.addRun(run);
+  registry.markUnrecorded(task.submission);
   return run;
 };
 
@@ -148,8 +148,8 @@
   #placeGang(task: TaskRecord, key: string, dueCount: number): number {
     const occurrence = task.submission.occurrences.get(task.occurrence);
     const members = occurrence?.tasks[task.stepIndex] ?? [];
-    const { book, misses, epoch } = this.#input;
-    if (occurrence === undefined || members.some((member) => !book.waiting.has(member)))
+    const { registry, misses, epoch } = this.#input;
+    if (occurrence === undefined || members.some((member) => !registry.waiting.has(member)))
       return dueCount;
     const { serviceName, views, context } = this.#usable.poolOf(task, this.#configuration);
     const changedViews = misses.candidates(occurrence, key, serviceName, views, this.#nowMs);
@@ -189,7 +189,7 @@
 
   #unassign(run: TaskRun): void {
     this.#input.views.get(run.workerId)?.removeRun(run);
-    this.#input.book.noteRunGone(run, this.#nowMs);
+    this.#input.registry.removeRun(run, this.#nowMs);
     this.placed.splice(this.placed.indexOf(run), 1);
   }
 }
@@ -211,12 +211,12 @@
   nowMs: number,
 ): RoundOutcome => {
   const { configuration } = input.operator;
-  if (configuration === undefined || input.book.waiting.size === 0) {
+  if (configuration === undefined || input.registry.waiting.size === 0) {
     afterInterrupted();
     return NOTHING_PLACED;
   }
   const round = new PlacementRound(input, configuration, limits, nowMs);
-  const groups = input.policy.order.sort(input.book.waiting.groups, configuration, nowMs);
+  const groups = input.policy.order.sort(input.registry.waiting.groups, configuration, nowMs);
   const firstOtherIndex = groups.findIndex((group) => !isOfInterrupted(group));
   const interruptedCount = firstOtherIndex < 0 ? groups.length : firstOtherIndex;
   groups.slice(0, interruptedCount).forEach((group) => round.place(group));
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -265,8 +265,8 @@
   ): readonly FleetEffect[] {
     const state = this.#state;
     if (state?.epoch !== epoch) return [];
-    const { commits, book, roster } = state;
-    const { request, recorded } = commits.handleCommitted(result, book, roster);
+    const { commits, registry, roster } = state;
+    const { request, recorded } = commits.handleCommitted(result, registry, roster);
     if (request !== undefined) return [{ kind: 'resolve', epoch, request }];
     const effects = [...this.#startRecorded(state, recorded, nowMs)];
     // Commits the changes that came in meanwhile at once, because the next step may be far off.
@@ -312,8 +312,8 @@
     const state = this.#state;
     if (state === undefined) return effects;
     dropExpiredRuns(state, this.#timing, nowMs);
-    state.book.openDue(wallNowMs, nowMs);
-    state.runTracker.inherit(state.book.takeInherited(), nowMs);
+    state.registry.openDueOccurrences(wallNowMs, nowMs);
+    state.runTracker.inherit(state.registry.takeInherited(), nowMs);
     this.#placeWaiting(state, nowMs);
     effects.push(...stopEffects(state, nowMs));
     effects.push(...holdEffects(state, this.#timing, this.#ownership, nowMs));
@@ -396,7 +396,7 @@
     runTracker.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
     this.#loadLimiter.noteRound(outcome);
     const obstacles: ObstaclesOf = (task) => obstaclesOf(task, input, nowMs);
-    state.decisionLog.addWaits(state.book.waiting, outcome.waits, obstacles, nowMs);
+    state.decisionLog.addWaits(state.registry.waiting, outcome.waits, obstacles, nowMs);
   }
 
   #startRecorded(
@@ -427,10 +427,10 @@
   }
 
   #commit(state: FleetState, effects: FleetEffect[], nowMs: number): void {
-    const { epoch, book, views, commits, roster, interference } = state;
+    const { epoch, registry, views, commits, roster, interference } = state;
     const { condition, selfId: id } = this.#ownership;
     const input = {
-      ...{ book, views: views.values(), roster, interference },
+      ...{ registry, views: views.values(), roster, interference },
       owner: { condition, id, epoch },
       toTableMs: (atMs: number) => this.#ownership.toTableMs(atMs),
       intervalMs: this.#timing.commitIntervalMs,
--- a/src/scheduler/common/fleet/fleetState.ts
+++ b/src/scheduler/common/fleet/fleetState.ts
@@ -24,7 +24,7 @@
 import { Roster } from './roster.js';
 import { EvidenceKind } from './runEvidence.js';
 import { RunTracker } from './runTracker.js';
-import { SubmissionBook } from './submissionBook.js';
+import { SubmissionRegistry } from './submissionRegistry.js';
 import { NO_ASSIGNMENTS } from './taskRecords.js';
 import type { RoundInput } from './usableWorkers.js';
 
@@ -49,7 +49,7 @@
 
 export interface FleetState {
   readonly epoch: number;
-  readonly book: SubmissionBook;
+  readonly registry: SubmissionRegistry;
   readonly views: Map<string, FleetWorkerView>;
   readonly runTracker: RunTracker;
   readonly commits: ProgressCommits;
@@ -110,13 +110,13 @@
 ): void => {
   changes.forEach((change) => {
     if (change.kind === 'cancellation') {
-      state.runTracker.requestStops(state.book.cancel(change.id), StopReason.Cancelled, nowMs);
+      state.runTracker.requestStops(state.registry.cancel(change.id), StopReason.Cancelled, nowMs);
       return;
     }
     const { submission } = change;
     const { id } = submission;
     const assignments = stored.assignments.get(id) ?? NO_ASSIGNMENTS;
-    state.book.add(submission, stored.progress.get(id), assignments, nowMs);
+    state.registry.add(submission, stored.progress.get(id), assignments, nowMs);
   });
 };
 
@@ -132,10 +132,10 @@
   policy: FleetPolicy,
   nowMs: number,
 ): FleetState => {
-  const book = new SubmissionBook();
+  const registry = new SubmissionRegistry();
   const views = new Map<string, FleetWorkerView>();
   const decisionLog = new DecisionLog();
-  const runTracker = new RunTracker(book, views, operator, new WorkerHealth(), decisionLog);
+  const runTracker = new RunTracker(registry, views, operator, new WorkerHealth(), decisionLog);
   const commits = new ProgressCommits();
   stored.versions.forEach((version, key) => commits.noteVersion(key, version));
   toRosterEntries(stored.roster).forEach((known) => {
@@ -151,7 +151,7 @@
   const state: FleetState = {
     ...{
       epoch,
-      book,
+      registry,
       views,
       runTracker,
       commits,
@@ -196,10 +196,10 @@
   policy: FleetPolicy,
   timing: FleetTiming,
 ): RoundInput => {
-  const { book, views, epoch, interference, runTracker, roster, misses } = state;
+  const { registry, views, epoch, interference, runTracker, roster, misses } = state;
   const { health } = runTracker;
   return {
-    ...{ book, views, epoch, interference, operator, policy, timing, health, roster, misses },
+    ...{ registry, views, epoch, interference, operator, policy, timing, health, roster, misses },
   };
 };
 
--- a/src/scheduler/common/fleet/headroom.ts
+++ b/src/scheduler/common/fleet/headroom.ts
@@ -30,7 +30,7 @@
 
 /** Whether the tail latency of any serving task on the worker is likely over its target. */
 export const isAnyOverTarget = (view: FleetWorkerView): boolean =>
-  servingRuns(view).some(({ overSinceMs }) => overSinceMs !== undefined);
+  servingRuns(view).some(({ overTargetSinceMs }) => overTargetSinceMs !== undefined);
 
 export const fillerRuns = (view: FleetWorkerView): readonly TaskRun[] =>
   [...view.runs.values()].filter(
@@ -83,6 +83,6 @@
 export const updateOwnHeadroom = (run: TaskRun, nowMs: number): void => {
   if (run.recentFigure <= 0) return;
   run.headroom += (headroomOf(run) - run.headroom) * SAMPLE_WEIGHT;
-  if (run.headroom < OVER_HEADROOM) run.overSinceMs ??= nowMs;
-  if (run.headroom > RELIEVED_HEADROOM) run.overSinceMs = undefined;
+  if (run.headroom < OVER_HEADROOM) run.overTargetSinceMs ??= nowMs;
+  if (run.headroom > RELIEVED_HEADROOM) run.overTargetSinceMs = undefined;
 };
--- a/src/scheduler/common/fleet/learningInterferenceControl.ts
+++ b/src/scheduler/common/fleet/learningInterferenceControl.ts
@@ -63,12 +63,12 @@
 }
 
 const isThrottledTooLong = (
-  { pacePercent, pacedSinceMs, plannedPercent }: TaskRun,
+  { pacePercent, paceLoweredAtMs, plannedPercent }: TaskRun,
   nowMs: number,
 ): boolean =>
   pacePercent < THROTTLED_PERCENT &&
   plannedPercent >= THROTTLED_PERCENT &&
-  nowMs - pacedSinceMs >= THROTTLED_LIMIT_MS;
+  nowMs - paceLoweredAtMs >= THROTTLED_LIMIT_MS;
 
 /**
  * Protects services whose tail latency rises within seconds because of heavier batch work beside
@@ -154,8 +154,8 @@
     fillers: readonly TaskRun[],
     nowMs: number,
   ): readonly TaskRun[] {
-    const overMs = ({ overSinceMs }: TaskRun): number =>
-      overSinceMs === undefined ? 0 : nowMs - overSinceMs;
+    const overMs = ({ overTargetSinceMs }: TaskRun): number =>
+      overTargetSinceMs === undefined ? 0 : nowMs - overTargetSinceMs;
     const victims = serving.filter((run) => overMs(run) >= SUSPEND_SUSPECTS_AFTER_MS);
     const working = fillers.filter(({ pacePercent }) => pacePercent > 0);
     if (victims.some((run) => overMs(run) >= SUSPEND_ALL_AFTER_MS)) return working;
--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -24,7 +24,7 @@
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { InterferenceControl } from './interferenceControl.js';
 import type { Roster, ToTableMs } from './roster.js';
-import type { SubmissionBook } from './submissionBook.js';
+import type { SubmissionRegistry } from './submissionRegistry.js';
 import {
   isOpen,
   RunState,
@@ -71,7 +71,7 @@
 
 /** The state that a commit is built from. */
 export interface CommitInput {
-  readonly book: SubmissionBook;
+  readonly registry: SubmissionRegistry;
   readonly views: Iterable<FleetWorkerView>;
   readonly owner: { readonly condition: RowCondition; readonly id: string; readonly epoch: number };
   readonly interference: InterferenceControl;
@@ -131,25 +131,25 @@
   /** Returns the next transaction, or undefined while none is due. */
   next(input: CommitInput, nowMs: number): Transaction | undefined {
     if (this.#status !== CommitStatus.Idle || nowMs < this.#nextCommitAtMs) return undefined;
-    const { book, owner } = input;
+    const { registry, owner } = input;
     const views = [...input.views];
     const sharedWrites = this.#sharedWrites(input, views, nowMs);
-    if (book.dirty.size === 0 && book.unrecorded.size === 0 && sharedWrites.length === 0) {
+    if (registry.dirty.size === 0 && registry.unrecorded.size === 0 && sharedWrites.length === 0) {
       // Ends of runs of persistent tasks or of unknown submissions change nothing that is stored.
       views.forEach((view) => {
         view.recordedSequence = view.handledSequence;
       });
       return undefined;
     }
-    const assigned = book.takeUnrecorded(MAXIMUM_ASSIGNMENT_ROWS);
+    const assigned = registry.takeUnrecorded(MAXIMUM_ASSIGNMENT_ROWS);
     // Assignments don't list runs that have ended. They are stored together with the ends: a new
     // owner that read only the assignments would start those tasks again.
-    const assignedProgress = book.takeDirtyOf(assigned);
+    const assignedProgress = registry.takeDirtyOf(assigned);
     const remainingRowCount =
       MAXIMUM_ROWS_PER_TRANSACTION - assigned.length - assignedProgress.length;
     const records = [
       ...assignedProgress,
-      ...book.takeDirty(Math.floor(remainingRowCount / ROWS_PER_PROGRESS)),
+      ...registry.takeDirty(Math.floor(remainingRowCount / ROWS_PER_PROGRESS)),
     ];
     const writes = [
       ...assigned.map((record) => ({
@@ -162,7 +162,7 @@
     this.#operationCount += 1;
     this.#status = CommitStatus.InFlight;
     this.#nextCommitAtMs = nowMs + input.intervalMs;
-    const includesAllProgress = book.dirty.size === 0;
+    const includesAllProgress = registry.dirty.size === 0;
     this.#pending = {
       records,
       writes,
@@ -184,7 +184,7 @@
   /** Handles the table's answer to the transaction. */
   handleCommitted(
     result: Either<Failure, TransactionResult>,
-    book: SubmissionBook,
+    registry: SubmissionRegistry,
     roster: Roster,
   ): CommitOutcome {
     const pending = this.#pending;
@@ -202,8 +202,8 @@
       this.#pending = undefined;
       return { recorded: pending.runs };
     }
-    pending.records.forEach((record) => book.markDirty(record));
-    pending.assigned.forEach((record) => book.markUnrecorded(record));
+    pending.records.forEach((record) => registry.markDirty(record));
+    pending.assigned.forEach((record) => registry.markUnrecorded(record));
     this.#writtenCounts = '';
     this.#writtenInterference = '';
     this.#status = CommitStatus.InDoubt;
@@ -228,12 +228,12 @@
 
   /** Writes of rows that don't belong to a single submission. */
   #sharedWrites(
-    { book, owner, interference, roster, toTableMs }: CommitInput,
+    { registry, owner, interference, roster, toTableMs }: CommitInput,
     views: readonly FleetWorkerView[],
     nowMs: number,
   ): readonly RowWrite[] {
     const rows = [
-      { key: WAITING_COUNTS_KEY, value: this.#dueCounts(book, owner.epoch, nowMs) },
+      { key: WAITING_COUNTS_KEY, value: this.#dueCounts(registry, owner.epoch, nowMs) },
       { key: INTERFERENCE_KEY, value: this.#dueInterference(interference, nowMs) },
       { key: ROSTER_KEY, value: roster.nextRow(views, toTableMs, nowMs) as JsonValue | undefined },
     ];
@@ -259,9 +259,9 @@
     return learnt;
   }
 
-  #dueCounts(book: SubmissionBook, epoch: number, nowMs: number): JsonValue | undefined {
+  #dueCounts(registry: SubmissionRegistry, epoch: number, nowMs: number): JsonValue | undefined {
     if (nowMs < this.#nextCountsAtMs) return undefined;
-    const counts = { epoch, byQueue: book.waitingCounts() };
+    const counts = { epoch, byQueue: registry.waitingCounts() };
     const text = JSON.stringify(counts);
     if (text === this.#writtenCounts) return undefined;
     this.#writtenCounts = text;
--- a/src/scheduler/common/fleet/runTracker.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -18,7 +18,7 @@
 import { type DecisionLog, StopReason } from './decisionLog.js';
 import { runKey, type FleetWorkerView } from './fleetWorkerView.js';
 import { EvidenceKind, isRunOver, type RunEvidence, type WorkerEvidence } from './runEvidence.js';
-import type { InheritedTask, SubmissionBook } from './submissionBook.js';
+import type { InheritedTask, SubmissionRegistry } from './submissionRegistry.js';
 import { failureCount, isOpen, RunState, type TaskRecord, type TaskRun } from './taskRecords.js';
 
 /** How long a refused task waits, so that the next round tries other workers first. */
@@ -54,10 +54,10 @@
   percentSinceMs: nowMs,
   recentFigure: 0,
   headroom: UNKNOWN_HEADROOM,
-  overSinceMs: undefined,
+  overTargetSinceMs: undefined,
   pacePercent: FULL_PERCENT,
   plannedPercent,
-  pacedSinceMs: nowMs,
+  paceLoweredAtMs: nowMs,
 });
 
 /** Whether a failure shows that the order was certainly not executed. */
@@ -65,7 +65,7 @@
   cause.workOutcome === WorkOutcome.NotRun;
 
 export class RunTracker {
-  readonly #book: SubmissionBook;
+  readonly #registry: SubmissionRegistry;
 
   readonly #views: ReadonlyMap<string, FleetWorkerView>;
 
@@ -79,13 +79,13 @@
   #health: WorkerHealth;
 
   constructor(
-    book: SubmissionBook,
+    registry: SubmissionRegistry,
     views: ReadonlyMap<string, FleetWorkerView>,
     operator: () => OperatorState,
     health: WorkerHealth,
     decisionLog: DecisionLog,
   ) {
-    this.#book = book;
+    this.#registry = registry;
     this.#views = views;
     this.#operator = operator;
     this.#health = health;
@@ -145,7 +145,7 @@
       this.#dropRefused(view, run, nowMs);
       return;
     }
-    this.#book.noteStarted(run.task.submission);
+    this.#registry.noteStarted(run.task.submission);
     if (run.state !== RunState.Starting) return;
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
@@ -203,7 +203,7 @@
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
     view.addRun(run);
-    this.#book.noteRun(run);
+    this.#registry.addRun(run);
     return run;
   }
 
@@ -229,13 +229,13 @@
   #handleEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
     if (finished.sequence <= view.handledSequence) return false;
     view.handledSequence = finished.sequence;
-    const task = this.#book.find(finished.taskName);
+    const task = this.#registry.find(finished.taskName);
     if (task === undefined) return false;
     const wasOpen = isOpen(task.submission);
     task.lastRun = Math.max(task.lastRun, finished.run);
     if (finished.checkpoint !== '') task.checkpoint = finished.checkpoint;
     this.#updateHealth(view, finished, task, nowMs);
-    const others = this.#book.noteEnd(task, finished.run, finished.end, nowMs);
+    const others = this.#registry.noteEnd(task, finished.run, finished.end, nowMs);
     const run = view.runs.get(runKey(finished.taskName, finished.run));
     this.requestStops(
       others.filter((other) => other !== run),
@@ -277,7 +277,7 @@
     const { queueName } = task.submission.submission;
     const queue = configuration && findQueueByName(configuration, queueName);
     if (queue === undefined || failureCount(task) < Math.max(1, queue.maximumAttempts)) return;
-    this.requestStops(this.#book.fail(task.submission), StopReason.Failed, nowMs);
+    this.requestStops(this.#registry.fail(task.submission), StopReason.Failed, nowMs);
   }
 
   /** Returns false for a run whose submission is unknown. */
@@ -299,18 +299,18 @@
       run.settledAtMs = nowMs;
       run.percentSinceMs = nowMs;
     }
-    this.#book.noteStarted(task.submission);
+    this.#registry.noteStarted(task.submission);
     return true;
   }
 
   /** Adds a run that this owner gave up and that the worker started late. */
   #addLateRun(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
-    const task = this.#book.find(running.taskName);
+    const task = this.#registry.find(running.taskName);
     if (task === undefined) return undefined;
     const isWanted = isOpen(task.submission) && !task.isDone && task.runs.length === 0;
     const run = this.#addListed(view, task, running.run, nowMs);
-    this.#book.markUnrecorded(task.submission);
-    if (isWanted) this.#book.noteStarted(task.submission);
+    this.#registry.markUnrecorded(task.submission);
+    if (isWanted) this.#registry.noteStarted(task.submission);
     else this.requestStops([run], StopReason.NotWanted, nowMs);
     return run;
   }
@@ -345,7 +345,7 @@
     if (!isRunOver(run, view, evidence, nowMs)) return false;
     this.#stops.delete(run);
     view.removeRun(run);
-    this.#book.noteRunGone(run, nowMs);
+    this.#registry.removeRun(run, nowMs);
     return true;
   }
 }
--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionRegistry.ts
@@ -9,7 +9,7 @@
 import { SizeBalance } from './sizeBalance.js';
 import {
   allOccurrencesDone,
-  countOnce,
+  countInSizeBalance,
   type InheritedRun,
   isOpen,
   isStepReady,
@@ -44,12 +44,12 @@
 const recordEndInSizeBalance = (record: SubmissionRecord): void => {
   const { queueWork, sizeClass, isReserved } = record;
   if (record.state === SubmissionState.Complete) {
-    countOnce(record);
+    countInSizeBalance(record);
     queueWork.balance.recordComplete(sizeClass, isReserved);
   } else if (isReserved) queueWork.balance.release(sizeClass);
 };
 
-export class SubmissionBook {
+export class SubmissionRegistry {
   readonly #records = new Map<string, SubmissionRecord>();
 
   readonly #cancelledIds = new Set<string>();
@@ -136,7 +136,7 @@
   }
 
   /** Opens the occurrences that are due by the wall clock. */
-  openDue(wallNowMs: number, nowMs: number): void {
+  openDueOccurrences(wallNowMs: number, nowMs: number): void {
     this.#recurring.forEach((record) => {
       const { submission } = record;
       const count = runsOfSteps(submission);
@@ -160,7 +160,7 @@
   }
 
   /** Records a run that has been assigned to a worker or found on one. */
-  noteRun(run: TaskRun): void {
+  addRun(run: TaskRun): void {
     const { task } = run;
     task.runs.push(run);
     task.lastRun = Math.max(task.lastRun, run.run);
@@ -184,7 +184,7 @@
   }
 
   /** Removes a run that is over. Its task waits again unless it is done or its submission ended. */
-  noteRunGone(run: TaskRun, nowMs: number): void {
+  removeRun(run: TaskRun, nowMs: number): void {
     const { task } = run;
     const index = task.runs.indexOf(run);
     if (index >= 0) task.runs.splice(index, 1);
@@ -253,7 +253,7 @@
 
   #noteInherited(task: TaskRecord): void {
     if (task.isDone) return;
-    const runs = task.submission.inheritedRuns.get(task.place) ?? [];
+    const runs = task.submission.inheritedRuns.get(task.position) ?? [];
     // Runs that are over count as well: their task has been interrupted and is not a new one.
     task.lastRun = Math.max(task.lastRun, ...runs.map(({ run }) => run));
     const mayRun = ({ run, workerId }: InheritedRun): boolean =>
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -43,12 +43,12 @@
   /** How far the tail latency of a serving task is from its target, smoothed; see `headroom.ts`. */
   headroom: number;
   /** Since when the tail latency has likely been over its target. */
-  overSinceMs: number | undefined;
+  overTargetSinceMs: number | undefined;
   pacePercent: number;
   /** The pace planned at placement, or the highest pace set since then. */
   plannedPercent: number;
   /** When the pace was last lowered. */
-  pacedSinceMs: number;
+  paceLoweredAtMs: number;
 }
 
 export interface TaskRecord {
@@ -58,7 +58,7 @@
   readonly index: number;
   readonly step: Step;
   /** Index among all tasks of all occurrences; identifies the task in the stored progress. */
-  readonly place: number;
+  readonly position: number;
   readonly name: string;
   isDone: boolean;
   readonly runs: TaskRun[];
@@ -204,7 +204,7 @@
 };
 
 /** Counts the submission in the size balance of its queue, once. */
-export const countOnce = (record: SubmissionRecord): void => {
+export const countInSizeBalance = (record: SubmissionRecord): void => {
   if (record.isInSizeBalance) return;
   record.isInSizeBalance = true;
   record.queueWork.balance.count(record.sizeClass);
@@ -239,7 +239,7 @@
         stepIndex,
         index,
         step,
-        place,
+        position: place,
         name: taskName(submission.id, occurrence, stepIndex, index),
         isDone: done.has(place),
         runs: [],
@@ -283,9 +283,9 @@
   });
   record.occurrences.forEach(({ tasks }) =>
     tasks.flat().forEach((task) => {
-      if (task.isDone) done.add(task.place);
+      if (task.isDone) done.add(task.position);
       if (task.failedRuns.length > 0 && !task.step.isPersistent) {
-        failedRuns[task.place] = task.failedRuns;
+        failedRuns[task.position] = task.failedRuns;
       }
     }),
   );
@@ -305,7 +305,7 @@
 /** Returns the assignments in their stored form. */
 export const toAssignments = (record: SubmissionRecord): Assignments => {
   const assignments: Record<string, number[]> = {};
-  const add = (workerId: string, { place }: TaskRecord, run: number): void => {
+  const add = (workerId: string, { position: place }: TaskRecord, run: number): void => {
     assignments[workerId] = [...(assignments[workerId] ?? []), place, run];
   };
   record.occurrences.forEach(({ tasks }) =>
--- a/src/scheduler/common/fleet/usableWorkers.ts
+++ b/src/scheduler/common/fleet/usableWorkers.ts
@@ -13,12 +13,12 @@
 import { PlacementObstacle } from './placementObstacle.js';
 import type { RoomMisses } from './roomMisses.js';
 import type { Roster } from './roster.js';
-import type { SubmissionBook } from './submissionBook.js';
+import type { SubmissionRegistry } from './submissionRegistry.js';
 import type { TaskRecord } from './taskRecords.js';
 
 /** The inputs of a placement round. */
 export interface RoundInput {
-  readonly book: SubmissionBook;
+  readonly registry: SubmissionRegistry;
   readonly views: ReadonlyMap<string, FleetWorkerView>;
   readonly operator: OperatorState;
   readonly health: WorkerHealth;
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -69,7 +69,7 @@
     });
 
 export class BusyFleet {
-  readonly world = new EventLoopSimulator();
+  readonly simulator = new EventLoopSimulator();
 
   readonly table = new TableStandIn();
 
@@ -110,7 +110,7 @@
     costs: Costs,
     acquireDelayMs = 0,
   ): { loop: SimulatedEventLoop; task: FleetTask } {
-    const loop = this.world.newLoop();
+    const loop = this.simulator.newLoop();
     const services = {
       table: this.#tableFor(loop, costs),
       feed: this.#feedFor(loop),
@@ -126,7 +126,7 @@
       log: this.#logOf(name, loop),
       metrics: new PrometheusMetrics(),
     };
-    const task = this.world.as(loop, () => {
+    const task = this.simulator.runOn(loop, () => {
       const operator = new OperatorFollower(services.directory, loop, silentLog);
       return new FleetTask({ ...services, operator }, name, TIMING, acquireDelayMs);
     });
@@ -184,14 +184,14 @@
   ): TaskEither<Failure, Answer> {
     return () =>
       new Promise((resolve) => {
-        const { outside } = this.world;
+        const { outside } = this.simulator;
         const reply = (answer: Answer): void => {
-          this.world.schedule(loop, outside.nowMs() + ONE_WAY_MS, () => {
+          this.simulator.schedule(loop, outside.nowMs() + ONE_WAY_MS, () => {
             loop.spend(answerCostMs());
             resolve(right(answer));
           });
         };
-        this.world.schedule(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
+        this.simulator.schedule(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
       });
   }
 
@@ -202,7 +202,7 @@
         loop,
         () => costMs,
         (reply) =>
-          this.world.outside.after(TABLE_LATENCY_MS, () => {
+          this.simulator.outside.after(TABLE_LATENCY_MS, () => {
             const answered = answer();
             costMs = costOf(answered);
             reply(answered);
@@ -211,7 +211,7 @@
     };
     const stamped = <Answer extends object>(answer: Answer) => ({
       ...answer,
-      tableNowMs: this.world.outside.nowMs(),
+      tableNowMs: this.simulator.outside.nowMs(),
       position: this.#submissions.length,
     });
     return {
@@ -237,11 +237,11 @@
           loop,
           () => 0,
           (reply) => {
-            const untilMs = this.world.outside.nowMs() + waitMs;
+            const untilMs = this.simulator.outside.nowMs() + waitMs;
             const poll = (): void => {
               const isDue = this.#submissions.length > afterPosition;
-              if (!isDue && this.world.outside.nowMs() < untilMs) {
-                this.world.outside.after(POLL_INTERVAL_MS, poll);
+              if (!isDue && this.simulator.outside.nowMs() < untilMs) {
+                this.simulator.outside.after(POLL_INTERVAL_MS, poll);
                 return;
               }
               const rows = this.#submissions.slice(afterPosition).map((submission) => ({
@@ -269,7 +269,7 @@
             const changes = isWhole
               ? [{ kind: 'configuration' as const, configuration: this.#configuration }]
               : [];
-            this.world.outside.after(isWhole ? 0 : 2_000, () =>
+            this.simulator.outside.after(isWhole ? 0 : 2_000, () =>
               reply({ isWhole, changes, position: 1 }),
             );
           },
@@ -303,15 +303,17 @@
     return {
       hold: (request) => call<HoldOutcome>(request.workerId, (reply) => this.#hold(request, reply)),
       start: (request) =>
-        order(request.workerId, (worker) => worker.start(request, this.world.outside.nowMs())),
+        order(request.workerId, (worker) => worker.start(request, this.simulator.outside.nowMs())),
       stop: (reference) =>
-        order(reference.workerId, (worker) => worker.stop(reference, this.world.outside.nowMs())),
+        order(reference.workerId, (worker) =>
+          worker.stop(reference, this.simulator.outside.nowMs()),
+        ),
       pace: (reference) => order(reference.workerId, () => OrderOutcome.Accepted),
     };
   }
 
   #hold(request: HoldRequest, reply: (outcome: HoldOutcome) => void): void {
-    const { outside } = this.world;
+    const { outside } = this.simulator;
     const worker = this.workers.get(request.workerId) as WorkerModel;
     const untilMs = outside.nowMs() + request.waitMs;
     const poll = (): void => {
--- a/src/scheduler/test/fleet/busyOwner.test.ts
+++ b/src/scheduler/test/fleet/busyOwner.test.ts
@@ -11,7 +11,7 @@
 
 /** Submits tasks at a steady rate, twenty at a time. */
 const submitFor = async (fleet: BusyFleet, seconds: number, tasksPerS: number): Promise<void> => {
-  const { world } = fleet;
+  const { simulator: world } = fleet;
   const perSecond = tasksPerS / 20;
   const fromMs = world.outside.nowMs();
   for (let index = 0; index < seconds * perSecond; index += 1) {
@@ -32,7 +32,7 @@
   tasksPerS: number,
 ): Promise<BusyFleet> => {
   const fleet = new BusyFleet(WORKERS, () => 2_000);
-  fleet.world.stubTimers();
+  fleet.simulator.stubTimers();
   const first = fleet.addDaemon('first', FREE);
   await submitFor(fleet, 4, tasksPerS);
   const next = fleet.addDaemon(name, costs);
--- a/src/scheduler/test/fleet/decisionLog.test.ts
+++ b/src/scheduler/test/fleet/decisionLog.test.ts
@@ -83,7 +83,7 @@
     await world.runFor(1_500);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(400);
-    world.removeWorker(world.runsOf(`${ID}.0.0.0`)[0] as string);
+    world.removeWorker(world.workersRunning(`${ID}.0.0.0`)[0] as string);
     await world.runFor(8_000);
     const [lost] = world.logged.filter(({ event }) => event === 'runs-lost');
     expect(lost?.fields.answeredAgoMs).toBeGreaterThan(6_000);
--- a/src/scheduler/test/fleet/drainMoves.test.ts
+++ b/src/scheduler/test/fleet/drainMoves.test.ts
@@ -44,7 +44,7 @@
 const UNSAVED: ModelTask = { workMs: WORK_MS, end: RunEnd.Done };
 
 const workerIdOf = (world: FleetWorld, taskName: string): string =>
-  world.runsOf(taskName)[0] as string;
+  world.workersRunning(taskName)[0] as string;
 
 /** Runs until the submission is complete and returns how long that took. */
 const runUntilCompleteMs = async (world: FleetWorld, id: string): Promise<number> => {
@@ -69,8 +69,8 @@
     await runUntilCompleteMs(world, BATCH_ID);
     expect(world.nowMs - startedAtMs).toBeLessThan(WORK_MS + MOVE_LIMIT_MS);
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
-    expect(world.judge.startsOf.get(BATCH_TASK)).toBe(2);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(BATCH_TASK)).toBe(2);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('is not stopped if it ends before the worker leaves', async () => {
@@ -79,7 +79,7 @@
     await world.runFor(500);
     world.drainWorker(workerIdOf(world, BATCH_TASK), 4_000, 100);
     await runUntilCompleteMs(world, BATCH_ID);
-    expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(BATCH_TASK)).toBe(1);
   });
 
   it('is moved by its measured progress if the estimate is far too short', async () => {
@@ -103,7 +103,7 @@
     });
     world.drainWorker('worker-0', 4_000, 8_000);
     await runUntilCompleteMs(world, BATCH_ID);
-    expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(BATCH_TASK)).toBe(1);
   });
 
   it('is not stopped if it saves no progress and the worker may stay long enough', async () => {
@@ -112,7 +112,7 @@
     await world.runFor(500);
     world.drainWorker(workerIdOf(world, BATCH_TASK), 3_800, 1_000);
     await runUntilCompleteMs(world, BATCH_ID);
-    expect(world.judge.startsOf.get(BATCH_TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(BATCH_TASK)).toBe(1);
   });
 
   it('is restarted on another worker if it cannot end in time and saves no progress', async () => {
@@ -159,9 +159,9 @@
     const world = await worldWithMove();
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(MOVE_LIMIT_MS);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
-    expect(world.judge.startsOf.get(BACKLOG_TASK)).toBeUndefined();
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
+    expect(world.invariants.startCounts.get(BACKLOG_TASK)).toBeUndefined();
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('is released before the leases of an unreachable draining worker expire', async () => {
@@ -169,8 +169,8 @@
     world.removeWorker('worker-0');
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(3_500);
-    expect(world.judge.startsOf.get(BACKLOG_TASK)).toBe(1);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual([]);
+    expect(world.invariants.startCounts.get(BACKLOG_TASK)).toBe(1);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual([]);
   });
 
   it('is released if the submission of the task is cancelled', async () => {
@@ -178,9 +178,9 @@
     world.cancel(PERSISTENT_ID);
     world.submit(submissionOf(BACKLOG_ID, [sized(STEP, 2_000)]));
     await world.runFor(STOP_MS / 2);
-    expect(world.judge.startsOf.get(BACKLOG_TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(BACKLOG_TASK)).toBe(1);
     await world.runFor(STOP_MS);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual([]);
   });
 
   it('is reserved on another worker if the chosen worker starts to drain as well', async () => {
@@ -188,8 +188,8 @@
     world.drainWorker('worker-1', 8_000, 100);
     world.addWorker('worker-2');
     await world.runFor(2_000 + MOVE_LIMIT_MS);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-2']);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-2']);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('is reserved for at most one filler on each worker', async () => {
@@ -202,8 +202,8 @@
     world.drainWorker('worker-1', 3_000, 8_000);
     await world.runFor(4_500);
     const names = [0, 1].map((index) => `${BATCH_ID}.0.0.${index}`);
-    expect(names.map((name) => world.judge.startsOf.get(name)).sort()).toEqual([1, 2]);
-    expect(names.flatMap((name) => world.runsOf(name))).toHaveLength(2);
+    expect(names.map((name) => world.invariants.startCounts.get(name)).sort()).toEqual([1, 2]);
+    expect(names.flatMap((name) => world.workersRunning(name))).toHaveLength(2);
   });
 });
 
@@ -214,7 +214,7 @@
   const runUntilMovedMs = async (world: FleetWorld): Promise<number> => {
     const sinceMs = world.nowMs;
     const isMoved = (name: string): boolean => {
-      const [workerId] = world.runsOf(name);
+      const [workerId] = world.workersRunning(name);
       return workerId !== undefined && !world.drainingWorkers.has(workerId);
     };
     while (!names.every(isMoved) && world.nowMs - sinceMs < 20_000) {
@@ -232,7 +232,7 @@
     await world.runFor(1_000);
     world.drainWorker('worker-0', 4_000, 100);
     expect(await runUntilMovedMs(world)).toBeLessThan(1_000 + 2 * MOVE_LIMIT_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('are not stopped if the maximum per worker of their step leaves no room', async () => {
@@ -245,8 +245,10 @@
     world.drainWorker('worker-0', 8_000, 100);
     world.drainWorker('worker-1', 8_000, 100);
     await world.runFor(3_000);
-    expect(names.slice(0, 4).map((name) => world.runsOf(name).length)).toEqual([1, 1, 1, 1]);
-    expect(world.judge.broken).toEqual([]);
+    expect(names.slice(0, 4).map((name) => world.workersRunning(name).length)).toEqual([
+      1, 1, 1, 1,
+    ]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('get the room that becomes free before waiting batch tasks do', async () => {
@@ -260,6 +262,6 @@
     world.drainWorker('worker-0', 4_000, 100);
     expect(await runUntilMovedMs(world)).toBeLessThan(4_000);
     expect(loggedReasons(world, 'runs-lost')).toEqual([]);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/eventLoopSimulator.ts
+++ b/src/scheduler/test/fleet/eventLoopSimulator.ts
@@ -97,7 +97,7 @@
   }
 
   /** Runs a function as part of a loop, such as the start of a process. */
-  as<Result>(loop: SimulatedEventLoop, run: () => Result): Result {
+  runOn<Result>(loop: SimulatedEventLoop, run: () => Result): Result {
     this.#currentLoop = loop;
     return run();
   }
--- a/src/scheduler/test/fleet/explore/faults.ts
+++ b/src/scheduler/test/fleet/explore/faults.ts
@@ -40,7 +40,7 @@
     schedulerIndexes.forEach((index) => {
       end(world, index);
       world.time.later(durationMs, () => {
-        if (world.seats[index]?.scheduler === undefined) world.startScheduler(index);
+        if (world.schedulerSlots[index]?.scheduler === undefined) world.startScheduler(index);
       });
     });
 
@@ -59,12 +59,12 @@
     Object.assign(faults, { isTableDown: true });
     time.later(durationMs, () => void Object.assign(faults, { isTableDown: false }));
   },
-  'table-cut': ({ seats, time }, _, { schedulerIndexes, durationMs }) =>
+  'table-cut': ({ schedulerSlots, time }, _, { schedulerIndexes, durationMs }) =>
     schedulerIndexes.forEach((index) => {
-      Object.assign(seats[index] ?? {}, { isCutFromTable: true });
+      Object.assign(schedulerSlots[index] ?? {}, { isCutFromTable: true });
       time.later(
         durationMs,
-        () => void Object.assign(seats[index] ?? {}, { isCutFromTable: false }),
+        () => void Object.assign(schedulerSlots[index] ?? {}, { isCutFromTable: false }),
       );
     }),
   'answers-lost': setShareFor('lostAnswerShare'),
--- a/src/scheduler/test/fleet/explore/playSteps.ts
+++ b/src/scheduler/test/fleet/explore/playSteps.ts
@@ -39,14 +39,14 @@
     .map((id) => `${id} is not complete`);
   for (let index = 0; index < PERSISTENT_TASK_COUNT; index += 1) {
     const name = `${PERSISTENT_ID}.0.0.${index}`;
-    const runCount = world.runsOf(name).length;
+    const runCount = world.workersRunning(name).length;
     if (runCount !== 1) unfinished.push(`${name} runs ${runCount} times in the end`);
   }
   return unfinished;
 };
 
 const resultOf = (world: FleetWorld, unfinished: readonly string[]): PlayResult => ({
-  broken: [...world.judge.broken, ...unfinished],
+  broken: [...world.invariants.broken, ...unfinished],
   orderCount: world.deliveredCallCount,
 });
 
@@ -79,7 +79,7 @@
     FAULTS[step.fault](world, injector, step);
     // eslint-disable-next-line no-await-in-loop -- time passes between the steps
     await world.runFor(step.spanMs);
-    if (world.judge.broken.length > 0) return resultOf(world, []);
+    if (world.invariants.broken.length > 0) return resultOf(world, []);
   }
   injector.heal();
   await world.runFor(MINIMUM_SETTLE_MS);
--- a/src/scheduler/test/fleet/faultyWorkers.test.ts
+++ b/src/scheduler/test/fleet/faultyWorkers.test.ts
@@ -70,7 +70,7 @@
       expect(failedCount).toBeLessThanOrEqual(2 * 4 + 6);
     });
     expect(faulty.failed.length).toBeGreaterThan(0);
-    expect(faulty.world.judge.broken).toEqual([]);
+    expect(faulty.world.invariants.broken).toEqual([]);
   });
 
   it('stays tripped after the success of a task that started before the failed ones', () => {
@@ -129,7 +129,7 @@
     const wholeWorkerStep = { ...STEP, size: WORKER_CAPACITY, isPersistent: true };
     faulty.world.submit(submissionOf(idOf(0), [wholeWorkerStep]));
     await faulty.runFor(300);
-    const freeIndex = faulty.world.runsOf(`${idOf(0)}.0.0.0`)[0] === 'worker-0' ? 1 : 0;
+    const freeIndex = faulty.world.workersRunning(`${idOf(0)}.0.0.0`)[0] === 'worker-0' ? 1 : 0;
     const freeId = `worker-${freeIndex}`;
     faulty.faultyIds.add(freeId);
     faulty.world.submit(submissionOf(idOf(1), [STEP]));
@@ -201,6 +201,6 @@
       (index) => !isComplete(index),
     );
     expect(incomplete).toEqual([]);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/fillerPlacement.test.ts
+++ b/src/scheduler/test/fleet/fillerPlacement.test.ts
@@ -6,7 +6,7 @@
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRecord } from '../../common/fleet/taskRecords.js';
 import { WorkerSearch } from '../../common/fleet/workerSearch.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
@@ -23,9 +23,9 @@
 describe('a filler that no service tolerates at full pace', () => {
   it('starts at a tolerated lower pace after a limited wait', () => {
     // A tail latency of 11 ms leaves less headroom than the worst case of an unknown filler image.
-    const book = new SubmissionBook();
-    book.add(submissionOf('00000000000000d1', [SERVING, FILLER]), undefined, NO_ASSIGNMENTS, 0);
-    book.add(submissionOf('00000000000000d2', [FILLER]), undefined, NO_ASSIGNMENTS, 0);
+    const registry = new SubmissionRegistry();
+    registry.add(submissionOf('00000000000000d1', [SERVING, FILLER]), undefined, NO_ASSIGNMENTS, 0);
+    registry.add(submissionOf('00000000000000d2', [FILLER]), undefined, NO_ASSIGNMENTS, 0);
     const view = new FleetWorkerView(
       {
         ...{ id: 'worker', address: 'worker', serviceName: 'service', availabilityZone: 'zone' },
@@ -34,12 +34,12 @@
       0,
       0,
     );
-    const serving = newRun(book.find('00000000000000d1.0.0.0') as TaskRecord, 1, 'worker', 0);
+    const serving = newRun(registry.find('00000000000000d1.0.0.0') as TaskRecord, 1, 'worker', 0);
     serving.state = RunState.Running;
     serving.recentFigure = 11;
     view.addRun(serving);
     const interference = new LearningInterferenceControl();
-    const filler = book.find('00000000000000d2.0.0.0') as TaskRecord;
+    const filler = registry.find('00000000000000d2.0.0.0') as TaskRecord;
     const context = { policy: DEFAULT_FLEET_POLICY, interference, faultRanking: NO_FAULTS };
     const paceAt = (nowMs: number): number | undefined =>
       new WorkerSearch([view], context, nowMs).next(filler)?.percent;
--- a/src/scheduler/test/fleet/fleetFailures.test.ts
+++ b/src/scheduler/test/fleet/fleetFailures.test.ts
@@ -18,7 +18,7 @@
 };
 
 const ownerIndex = (world: FleetWorld): number =>
-  world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
 describe('a fleet with failures', () => {
   it('keeps tasks running when the owner dies', async () => {
@@ -31,9 +31,9 @@
     await world.runFor(500);
     world.killScheduler(ownerIndex(world));
     await world.runFor(9_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
-    expect(world.runsOf(TASK)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('records the end of a task that ended after the owner died', async () => {
@@ -45,7 +45,7 @@
     await world.runFor(300);
     world.killScheduler(ownerIndex(world));
     await world.runFor(6_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
@@ -58,8 +58,8 @@
     await world.runFor(20_000);
     world.faults.lateOrderShare = 0;
     await world.runFor(15_000);
-    expect(world.runsOf(TASK)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('starts the tasks of an unreachable worker elsewhere only after its lease is over', async () => {
@@ -68,24 +68,24 @@
     const world = await worldOf(LONG);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
-    const [first] = world.runsOf(TASK);
+    const [first] = world.workersRunning(TASK);
     world.cutWorkers.add(first as string);
     await world.runFor(12_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(2);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(2);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('restarts tasks at once when their worker comes back without them', async () => {
     const world = await worldOf(LONG);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
-    const worker = world.workers.get(world.runsOf(TASK)[0] as string);
+    const worker = world.workers.get(world.workersRunning(TASK)[0] as string);
     worker?.crash();
     await world.runFor(300);
     worker?.restart(world.nowMs);
     await world.runFor(3_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(2);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(2);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('keeps tasks running through a table outage of four seconds', async () => {
@@ -96,8 +96,8 @@
     await world.runFor(4_000);
     world.faults.isTableDown = false;
     await world.runFor(4_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
-    expect(world.runsOf(TASK)).toHaveLength(1);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
   });
 
   it('lets only one of two daemons start tasks when both believe they own the fleet', async () => {
@@ -106,16 +106,16 @@
     const world = await worldOf(SHORT);
     world.addScheduler();
     const former = ownerIndex(world);
-    (world.seats[former] as { isCutFromTable: boolean }).isCutFromTable = true;
+    (world.schedulerSlots[former] as { isCutFromTable: boolean }).isCutFromTable = true;
     for (let index = 0; index < 20; index += 1) {
       world.submit(submissionOf(`00000000000001${index.toString().padStart(2, '0')}`, [STEP]));
       // eslint-disable-next-line no-await-in-loop -- the submissions arrive one after the other
       await world.runFor(300);
     }
     await world.runFor(6_000);
-    expect(world.judge.broken).toEqual([]);
-    expect([...world.judge.startsOf.values()].every((count) => count === 1)).toBe(true);
-    expect(world.judge.startsOf.size).toBe(20);
+    expect(world.invariants.broken).toEqual([]);
+    expect([...world.invariants.startCounts.values()].every((count) => count === 1)).toBe(true);
+    expect(world.invariants.startCounts.size).toBe(20);
   });
 
   it('never restores an older state of a submission when a transaction is applied late', async () => {
@@ -151,7 +151,7 @@
     world.submit(submissionOf(ID, [STEP]));
     world.faults.isTableDown = false;
     await world.runFor(4_500);
-    expect(world.runsOf(TASK)).toHaveLength(1);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
   });
 });
 
@@ -163,7 +163,7 @@
     await world.runFor(200);
     world.cancel(ID);
     await world.runFor(4_000);
-    expect(world.judge.startsOf.get(TASK)).toBeUndefined();
+    expect(world.invariants.startCounts.get(TASK)).toBeUndefined();
   });
 
   it('starts exactly once if its worker restarts in the meantime', async () => {
@@ -176,7 +176,7 @@
     world.workers.get('worker-0')?.crash();
     world.workers.get('worker-0')?.restart(world.nowMs);
     await world.runFor(6_000);
-    expect(world.judge.broken).toEqual([]);
-    expect([...world.judge.startsOf.values()]).toEqual([1, 1, 1, 1]);
+    expect(world.invariants.broken).toEqual([]);
+    expect([...world.invariants.startCounts.values()]).toEqual([1, 1, 1, 1]);
   });
 });
--- a/src/scheduler/test/fleet/fleetRandom.test.ts
+++ b/src/scheduler/test/fleet/fleetRandom.test.ts
@@ -43,7 +43,7 @@
     }
     heal(world);
     await world.runFor(45_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
     const states = ids.map((id) => world.progress(id)?.state);
     expect(states.every((state) => state === 'complete')).toBe(true);
   });
@@ -72,10 +72,10 @@
       }
       heal(world);
       await world.runFor(45_000);
-      expect(world.judge.broken).toEqual([]);
+      expect(world.invariants.broken).toEqual([]);
       expect(ids.map((id) => world.progress(id)?.state)).toEqual(ids.map(() => 'complete'));
       const running = [0, 1, 2, 3].map(
-        (index) => world.runsOf(`${persistentId}.0.0.${index}`).length,
+        (index) => world.workersRunning(`${persistentId}.0.0.${index}`).length,
       );
       expect(running).toEqual([1, 1, 1, 1]);
     },
@@ -112,11 +112,11 @@
       }
       heal(world);
       await world.runFor(60_000);
-      expect(world.judge.broken).toEqual([]);
+      expect(world.invariants.broken).toEqual([]);
       const states = ids.map((id) => world.progress(id)?.state);
       expect(states.filter((state) => state !== 'complete' && state !== 'cancelled')).toEqual([]);
       const running = [0, 1, 2, 3].map(
-        (index) => world.runsOf(`${persistentId}.0.0.${index}`).length,
+        (index) => world.workersRunning(`${persistentId}.0.0.${index}`).length,
       );
       expect(running).toEqual([1, 1, 1, 1]);
     },
--- a/src/scheduler/test/fleet/fleetScheduling.test.ts
+++ b/src/scheduler/test/fleet/fleetScheduling.test.ts
@@ -28,11 +28,11 @@
       ]),
     );
     await world.runFor(400);
-    expect(world.runsOf(taskNameOf(0, 0))).toHaveLength(1);
-    expect(world.runsOf(taskNameOf(1, 0))).toHaveLength(0);
+    expect(world.workersRunning(taskNameOf(0, 0))).toHaveLength(1);
+    expect(world.workersRunning(taskNameOf(1, 0))).toHaveLength(0);
     await world.runFor(1_500);
     expect(world.progress(ID)?.state).toBe('complete');
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('never exceeds the capacity of a worker, counting runs that are being stopped', async () => {
@@ -44,15 +44,15 @@
     world.submit(submissionOf('00000000000000a2', [{ ...STEP, taskCount: 4 }]));
     world.cancel(ID);
     await world.runFor(1_500);
-    expect(world.runsOf('00000000000000a2.0.0.0')).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning('00000000000000a2.0.0.0')).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('fails a submission whose task has failed as often as its queue allows', async () => {
     const world = await worldOf(2, () => ({ workMs: 100, end: RunEnd.Failed }));
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(5_000);
-    expect(world.judge.startsOf.get(taskNameOf(0, 0))).toBe(3);
+    expect(world.invariants.startCounts.get(taskNameOf(0, 0))).toBe(3);
     expect(world.progress(ID)?.state).toBe('failed');
   });
 
@@ -60,7 +60,7 @@
     const world = await worldOf(2, () => ({ workMs: 300, end: RunEnd.Failed }));
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(4_000);
-    expect(world.judge.startsOf.get(taskNameOf(0, 0))).toBeGreaterThan(4);
+    expect(world.invariants.startCounts.get(taskNameOf(0, 0))).toBeGreaterThan(4);
     expect(world.progress(ID)?.state).toBe('running');
   });
 
@@ -69,17 +69,17 @@
     const gang = { ...STEP, isGang: true, taskCount: 5 };
     world.submit(submissionOf(ID, [gang]));
     await world.runFor(1_000);
-    expect(world.judge.startsOf.size).toBe(0);
+    expect(world.invariants.startCounts.size).toBe(0);
     world.addWorker('worker-9');
     await world.runFor(2_500);
-    expect(world.judge.startsOf.size).toBe(5);
+    expect(world.invariants.startCounts.size).toBe(5);
   });
 
   it('respects the maximum number of tasks of a step per worker', async () => {
     const world = await worldOf(2, () => ({ workMs: 60_000, end: RunEnd.Done }));
     world.submit(submissionOf(ID, [{ ...STEP, taskCount: 4, maximumPerWorker: 1 }]));
     await world.runFor(1_000);
-    expect(world.judge.startsOf.size).toBe(2);
+    expect(world.invariants.startCounts.size).toBe(2);
   });
 
   it('stops a submission that is cancelled and stores its state', async () => {
@@ -88,7 +88,7 @@
     await world.runFor(500);
     world.cancel(ID);
     await world.runFor(1_500);
-    expect(world.runsOf(taskNameOf(0, 0))).toEqual([]);
+    expect(world.workersRunning(taskNameOf(0, 0))).toEqual([]);
     expect(world.progress(ID)?.state).toBe('cancelled');
   });
 
@@ -100,7 +100,7 @@
     await world.runFor(200);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(1_500);
-    expect(world.judge.startsOf.size).toBe(0);
+    expect(world.invariants.startCounts.size).toBe(0);
   });
 
   it('places a persistent task on a worker that is set aside if no other has capacity', async () => {
@@ -121,7 +121,7 @@
     await world.runFor(3_000);
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(2_500);
-    expect(world.runsOf(taskNameOf(0, 0))).toHaveLength(1);
+    expect(world.workersRunning(taskNameOf(0, 0))).toHaveLength(1);
   });
 });
 
--- a/src/scheduler/test/fleet/fleetWorld.ts
+++ b/src/scheduler/test/fleet/fleetWorld.ts
@@ -30,7 +30,7 @@
 import { RandomDeliveries } from './messageDelivery.js';
 import { TICK_MS, VirtualTime } from './virtualTime.js';
 import { WorkerLinks } from './workerLinks.js';
-import { CALL_MS, emptySlot, noFaults, replyTo, type SchedulerSeat } from './worldFaults.js';
+import { CALL_MS, emptySlot, noFaults, replyTo, type SchedulerSlot } from './worldFaults.js';
 
 const WORKER_LIST_INTERVAL_MS = 1_000;
 /** The table's clock started earlier than the clock of the test. */
@@ -44,7 +44,7 @@
   /** Workers that no scheduler can reach. */
   readonly cutWorkers = new Set<string>();
 
-  readonly seats: SchedulerSeat[] = [];
+  readonly schedulerSlots: SchedulerSlot[] = [];
 
   /** The log entries of all schedulers. */
   readonly logged: DecisionLogEntry[] = [];
@@ -67,7 +67,7 @@
 
   readonly #submissions = new Map<string, Submission>();
 
-  readonly judge = new InvariantChecker(this.#submissions, (id) => this.progress(id));
+  readonly invariants = new InvariantChecker(this.#submissions, (id) => this.progress(id));
 
   readonly #taskOf: (taskName: string) => ModelTask;
 
@@ -80,13 +80,13 @@
   constructor(seed: number, taskOf: (taskName: string) => ModelTask) {
     this.#random = new SeededRandom(seed);
     this.#taskOf = taskOf;
-    const { time, workers, cutWorkers, seats, faults } = this;
+    const { time, workers, cutWorkers, schedulerSlots, faults } = this;
     const deliveries = new RandomDeliveries(faults, this.#random);
     this.#links = new WorkerLinks({
       time,
       workers,
       cutWorkers,
-      seats,
+      schedulerSlots,
       faults,
       deliveries,
     });
@@ -105,7 +105,7 @@
   }
 
   get owners(): readonly FleetScheduler[] {
-    return this.seats
+    return this.schedulerSlots
       .map(({ scheduler }) => scheduler)
       .filter((scheduler): scheduler is FleetScheduler => scheduler?.epoch !== undefined);
   }
@@ -120,11 +120,11 @@
         stopMs: STOP_MS,
         clockRate: 0.98 + this.#random.nextFraction() * 0.03,
         taskOf: this.#taskOf,
-        onStart: (taskName, run, nowMs) => this.judge.noteStart(id, taskName, run, nowMs),
-        onEnd: (finished, endedAtMs) => this.judge.noteEnd(processKey(), finished, endedAtMs),
-        onLapse: () => this.judge.noteLapse(processKey()),
+        onStart: (taskName, run, nowMs) => this.invariants.noteStart(id, taskName, run, nowMs),
+        onEnd: (finished, endedAtMs) => this.invariants.noteEnd(processKey(), finished, endedAtMs),
+        onLapse: () => this.invariants.noteLapse(processKey()),
         onAcknowledge: (sequence, nowMs) =>
-          this.judge.noteAcknowledged(processKey(), sequence, nowMs),
+          this.invariants.noteAcknowledged(processKey(), sequence, nowMs),
       },
       this.nowMs,
     );
@@ -133,14 +133,14 @@
   }
 
   addScheduler(): number {
-    this.seats.push(emptySlot());
-    const index = this.seats.length - 1;
+    this.schedulerSlots.push(emptySlot());
+    const index = this.schedulerSlots.length - 1;
     this.startScheduler(index);
     return index;
   }
 
   startScheduler(index: number): void {
-    const slot = this.seats[index] as SchedulerSeat;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
     slot.generation += 1;
     const selfId = `daemon-${index}#${slot.generation}`;
     slot.scheduler = new FleetScheduler(selfId, TIMING, 0, DEFAULT_FLEET_POLICY, this.nowMs);
@@ -152,14 +152,14 @@
 
   /** Kills a scheduler process; calls that it has sent still arrive. */
   killScheduler(index: number): void {
-    const slot = this.seats[index] as SchedulerSeat;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
     slot.generation += 1;
     slot.scheduler = undefined;
   }
 
   /** Shuts a scheduler process down gracefully: if it owns the fleet, it first releases it. */
   stopScheduler(index: number): void {
-    const slot = this.seats[index] as SchedulerSeat;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
     const transaction = slot.scheduler?.release();
     this.killScheduler(index);
     if (transaction !== undefined)
@@ -196,7 +196,7 @@
     return row === undefined ? undefined : (row.value as unknown as Progress);
   }
 
-  runsOf(taskName: string): readonly string[] {
+  workersRunning(taskName: string): readonly string[] {
     return [...this.workers.values()]
       .filter((worker) => worker.isUp && worker.runs.has(taskName))
       .map(({ id }) => id);
@@ -210,12 +210,12 @@
       // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await this.time.runDue();
       this.#deliverChanges();
-      this.seats.forEach((slot, index) => this.#stepScheduler(slot, index));
-      this.judge.checkRunningTasks(this.workers.values(), this.nowMs);
+      this.schedulerSlots.forEach((slot, index) => this.#stepScheduler(slot, index));
+      this.invariants.checkRunningTasks(this.workers.values(), this.nowMs);
     }
   }
 
-  #stepScheduler(slot: SchedulerSeat, index: number): void {
+  #stepScheduler(slot: SchedulerSlot, index: number): void {
     const { scheduler } = slot;
     if (scheduler === undefined) return;
     if (
@@ -228,7 +228,7 @@
     scheduler.step(this.nowMs, this.nowMs).forEach((effect) => this.#perform(index, effect));
   }
 
-  #reachesTable(slot: SchedulerSeat): boolean {
+  #reachesTable(slot: SchedulerSlot): boolean {
     return !this.faults.isTableDown && !slot.isCutFromTable;
   }
 
@@ -250,7 +250,7 @@
   }
 
   #deliverChanges(): void {
-    const owningSlots = this.seats.filter(
+    const owningSlots = this.schedulerSlots.filter(
       (slot) => slot.scheduler?.epoch !== undefined && this.#reachesTable(slot),
     );
     if (owningSlots.length === 0 || this.faults.isFeedSilent) return;
@@ -275,7 +275,7 @@
   }
 
   #reply(index: number, delayMs: number, run: (scheduler: FleetScheduler) => void): void {
-    replyTo(this.time, this.seats[index] as SchedulerSeat, delayMs, run);
+    replyTo(this.time, this.schedulerSlots[index] as SchedulerSlot, delayMs, run);
   }
 
   #perform(index: number, effect: FleetEffect): void {
@@ -335,7 +335,7 @@
     reply: (result: Either<Failure, Answer>, scheduler: FleetScheduler) => void,
     delayMs = CALL_MS,
   ): void {
-    const isReached = this.#reachesTable(this.seats[index] as SchedulerSeat);
+    const isReached = this.#reachesTable(this.schedulerSlots[index] as SchedulerSlot);
     const result: Either<Failure, Answer> = isReached
       ? right({ ...call(), tableNowMs: TABLE_CLOCK_AHEAD_MS + this.nowMs })
       : left(failure(ErrorKind.StoreUnavailable, 'out of reach'));
@@ -350,7 +350,7 @@
       scheduler: FleetScheduler,
     ) => void,
   ): void {
-    const isReached = this.#reachesTable(this.seats[index] as SchedulerSeat);
+    const isReached = this.#reachesTable(this.schedulerSlots[index] as SchedulerSlot);
     if (isReached && this.#random.nextFraction() < this.faults.lostAnswerShare) {
       // The transaction is applied now or seconds later, if its conditions still hold.
       this.time.later(this.#random.nextIndex(3_000), () => {
@@ -365,7 +365,7 @@
   }
 
   #load(index: number, epoch: number): void {
-    const slot = this.seats[index] as SchedulerSeat;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
     const { generation } = slot;
     const table = {
       read: (request) => async () =>
--- a/src/scheduler/test/fleet/handOver.test.ts
+++ b/src/scheduler/test/fleet/handOver.test.ts
@@ -45,13 +45,13 @@
 };
 
 const stopOwner = (world: FleetWorld): void => {
-  const owner = world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  const owner = world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
   world.stopScheduler(owner);
   world.startScheduler(owner);
 };
 
 const isAway = (world: FleetWorld, taskName: string): boolean =>
-  world.runsOf(taskName).length === 0;
+  world.workersRunning(taskName).length === 0;
 
 const untilMet = async (
   world: FleetWorld,
@@ -74,7 +74,7 @@
   const world = await worldOf(3, 1);
   const [taskName] = taskNames(1) as [string];
   await world.runFor(2_000 + phaseMs);
-  world.removeWorker(world.runsOf(taskName)[0] as string);
+  world.removeWorker(world.workersRunning(taskName)[0] as string);
   const sinceMs = world.nowMs;
   await world.runFor(beforeMs);
   world.faults.transactionMs = 600;
@@ -83,7 +83,7 @@
   stopOwner(world);
   world.faults.transactionMs = 2;
   await untilMet(world, () => !isAway(world, taskName));
-  expect(world.judge.broken).toEqual([]);
+  expect(world.invariants.broken).toEqual([]);
   return world.nowMs - sinceMs;
 };
 
@@ -129,17 +129,17 @@
 
   it('repeats a release without an answer, so that its successor learns when leases end', async () => {
     const fleet = new BusyFleet(3, () => 2_000);
-    fleet.world.stubTimers();
+    fleet.simulator.stubTimers();
     const { loop, task } = fleet.addDaemon('first', FREE);
-    await fleet.world.runUntil(4_000);
+    await fleet.simulator.runUntil(4_000);
     let lostCount = 0;
     fleet.isTransactionLost = ({ operationId }) => {
       const isLost = operationId.endsWith(':release') && lostCount < 1;
       if (isLost) lostCount += 1;
       return isLost;
     };
-    void fleet.world.as(loop, () => task.release(2_000));
-    await fleet.world.runUntil(6_000);
+    void fleet.simulator.runOn(loop, () => task.release(2_000));
+    await fleet.simulator.runUntil(6_000);
     const { rows } = fleet.table.read({ keys: [cellOwnerKey('fleet'), ROSTER_KEY], prefixes: [] });
     const [owner, roster] = rows.map((row) => row.value) as [CellOwnerRow, RosterRow];
     expect(owner.ownerId).toBe('');
@@ -161,7 +161,7 @@
       expect(awayCount()).toBe(waitingCount);
       stopOwner(world);
       const backMs = await untilBackMs(world);
-      expect(world.judge.broken).toEqual([]);
+      expect(world.invariants.broken).toEqual([]);
       return backMs;
     };
     const longestMs = Math.max(await backAfterMs(2), await backAfterMs(1));
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -4,7 +4,7 @@
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRun } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 
@@ -26,7 +26,7 @@
 }
 
 const newScenario = (servingCount: number, fillerImages: readonly string[]): Scenario => {
-  const book = new SubmissionBook();
+  const registry = new SubmissionRegistry();
   const view = new FleetWorkerView(
     {
       id: 'worker',
@@ -46,8 +46,8 @@
     { ...SERVING, taskCount: servingCount },
     ...fillerImages.map((image) => ({ ...FILLER, image })),
   ];
-  book.add(submissionOf('00000000000000d1', steps), undefined, NO_ASSIGNMENTS, 0);
-  const runs = [...book.waiting].map((task) => {
+  registry.add(submissionOf('00000000000000d1', steps), undefined, NO_ASSIGNMENTS, 0);
+  const runs = [...registry.waiting].map((task) => {
     const run = newRun(task, 1, 'worker', 0);
     run.state = RunState.Running;
     run.workedPercent = task.step.isPersistent ? 100 : 10;
@@ -83,7 +83,7 @@
     const { paces, moves } = control.decide(scenario.view, nowMs);
     if (paces.length + moves.length > 0) scenario.view.pacedAtMs = nowMs;
     paces.forEach(({ run, percent }) => {
-      if (percent < run.pacePercent) run.pacedSinceMs = nowMs;
+      if (percent < run.pacePercent) run.paceLoweredAtMs = nowMs;
       run.pacePercent = percent;
     });
     moves.forEach((run) => scenario.view.removeRun(run));
--- a/src/scheduler/test/fleet/interruptedTasks.test.ts
+++ b/src/scheduler/test/fleet/interruptedTasks.test.ts
@@ -2,7 +2,7 @@
 
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, toAssignments, type TaskRecord } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
@@ -35,30 +35,30 @@
     await world.runFor(1_500);
     world.submit(submissionOf(SERVICE_ID, [{ ...STEP, isPersistent: true }]));
     await runWithBacklog(world, 3_000);
-    world.removeWorker(world.runsOf(SERVICE_TASK)[0] as string);
+    world.removeWorker(world.workersRunning(SERVICE_TASK)[0] as string);
     await runWithBacklog(world, 5_900);
-    const owner = world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+    const owner = world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
     world.stopScheduler(owner);
     await runWithBacklog(world, LONGEST_AWAY_MS - 5_900);
-    expect(world.runsOf(SERVICE_TASK)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(SERVICE_TASK)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
 describe('a persistent task that waits while another task of its step runs again', () => {
   it('is known to a new owner as one that has run', () => {
     const submission = submissionOf(SERVICE_ID, [{ ...STEP, taskCount: 2, isPersistent: true }]);
-    const registry = new SubmissionBook();
+    const registry = new SubmissionRegistry();
     registry.add(submission, undefined, NO_ASSIGNMENTS, 0);
     const [first, second] = [0, 1].map((index) => registry.find(`${SERVICE_ID}.0.0.${index}`)) as [
       TaskRecord,
       TaskRecord,
     ];
     const runs = [first, second].map((task) => newRun(task, 1, 'worker-0', 0));
-    runs.forEach((run) => registry.noteRun(run));
-    runs.forEach((run) => registry.noteRunGone(run, 100));
-    registry.noteRun(newRun(first, 2, 'worker-1', 200));
-    const successor = new SubmissionBook();
+    runs.forEach((run) => registry.addRun(run));
+    runs.forEach((run) => registry.removeRun(run, 100));
+    registry.addRun(newRun(first, 2, 'worker-1', 200));
+    const successor = new SubmissionRegistry();
     successor.add(submission, undefined, toAssignments(first.submission), 300);
     const waiting = [...successor.waiting].find(({ name }) => name === second.name);
     expect(waiting?.lastRun).toBe(1);
--- a/src/scheduler/test/fleet/invariantChecker.ts
+++ b/src/scheduler/test/fleet/invariantChecker.ts
@@ -10,7 +10,7 @@
 export class InvariantChecker {
   readonly broken: string[] = [];
 
-  readonly startsOf = new Map<string, number>();
+  readonly startCounts = new Map<string, number>();
 
   readonly #ends = new EndRecords();
 
@@ -30,7 +30,7 @@
 
   /** Records that a worker has started a run. */
   noteStart(workerId: string, taskName: string, run: number, nowMs: number): void {
-    this.startsOf.set(taskName, (this.startsOf.get(taskName) ?? 0) + 1);
+    this.startCounts.set(taskName, (this.startCounts.get(taskName) ?? 0) + 1);
     const address = parseTaskName(taskName);
     const submission = address === undefined ? undefined : this.#submissions.get(address.id);
     const step = submission?.steps[address?.stepIndex ?? -1];
--- a/src/scheduler/test/fleet/largeSubmissions.test.ts
+++ b/src/scheduler/test/fleet/largeSubmissions.test.ts
@@ -51,12 +51,12 @@
   const runBacklog = async (): Promise<void> => {
     const fleet = new BusyFleet(WORKER_COUNT, () => TASK_MS);
     const random = new SeededRandom(seed);
-    fleet.world.stubTimers();
+    fleet.simulator.stubTimers();
     fleet.addDaemon('owner', NO_COSTS);
     const endMs = DURATION_S * 1_000 + WORTHLESS_FACTOR * OBJECTIVE_MS;
     for (let atMs = POLL_MS; atMs <= endMs; atMs += POLL_MS) {
       // eslint-disable-next-line no-await-in-loop
-      await fleet.world.runUntil(atMs);
+      await fleet.simulator.runUntil(atMs);
       sentAtMs.forEach((sentMs, submission) => {
         const isInTime = atMs - sentMs <= WORTHLESS_FACTOR * OBJECTIVE_MS;
         if (isInTime && fleet.progress(submission.id)?.state === 'complete') served.add(submission);
--- a/src/scheduler/test/fleet/lateHandOver.test.ts
+++ b/src/scheduler/test/fleet/lateHandOver.test.ts
@@ -3,7 +3,7 @@
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
-import type { SchedulerSeat } from './worldFaults.js';
+import type { SchedulerSlot } from './worldFaults.js';
 
 const PERSISTENT_ID = '00000000000000c2';
 const WORKER_IDS = ['worker-0', 'worker-1', 'worker-2', 'worker-3'];
@@ -38,9 +38,9 @@
  * Stops the owner. Its handover arrives three times: soon, after a pause, and after some seconds.
  */
 const stopOwner = (world: FleetWorld): void => {
-  const index = world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  const index = world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
   if (index < 0) return;
-  const transaction = (world.seats[index] as SchedulerSeat).scheduler?.release();
+  const transaction = (world.schedulerSlots[index] as SchedulerSlot).scheduler?.release();
   world.killScheduler(index);
   const { random, time } = world;
   const arrivals = [
@@ -86,6 +86,6 @@
       await changeOwner(world, round);
     }
     await world.runFor(4_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/moveOrder.test.ts
+++ b/src/scheduler/test/fleet/moveOrder.test.ts
@@ -50,11 +50,14 @@
   world.removeWorker('worker-0');
   world.drainWorker('worker-1', LONG_MS, 0);
   const sinceMs = world.nowMs;
-  while (world.runsOf(`${INTERRUPTED_ID}.0.0.0`).length === 0 && world.nowMs - sinceMs < LONG_MS) {
+  while (
+    world.workersRunning(`${INTERRUPTED_ID}.0.0.0`).length === 0 &&
+    world.nowMs - sinceMs < LONG_MS
+  ) {
     // eslint-disable-next-line no-await-in-loop -- polls while virtual time advances
     await world.runFor(10);
   }
-  expect(world.judge.broken).toEqual([]);
+  expect(world.invariants.broken).toEqual([]);
   return world.nowMs - sinceMs;
 };
 
@@ -73,7 +76,7 @@
     await world.runFor(1_500);
     world.addWorker('worker-1');
     await world.runFor(4_000);
-    expect(world.runsOf(`${MOVED_ID}.0.0.0`)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(`${MOVED_ID}.0.0.0`)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/newIncarnation.test.ts
+++ b/src/scheduler/test/fleet/newIncarnation.test.ts
@@ -7,7 +7,7 @@
 import { DecisionLog } from '../../common/fleet/decisionLog.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { newRun, RunTracker } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, RunState } from '../../common/fleet/taskRecords.js';
 import { DONE_AFTER_500_MS, STEP, submissionOf, WORKER_CAPACITY } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
@@ -60,34 +60,34 @@
     // A start is in flight when the process dies and restarts under the same id. The new process has
     // seen no fence and would execute the start while the task already runs elsewhere. The owner
     // therefore raises the fence, and the run counts as lost only after a list under the new fence.
-    const book = new SubmissionBook();
+    const registry = new SubmissionRegistry();
     const view = newView();
     const views = new Map([[view.id, view]]);
     const runTracker = new RunTracker(
-      book,
+      registry,
       views,
       () => NO_OPERATOR_STATE,
       new WorkerHealth(),
       new DecisionLog(),
     );
-    book.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
-    const [task] = [...book.waiting];
+    registry.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
+    const [task] = [...registry.waiting];
     if (task === undefined) throw new Error('no task waits');
     runTracker.handleHoldAnswer(view, answerOf(1), 0, 10);
     const fence = view.fence(EPOCH);
     const run = newRun(task, 1, view.id, 20);
     run.state = RunState.Starting;
     view.addRun(run);
-    book.noteRun(run);
+    registry.addRun(run);
     runTracker.handleStarted(run, right(StartOutcome.Started), 30);
 
     runTracker.handleHoldAnswer(view, answerOf(2), 40, 50);
     expect(view.fence(EPOCH)).toBeGreaterThan(fence);
     expect(view.fence(EPOCH)).toBeLessThan(view.fence(EPOCH + 1));
-    expect(book.waiting.size).toBe(0);
+    expect(registry.waiting.size).toBe(0);
 
     runTracker.handleHoldAnswer(view, answerOf(2), 60, 70);
-    expect(book.waiting.size).toBe(1);
+    expect(registry.waiting.size).toBe(1);
     expect(view.runs.size).toBe(0);
   });
 
@@ -99,8 +99,8 @@
     await world.runFor(1_500);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(3_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.judge.startsOf.get(`${ID}.0.0.0`)).toBe(1);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(`${ID}.0.0.0`)).toBe(1);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
@@ -111,7 +111,7 @@
     // No call is in flight while the next end waits to be recorded.
     world.faults.transactionMs = 600;
     world.submit(submissionOf('00000000000000c4', [STEP]));
-    while (world.judge.startsOf.get('00000000000000c4.0.0.0') === undefined) {
+    while (world.invariants.startCounts.get('00000000000000c4.0.0.0') === undefined) {
       // eslint-disable-next-line no-await-in-loop -- waits for the start
       await world.runFor(10);
     }
@@ -121,7 +121,7 @@
     world.addWorker('worker-1');
     world.submit(submissionOf(ID, [{ ...STEP, taskCount: 2 }]));
     await world.runFor(6_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
@@ -132,9 +132,9 @@
     await restart(world, 400);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(500);
-    expect(world.judge.startsOf.get(`${ID}.0.0.0`)).toBeUndefined();
+    expect(world.invariants.startCounts.get(`${ID}.0.0.0`)).toBeUndefined();
     await world.runFor(1_000);
-    expect(world.judge.startsOf.get(`${ID}.0.0.0`)).toBe(1);
+    expect(world.invariants.startCounts.get(`${ID}.0.0.0`)).toBe(1);
   });
 
   it('is not called under a lower fence after it was unlisted for a while', async () => {
--- a/src/scheduler/test/fleet/overloadedOwner.test.ts
+++ b/src/scheduler/test/fleet/overloadedOwner.test.ts
@@ -31,7 +31,7 @@
 
   const submitUrgent = (index: number): void => {
     const id = idOf(URGENT_ID, index);
-    urgentSentAtMs.set(id, fleet.world.outside.nowMs());
+    urgentSentAtMs.set(id, fleet.simulator.outside.nowMs());
     fleet.submit({ ...submissionOf(id, [{ ...STEP, estimateMs: TASK_MS }]), queueName: 'urgent' });
   };
 
@@ -43,11 +43,11 @@
   const noteUrgentDone = (): void =>
     urgentSentAtMs.forEach((_, id) => {
       if (urgentDoneAtMs.has(id) || fleet.progress(id)?.state !== 'complete') return;
-      urgentDoneAtMs.set(id, fleet.world.outside.nowMs());
+      urgentDoneAtMs.set(id, fleet.simulator.outside.nowMs());
     });
 
   const runLoad = async (): Promise<void> => {
-    const { world } = fleet;
+    const { simulator: world } = fleet;
     const fromMs = world.outside.nowMs();
     for (let tenth = 0; tenth < SECONDS * 10; tenth += 1) {
       submitBatch(tenth);
@@ -65,12 +65,12 @@
     const workMs = (taskName: string): number =>
       taskName.startsWith(SERVICE_ID) ? FOREVER_MS : TASK_MS;
     fleet = new BusyFleet(WORKERS, workMs, configuration);
-    fleet.world.stubTimers();
+    fleet.simulator.stubTimers();
     fleet.addDaemon('small', SMALL);
-    await fleet.world.runUntil(3_000);
+    await fleet.simulator.runUntil(3_000);
     const service = { ...STEP, taskCount: 20, isPersistent: true };
     fleet.submit({ ...submissionOf(SERVICE_ID, [service]), queueName: 'urgent' });
-    await fleet.world.runUntil(6_000);
+    await fleet.simulator.runUntil(6_000);
     // The rival takes over the fleet as soon as the owner fails to renew its lease.
     fleet.addDaemon('rival', { ...SMALL, sendMs: 0, answerMs: 0, stepMs: 0 });
     await runLoad();
@@ -84,7 +84,7 @@
     expect(serviceStarts.map(([, count]) => count)).toEqual(Array(20).fill(1));
     const objectiveMs = URGENT.objectiveStretch * TASK_MS + URGENT.objectiveMs;
     const judged = [...urgentSentAtMs].filter(
-      ([, atMs]) => atMs + objectiveMs < fleet.world.outside.nowMs(),
+      ([, atMs]) => atMs + objectiveMs < fleet.simulator.outside.nowMs(),
     );
     const inTime = judged.filter(
       ([id, atMs]) => (urgentDoneAtMs.get(id) ?? FOREVER_MS) - atMs <= objectiveMs,
--- a/src/scheduler/test/fleet/ownerChanges.test.ts
+++ b/src/scheduler/test/fleet/ownerChanges.test.ts
@@ -49,7 +49,7 @@
 };
 
 const ownerIndex = (world: FleetWorld): number =>
-  world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
 /** Runs until the condition is met, and returns how long that took. */
 const untilMet = async (
@@ -67,7 +67,7 @@
 
 /** Gives the owner a worker's refusal of an order with the fence `orderFence`. */
 const refuseOrder = (world: FleetWorld, workerId: string, orderFence: number): void => {
-  const scheduler = world.seats[ownerIndex(world)]?.scheduler as FleetScheduler;
+  const scheduler = world.schedulerSlots[ownerIndex(world)]?.scheduler as FleetScheduler;
   scheduler.handleStopped(
     scheduler.epoch as number,
     { workerId, address: workerId, taskName: TASK, run: 1, fence: orderFence },
@@ -85,21 +85,21 @@
     world.faults.isFeedSilent = true;
     await world.runFor(3_000);
     world.submit(submissionOf(ID, [STEP]));
-    const scheduler = world.seats[0]?.scheduler as FleetScheduler;
+    const scheduler = world.schedulerSlots[0]?.scheduler as FleetScheduler;
     const submission = submissionOf(ID, [STEP]);
     scheduler.handleChanges(scheduler.epoch as number, [{ kind: 'submission', submission }], 0);
     world.cancel(ID);
     await world.runFor(1_000);
     world.faults.isFeedSilent = false;
     await world.runFor(2_000);
-    expect(world.judge.startsOf.get(TASK)).toBeUndefined();
+    expect(world.invariants.startCounts.get(TASK)).toBeUndefined();
   });
 });
 
 describe('an owner whose order is refused', () => {
   it('stays the owner if it sent the order before it raised the fence of the worker', async () => {
     const world = await worldOf(2, 1);
-    const scheduler = world.seats[0]?.scheduler as FleetScheduler;
+    const scheduler = world.schedulerSlots[0]?.scheduler as FleetScheduler;
     const { epoch } = scheduler;
     refuseOrder(world, 'worker-0', 1);
     await world.runFor(1_000);
@@ -111,7 +111,7 @@
     world.faults.transactionMs = 600;
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(200);
-    const scheduler = world.seats[0]?.scheduler as FleetScheduler;
+    const scheduler = world.schedulerSlots[0]?.scheduler as FleetScheduler;
     const epoch = scheduler.epoch as number;
     refuseOrder(world, 'worker-0', CURRENT_FENCE);
     const committed = right({ outcome: TransactionOutcome.Committed, version: 1_000 });
@@ -124,12 +124,12 @@
     const world = await worldOf(2, 1);
     world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(12_000);
-    const [holder] = world.runsOf(TASK);
+    const [holder] = world.workersRunning(TASK);
     const [other] = [...world.workers.keys()].filter((id) => id !== holder);
     world.cutWorkers.add(holder as string);
     refuseOrder(world, other as string, CURRENT_FENCE);
     await world.runFor(3_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('is not refused by a worker that has seen a raised fence', async () => {
@@ -140,7 +140,7 @@
     await world.runFor(2_000);
     refuseOrder(world, 'worker-0', CURRENT_FENCE);
     world.submit(submissionOf(ID, [STEP]));
-    const waitedMs = await untilMet(world, () => world.runsOf(TASK).length > 0, 20_000);
+    const waitedMs = await untilMet(world, () => world.workersRunning(TASK).length > 0, 20_000);
     expect(waitedMs).toBeLessThan(TAKEOVER_MS);
   });
 });
@@ -155,7 +155,9 @@
     world.workers.get('worker-0')?.crash();
     world.workers.get('worker-0')?.restart(world.nowMs);
     await world.runFor(1_500);
-    const counts = [0, 1].map((index) => world.judge.startsOf.get(`${ID}.0.0.${index}`) ?? 0);
+    const counts = [0, 1].map(
+      (index) => world.invariants.startCounts.get(`${ID}.0.0.${index}`) ?? 0,
+    );
     expect(counts[0]).toBe(counts[1]);
   });
 });
@@ -170,7 +172,7 @@
     await world.runFor(1_500);
     world.drainingWorkers.add('worker-0');
     await world.runFor(4_000);
-    const running = [0, 1, 2, 3].map((index) => world.runsOf(`${ID}.0.0.${index}`).length);
+    const running = [0, 1, 2, 3].map((index) => world.workersRunning(`${ID}.0.0.${index}`).length);
     expect(running).toEqual([1, 1, 1, 1]);
   });
 });
@@ -186,16 +188,16 @@
     await world.runFor(1_500);
     world.faults.isFeedSilent = false;
     await world.runFor(3_000);
-    expect(world.judge.startsOf.get(TASK)).toBeUndefined();
+    expect(world.invariants.startCounts.get(TASK)).toBeUndefined();
   });
 
   it('shows a submission as running if its predecessor died before recording the first start', async () => {
     const world = await worldOf(2, 2);
     world.submit(submissionOf(ID, [STEP]));
-    await untilMet(world, () => world.runsOf(TASK).length > 0, 1_000);
+    await untilMet(world, () => world.workersRunning(TASK).length > 0, 1_000);
     world.killScheduler(ownerIndex(world));
     await world.runFor(6_000);
-    expect(world.runsOf(TASK)).toHaveLength(1);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
     expect(world.progress(ID)?.state).toBe('running');
   });
 
@@ -203,16 +205,17 @@
     const world = await worldOf(2, 8);
     world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    world.removeWorker(world.runsOf(TASK)[0] as string);
+    world.removeWorker(world.workersRunning(TASK)[0] as string);
     const sinceMs = world.nowMs;
     world.killScheduler(ownerIndex(world));
     for (let round = 0; round < 6; round += 1) {
-      const owner = (): number => world.seats.findIndex(({ scheduler }) => scheduler?.isOwner);
+      const owner = (): number =>
+        world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.isOwner);
       // eslint-disable-next-line no-await-in-loop -- each owner ends as soon as it acquires the lease
       await untilMet(world, () => owner() >= 0, 5_000);
       world.killScheduler(owner());
     }
-    await untilMet(world, () => world.runsOf(TASK).length > 0, 30_000);
+    await untilMet(world, () => world.workersRunning(TASK).length > 0, 30_000);
     const awayMs = world.nowMs - sinceMs;
     expect(awayMs).toBeLessThan(FORMER_LEASES_MS + TAKEOVER_MS);
   });
@@ -221,18 +224,18 @@
     const world = await worldOf(2, 2);
     world.submit(submissionOf(ID, [PERSISTENT_STEP]));
     await world.runFor(4_000);
-    world.removeWorker(world.runsOf(TASK)[0] as string);
+    world.removeWorker(world.workersRunning(TASK)[0] as string);
     const sinceMs = world.nowMs;
     await world.runFor(1_000);
     world.killScheduler(ownerIndex(world));
-    await untilMet(world, () => world.runsOf(TASK).length > 0, 30_000);
+    await untilMet(world, () => world.workersRunning(TASK).length > 0, 30_000);
     expect(world.nowMs - sinceMs).toBeLessThan(LONGEST_ABSENCE_MS);
   });
 
   it('does not restart an ended task of an occurrence that is not due yet by its own wall clock', async () => {
     const world = await worldOf(2, 2, 800);
     const first = ownerIndex(world);
-    const lateScheduler = world.seats[1 - first]?.scheduler as FleetScheduler;
+    const lateScheduler = world.schedulerSlots[1 - first]?.scheduler as FleetScheduler;
     const step = lateScheduler.step.bind(lateScheduler);
     lateScheduler.step = (wallNowMs, nowMs) => step(wallNowMs - 5_000, nowMs);
     world.submit({
@@ -241,11 +244,11 @@
       firstDueWallMs: world.nowMs + 300,
       occurrenceIntervalMs: 1_000,
     });
-    await untilMet(world, () => world.runsOf(TASK).length > 0, 2_000);
+    await untilMet(world, () => world.workersRunning(TASK).length > 0, 2_000);
     world.killScheduler(first);
     await world.runFor(12_000);
     expect(world.progress(ID)?.state).toBe('complete');
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
   });
 
   it('does not rewrite assignments that are already stored', async () => {
--- a/src/scheduler/test/fleet/progressCommits.test.ts
+++ b/src/scheduler/test/fleet/progressCommits.test.ts
@@ -11,32 +11,32 @@
 import { ProgressCommits } from '../../common/fleet/progressCommits.js';
 import { Roster } from '../../common/fleet/roster.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 
 const idOf = (index: number): string => index.toString(16).padStart(16, '0');
 
 /** Submissions of one task each, all assigned to a worker; the first ones are cancelled. */
-const registryOf = (cancelledCount: number, assignedCount: number): SubmissionBook => {
-  const registry = new SubmissionBook();
+const registryOf = (cancelledCount: number, assignedCount: number): SubmissionRegistry => {
+  const registry = new SubmissionRegistry();
   for (let index = 0; index < cancelledCount + assignedCount; index += 1) {
     registry.add(submissionOf(idOf(index), [STEP]), undefined, NO_ASSIGNMENTS, 0);
   }
   [...registry.waiting].forEach((task) => {
-    registry.noteRun(newRun(task, 1, 'worker', 0));
+    registry.addRun(newRun(task, 1, 'worker', 0));
     registry.markUnrecorded(task.submission);
   });
   for (let index = 0; index < cancelledCount; index += 1) registry.cancel(idOf(index));
   return registry;
 };
 
-const commitsOf = (registry: SubmissionBook) => {
+const commitsOf = (registry: SubmissionRegistry) => {
   const commits = new ProgressCommits();
   const roster = new Roster(1);
   const owner = { condition: { key: 'owner', version: 1 }, id: 'self', epoch: 1 };
   const input = {
-    book: registry,
+    registry,
     views: [],
     owner,
     interference: new LearningInterferenceControl(),
@@ -68,10 +68,10 @@
     const [ended, retried] = [...registry.waiting];
     if (ended === undefined || retried === undefined) throw new Error('no tasks wait');
     const run = newRun(ended, 1, 'worker', 0);
-    registry.noteRun(run);
+    registry.addRun(run);
     registry.noteEnd(ended, 1, RunEnd.Done, 10);
-    registry.noteRunGone(run, 10);
-    registry.noteRun(newRun(retried, 2, 'worker', 20));
+    registry.removeRun(run, 10);
+    registry.addRun(newRun(retried, 2, 'worker', 20));
     registry.markUnrecorded(retried.submission);
     const keys =
       commitsOf(registry)
--- a/src/scheduler/test/fleet/randomCuts.ts
+++ b/src/scheduler/test/fleet/randomCuts.ts
@@ -53,7 +53,7 @@
   const unfinished = ids.filter((id) => world.progress(id)?.state !== 'complete');
   for (let index = 0; index < 4; index += 1) {
     const name = `${PERSISTENT_ID}.0.0.${index}`;
-    if (world.runsOf(name).length !== 1) unfinished.push(name);
+    if (world.workersRunning(name).length !== 1) unfinished.push(name);
   }
-  return { broken: world.judge.broken, unfinished };
+  return { broken: world.invariants.broken, unfinished };
 };
--- a/src/scheduler/test/fleet/randomFaults.ts
+++ b/src/scheduler/test/fleet/randomFaults.ts
@@ -33,7 +33,7 @@
       world.killScheduler(slotIndex);
       break;
     case 6:
-      if (world.seats[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
+      if (world.schedulerSlots[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
       break;
     case 7:
       Object.assign(world.faults, { isTableDown: !world.faults.isTableDown });
@@ -45,7 +45,9 @@
       Object.assign(world.faults, { lostAnswerShare: random.nextFraction() * 0.3 });
       break;
     case 10:
-      Object.assign(world.seats[slotIndex] ?? {}, { isCutFromTable: random.nextIndex(2) === 0 });
+      Object.assign(world.schedulerSlots[slotIndex] ?? {}, {
+        isCutFromTable: random.nextIndex(2) === 0,
+      });
       break;
     default:
   }
@@ -78,8 +80,8 @@
 
 /** Starts, stops or kills a random scheduler, so that the owner changes gracefully or abruptly. */
 export const toggleScheduler = (world: FleetWorld): void => {
-  const slotIndex = world.random.nextIndex(world.seats.length);
-  if (world.seats[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
+  const slotIndex = world.random.nextIndex(world.schedulerSlots.length);
+  if (world.schedulerSlots[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
   else if (world.random.nextIndex(2) === 0) world.stopScheduler(slotIndex);
   else world.killScheduler(slotIndex);
 };
@@ -91,7 +93,7 @@
   world.workers.forEach((model) => {
     if (!model.isUp && world.listedWorkers.has(model.id)) model.restart(world.nowMs);
   });
-  world.seats.forEach((slot, index) => {
+  world.schedulerSlots.forEach((slot, index) => {
     Object.assign(slot, { isCutFromTable: false });
     if (slot.scheduler === undefined) world.startScheduler(index);
   });
@@ -197,10 +199,10 @@
   /** Cuts off each worker and each scheduler with a probability of one half, for some seconds. */
   #cutZone(): void {
     if (this.#cut !== undefined) return;
-    const { random, workers, seats } = this.#world;
+    const { random, workers, schedulerSlots } = this.#world;
     const isInside = (): boolean => random.nextIndex(2) === 0;
     const workerIds = [...workers.keys()].filter(isInside);
-    const schedulerIndexes = [...seats.keys()].filter(isInside);
+    const schedulerIndexes = [...schedulerSlots.keys()].filter(isInside);
     const doCutsRefuse = random.nextIndex(3) > 0;
     this.cut(workerIds, schedulerIndexes, doCutsRefuse, random.nextIndex(LONGEST_CUT_MS));
   }
--- a/src/scheduler/test/fleet/recreatedView.test.ts
+++ b/src/scheduler/test/fleet/recreatedView.test.ts
@@ -17,7 +17,7 @@
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
     world.addScheduler();
     await world.runFor(1_500);
-    const { epoch } = world.seats[0]?.scheduler ?? {};
+    const { epoch } = world.schedulerSlots[0]?.scheduler ?? {};
     const worker = world.workers.get('worker-0');
     worker?.crash();
     await world.runFor(200);
@@ -29,7 +29,7 @@
     world.cutWorkers.delete('worker-0');
     world.listedWorkers.add('worker-0');
     await world.runFor(3_000);
-    expect(world.seats[0]?.scheduler?.epoch).toBe(epoch);
+    expect(world.schedulerSlots[0]?.scheduler?.epoch).toBe(epoch);
     expect(world.logged.filter(({ event }) => event === 'fleet-lost')).toEqual([]);
   });
 
--- a/src/scheduler/test/fleet/restartedWorkers.test.ts
+++ b/src/scheduler/test/fleet/restartedWorkers.test.ts
@@ -44,9 +44,9 @@
     await restartUnnoticed(world, 'worker-0');
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(4_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
     // A task gets at most three attempts.
-    expect(world.judge.startsOf.get(TASK)).toBe(end === RunEnd.Done ? 1 : 3);
+    expect(world.invariants.startCounts.get(TASK)).toBe(end === RunEnd.Done ? 1 : 3);
   });
 });
 
@@ -60,13 +60,13 @@
     await restartUnnoticed(world, 'worker-0');
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     await world.runFor(2_000);
-    expect(world.runsOf(TASK)).toEqual(['worker-0']);
+    expect(world.workersRunning(TASK)).toEqual(['worker-0']);
     world.addWorker('worker-1', LONGER_LEASE_MS);
     await world.runFor(1_500);
     world.cutWorkers.add('worker-0');
     await world.runFor(LONGER_LEASE_MS);
-    expect(world.judge.startsOf.get(TASK)).toBe(2);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(2);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
@@ -99,8 +99,8 @@
     await restartUnnoticed(world, 'worker-0', 150);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(5_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 });
--- a/src/scheduler/test/fleet/roomMisses.test.ts
+++ b/src/scheduler/test/fleet/roomMisses.test.ts
@@ -3,7 +3,7 @@
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { newRun } from '../../common/fleet/runTracker.js';
 import { RoomMisses } from '../../common/fleet/roomMisses.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import {
   NO_ASSIGNMENTS,
   type OccurrenceRecord,
@@ -26,9 +26,9 @@
 
 describe('a step that has found no room', () => {
   it('checks only changed workers in each round, and all workers in each full search', () => {
-    const book = new SubmissionBook();
-    book.add(submissionOf(ID, [STEP]), undefined, NO_ASSIGNMENTS, 0);
-    const task = book.find(`${ID}.0.0.0`) as TaskRecord;
+    const registry = new SubmissionRegistry();
+    registry.add(submissionOf(ID, [STEP]), undefined, NO_ASSIGNMENTS, 0);
+    const task = registry.find(`${ID}.0.0.0`) as TaskRecord;
     const occurrence = task.submission.occurrences.get(0) as OccurrenceRecord;
     const views = Array.from({ length: 300 }, (_, index) => viewOf(`worker-${index}`));
     const misses = new RoomMisses();
--- a/src/scheduler/test/fleet/runEvidence.test.ts
+++ b/src/scheduler/test/fleet/runEvidence.test.ts
@@ -3,7 +3,7 @@
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { EvidenceKind, isRunOver } from '../../common/fleet/runEvidence.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRun } from '../../common/fleet/taskRecords.js';
 import { entryOf, STEP, submissionOf } from './fleetFixtures.js';
 
@@ -14,9 +14,9 @@
   new FleetWorkerView(entryOf('worker', false, 1), LEASES_OVER_AT_MS, 0);
 
 const runOf = (state: RunState): TaskRun => {
-  const book = new SubmissionBook();
-  book.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
-  const [task] = [...book.waiting];
+  const registry = new SubmissionRegistry();
+  registry.add(submissionOf('00000000000000c1', [STEP]), undefined, NO_ASSIGNMENTS, 0);
+  const [task] = [...registry.waiting];
   if (task === undefined) throw new Error('no task waits');
   return Object.assign(newRun(task, 1, 'worker', 0), { state, settledAtMs: SETTLED_AT_MS });
 };
--- a/src/scheduler/test/fleet/savedWork.test.ts
+++ b/src/scheduler/test/fleet/savedWork.test.ts
@@ -21,17 +21,19 @@
   await world.runFor(1_500);
   world.submit(submissionOf(BATCH_ID, [{ ...STEP, estimateMs: WORK_MS, savesProgress: true }]));
   await world.runFor(6_000);
-  world.removeWorker(world.runsOf(BATCH_TASK)[0] as string);
+  world.removeWorker(world.workersRunning(BATCH_TASK)[0] as string);
   await world.runFor(1_000);
   if (doesOwnerChange) {
-    world.stopScheduler(world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined));
+    world.stopScheduler(
+      world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined),
+    );
   }
-  while (world.runsOf(BATCH_TASK).length === 0 && world.nowMs < 30_000) {
+  while (world.workersRunning(BATCH_TASK).length === 0 && world.nowMs < 30_000) {
     // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
-  const holder = world.runsOf(BATCH_TASK)[0] as string;
-  expect(world.judge.broken).toEqual([]);
+  const holder = world.workersRunning(BATCH_TASK)[0] as string;
+  expect(world.invariants.broken).toEqual([]);
   return world.workers.get(holder)?.runs.get(BATCH_TASK)?.resumedMs ?? 0;
 };
 
--- a/src/scheduler/test/fleet/takeover.test.ts
+++ b/src/scheduler/test/fleet/takeover.test.ts
@@ -27,7 +27,7 @@
 };
 
 const ownerIndex = (world: FleetWorld): number =>
-  world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
 /** Runs until the task runs somewhere, and returns how long that took. */
 const untilRunningMs = async (
@@ -36,7 +36,7 @@
   limitMs: number,
 ): Promise<number> => {
   const sinceMs = world.nowMs;
-  while (world.runsOf(taskName).length === 0 && world.nowMs - sinceMs < limitMs) {
+  while (world.workersRunning(taskName).length === 0 && world.nowMs - sinceMs < limitMs) {
     // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(50);
   }
@@ -57,7 +57,7 @@
 
   sample(world: FleetWorld): void {
     this.#names.forEach((name) => {
-      if (world.runsOf(name).length > 0) this.#awaySinceMs.delete(name);
+      if (world.workersRunning(name).length > 0) this.#awaySinceMs.delete(name);
       else if (!this.#awaySinceMs.has(name)) this.#awaySinceMs.set(name, world.nowMs);
       const awayMs = world.nowMs - (this.#awaySinceMs.get(name) ?? world.nowMs);
       this.longestMs = Math.max(this.longestMs, awayMs);
@@ -71,27 +71,27 @@
     world.submit(submissionOf(ID, [STEP, { ...STEP, after: [0] }]));
     await world.runFor(400);
     const [idle] = [...world.workers.keys()].filter(
-      (id) => !world.runsOf(`${ID}.0.0.0`).includes(id),
+      (id) => !world.workersRunning(`${ID}.0.0.0`).includes(id),
     );
     world.removeWorker(idle as string);
     world.killScheduler(ownerIndex(world));
     const waitedMs = await untilRunningMs(world, `${ID}.0.1.0`, 20_000);
     expect(waitedMs).toBeLessThan(TAKEOVER_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it("does not postpone the restart of a lost worker's tasks, even after several owner changes", async () => {
     const world = await worldOf(3, 7);
     world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    world.removeWorker(world.runsOf(PERSISTENT_TASK)[0] as string);
+    world.removeWorker(world.workersRunning(PERSISTENT_TASK)[0] as string);
     for (let round = 0; round < 6; round += 1) {
       world.killScheduler(ownerIndex(world));
       // eslint-disable-next-line no-await-in-loop -- each owner lives until the next has taken over
       await world.runFor(2_500);
     }
-    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 
   it('keeps persistent tasks running while owners are stopped in turn and workers leave', async () => {
@@ -115,7 +115,7 @@
       absences.sample(world);
     }
     expect(absences.longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
@@ -124,7 +124,7 @@
     const world = await worldOf(2, 1);
     world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    const [drained] = world.runsOf(PERSISTENT_TASK);
+    const [drained] = world.workersRunning(PERSISTENT_TASK);
     world.drainingWorkers.add(drained as string);
     const absences = new Absences([PERSISTENT_TASK]);
     for (let tick = 0; tick < 30; tick += 1) {
@@ -132,8 +132,8 @@
       await world.runFor(100);
       absences.sample(world);
     }
-    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
-    expect(world.runsOf(PERSISTENT_TASK)).not.toContain(drained);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.workersRunning(PERSISTENT_TASK)).not.toContain(drained);
     expect(absences.longestMs).toBeLessThan(STOP_MS);
   });
 
@@ -143,13 +143,13 @@
     await world.runFor(500);
     world.drainingWorkers.add('worker-0');
     await world.runFor(8_000);
-    expect(world.runsOf(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
     world.removeWorker('worker-0');
     world.addWorker('worker-1');
     world.killScheduler(ownerIndex(world));
     const waitedMs = await untilRunningMs(world, PERSISTENT_TASK, 20_000);
     expect(waitedMs).toBeLessThan(LEASE_AND_SLACK_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
@@ -162,20 +162,20 @@
     world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     const former = ownerIndex(world);
-    world.seats[former]?.unreachableWorkers.add('worker-1');
-    world.seats[1 - former]?.unreachableWorkers.add('worker-0');
+    world.schedulerSlots[former]?.unreachableWorkers.add('worker-1');
+    world.schedulerSlots[1 - former]?.unreachableWorkers.add('worker-0');
     world.addWorker('worker-1');
     if (isDraining) world.drainingWorkers.add('worker-0');
     await world.runFor(isDraining ? 8_000 : 1_500);
-    Object.assign(world.seats[former] ?? {}, { isCutFromTable: true });
+    Object.assign(world.schedulerSlots[former] ?? {}, { isCutFromTable: true });
     return world;
   };
 
   it('does not run a task twice under leases that it grants while its successor waits', async () => {
     const world = await splitWorld(false);
     await world.runFor(20_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
   it('does not run a task twice if its successor hands over at once', async () => {
@@ -184,12 +184,12 @@
     await world.runFor(500);
     const former = ownerIndex(world);
     world.addWorker('worker-1');
-    world.seats.forEach((seat, index) =>
-      seat.unreachableWorkers.add(index === former ? 'worker-1' : 'worker-0'),
+    world.schedulerSlots.forEach((slot, index) =>
+      slot.unreachableWorkers.add(index === former ? 'worker-1' : 'worker-0'),
     );
-    Object.assign(world.seats[former] ?? {}, { isCutFromTable: true });
+    Object.assign(world.schedulerSlots[former] ?? {}, { isCutFromTable: true });
     const next = (): number =>
-      world.seats.findIndex(
+      world.schedulerSlots.findIndex(
         ({ scheduler }, index) => index !== former && scheduler?.epoch !== undefined,
       );
     while (next() < 0) {
@@ -199,15 +199,15 @@
     await world.runFor(200);
     world.stopScheduler(next());
     await world.runFor(15_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
   it('grants a draining worker no lease beyond the limit that its successor knows', async () => {
     const world = await splitWorld(true);
     await world.runFor(7_000);
-    expect(world.runsOf(PERSISTENT_TASK)).toEqual(['worker-1']);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
     await world.runFor(10_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/unansweredAcquisition.test.ts
+++ b/src/scheduler/test/fleet/unansweredAcquisition.test.ts
@@ -40,26 +40,26 @@
       end: RunEnd.Done,
     }));
     world.addWorker('worker-0');
-    const seat = world.seats[world.addScheduler()];
-    const reportLoss = loseAcquisition(world, seat?.scheduler as FleetScheduler);
+    const slot = world.schedulerSlots[world.addScheduler()];
+    const reportLoss = loseAcquisition(world, slot?.scheduler as FleetScheduler);
     await world.runFor(480);
     // The second scheduler sees the heartbeat that the acquisition has written.
     world.addScheduler();
-    world.seats[1]?.unreachableWorkers.add('worker-0');
-    seat?.unreachableWorkers.add('worker-1');
+    world.schedulerSlots[1]?.unreachableWorkers.add('worker-0');
+    slot?.unreachableWorkers.add('worker-1');
     await world.runFor(LOST_AFTER_MS);
     reportLoss();
     world.submit(submissionOf(ID, [{ ...STEP, isPersistent: true }]));
     // The worker lists the end of this task again and again while it cannot be stored.
     world.submit(submissionOf(SHORT_ID, [STEP]));
-    while (world.runsOf(TASK).length === 0 && world.nowMs < 5_000) {
+    while (world.workersRunning(TASK).length === 0 && world.nowMs < 5_000) {
       // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(10);
     }
-    Object.assign(seat ?? {}, { isCutFromTable: true });
+    Object.assign(slot ?? {}, { isCutFromTable: true });
     world.addWorker('worker-1');
     await world.runFor(15_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(2);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(2);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/workerAndOwnerLoss.test.ts
+++ b/src/scheduler/test/fleet/workerAndOwnerLoss.test.ts
@@ -26,7 +26,7 @@
 
 const untilRunning = async (world: FleetWorld): Promise<void> => {
   const untilMs = world.nowMs + 30_000;
-  while (world.runsOf(TASK).length === 0 && world.nowMs < untilMs) {
+  while (world.workersRunning(TASK).length === 0 && world.nowMs < untilMs) {
     // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
@@ -38,11 +38,11 @@
     ['its address does not answer', true],
   ])('does not keep a persistent task away for long if %s', async (_, isRemoved) => {
     const world = await worldOf();
-    const [workerId] = world.runsOf(TASK) as [string];
+    const [workerId] = world.workersRunning(TASK) as [string];
     const sinceMs = world.nowMs;
     world.workers.get(workerId)?.crash();
     if (isRemoved) world.cutWorkers.add(workerId);
-    world.killScheduler(world.owners[0] === world.seats[0]?.scheduler ? 0 : 1);
+    world.killScheduler(world.owners[0] === world.schedulerSlots[0]?.scheduler ? 0 : 1);
     await world.runFor(ENTRY_EXPIRY_MS);
     world.listedWorkers.delete(workerId);
     await untilRunning(world);
@@ -57,11 +57,11 @@
       world.faults.doHeldCallsHang = true;
       await world.runFor(phaseMs);
       const sinceMs = world.nowMs;
-      world.removeWorker(world.runsOf(TASK)[0] as string);
+      world.removeWorker(world.workersRunning(TASK)[0] as string);
       await world.runFor(1_500);
-      world.killScheduler(world.owners[0] === world.seats[0]?.scheduler ? 0 : 1);
+      world.killScheduler(world.owners[0] === world.schedulerSlots[0]?.scheduler ? 0 : 1);
       await untilRunning(world);
-      expect(world.judge.broken).toEqual([]);
+      expect(world.invariants.broken).toEqual([]);
       return world.nowMs - sinceMs;
     };
     const absencesMs = await Promise.all([0, 300, 600, 900, 1_200].map(absenceMs));
@@ -73,7 +73,7 @@
   it('keeps a persistent task away no longer than the leases that its last owner may have granted', async () => {
     const world = await worldOf();
     const sinceMs = world.nowMs;
-    world.removeWorker(world.runsOf(TASK)[0] as string);
+    world.removeWorker(world.workersRunning(TASK)[0] as string);
     [0, 1].forEach((index) => world.killScheduler(index));
     world.faults.isTableDown = true;
     await world.runFor(2_000);
@@ -82,7 +82,7 @@
     world.faults.isTableDown = false;
     await untilRunning(world);
     expect(world.nowMs - sinceMs).toBeLessThan(LONGEST_ABSENCE_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
@@ -94,7 +94,7 @@
         const world = await worldOf();
         world.faults.doHeldCallsHang = true;
         await world.runFor(phaseMs);
-        const [workerId] = world.runsOf(TASK) as [string];
+        const [workerId] = world.workersRunning(TASK) as [string];
         const sinceMs = world.nowMs;
         world.removeWorker(workerId);
         world.listedWorkers.add(workerId);
@@ -103,7 +103,7 @@
         await world.runFor(ENTRY_EXPIRY_MS - startsAfterMs);
         world.listedWorkers.delete(workerId);
         await untilRunning(world);
-        expect(world.judge.broken).toEqual([]);
+        expect(world.invariants.broken).toEqual([]);
         return world.nowMs - sinceMs;
       };
       const absencesMs = await Promise.all([0, 300, 600, 900, 1_200].map(absenceMs));
@@ -119,6 +119,6 @@
     await world.runFor(7_000);
     world.faults.isTableDown = false;
     await world.runFor(5_000);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
   });
 });
--- a/src/scheduler/test/fleet/workerLinks.ts
+++ b/src/scheduler/test/fleet/workerLinks.ts
@@ -17,7 +17,7 @@
   NO_ANSWER,
   REFUSED,
   replyTo,
-  type SchedulerSeat,
+  type SchedulerSlot,
   type WorldFaults,
 } from './worldFaults.js';
 
@@ -33,7 +33,7 @@
   readonly time: VirtualTime;
   readonly workers: ReadonlyMap<string, WorkerModel>;
   readonly cutWorkers: ReadonlySet<string>;
-  readonly seats: readonly SchedulerSeat[];
+  readonly schedulerSlots: readonly SchedulerSlot[];
   readonly faults: WorldFaults;
   readonly deliveries: MessageDeliveries;
 }
@@ -163,8 +163,8 @@
     timeoutMs: number,
     reply: Reply<Answer>,
   ): Settle<Answer> {
-    const { time, seats } = this.#world;
-    const slot = seats[schedulerIndex] as SchedulerSeat;
+    const { time, schedulerSlots } = this.#world;
+    const slot = schedulerSlots[schedulerIndex] as SchedulerSlot;
     let isSettled = false;
     const settle: Settle<Answer> = (result, delayMs) =>
       replyTo(time, slot, delayMs, (scheduler) => {
@@ -203,8 +203,8 @@
   }
 
   #isCut(schedulerIndex: number, workerId: string): boolean {
-    const { seats, cutWorkers } = this.#world;
-    const isUnreachable = seats[schedulerIndex]?.unreachableWorkers.has(workerId) === true;
+    const { schedulerSlots, cutWorkers } = this.#world;
+    const isUnreachable = schedulerSlots[schedulerIndex]?.unreachableWorkers.has(workerId) === true;
     return isUnreachable || cutWorkers.has(workerId);
   }
 
--- a/src/scheduler/test/fleet/workerSearch.test.ts
+++ b/src/scheduler/test/fleet/workerSearch.test.ts
@@ -5,7 +5,7 @@
 import { DEFAULT_FLEET_POLICY } from '../../common/fleet/fleetPolicy.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
 import { newRun } from '../../common/fleet/runTracker.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, type TaskRecord } from '../../common/fleet/taskRecords.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { WorkerSearch } from '../../common/fleet/workerSearch.js';
@@ -16,11 +16,11 @@
 const TASK_COUNT = 39;
 
 const tasksOf = (step: Step): readonly TaskRecord[] => {
-  const book = new SubmissionBook();
-  book.add(submissionOf(ID, [step]), undefined, NO_ASSIGNMENTS, 0);
+  const registry = new SubmissionRegistry();
+  registry.add(submissionOf(ID, [step]), undefined, NO_ASSIGNMENTS, 0);
   return Array.from(
     { length: step.taskCount },
-    (_, index) => book.find(`${ID}.0.0.${index}`) as TaskRecord,
+    (_, index) => registry.find(`${ID}.0.0.${index}`) as TaskRecord,
   );
 };
 
--- a/src/scheduler/test/fleet/worldFaults.ts
+++ b/src/scheduler/test/fleet/worldFaults.ts
@@ -47,7 +47,7 @@
 }
 
 /** Runs one scheduler process at a time; `generation` rises with each start and end. */
-export interface SchedulerSeat {
+export interface SchedulerSlot {
   scheduler: FleetScheduler | undefined;
   generation: number;
   isCutFromTable: boolean;
@@ -69,7 +69,7 @@
   doCallsNameProcess: true,
 });
 
-export const emptySlot = (): SchedulerSeat => ({
+export const emptySlot = (): SchedulerSlot => ({
   scheduler: undefined,
   generation: 0,
   isCutFromTable: false,
@@ -79,7 +79,7 @@
 /** Delivers a reply after the delay, unless the process that made the call has ended. */
 export const replyTo = (
   time: VirtualTime,
-  slot: SchedulerSeat,
+  slot: SchedulerSlot,
   delayMs: number,
   run: (scheduler: FleetScheduler) => void,
 ): void => {
--- a/src/scheduler/test/fleet/zoneCut.test.ts
+++ b/src/scheduler/test/fleet/zoneCut.test.ts
@@ -24,7 +24,7 @@
 };
 
 const ownerIndex = (world: FleetWorld): number =>
-  world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
 describe('a task on a cut-off worker whose address refuses connections', () => {
   it.each([
@@ -32,27 +32,27 @@
     ['continues', 9_000],
   ])('does not start elsewhere if the run %s', async (_, workMs) => {
     const world = await worldOf(workMs);
-    const cut = new ZoneCut(world, world.runsOf(TASK));
+    const cut = new ZoneCut(world, world.workersRunning(TASK));
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
     await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(6_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
   it('does not start elsewhere if the owner is cut off together with the worker', async () => {
     const world = await worldOf(2_500);
-    const cut = new ZoneCut(world, world.runsOf(TASK), [ownerIndex(world)]);
+    const cut = new ZoneCut(world, world.workersRunning(TASK), [ownerIndex(world)]);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
     await world.runFor(PLACEMENT_MS);
     cut.heal();
     await world.runFor(3_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.judge.startsOf.get(TASK)).toBe(1);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.invariants.startCounts.get(TASK)).toBe(1);
     expect(world.progress(ID)?.state).toBe('complete');
   });
 
@@ -62,14 +62,14 @@
   ])('starts elsewhere after all leases have ended if the owner %s', async (_, isOwnerCut) => {
     const world = await worldOf(90_000, true);
     const owners = isOwnerCut ? [ownerIndex(world)] : [];
-    const cut = new ZoneCut(world, world.runsOf(TASK), owners);
+    const cut = new ZoneCut(world, world.workersRunning(TASK), owners);
     await world.runFor(ENTRY_EXPIRY_MS);
     cut.expireEntries();
     await world.runFor(ALL_LEASES_MS - ENTRY_EXPIRY_MS + PLACEMENT_MS);
-    expect(world.runsOf(TASK)).toHaveLength(1);
-    expect(world.judge.startsOf.get(TASK)).toBe(2);
+    expect(world.workersRunning(TASK)).toHaveLength(1);
+    expect(world.invariants.startCounts.get(TASK)).toBe(2);
     cut.heal();
     await world.runFor(3_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
--- a/src/scheduler/test/fleet/zoneCut.ts
+++ b/src/scheduler/test/fleet/zoneCut.ts
@@ -18,12 +18,12 @@
     this.#world = world;
     this.#workerIds = new Set(workerIds);
     this.#seatIndexes = new Set(seatIndexes);
-    world.seats.forEach((seat, index) => {
+    world.schedulerSlots.forEach((slot, index) => {
       const isInside = this.#seatIndexes.has(index);
-      seat.isCutFromTable = isInside;
+      slot.isCutFromTable = isInside;
       [...world.workers.keys()]
         .filter((id) => this.#workerIds.has(id) !== isInside)
-        .forEach((id) => seat.unreachableWorkers.add(id));
+        .forEach((id) => slot.unreachableWorkers.add(id));
     });
   }
 
@@ -32,9 +32,9 @@
   }
 
   heal(): void {
-    this.#world.seats.forEach((seat) => {
-      seat.isCutFromTable = false;
-      seat.unreachableWorkers.clear();
+    this.#world.schedulerSlots.forEach((slot) => {
+      slot.isCutFromTable = false;
+      slot.unreachableWorkers.clear();
     });
     this.#workerIds.forEach((id) => this.#world.listedWorkers.add(id));
   }
