--- a/src/scheduler/common/assigning.ts
+++ b/src/scheduler/common/assigning.ts
@@ -18,13 +18,13 @@
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
 import { FreeCapacity } from './freeCapacity.js';
-import { PlacementOutlook } from './interference/placementOutlook.js';
+import { SlowdownPredictor } from './interference/slowdownPredictor.js';
 import type { PlacementCandidate, PlacementPolicy } from './placement.js';
 import { PreemptionPlan } from './preemption.js';
 import { batchSize, serviceSize } from './usageLearning.js';
-import { orderedShards, type TeamUse } from './queueOrder.js';
+import { orderedShards, type TeamUsage } from './queueOrder.js';
 import type { QuotaParts } from './quotaParts.js';
-import { allShards, teamUseOf } from './quotaRound.js';
+import { allShards, teamUsageOf } from './quotaRound.js';
 import { attemptKey } from './workerView.js';
 
 /** The work that evicting a task would lose, by attempt key, for tasks whose worker reports it. */
@@ -52,7 +52,7 @@
 
   readonly #rows: CellRows;
 
-  readonly outlook: PlacementOutlook;
+  readonly slowdownPredictor: SlowdownPredictor;
 
   #capacity: FreeCapacity | undefined;
 
@@ -77,7 +77,7 @@
     this.policy = policy;
     this.operationId = operationId;
     this.nowMs = nowMs;
-    this.outlook = new PlacementOutlook(state, rows, nowMs);
+    this.slowdownPredictor = new SlowdownPredictor(state, rows, nowMs);
   }
 
   get capacity(): FreeCapacity {
@@ -114,8 +114,8 @@
 
   assign(rack: string, assignment: Assignment): void {
     this.draft.setAssignments(rack, [...this.draft.assignments(rack), assignment]);
-    this.capacity.take(assignment.workerId, assignment.size);
-    this.outlook.take(assignment);
+    this.capacity.reserve(assignment.workerId, assignment.size);
+    this.slowdownPredictor.addAssignment(assignment);
   }
 }
 
@@ -179,10 +179,10 @@
     // A replica can wait if other zones serve it in the meantime. One that no zone serves is
     // missing for callers.
     const canWait = replicas.length + elsewhereCount >= service.replicaCount;
-    const nearCandidates = round.capacity.candidatesNear(replicas, canWait);
+    const nearCandidates = round.capacity.candidatesWithReplicaCounts(replicas, canWait);
     const chosen = round.policy.choose(
       request,
-      round.outlook.forService(service.name, nearCandidates),
+      round.slowdownPredictor.forService(service.name, nearCandidates),
     );
     if (chosen === undefined) {
       for (let count = replicas.length; count < wantedCount; count += 1) round.makeRoom(size);
@@ -201,7 +201,7 @@
 const isBackedOff = (round: AssigningRound, row: WorkRow, task: BatchTask): boolean =>
   round.nowMs < (round.state.retryAtMs.get(batchTaskId(row.jobId, task.index)) ?? 0);
 
-const assignShard = (round: AssigningRound, teamUse: TeamUse, row: WorkRow): number => {
+const assignShard = (round: AssigningRound, teamUse: TeamUsage, row: WorkRow): number => {
   const size = batchSize(round.state, row);
   const request = { size, isSpread: false };
   const failedOn = round.state.workerHealth.failedOn(row.shardId);
@@ -216,8 +216,8 @@
       return task;
     }
     const isUrgent = row.urgency === Urgency.Urgent;
-    const allCandidates = round.capacity.candidatesApartFrom(failedOn, request, !isUrgent);
-    const candidates = round.outlook.forBatch(
+    const allCandidates = round.capacity.candidatesAvoiding(failedOn, request, !isUrgent);
+    const candidates = round.slowdownPredictor.forBatch(
       row.team,
       size.processorMillis,
       allCandidates,
@@ -225,8 +225,8 @@
     );
     const chosen = round.policy.choose(request, candidates);
     if (chosen === undefined) {
-      // If the outlook ruled out workers for the sake of a service, other kinds of work may still
-      // fit there, so the size is not noted as too large.
+      // If the predictor ruled out workers to protect a service, other kinds of work may still fit
+      // there, so the size is not noted as too large.
       if (candidates.length === allCandidates.length) round.capacity.noteTooLarge(size);
       round.shardIdsWithoutRoom.add(row.shardId);
       canAssignMore = isUrgent;
@@ -234,7 +234,7 @@
       return task;
     }
     round.assign(chosen.rack, batchAssignment(row, task, size, chosen));
-    teamUse.take(row.team, row.size);
+    teamUse.add(row.team, row.size);
     assignedCount += 1;
     return { ...task, state: BatchTaskState.Assigned };
   });
@@ -251,7 +251,7 @@
     (row) => hasQueuedTask(row) && !draft.cancelledJobIds.has(row.jobId),
   );
   if (queued.length === 0) return 0;
-  const teamUse = teamUseOf(state, draft, parts);
+  const teamUse = teamUsageOf(state, draft, parts);
   return orderedShards(queued, teamUse).reduce(
     (count, row) => (round.isFull ? count : count + assignShard(round, teamUse, row)),
     0,
--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -35,7 +35,7 @@
 import { needsFence } from './fence.js';
 import { INITIAL_TASK_TRANSFER } from './taskTransfer.js';
 import { LearntSizes } from './learntSizes.js';
-import { initialInterference, withSamples } from './interference/interferenceState.js';
+import { initialInterference, withPendingSamples } from './interference/interferenceState.js';
 import { unrecordedFinishes } from './lateFinishes.js';
 import { mayAssign } from './round.js';
 import { withAllStale, withNewRows, withRowsInDoubt } from './staleness.js';
@@ -123,7 +123,7 @@
     nextRoundAtMs: nowMs,
     preempted: new Set<string>(),
     interference: initialInterference(after.timing.interference, nowMs),
-    unfitSinceMs: new Map<string, number>(),
+    oversizedSinceMs: new Map<string, number>(),
     workerHealth: new WorkerHealth(),
     retryAtMs: new Map<string, number>(),
     taskTransfer: INITIAL_TASK_TRANSFER,
@@ -288,7 +288,7 @@
       const ownSamples = event.samples.filter(({ workerId }) => state.workers.has(workerId));
       return withoutEffects({
         ...state,
-        interference: withSamples(state.interference, ownSamples),
+        interference: withPendingSamples(state.interference, ownSamples),
       });
     }
     case 'lease-read':
--- a/src/scheduler/common/cellScheduler.ts
+++ b/src/scheduler/common/cellScheduler.ts
@@ -23,7 +23,7 @@
 import { brokenByRound, brokenByStarts, ledgerChange } from './invariants.js';
 import type { PlacementPolicy } from './placement.js';
 import { hasHeardFromWorkers, mayAssign, planRound, type Round } from './round.js';
-import { unfitSince } from './unfitWork.js';
+import { oversizedSince } from './oversizedWork.js';
 import { learnFromUsage } from './usageLearning.js';
 import { isStartAllowed, planCommand } from './workerCommands.js';
 import { WorkerHealth } from './workerHealth.js';
@@ -63,7 +63,7 @@
   operationCount: 0,
   preempted: new Set(),
   interference: initialInterference(timing.interference, nowMs),
-  unfitSinceMs: new Map(),
+  oversizedSinceMs: new Map(),
   workerHealth: new WorkerHealth(),
   retryAtMs: new Map(),
   taskTransfer: INITIAL_TASK_TRANSFER,
@@ -162,7 +162,7 @@
   // Rows that a poll found are read first. Otherwise urgent work among them would wait for the next
   // round.
   if (before.arrivals !== undefined) return withoutEffects(before);
-  const state = { ...before, unfitSinceMs: unfitSince(before, rows, nowMs) };
+  const state = { ...before, oversizedSinceMs: oversizedSince(before, rows, nowMs) };
   const operationId = `${state.lease.selfId}:${state.cell}:${state.operationCount}`;
   const { round, effects } = planCheckedRound(state, rows, policy, operationId, nowMs);
   const planned = {
--- a/src/scheduler/common/cellState.ts
+++ b/src/scheduler/common/cellState.ts
@@ -126,7 +126,7 @@
   /** How much each kind of batch task slows each service. Each owner learns it again. */
   readonly interference: InterferenceState;
   /** Since when a shard's tasks have been larger than every listed worker, by shard id. */
-  readonly unfitSinceMs: ReadonlyMap<string, number>;
+  readonly oversizedSinceMs: ReadonlyMap<string, number>;
   /** Task failures by worker. Each owner learns them again. */
   readonly workerHealth: WorkerHealth;
   /** When a failed task may be retried, by task id. A new owner retries at once. */
--- a/src/scheduler/common/fleet/drainMoves.ts
+++ b/src/scheduler/common/fleet/drainMoves.ts
@@ -1,4 +1,4 @@
-/** Moves runs off workers that are about to leave, into room that is kept for their tasks. */
+/** Moves runs off workers that are about to leave, into room reserved for their tasks. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
 import { assignRun, nextRunNumber } from './fleetRound.js';
 import type { FleetTiming } from './fleetTiming.js';
@@ -8,20 +8,22 @@
 import { isUsable, type RoundInput, UsableWorkers } from './usableWorkers.js';
 import { type PlacementChoice, WorkerSearch } from './workerSearch.js';
 
-/** A step of the scheduler, a call and its answer, and a few looks for room. */
-const STOP_SLACK_MS = 400;
-/** How much longer than it says a worker is likely to stay. */
-const LIKELY_LINGER_MS = 1_000;
+/** Covers a scheduler step, a call with its response, and a few searches for room. */
+const STOP_MARGIN_MS = 400;
+/** A worker is likely to stay this much longer than it announced. */
+const LIKELY_OVERSTAY_MS = 1_000;
 
 const isLeaving = (view: FleetWorkerView): boolean =>
-  view.isListed && view.entry.isDraining && view.isHeard && !view.isSilent;
+  view.isListed && view.entry.isDraining && view.hasAnswered && !view.isSilent;
 
 /**
- * Whether the run is to be stopped now. A task that lasts is away for as long as it takes to find
- * out that its worker has left, several seconds, or for the time of a stop and a start. Any other
- * run works on up to the last moment, and is stopped only if its end is likely to come after the
- * worker has left. One that saves no progress loses all by the stop, so a worker that stays a little
- * longer than it says may do more for it.
+ * Whether the run should be stopped now.
+ *
+ * A persistent task is stopped at once: it is then unavailable only for a stop and a start, while
+ * detecting that its worker has left takes several seconds. Any other run continues as long as
+ * possible and is stopped only if it will probably not end before the worker leaves. A run that
+ * saves no progress loses all its work when it is stopped, so it also gets the time that the worker
+ * is likely to stay beyond its announcement.
  */
 const isMoveDue = (
   run: TaskRun,
@@ -33,34 +35,37 @@
   if (step.isPersistent) return true;
   const { staysUntilMs, lastAnswerAtMs } = view;
   if (staysUntilMs === undefined || run.task.runs.length > 1) return false;
-  const leftMs = Math.max(0, staysUntilMs - nowMs);
-  if (leftMs > workerStopMs + STOP_SLACK_MS) return false;
-  const workMs = likelyRemainingMs(run, lastAnswerAtMs, nowMs);
+  const remainingStayMs = Math.max(0, staysUntilMs - nowMs);
+  if (remainingStayMs > workerStopMs + STOP_MARGIN_MS) return false;
+  const remainingWorkMs = likelyRemainingMs(run, lastAnswerAtMs, nowMs);
   return step.savesProgress
-    ? workMs > Math.max(leftMs, workerStopMs)
-    : workMs > leftMs + LIKELY_LINGER_MS;
+    ? remainingWorkMs > Math.max(remainingStayMs, workerStopMs)
+    : remainingWorkMs > remainingStayMs + LIKELY_OVERSTAY_MS;
 };
 
-/** Whether the task of a run that is being stopped is to start elsewhere. */
-const startsAgain = ({ submission, isDone, runs }: TaskRecord): boolean =>
+/** Whether the task must start on another worker once its only run has stopped. */
+const mustRestart = ({ submission, isDone, runs }: TaskRecord): boolean =>
   isOpen(submission) && !isDone && runs.length === 1;
 
-/** Whether the run is one to move, or is being moved already. */
+/** Whether the run should be moved or is already being moved. */
 const isMovable = (
   run: TaskRun,
   view: FleetWorkerView,
   timing: FleetTiming,
   nowMs: number,
 ): boolean => {
-  // A gang would have to be moved whole.
+  // All tasks of a gang would have to move together.
   if (run.task.step.isGang) return false;
-  if (run.state === RunState.Stopping) return startsAgain(run.task);
+  if (run.state === RunState.Stopping) return mustRestart(run.task);
   return run.state === RunState.Running && isMoveDue(run, view, timing, nowMs);
 };
 
-/** What a filler uses is not counted, so that the room of several cannot be told. */
-const keepsNoFiller = ({ keptTasks }: FleetWorkerView): boolean =>
-  ![...keptTasks].some(({ step }) => step.isFiller);
+/**
+ * A worker takes one reservation for a filler at a time: reservations don't count the processors of
+ * fillers, so the room left for a second one is unknown.
+ */
+const hasNoFillerReservation = ({ reservedTasks }: FleetWorkerView): boolean =>
+  ![...reservedTasks].some(({ step }) => step.isFiller);
 
 const findRoom = (
   task: TaskRecord,
@@ -69,36 +74,36 @@
   nowMs: number,
 ): PlacementChoice | undefined => {
   const { views, context } = usable.poolOf(task, configuration);
-  const allowed = task.step.isFiller ? views.filter(keepsNoFiller) : views;
+  const allowed = task.step.isFiller ? views.filter(hasNoFillerReservation) : views;
   return new WorkerSearch(allowed, context, nowMs).next(task);
 };
 
-const isAtWork = ({ state }: TaskRun): boolean => state === RunState.Running;
+const isRunning = ({ state }: TaskRun): boolean => state === RunState.Running;
 
 export class DrainMoves {
-  /** Room that is kept on workers for the tasks of runs that are being stopped. */
-  readonly #kept = new Map<TaskRun, FleetWorkerView>();
+  /** Workers with room reserved for the tasks of runs that are being stopped. */
+  readonly #reservations = new Map<TaskRun, FleetWorkerView>();
 
   clear(): void {
-    this.#kept.clear();
+    this.#reservations.clear();
   }
 
-  /** Gives the room that was kept for them to tasks whose runs are over. */
+  /** Assigns tasks whose runs have ended to the room reserved for them. */
   placeMoved(input: RoundInput, nowMs: number): void {
     const { configuration } = input.operator;
-    if (configuration === undefined || this.#kept.size === 0) return;
+    if (configuration === undefined || this.#reservations.size === 0) return;
     const usable = new UsableWorkers(input, nowMs);
-    [...this.#kept].forEach(([run, target]) => {
+    [...this.#reservations].forEach(([run, target]) => {
       const view = input.views.get(run.workerId);
-      const isUnderWay = view?.hasRun(run) === true;
+      const hasRun = view?.hasRun(run) === true;
       const isTargetUsable =
         input.views.get(target.id) === target && isUsable(target, input, nowMs);
-      // A worker that is out of reach may keep its run for as long as its leases last.
-      const isWanted = isTargetUsable && startsAgain(run.task);
-      if (isUnderWay && isWanted && isLeaving(view)) return;
-      this.#giveBack(run, target);
-      const isDue = input.book.waiting.has(run.task) && run.task.notBeforeMs <= nowMs;
-      if (isUnderWay || !isTargetUsable || !isDue) return;
+      // An unreachable worker may continue its run until its leases expire.
+      const isStillNeeded = isTargetUsable && mustRestart(run.task);
+      if (hasRun && isStillNeeded && isLeaving(view)) return;
+      this.#release(run, target);
+      const isDue = input.registry.waiting.has(run.task) && run.task.notBeforeMs <= nowMs;
+      if (hasRun || !isTargetUsable || !isDue) return;
       const { context } = usable.poolOf(run.task, configuration);
       const choice = new WorkerSearch([target], context, nowMs).next(run.task);
       if (choice === undefined) return;
@@ -107,55 +112,62 @@
     });
   }
 
-  /** Tasks that last, to be stopped; room is kept for each from now on, others stay where they are. */
-  nextLasting(input: RoundInput, nowMs: number): readonly TaskRun[] {
+  /** Reserves room for persistent tasks on leaving workers; returns the runs to stop now. */
+  nextPersistent(input: RoundInput, nowMs: number): readonly TaskRun[] {
     return this.#next(input, ({ task }) => task.step.isPersistent, nowMs);
   }
 
-  /** Other runs that cannot end before their workers leave, to be stopped in the same way. */
+  /**
+   * Reserves room for the other runs that cannot end before their workers leave; returns the runs
+   * to stop now.
+   */
   nextUnfinishable(input: RoundInput, nowMs: number): readonly TaskRun[] {
     return this.#next(input, ({ task }) => !task.step.isPersistent, nowMs);
   }
 
-  #next(input: RoundInput, isWanted: (run: TaskRun) => boolean, nowMs: number): readonly TaskRun[] {
+  #next(
+    input: RoundInput,
+    isSelected: (run: TaskRun) => boolean,
+    nowMs: number,
+  ): readonly TaskRun[] {
     const { configuration } = input.operator;
     const runs = [...input.views.values()]
       .filter(isLeaving)
       .flatMap((view) =>
         [...view.runs.values()]
-          .filter((run) => !this.#kept.has(run) && isWanted(run))
+          .filter((run) => !this.#reservations.has(run) && isSelected(run))
           .filter((run) => isMovable(run, view, input.timing, nowMs)),
       );
     if (configuration === undefined || runs.length === 0) return [];
-    return this.#keepRoom(runs, input, configuration, nowMs).filter(isAtWork);
+    return this.#reserveRoom(runs, input, configuration, nowMs).filter(isRunning);
   }
 
-  /** Keeps room for what is being stopped already, then for the others. */
-  #keepRoom(
+  /** Reserves room, first for runs that already stop; returns the runs that got room. */
+  #reserveRoom(
     runs: readonly TaskRun[],
     input: RoundInput,
     configuration: FleetConfiguration,
     nowMs: number,
   ): readonly TaskRun[] {
     const usable = new UsableWorkers(input, nowMs);
-    const missed = new Set<string>();
-    return [...runs.filter((run) => !isAtWork(run)), ...runs.filter(isAtWork)].filter((run) => {
+    const stepsWithoutRoom = new Set<string>();
+    return [...runs.filter((run) => !isRunning(run)), ...runs.filter(isRunning)].filter((run) => {
       const name = stepName(run.task);
-      if (missed.has(name)) return false;
+      if (stepsWithoutRoom.has(name)) return false;
       const choice = findRoom(run.task, usable, configuration, nowMs);
-      if (choice === undefined) missed.add(name);
-      else this.#keep(run, choice.view);
+      if (choice === undefined) stepsWithoutRoom.add(name);
+      else this.#reserve(run, choice.view);
       return choice !== undefined;
     });
   }
 
-  #keep(run: TaskRun, view: FleetWorkerView): void {
-    this.#kept.set(run, view);
-    view.keepRoomFor(run.task);
+  #reserve(run: TaskRun, view: FleetWorkerView): void {
+    this.#reservations.set(run, view);
+    view.reserveRoom(run.task);
   }
 
-  #giveBack(run: TaskRun, view: FleetWorkerView): void {
-    this.#kept.delete(run);
-    view.giveRoomBack(run.task);
+  #release(run: TaskRun, view: FleetWorkerView): void {
+    this.#reservations.delete(run);
+    view.releaseRoom(run.task);
   }
 }
--- a/src/scheduler/common/fleet/drainNotice.ts
+++ b/src/scheduler/common/fleet/drainNotice.ts
@@ -1,46 +1,46 @@
-/** Until when a worker that drains surely goes on, by what it says in the table. */
+/** Estimates the earliest time at which a draining worker leaves, from its entry in the table. */
 import type { FleetWorkerEntry } from '../../../services/fleet/common/fleetWorker.js';
 
-type Notice = Pick<FleetWorkerEntry, 'isDraining' | 'remainingMs' | 'incarnation'>;
+type DrainEntry = Pick<FleetWorkerEntry, 'isDraining' | 'remainingMs' | 'incarnation'>;
 
 /**
- * An entry tells how much time was left when it was written, and not when that was. It was written
- * after the reading before the one that shows it first, and no longer ago than the time between two
- * reports of a worker.
+ * An entry holds the time that was left when the worker wrote it, but not the time of the write.
+ * The write happened after the last read that did not show the entry, and at most one report
+ * interval before the first read that shows it.
  */
 export class DrainNotice {
-  #known: Notice | undefined;
+  #lastEntry: DrainEntry | undefined;
 
-  #readAtMs = Number.NEGATIVE_INFINITY;
+  #lastReadAtMs = Number.NEGATIVE_INFINITY;
 
   #staysUntilMs: number | undefined;
 
-  /** Undefined for a worker that does not drain, or does not tell. */
+  /** Undefined if the worker is not draining or does not report its remaining time. */
   get staysUntilMs(): number | undefined {
     return this.#staysUntilMs;
   }
 
-  /** Takes in what was read no earlier than `readAtMs`. */
-  note(entry: Notice, reportIntervalMs: number, readAtMs: number): void {
-    // Lists may be answered in another order than they were asked for.
-    if (readAtMs < this.#readAtMs) return;
+  /** Processes an entry that was read at `readAtMs` or later. */
+  update(entry: DrainEntry, reportIntervalMs: number, readAtMs: number): void {
+    // Responses to list requests may arrive out of order.
+    if (readAtMs < this.#lastReadAtMs) return;
     const { isDraining, remainingMs, incarnation } = entry;
-    const isSameLife = this.#known?.incarnation === incarnation;
-    if (!isDraining || !isSameLife) this.#staysUntilMs = undefined;
-    const isNew = !isSameLife || this.#known?.remainingMs !== remainingMs;
-    if (isDraining && remainingMs !== undefined && isNew) {
+    const isSameIncarnation = this.#lastEntry?.incarnation === incarnation;
+    if (!isDraining || !isSameIncarnation) this.#staysUntilMs = undefined;
+    const isNewReport = !isSameIncarnation || this.#lastEntry?.remainingMs !== remainingMs;
+    if (isDraining && remainingMs !== undefined && isNewReport) {
       const writtenAtMs = Math.max(
         readAtMs - reportIntervalMs,
-        isSameLife ? this.#readAtMs : Number.NEGATIVE_INFINITY,
+        isSameIncarnation ? this.#lastReadAtMs : Number.NEGATIVE_INFINITY,
       );
       const staysUntilMs = writtenAtMs + remainingMs;
       this.#staysUntilMs = Math.max(this.#staysUntilMs ?? staysUntilMs, staysUntilMs);
     }
-    this.#known = {
+    this.#lastEntry = {
       isDraining,
       incarnation,
       ...(remainingMs === undefined ? {} : { remainingMs }),
     };
-    this.#readAtMs = readAtMs;
+    this.#lastReadAtMs = readAtMs;
   }
 }
--- a/src/scheduler/common/fleet/fleetScheduler.ts
+++ b/src/scheduler/common/fleet/fleetScheduler.ts
@@ -1,12 +1,13 @@
 /**
- * Schedules submissions on workers that keep their own leases. One daemon at a time owns all of
- * it. Events come in through the handlers, each with the present time; `step` says what to do
- * next. It holds no socket, timer or clock.
+ * Schedules submissions on workers that enforce their own leases. One daemon at a time owns the
+ * whole fleet. Events come in through the `handle` methods, each with the current time; `step`
+ * returns the effects that are due. The class uses no socket, timer or clock.
  *
- * Which worker is given which task is stored before the start is sent. Workers list what runs
- * and refuse orders under a lower fence than the highest they have seen, so an owner that has held
- * a worker under its own fence knows all that runs there. On a worker that it does not reach only
- * the tasks may run that are stored as assigned to it: these wait until its leases are over.
+ * The assignment of a task to a worker is stored before the start is sent. Workers list their runs
+ * and refuse orders under a lower fence than the highest they have seen. An owner that has received
+ * a worker's hold answer under its own fence therefore knows all runs there. A worker that the
+ * owner cannot reach can only run the tasks that are stored as assigned to it. Those tasks wait
+ * until the worker's leases have ended.
  */
 import { type Either, isLeft, isRight } from 'fp-ts/lib/Either.js';
 
@@ -32,30 +33,36 @@
   TransactionResult,
 } from '../../../services/table/common/table.js';
 import type { LeaseStepKind } from '../cellLease.js';
-import { holdEffects, noteStray, startEffect, stopEffects, stopStuck } from './fleetCalls.js';
+import {
+  holdEffects,
+  noteUnknownRun,
+  startEffect,
+  stopEffects,
+  stopStuckRuns,
+} from './fleetCalls.js';
 import { FillerPacing } from './fillerPacing.js';
 import type { FleetEffect } from './fleetEffects.js';
-import { StopReason } from './fleetNotes.js';
+import { StopReason } from './decisionLog.js';
 import { FleetOwnership } from './fleetOwnership.js';
 import { DrainMoves } from './drainMoves.js';
 import { placeWaiting } from './fleetRound.js';
 import {
-  loseLapsed,
-  newTenure,
+  dropExpiredRuns,
+  newFleetState,
   NOTHING_STORED,
-  noteWorkers,
+  updateWorkers,
   roundInput,
   type StoredState,
   type SubmissionChange,
-  takeChanges,
-  type Tenure,
-} from './fleetTenure.js';
+  applyChanges,
+  type FleetState,
+} from './fleetState.js';
 import type { FleetPolicy } from './fleetPolicy.js';
 import type { FleetTiming } from './fleetTiming.js';
-import { NEXT_HOLD_AFTER_FAILURE_MS } from './holdPace.js';
+import { HOLD_RETRY_MS } from './holdTiming.js';
 import { runKey } from './fleetWorkerView.js';
 import { splitRecorded } from './runStarts.js';
-import { OwnerLoad } from './ownerLoad.js';
+import { OwnerLoadLimiter } from './ownerLoadLimiter.js';
 import { RunState, type TaskRun } from './taskRecords.js';
 import { obstaclesOf, type RoundInput } from './usableWorkers.js';
 import type { ObstaclesOf } from './waitReport.js';
@@ -69,11 +76,11 @@
 
   #operator: OperatorState = NO_OPERATOR_STATE;
 
-  #tenure: Tenure | undefined;
+  #state: FleetState | undefined;
 
   #loadingEpoch = 0;
 
-  /** Epochs that have ended and that the log has not been told of. */
+  /** Epochs that have ended and whose end has not been logged yet. */
   #endedEpochs: number[] = [];
 
   readonly #startsInFlight = new Map<string, TaskRun>();
@@ -82,7 +89,7 @@
 
   readonly #moves = new DrainMoves();
 
-  readonly #load = new OwnerLoad();
+  readonly #loadLimiter = new OwnerLoadLimiter();
 
   constructor(
     selfId: string,
@@ -100,12 +107,12 @@
     return this.#ownership.isOwner;
   }
 
-  /** The epoch in which this daemon schedules; undefined until it has read what is stored. */
+  /** The epoch in which this daemon schedules; undefined until it has loaded the stored state. */
   get epoch(): number | undefined {
-    return this.#tenure?.epoch;
+    return this.#state?.epoch;
   }
 
-  /** For how long the owner before this one had been silent, or had given the fleet up. */
+  /** The time in milliseconds since the previous owner's last seen heartbeat or its release. */
   predecessorQuietMs(nowMs: number): number {
     return nowMs - this.#ownership.predecessorQuietSinceMs;
   }
@@ -120,7 +127,7 @@
 
   handleLeaseRead(result: Either<Failure, ReadResult>, sentAtMs: number, nowMs: number): void {
     this.#ownership.handleRead(result, sentAtMs, nowMs);
-    this.#dropEndedTenure();
+    this.#dropEndedState();
   }
 
   handleLeaseWritten(
@@ -130,10 +137,12 @@
     nowMs: number,
   ): void {
     this.#ownership.handleWritten(step, result, sentAtMs, nowMs);
-    this.#dropEndedTenure();
+    this.#dropEndedState();
   }
 
-  /** Takes in what is stored; undefined when it could not be read, and is to be read again. */
+  /**
+   * Takes over the stored state. If it is undefined, reading failed and `step` requests a new load.
+   */
   handleLoaded(epoch: number, stored: StoredState | undefined, nowMs: number): void {
     if (this.#loadingEpoch !== epoch) return;
     this.#loadingEpoch = 0;
@@ -141,29 +150,29 @@
     const leasesOverAtMs = (entry: RosterEntry): number =>
       this.#ownership.formerLeasesOverAtMs(entry, stored.roster.epoch, nowMs);
     const operator = (): OperatorState => this.#operator;
-    this.#tenure = newTenure(epoch, stored, leasesOverAtMs, operator, this.#policy, nowMs);
+    this.#state = newFleetState(epoch, stored, leasesOverAtMs, operator, this.#policy, nowMs);
   }
 
   handleChanges(epoch: number, changes: readonly SubmissionChange[], nowMs: number): void {
-    if (this.#tenure?.epoch !== epoch) return;
-    takeChanges(this.#tenure, changes, NOTHING_STORED, nowMs);
+    if (this.#state?.epoch !== epoch) return;
+    applyChanges(this.#state, changes, NOTHING_STORED, nowMs);
   }
 
-  /** Everything that callers had done by `nowMs` has been taken in. */
+  /** All submissions and cancellations that callers made before `nowMs` have been handled. */
   handleCaughtUp(epoch: number, nowMs: number): void {
-    if (this.#tenure?.epoch === epoch) this.#tenure.caughtUpAtMs = nowMs;
+    if (this.#state?.epoch === epoch) this.#state.caughtUpAtMs = nowMs;
   }
 
-  /** Takes in the workers that the table lists, asked for at `sentAtMs`. */
+  /** Handles the list of workers in the table, which was requested at `sentAtMs`. */
   handleWorkers(
     epoch: number,
     entries: readonly FleetWorkerEntry[],
     sentAtMs: number,
     nowMs: number,
   ): void {
-    const tenure = this.#tenure;
-    if (tenure?.epoch !== epoch) return;
-    noteWorkers(tenure, entries, this.#timing, sentAtMs, nowMs);
+    const state = this.#state;
+    if (state?.epoch !== epoch) return;
+    updateWorkers(state, entries, this.#timing, sentAtMs, nowMs);
   }
 
   handleHeld(
@@ -173,27 +182,27 @@
     sentAtMs: number,
     nowMs: number,
   ): void {
-    const tenure = this.#tenure;
-    const view = tenure?.views.get(workerId);
-    if (tenure?.epoch !== epoch || view === undefined) return;
+    const state = this.#state;
+    const view = state?.views.get(workerId);
+    if (state?.epoch !== epoch || view === undefined) return;
     view.isHoldInFlight = false;
     view.nextHoldAtMs = nowMs;
     const outcome = isRight(result) ? result.right : undefined;
     if (outcome?.kind === 'fenced') {
-      this.#yield(nowMs);
+      this.#giveUpFleet(nowMs);
       return;
     }
     if (outcome?.kind !== 'held') {
       view.isSilent = true;
-      view.nextHoldAtMs = nowMs + NEXT_HOLD_AFTER_FAILURE_MS;
+      view.nextHoldAtMs = nowMs + HOLD_RETRY_MS;
       return;
     }
-    if (!view.isHeard) view.boundFormerLeases(this.#timing, nowMs);
-    const unknown = tenure.keeper.handleLists(view, outcome.answer, sentAtMs, nowMs);
-    if (view.isReborn) view.boundLeasesOfNewProcess(this.#timing, nowMs);
-    unknown.forEach((running) => noteStray(tenure, view, running));
-    tenure.interference.observe(view, nowMs);
-    stopStuck(tenure, view, nowMs);
+    if (!view.hasAnswered) view.boundFormerLeases(this.#timing, nowMs);
+    const unknown = state.runTracker.handleHoldAnswer(view, outcome.answer, sentAtMs, nowMs);
+    if (view.isNewProcess) view.boundLeasesOfNewProcess(this.#timing, nowMs);
+    unknown.forEach((running) => noteUnknownRun(state, view, running));
+    state.interference.observe(view, nowMs);
+    stopStuckRuns(state, view, nowMs);
   }
 
   handleStarted(
@@ -204,12 +213,12 @@
   ): void {
     const key = runKey(reference.taskName, reference.run);
     const run = this.#startsInFlight.get(key);
-    if (this.#startsInFlight.delete(key)) this.#load.noteStartAnswered();
-    if (this.#tenure?.epoch !== epoch || run === undefined) return;
+    if (this.#startsInFlight.delete(key)) this.#loadLimiter.noteStartAnswered();
+    if (this.#state?.epoch !== epoch || run === undefined) return;
     const isFenced = isRight(result) && result.right === StartOutcome.Fenced;
-    if (isFenced && this.#isOvertaken(reference, epoch)) this.#yield(nowMs);
+    if (isFenced && this.#isSuperseded(reference, epoch)) this.#giveUpFleet(nowMs);
     else {
-      this.#tenure.keeper.handleStarted(run, result, nowMs);
+      this.#state.runTracker.handleStarted(run, result, nowMs);
       this.#pacing.handleStarted(run);
     }
   }
@@ -220,15 +229,15 @@
     result: Either<Failure, OrderOutcome>,
     nowMs: number,
   ): void {
-    if (this.#tenure?.epoch !== epoch) return;
+    if (this.#state?.epoch !== epoch) return;
     const isFenced = isRight(result) && result.right === OrderOutcome.Fenced;
-    if (isFenced && this.#isOvertaken(reference, epoch)) {
-      this.#yield(nowMs);
+    if (isFenced && this.#isSuperseded(reference, epoch)) {
+      this.#giveUpFleet(nowMs);
       return;
     }
-    const view = this.#tenure.views.get(reference.workerId);
+    const view = this.#state.views.get(reference.workerId);
     const run = view?.runs.get(runKey(reference.taskName, reference.run));
-    if (run !== undefined) this.#tenure.keeper.handleStopped(run, result, nowMs);
+    if (run !== undefined) this.#state.runTracker.handleStopped(run, result, nowMs);
   }
 
   handlePaced(
@@ -238,82 +247,82 @@
     result: Either<Failure, OrderOutcome>,
     nowMs: number,
   ): void {
-    const view = this.#tenure?.views.get(reference.workerId);
+    const view = this.#state?.views.get(reference.workerId);
     const run = view?.runs.get(runKey(reference.taskName, reference.run));
-    if (run === undefined || this.#tenure?.epoch !== epoch) return;
+    if (run === undefined || this.#state?.epoch !== epoch) return;
     this.#pacing.handleAnswered(run);
     if (isLeft(result)) return;
     if (result.right === OrderOutcome.Fenced) {
-      if (this.#isOvertaken(reference, epoch)) this.#yield(nowMs);
+      if (this.#isSuperseded(reference, epoch)) this.#giveUpFleet(nowMs);
     } else FillerPacing.recordAccepted(run, percent, nowMs);
   }
 
-  /** Returns the starts of runs whose assignments are stored now, or what is to be read again. */
+  /** Returns the starts of runs whose assignments are now stored, or the rows to read again. */
   handleCommitted(
     epoch: number,
     result: Either<Failure, TransactionResult>,
     nowMs: number,
   ): readonly FleetEffect[] {
-    const tenure = this.#tenure;
-    if (tenure?.epoch !== epoch) return [];
-    const { commits, book, roster } = tenure;
-    const { request, recorded } = commits.handleCommitted(result, book, roster);
+    const state = this.#state;
+    if (state?.epoch !== epoch) return [];
+    const { commits, registry, roster } = state;
+    const { request, recorded } = commits.handleCommitted(result, registry, roster);
     if (request !== undefined) return [{ kind: 'resolve', epoch, request }];
-    const effects = [...this.#start(tenure, recorded, nowMs)];
-    // What has gathered meanwhile need not wait for the next step, which may be far off.
-    this.#commit(tenure, effects, nowMs);
+    const effects = [...this.#startRecorded(state, recorded, nowMs)];
+    // Commits the changes that came in meanwhile at once, because the next step may be far off.
+    this.#commit(state, effects, nowMs);
     return effects;
   }
 
-  /** Returns false when the rows are to be read again. */
+  /** Returns false if the rows have to be read again. */
   handleResolved(epoch: number, result: Either<Failure, ReadResult>): boolean {
-    if (this.#tenure?.epoch !== epoch) return true;
-    return this.#tenure.commits.handleResolved(result);
+    if (this.#state?.epoch !== epoch) return true;
+    return this.#state.commits.handleResolved(result);
   }
 
-  /** Hands over before the daemon ends; returns what to write. */
+  /** Releases the fleet before the daemon ends. Returns the transaction to write. */
   release(): Transaction | undefined {
-    const tenure = this.#tenure;
-    this.#tenure = undefined;
+    const state = this.#state;
+    this.#state = undefined;
     const transaction = this.#ownership.release();
-    if (transaction === undefined || tenure === undefined) return transaction;
+    if (transaction === undefined || state === undefined) return transaction;
     const toTableMs = (atMs: number): number | undefined => this.#ownership.toTableMs(atMs);
-    const row = tenure.roster.last([...tenure.views.values()], toTableMs);
-    // Needs no condition of its own: a commit that is under way names the owner row, so that it is
-    // stored before this transaction or not at all.
+    const row = state.roster.lastRow([...state.views.values()], toTableMs);
+    // The roster row needs no condition of its own: a commit in flight has a condition on the owner
+    // row, so it is stored either before this transaction or not at all.
     return { ...transaction, writes: [...transaction.writes, { key: ROSTER_KEY, value: row }] };
   }
 
-  /** A step that was due at `dueAtMs` has been taken. Returns whether fewer tasks start from now on. */
+  /** Records a step that was due at `dueAtMs`. Returns whether the start rate has been reduced. */
   handleStepTaken(dueAtMs: number, beganAtMs: number, endedAtMs: number): boolean {
-    return this.#load.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#tenure !== undefined;
+    return this.#loadLimiter.noteStep(dueAtMs, beganAtMs, endedAtMs) && this.#state !== undefined;
   }
 
-  /** The starts a second that this daemon's processor is taken to carry. */
+  /** The limit of starts per second, which follows what this daemon's processor can handle. */
   get startLimitPerS(): number {
-    return this.#load.startLimitPerS;
+    return this.#loadLimiter.startLimitPerS;
   }
 
-  /** Everything that is due now. */
+  /** Returns the effects that are due now. */
   step(wallNowMs: number, nowMs: number): readonly FleetEffect[] {
     const effects: FleetEffect[] = [];
-    const leaseEffect = this.#ownership.next(nowMs);
+    const leaseEffect = this.#ownership.nextEffect(nowMs);
     if (leaseEffect !== undefined) effects.push(leaseEffect);
     this.#followOwnership(effects);
-    const tenure = this.#tenure;
-    if (tenure === undefined) return effects;
-    loseLapsed(tenure, this.#timing, nowMs);
-    tenure.book.openDue(wallNowMs, nowMs);
-    tenure.keeper.inherit(tenure.book.takeInherited(), nowMs);
-    this.#place(tenure, nowMs);
-    effects.push(...stopEffects(tenure, nowMs));
-    effects.push(...holdEffects(tenure, this.#timing, this.#ownership, nowMs));
-    effects.push(...this.#pacing.effects(tenure, nowMs));
-    this.#commit(tenure, effects, nowMs);
-    tenure.notes.addAwaited(tenure.views.values(), nowMs);
-    tenure.notes
-      .drain(tenure.epoch, nowMs)
-      .forEach((note) => effects.push({ kind: 'log', ...note }));
+    const state = this.#state;
+    if (state === undefined) return effects;
+    dropExpiredRuns(state, this.#timing, nowMs);
+    state.registry.openDueOccurrences(wallNowMs, nowMs);
+    state.runTracker.inherit(state.registry.takeInherited(), nowMs);
+    this.#placeWaiting(state, nowMs);
+    effects.push(...stopEffects(state, nowMs));
+    effects.push(...holdEffects(state, this.#timing, this.#ownership, nowMs));
+    effects.push(...this.#pacing.effects(state, nowMs));
+    this.#commit(state, effects, nowMs);
+    state.decisionLog.addAwaited(state.views.values(), nowMs);
+    state.decisionLog
+      .drain(state.epoch, nowMs)
+      .forEach((entry) => effects.push({ kind: 'log', ...entry }));
     return effects;
   }
 
@@ -323,90 +332,105 @@
       effects.push({ kind: 'log', event: 'fleet-lost', fields: { epoch: ended } }),
     );
     this.#endedEpochs = [];
-    if (!isOwner || this.#tenure !== undefined || this.#loadingEpoch === epoch) return;
+    if (!isOwner || this.#state !== undefined || this.#loadingEpoch === epoch) return;
     this.#loadingEpoch = epoch;
     effects.push({ kind: 'load', epoch });
   }
 
-  /** Whether a refusal tells of another owner: calls sent before a fence was raised are refused too. */
-  #isOvertaken({ workerId, fence }: RunReference, epoch: number): boolean {
-    const view = this.#tenure?.views.get(workerId);
+  /**
+   * Whether a fenced refusal shows that another daemon owns the fleet. A worker also refuses calls
+   * that this owner sent before it raised the worker's fence.
+   */
+  #isSuperseded({ workerId, fence }: RunReference, epoch: number): boolean {
+    const view = this.#state?.views.get(workerId);
     return view === undefined || fence >= view.fence(epoch);
   }
 
-  #yield(nowMs: number): void {
-    this.#ownership.yield(nowMs);
-    this.#dropEndedTenure();
+  #giveUpFleet(nowMs: number): void {
+    this.#ownership.giveUp(nowMs);
+    this.#dropEndedState();
   }
 
-  /** At once, so that no answer that comes next is acted on under the condition of a later epoch. */
-  #dropEndedTenure(): void {
+  /**
+   * Drops the state of an epoch that has ended. This happens at once, so that the next answer is
+   * not handled under the condition of a later epoch.
+   */
+  #dropEndedState(): void {
     const { isOwner, epoch } = this.#ownership;
-    if (this.#tenure === undefined || (isOwner && this.#tenure.epoch === epoch)) return;
-    this.#endedEpochs.push(this.#tenure.epoch);
-    this.#tenure = undefined;
+    if (this.#state === undefined || (isOwner && this.#state.epoch === epoch)) return;
+    this.#endedEpochs.push(this.#state.epoch);
+    this.#state = undefined;
     this.#startsInFlight.clear();
     this.#pacing.clear();
     this.#moves.clear();
   }
 
-  #roundInput(tenure: Tenure): RoundInput {
-    return roundInput(tenure, this.#operator, this.#policy, this.#timing);
+  #roundInput(state: FleetState): RoundInput {
+    return roundInput(state, this.#operator, this.#policy, this.#timing);
   }
 
-  /** Callers are promised that nothing starts some seconds after they have cancelled it. */
-  #mayStart(tenure: Tenure, nowMs: number): boolean {
-    const isCaughtUp = nowMs - tenure.caughtUpAtMs <= this.#timing.feedFreshnessMs;
+  /** Callers are promised that a submission starts nothing some seconds after its cancellation. */
+  #mayStart(state: FleetState, nowMs: number): boolean {
+    const isCaughtUp = nowMs - state.caughtUpAtMs <= this.#timing.feedFreshnessMs;
     return isCaughtUp && this.#ownership.mayGrant(nowMs);
   }
 
-  #place(tenure: Tenure, nowMs: number): void {
-    if (!this.#mayStart(tenure, nowMs)) return;
-    const limits = this.#load.roundLimits(nowMs);
-    const input = this.#roundInput(tenure);
+  #placeWaiting(state: FleetState, nowMs: number): void {
+    if (!this.#mayStart(state, nowMs)) return;
+    const limits = this.#loadLimiter.roundLimits(nowMs);
+    const input = this.#roundInput(state);
     this.#moves.placeMoved(input, nowMs);
-    const { keeper } = tenure;
+    const { runTracker } = state;
     const outcome = placeWaiting(
       input,
       limits,
-      () => keeper.requestStops(this.#moves.nextLasting(input, nowMs), StopReason.Draining, nowMs),
+      () =>
+        runTracker.requestStops(
+          this.#moves.nextPersistent(input, nowMs),
+          StopReason.Draining,
+          nowMs,
+        ),
       nowMs,
     );
     const unfinishable = this.#moves.nextUnfinishable(input, nowMs);
-    keeper.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
-    this.#load.noteRound(outcome);
+    runTracker.requestStops(unfinishable, StopReason.Unfinishable, nowMs);
+    this.#loadLimiter.noteRound(outcome);
     const obstacles: ObstaclesOf = (task) => obstaclesOf(task, input, nowMs);
-    tenure.notes.addWaits(tenure.book.waiting, outcome.waits, obstacles, nowMs);
+    state.decisionLog.addWaits(state.registry.waiting, outcome.waits, obstacles, nowMs);
   }
 
-  #start(tenure: Tenure, recorded: readonly TaskRun[], nowMs: number): readonly FleetEffect[] {
-    const input = this.#roundInput(tenure);
-    const mayStart = this.#mayStart(tenure, nowMs);
+  #startRecorded(
+    state: FleetState,
+    recorded: readonly TaskRun[],
+    nowMs: number,
+  ): readonly FleetEffect[] {
+    const input = this.#roundInput(state);
+    const mayStart = this.#mayStart(state, nowMs);
     const { startable, blocked } = splitRecorded(recorded, input, mayStart, nowMs);
-    blocked.forEach((run) => tenure.keeper.withdraw(run, nowMs));
-    tenure.notes.addStarts(startable, nowMs);
-    return startable.flatMap((run) => this.#send(tenure, run, nowMs));
+    blocked.forEach((run) => state.runTracker.withdraw(run, nowMs));
+    state.decisionLog.addStarts(startable, nowMs);
+    return startable.flatMap((run) => this.#sendStart(state, run, nowMs));
   }
 
-  #send(tenure: Tenure, run: TaskRun, nowMs: number): readonly FleetEffect[] {
-    const view = tenure.views.get(run.workerId);
-    const limitAtMs = tenure.roster.grantLimitMs(run.workerId);
+  #sendStart(state: FleetState, run: TaskRun, nowMs: number): readonly FleetEffect[] {
+    const view = state.views.get(run.workerId);
+    const limitAtMs = state.roster.grantLimitMs(run.workerId);
     const leaseEndWorkerMs = view?.grantLease(this.#timing, limitAtMs, nowMs);
     if (view === undefined || leaseEndWorkerMs === undefined) {
-      tenure.keeper.withdraw(run, nowMs);
+      state.runTracker.withdraw(run, nowMs);
       return [];
     }
     run.state = RunState.Starting;
     run.startedAtMs = nowMs;
     this.#startsInFlight.set(runKey(run.task.name, run.run), run);
-    return [startEffect(tenure, view, run, leaseEndWorkerMs)];
+    return [startEffect(state, view, run, leaseEndWorkerMs)];
   }
 
-  #commit(tenure: Tenure, effects: FleetEffect[], nowMs: number): void {
-    const { epoch, book, views, commits, roster, interference } = tenure;
+  #commit(state: FleetState, effects: FleetEffect[], nowMs: number): void {
+    const { epoch, registry, views, commits, roster, interference } = state;
     const { condition, selfId: id } = this.#ownership;
     const input = {
-      ...{ book, views: views.values(), roster, interference },
+      ...{ registry, views: views.values(), roster, interference },
       owner: { condition, id, epoch },
       toTableMs: (atMs: number) => this.#ownership.toTableMs(atMs),
       intervalMs: this.#timing.commitIntervalMs,
--- a/src/scheduler/common/fleet/runKeeper.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -1,4 +1,4 @@
-/** Keeps the runs on the workers in step with what the workers list and answer. */
+/** Tracks the runs on the workers by what the workers list and answer. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import { type Failure, WorkOutcome } from '../../../services/errors/common/errorKinds.js';
@@ -15,18 +15,18 @@
   StartOutcome,
 } from '../../../services/fleet/common/fleetWorker.js';
 import type { WorkerHealth } from '../workerHealth.js';
-import { type FleetNotes, StopReason } from './fleetNotes.js';
+import { type DecisionLog, StopReason } from './decisionLog.js';
 import { runKey, type FleetWorkerView } from './fleetWorkerView.js';
 import { EvidenceKind, isRunOver, type RunEvidence, type WorkerEvidence } from './runEvidence.js';
-import type { InheritedTask, SubmissionBook } from './submissionBook.js';
+import type { InheritedTask, SubmissionRegistry } from './submissionRegistry.js';
 import { failureCount, isOpen, RunState, type TaskRecord, type TaskRun } from './taskRecords.js';
 
-/** How long a task waits after a worker has refused it, so that the next round looks elsewhere. */
+/** How long a refused task waits, so that the next round tries other workers first. */
 const REFUSED_RETRY_MS = 100;
-/** How long a stop without an answer is waited with before it is sent again. */
+/** The delay before a stop that failed or got no answer is sent again. */
 const STOP_RETRY_MS = 300;
 const FULL_PERCENT = 100;
-/** Of a task of which there are no figures yet: as at half the target. */
+/** The headroom of a task without latency figures, which counts as being at half its target. */
 const UNKNOWN_HEADROOM = 2;
 
 export interface StopDue {
@@ -54,73 +54,80 @@
   percentSinceMs: nowMs,
   recentFigure: 0,
   headroom: UNKNOWN_HEADROOM,
-  overSinceMs: undefined,
+  overTargetSinceMs: undefined,
   pacePercent: FULL_PERCENT,
   plannedPercent,
-  pacedSinceMs: nowMs,
+  paceLoweredAtMs: nowMs,
 });
 
-/** Whether a failure shows that the order cannot have been carried out. */
-const isSurelyUndone = (cause: Failure): boolean => cause.workOutcome === WorkOutcome.NotRun;
+/** Whether a failure shows that the order was certainly not executed. */
+const isCertainlyNotExecuted = (cause: Failure): boolean =>
+  cause.workOutcome === WorkOutcome.NotRun;
 
-export class RunKeeper {
-  readonly #book: SubmissionBook;
+export class RunTracker {
+  readonly #registry: SubmissionRegistry;
 
   readonly #views: ReadonlyMap<string, FleetWorkerView>;
 
   readonly #operator: () => OperatorState;
 
-  readonly #notes: FleetNotes;
+  readonly #decisionLog: DecisionLog;
 
-  /** Runs that need a stop, with when to send the next. */
+  /** Runs to stop, each with the instant at which its next stop is sent. */
   readonly #stops = new Map<TaskRun, number>();
 
   #health: WorkerHealth;
 
   constructor(
-    book: SubmissionBook,
+    registry: SubmissionRegistry,
     views: ReadonlyMap<string, FleetWorkerView>,
     operator: () => OperatorState,
     health: WorkerHealth,
-    notes: FleetNotes,
+    decisionLog: DecisionLog,
   ) {
-    this.#book = book;
+    this.#registry = registry;
     this.#views = views;
     this.#operator = operator;
     this.#health = health;
-    this.#notes = notes;
+    this.#decisionLog = decisionLog;
   }
 
   get health(): WorkerHealth {
     return this.#health;
   }
 
-  /** Takes in a worker's lists, asked for at `sentAtMs`. Returns runs that nobody knows. */
-  handleLists(
+  /** Handles a worker's lists, which were requested at `sentAtMs`. Returns the unknown runs. */
+  handleHoldAnswer(
     view: FleetWorkerView,
     answer: HoldAnswer,
     sentAtMs: number,
     nowMs: number,
   ): readonly RunningTask[] {
-    if (!view.isHeard) view.incarnation = answer.incarnation;
+    if (!view.hasAnswered) view.incarnation = answer.incarnation;
     if (answer.incarnation !== view.incarnation) {
-      this.#notes.add('worker-reborn', { workerId: view.id, incarnation: answer.incarnation });
+      this.#decisionLog.add('worker-reborn', {
+        workerId: view.id,
+        incarnation: answer.incarnation,
+      });
       view.noteIncarnation(answer.incarnation, nowMs);
     }
-    // Until the new process has seen the raised fence, a start sent to the old one may still come.
+    // Until the new process has seen the raised fence, it may still execute a start to the old one.
     if (!view.isFencedSince(sentAtMs)) return [];
-    if (view.isReborn) this.loseAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
+    if (view.isNewProcess) this.dropAll(view, { kind: EvidenceKind.AnotherProcess }, nowMs);
     view.noteAnswer(answer, nowMs);
-    const ended = answer.finished.filter((finished) => this.#takeEnd(view, finished, nowMs));
-    this.#notes.addEnds(view.id, ended, nowMs);
-    const unknown = answer.running.filter((running) => !this.#takeRunning(view, running, nowMs));
+    const ended = answer.finished.filter((finished) => this.#handleEnd(view, finished, nowMs));
+    this.#decisionLog.addEnds(view.id, ended, nowMs);
+    const unknown = answer.running.filter((running) => !this.#handleRunning(view, running, nowMs));
     if (!answer.isFinishedCut) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
-    view.strayCount = unknown.length;
+    view.unknownRunCount = unknown.length;
     if (view.mayForgetEnds) this.#stopForgettable(view, nowMs);
     return unknown;
   }
 
-  /** A run whose end may be forgotten would look like one that is lost, and be started again. */
+  /**
+   * Stops the runs of a process that may forget their ends. A run with a forgotten end would count
+   * as lost, and its task would start again.
+   */
   #stopForgettable(view: FleetWorkerView, nowMs: number): void {
     const runs = [...view.runs.values()].filter(({ task }) => !task.step.isPersistent);
     this.requestStops(runs, StopReason.Forgettable, nowMs);
@@ -130,7 +137,7 @@
     const view = this.#views.get(run.workerId);
     if (view?.hasRun(run) !== true) return;
     if (isLeft(result)) {
-      if (isSurelyUndone(result.left)) this.#dropRefused(view, run, nowMs);
+      if (isCertainlyNotExecuted(result.left)) this.#dropRefused(view, run, nowMs);
       else this.#noteUnanswered(run, nowMs);
       return;
     }
@@ -138,7 +145,7 @@
       this.#dropRefused(view, run, nowMs);
       return;
     }
-    this.#book.noteStarted(run.task.submission);
+    this.#registry.noteStarted(run.task.submission);
     if (run.state !== RunState.Starting) return;
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
@@ -152,7 +159,7 @@
       this.#stops.set(run, nowMs + STOP_RETRY_MS);
       return;
     }
-    // From here on the worker refuses the run, should its start still be under way.
+    // From now on the worker refuses the run, even if its start is still in flight.
     this.#stops.delete(run);
     run.isStopConfirmed = true;
     run.settledAtMs = nowMs;
@@ -163,25 +170,26 @@
     this.#stops.set(run, nowMs);
   }
 
-  /** Wants runs stopped; their room stays taken until the workers no longer list them. */
+  /** Requests stops of runs. Their room stays taken until the workers no longer list them. */
   requestStops(runs: readonly TaskRun[], reason: StopReason, nowMs: number): void {
-    const wanted = runs.filter(({ state }) => state !== RunState.Stopping);
-    this.#notes.addStops(wanted, reason);
-    wanted.forEach((run) => {
+    const toStop = runs.filter(({ state }) => state !== RunState.Stopping);
+    this.#decisionLog.addStops(toStop, reason);
+    toStop.forEach((run) => {
       if (run.state === RunState.Assigned) this.withdraw(run, nowMs);
       else this.#requestStop(run, nowMs);
     });
   }
 
-  /** Takes back a run of which no start has been sent. */
+  /** Withdraws a run whose start has not been sent. */
   withdraw(run: TaskRun, nowMs: number): void {
     const view = this.#views.get(run.workerId);
     if (view !== undefined) this.#drop(view, run, { kind: EvidenceKind.NotSent }, nowMs);
   }
 
   /**
-   * Takes a former owner's runs for running until their workers list them or their leases are
-   * over. A worker that is not known has none: owners keep it on the roster until they are over.
+   * Takes over the runs of a former owner. They count as running until their workers list them or
+   * the workers' leases have ended. An unknown worker has no runs, because owners keep a worker on
+   * the roster until its runs are over.
    */
   inherit(tasks: readonly InheritedTask[], nowMs: number): void {
     tasks.forEach(({ task, inherited }) => {
@@ -195,7 +203,7 @@
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
     view.addRun(run);
-    this.#book.noteRun(run);
+    this.#registry.addRun(run);
     return run;
   }
 
@@ -211,39 +219,44 @@
   }
 
   /** Drops all runs of the worker that the evidence shows to be over. */
-  loseAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
+  dropAll(view: FleetWorkerView, evidence: WorkerEvidence, nowMs: number): void {
     const runs = [...view.runs.values()];
     const lost = runs.filter((run) => this.#drop(view, run, evidence, nowMs));
-    this.#notes.addLosses(view, lost, evidence.kind, nowMs);
+    this.#decisionLog.addLosses(view, lost, evidence.kind, nowMs);
   }
 
-  /** Returns false for an end that was taken before, or of a submission that is not known. */
-  #takeEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
-    if (finished.sequence <= view.takenSequence) return false;
-    view.takenSequence = finished.sequence;
-    const task = this.#book.find(finished.taskName);
+  /** Returns false for an end that was handled before or whose submission is unknown. */
+  #handleEnd(view: FleetWorkerView, finished: FinishedRun, nowMs: number): boolean {
+    if (finished.sequence <= view.handledSequence) return false;
+    view.handledSequence = finished.sequence;
+    const task = this.#registry.find(finished.taskName);
     if (task === undefined) return false;
     const wasOpen = isOpen(task.submission);
     task.lastRun = Math.max(task.lastRun, finished.run);
     if (finished.checkpoint !== '') task.checkpoint = finished.checkpoint;
-    this.#learn(view, finished, task, nowMs);
-    const others = this.#book.noteEnd(task, finished.run, finished.end, nowMs);
+    this.#updateHealth(view, finished, task, nowMs);
+    const others = this.#registry.noteEnd(task, finished.run, finished.end, nowMs);
     const run = view.runs.get(runKey(finished.taskName, finished.run));
     this.requestStops(
       others.filter((other) => other !== run),
       StopReason.NotWanted,
       nowMs,
     );
-    this.#failIfSpent(task, nowMs);
+    this.#failIfOutOfAttempts(task, nowMs);
     if (run !== undefined) this.#drop(view, run, { kind: EvidenceKind.EndListed }, nowMs);
     if (wasOpen && !isOpen(task.submission)) {
       const { submission, state } = task.submission;
-      this.#notes.add('submission-ended', { id: submission.id, state, taskName: task.name });
+      this.#decisionLog.add('submission-ended', { id: submission.id, state, taskName: task.name });
     }
     return true;
   }
 
-  #learn(view: FleetWorkerView, finished: FinishedRun, task: TaskRecord, nowMs: number): void {
+  #updateHealth(
+    view: FleetWorkerView,
+    finished: FinishedRun,
+    task: TaskRecord,
+    nowMs: number,
+  ): void {
     const startedAtMs = view.runs.get(runKey(task.name, finished.run))?.startedAtMs;
     if (finished.end === RunEnd.Done) {
       this.#health = this.#health.withSuccess(view.id, startedAtMs);
@@ -252,25 +265,25 @@
     this.noteFault(view, task, nowMs, startedAtMs);
   }
 
-  /** A task failed or stood still on the worker. */
+  /** Records that a task failed or made no progress on the worker. */
   noteFault(view: FleetWorkerView, task: TaskRecord, nowMs: number, startedAtMs = nowMs): void {
     const { id } = task.submission.submission;
     this.#health = this.#health.withFailure(view.id, id, this.#views.size, nowMs, startedAtMs);
   }
 
-  #failIfSpent(task: TaskRecord, nowMs: number): void {
+  #failIfOutOfAttempts(task: TaskRecord, nowMs: number): void {
     if (task.step.isPersistent || !isOpen(task.submission)) return;
     const { configuration } = this.#operator();
     const { queueName } = task.submission.submission;
     const queue = configuration && findQueueByName(configuration, queueName);
     if (queue === undefined || failureCount(task) < Math.max(1, queue.maximumAttempts)) return;
-    this.requestStops(this.#book.fail(task.submission), StopReason.Failed, nowMs);
+    this.requestStops(this.#registry.fail(task.submission), StopReason.Failed, nowMs);
   }
 
-  /** Returns false for a run of a submission that is not known. */
-  #takeRunning(view: FleetWorkerView, running: RunningTask, nowMs: number): boolean {
+  /** Returns false for a run whose submission is unknown. */
+  #handleRunning(view: FleetWorkerView, running: RunningTask, nowMs: number): boolean {
     const known = view.runs.get(runKey(running.taskName, running.run));
-    const run = known ?? this.#adopt(view, running, nowMs);
+    const run = known ?? this.#addLateRun(view, running, nowMs);
     if (run === undefined) return false;
     const { task } = run;
     if (running.checkpoint !== '') task.checkpoint = running.checkpoint;
@@ -286,18 +299,18 @@
       run.settledAtMs = nowMs;
       run.percentSinceMs = nowMs;
     }
-    this.#book.noteStarted(task.submission);
+    this.#registry.noteStarted(task.submission);
     return true;
   }
 
-  /** A run that was given up and was carried out late. */
-  #adopt(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
-    const task = this.#book.find(running.taskName);
+  /** Adds a run that this owner gave up and that the worker started late. */
+  #addLateRun(view: FleetWorkerView, running: RunningTask, nowMs: number): TaskRun | undefined {
+    const task = this.#registry.find(running.taskName);
     if (task === undefined) return undefined;
     const isWanted = isOpen(task.submission) && !task.isDone && task.runs.length === 0;
     const run = this.#addListed(view, task, running.run, nowMs);
-    this.#book.markUnrecorded(task.submission);
-    if (isWanted) this.#book.noteStarted(task.submission);
+    this.#registry.markUnrecorded(task.submission);
+    if (isWanted) this.#registry.noteStarted(task.submission);
     else this.requestStops([run], StopReason.NotWanted, nowMs);
     return run;
   }
@@ -306,13 +319,13 @@
     const listed = new Set(answer.running.map(({ taskName, run }) => runKey(taskName, run)));
     [...view.runs].forEach(([key, run]) => {
       if (listed.has(key)) return;
-      this.#drop(view, run, { kind: EvidenceKind.Unlisted, askedAtMs: sentAtMs }, nowMs);
+      this.#drop(view, run, { kind: EvidenceKind.Unlisted, requestedAtMs: sentAtMs }, nowMs);
     });
   }
 
   /**
-   * An order without an answer may be carried out seconds later. The run keeps its room until
-   * the worker has confirmed a stop, which bars it for good, or lists it as running.
+   * Handles a start without an answer, which the worker may execute seconds later. The run keeps
+   * its room until the worker lists it as running or confirms a stop, which bars the run for good.
    */
   #noteUnanswered(run: TaskRun, nowMs: number): void {
     if (run.state !== RunState.Starting) return;
@@ -325,12 +338,14 @@
     this.#drop(view, run, { kind: EvidenceKind.Refused }, nowMs);
   }
 
-  /** The only way in which a run gives its room back; returns false where it may not be over. */
+  /**
+   * Drops a run and frees its room, which happens only here. Returns false if it may not be over.
+   */
   #drop(view: FleetWorkerView, run: TaskRun, evidence: RunEvidence, nowMs: number): boolean {
     if (!isRunOver(run, view, evidence, nowMs)) return false;
     this.#stops.delete(run);
     view.removeRun(run);
-    this.#book.noteRunGone(run, nowMs);
+    this.#registry.removeRun(run, nowMs);
     return true;
   }
 }
--- a/src/scheduler/common/unfitWork.ts
+++ b/src/scheduler/common/oversizedWork.ts
@@ -1,4 +1,4 @@
-/** Work that is larger than any worker of the cell, and the verdict that it can never run. */
+/** Moves work that is larger than any worker of the cell to another zone, or refuses it. */
 import { zonesInUse } from '../../services/configuration/common/configurationView.js';
 import { fitsInto, type Resources } from '../../services/worker/common/resources.js';
 import {
@@ -11,33 +11,36 @@
 import type { CellState } from './cellState.js';
 
 /**
- * How long work must have fitted no worker before it is passed on. Workers are replaced, 110 on
- * an ordinary day, and one that restarts is off the list for well under this.
+ * How long work must have been larger than any worker before it is moved or refused. On an ordinary
+ * day 110 workers are replaced, and one that restarts leaves the instance list for well under this
+ * time.
  */
-const PATIENCE_MS = 60_000;
+const GRACE_MS = 60_000;
 
 const isWaiting = (row: WorkRow): boolean =>
   row.tasks.some(({ state }) => state === BatchTaskState.Queued) &&
   !row.tasks.some(({ state }) => state === BatchTaskState.Assigned);
 
-const fitsNoWorker = (state: CellState, size: Resources): boolean => {
+const isLargerThanAnyWorker = (state: CellState, size: Resources): boolean => {
   const listed = [...state.workers.values()].filter(({ isListed }) => isListed);
   return listed.length > 0 && !listed.some(({ instance }) => fitsInto(size, instance.capacity));
 };
 
-/** Since when each waiting shard has fitted no worker that is listed, whatever runs there. */
-export const unfitSince = (
+/** When each queued shard became larger than any listed worker, regardless of what runs there. */
+export const oversizedSince = (
   state: CellState,
   rows: CellRows,
   nowMs: number,
 ): ReadonlyMap<string, number> => {
-  const unfit = [...rows.work.values()].filter(
-    (row) => isWaiting(row) && fitsNoWorker(state, row.size),
+  const oversized = [...rows.work.values()].filter(
+    (row) => isWaiting(row) && isLargerThanAnyWorker(state, row.size),
+  );
+  return new Map(
+    oversized.map(({ shardId }) => [shardId, state.oversizedSinceMs.get(shardId) ?? nowMs]),
   );
-  return new Map(unfit.map(({ shardId }) => [shardId, state.unfitSinceMs.get(shardId) ?? nowMs]));
 };
 
-const refused = (row: WorkRow, triedCells: readonly string[]): WorkRow => {
+const withRefusal = (row: WorkRow, triedCells: readonly string[]): WorkRow => {
   const { processorMillis, memoryBytes, acceleratorCount } = row.size;
   const fail = (task: BatchTask): BatchTask =>
     task.state === BatchTaskState.Queued ? { ...task, state: BatchTaskState.Failed } : task;
@@ -51,20 +54,24 @@
 };
 
 /**
- * Passes work that fits no worker of this cell on to a zone that has not tried it, and refuses
- * it, with the reason, when all zones in use have. The tries are bounded by the zones, so such a
- * job is told within a minute a zone instead of waiting for ever unnoticed.
+ * Moves work that is larger than any worker of this cell to a zone that has not tried it. Refuses
+ * the work with a reason when all zones in use have tried it. The number of zones bounds the
+ * attempts, so the job is refused within a minute per zone instead of waiting unnoticed forever.
  */
-export const settleUnfitWork = (state: CellState, draft: CellDraft, nowMs: number): void => {
+export const moveOrRefuseOversizedWork = (
+  state: CellState,
+  draft: CellDraft,
+  nowMs: number,
+): void => {
   const view = state.configuration?.view;
   if (view === undefined || state.withdrawnSinceMs !== undefined) return;
-  state.unfitSinceMs.forEach((sinceMs, shardId) => {
+  state.oversizedSinceMs.forEach((sinceMs, shardId) => {
     const row = draft.work(shardId);
     const isFull = draft.rowCount >= state.timing.maximumRowsPerRound;
-    if (row === undefined || isFull || nowMs - sinceMs < PATIENCE_MS || !isWaiting(row)) return;
+    if (row === undefined || isFull || nowMs - sinceMs < GRACE_MS || !isWaiting(row)) return;
     const triedCells = [...(row.triedCells ?? []), state.cell];
     const next = zonesInUse(view).find((zone) => !triedCells.includes(zone));
-    draft.setWork(next === undefined ? refused(row, triedCells) : { ...row, triedCells });
+    draft.setWork(next === undefined ? withRefusal(row, triedCells) : { ...row, triedCells });
     if (next !== undefined) draft.moveWork(shardId, next);
   });
 };
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -13,7 +13,7 @@
 import { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
-import { type LearntFromEnds, learntFromEnds } from './learntFromEnds.js';
+import { type FailureTracking, trackFailures } from './failureTracking.js';
 import { recordLateFinishes } from './lateFinishes.js';
 import {
   type TaskTransferState,
@@ -24,7 +24,7 @@
 import type { PlacementPolicy } from './placement.js';
 import { nextQuotaWaits, publishQuotaShare, quotaPartsOf } from './quotaRound.js';
 import { type RecordedEnd, recordEnds } from './taskEnds.js';
-import { settleUnfitWork } from './unfitWork.js';
+import { moveOrRefuseOversizedWork } from './oversizedWork.js';
 import { updateUnreached } from './unreachedWorkers.js';
 import { isWorkerDraining } from './wantedEvictions.js';
 import { reportedTask, withDriftMargin } from './workerView.js';
@@ -32,7 +32,7 @@
 export interface Round {
   readonly draft: CellDraft;
   readonly ends: readonly RecordedEnd[];
-  readonly learnt: LearntFromEnds;
+  readonly learnt: FailureTracking;
   readonly assignedCount: number;
   /** Keys of the attempts that are preempted for urgent work or a service. */
   readonly preempted: ReadonlySet<string>;
@@ -166,7 +166,7 @@
   cancelQueuedTasks(draft, state.timing.maximumRowsPerRound);
   // A failed task is queued again in this round. Failures are learned before assigning; otherwise
   // the task would be retried at once, possibly on the worker on which it failed.
-  const learnt = learntFromEnds(state, ends, nowMs);
+  const learnt = trackFailures(state, ends, nowMs);
   const stateAfterEnds = { ...state, ...learnt };
   const parts = quotaPartsOf(state, rows);
   const assigned = isAssigning
@@ -176,7 +176,7 @@
   const receivingCells = isAssigning
     ? transferWaitingTasks(state, draft, operationId, nowMs)
     : new Set<string>();
-  settleUnfitWork(state, draft, nowMs);
+  moveOrRefuseOversizedWork(state, draft, nowMs);
   moveShards(state, draft);
   if (rows.cancellations.size > 0) draft.removeSettledCancellations();
   updateEndpoints(state, draft, nowMs);
--- a/src/scheduler/common/taskTransfer.ts
+++ b/src/scheduler/common/taskTransfer.ts
@@ -192,7 +192,7 @@
   if (view === undefined || state.withdrawnSinceMs !== undefined) return receivingCells;
   const waiting = [...state.taskTransfer.noRoomSinceMs].filter(
     ([shardId, sinceMs]) =>
-      nowMs - sinceMs >= TRANSFER_DELAY_MS && !state.unfitSinceMs.has(shardId),
+      nowMs - sinceMs >= TRANSFER_DELAY_MS && !state.oversizedSinceMs.has(shardId),
   );
   if (waiting.length === 0) return receivingCells;
   const rooms = roomInOtherCells(state, view, nowMs);
--- a/src/scheduler/node/fleetTask.ts
+++ b/src/scheduler/node/fleetTask.ts
@@ -1,4 +1,4 @@
-/** Runs the fleet's scheduler: owns its timers, its table calls and its calls to workers. */
+/** Runs the fleet's scheduler. Owns its timers, its table calls and its calls to workers. */
 import { type Either, isLeft, isRight } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../base/common/clock.js';
@@ -21,24 +21,24 @@
 import type { FleetEffect } from '../common/fleet/fleetEffects.js';
 import { DEFAULT_FLEET_POLICY } from '../common/fleet/fleetPolicy.js';
 import { FleetScheduler } from '../common/fleet/fleetScheduler.js';
-import { StepPace } from '../common/fleet/stepPace.js';
+import { StepThrottle } from '../common/fleet/stepThrottle.js';
 import type { FleetTiming } from '../common/fleet/fleetTiming.js';
-import { CallTurns } from './callTurns.js';
-import { RenewalWatch } from './renewalWatch.js';
+import { ConcurrencyLimiter } from './concurrencyLimiter.js';
+import { RenewalMonitor } from './renewalMonitor.js';
 import { StoredStateReader } from './storedStateReader.js';
 
-/** How often the scheduler looks what is due when nothing happens. */
+/** The interval between steps when no events come in. */
 const TICK_MS = 50;
-/** How often the owner reads which workers there are; they drain in twice this time. */
+/** The interval at which the owner reads the list of workers. Workers drain in twice this time. */
 const WORKERS_INTERVAL_MS = 1_000;
-/** How long a feed waits for a change; also bounds what a silent connection costs. */
+/** How long a feed call waits for a change. This also limits the delay by a dead connection. */
 const FEED_WAIT_MS = 1_000;
 const RETRY_MS = 200;
-/** First calls to workers that are under way at a time, and for how long one counts as such. */
-const FIRST_HOLDS_AT_A_TIME = 24;
-const FIRST_HOLD_PATIENCE_MS = 150;
+/** The maximum number of concurrent first holds, and how long each counts towards it. */
+const MAXIMUM_FIRST_HOLDS = 24;
+const FIRST_HOLD_SLOT_TIMEOUT_MS = 150;
 
-/** Whether the worker is asked for its first answer, which it gives at once. */
+/** Whether the call asks a worker for its first answer, which comes at once. */
 const isFirstHold = ({ leaseEndWorkerMs, waitMs }: HoldRequest): boolean =>
   leaseEndWorkerMs === undefined && waitMs === 0;
 
@@ -63,13 +63,16 @@
 
   readonly #disposables = new DisposableStore();
 
-  readonly #renewals: RenewalWatch;
+  readonly #renewalMonitor: RenewalMonitor;
 
-  readonly #pace = new StepPace();
+  readonly #stepThrottle = new StepThrottle();
 
-  readonly #firstHolds = new CallTurns(FIRST_HOLDS_AT_A_TIME, FIRST_HOLD_PATIENCE_MS);
+  readonly #firstHoldLimiter = new ConcurrencyLimiter(
+    MAXIMUM_FIRST_HOLDS,
+    FIRST_HOLD_SLOT_TIMEOUT_MS,
+  );
 
-  #isStepDue = false;
+  #isStepScheduled = false;
 
   constructor(
     services: FleetTaskServices,
@@ -80,7 +83,7 @@
     this.#services = services;
     const { clock, operator, table, directory, log } = services;
     this.#reader = new StoredStateReader(table, directory, log);
-    this.#renewals = new RenewalWatch(timing.leaseMs, log, services.metrics);
+    this.#renewalMonitor = new RenewalMonitor(timing.leaseMs, log, services.metrics);
     this.#scheduler = new FleetScheduler(
       selfId,
       timing,
@@ -91,10 +94,10 @@
     this.#disposables.add(
       operator.onDidChange((state) => {
         this.#scheduler.handleOperatorState(state);
-        this.#stepSoon();
+        this.#scheduleStep();
       }),
     );
-    this.#disposables.add(new PeriodicTimer(TICK_MS, () => this.#stepSoon()));
+    this.#disposables.add(new PeriodicTimer(TICK_MS, () => this.#scheduleStep()));
     this.#disposables.add(new PeriodicTimer(WORKERS_INTERVAL_MS, () => this.#readWorkers()));
   }
 
@@ -111,18 +114,18 @@
   }
 
   /**
-   * Hands the fleet over, so that the next owner need not wait for the lease, and learns how long
-   * those of the workers last. Without an answer it is written again for `patienceMs`; a conflict
-   * tells that it is stored or that there is a next owner.
+   * Releases the fleet, so that the next owner does not wait for the lease and knows when the
+   * workers' leases end. Without an answer, the write is retried for `retryForMs`. A conflict shows
+   * that the release is stored or that there is a new owner.
    */
-  async release(patienceMs: number): Promise<void> {
+  async release(retryForMs: number): Promise<void> {
     const transaction = this.#scheduler.release();
     if (transaction === undefined) return;
     const { table, clock, log } = this.#services;
-    const untilMs = clock.nowMs() + patienceMs;
+    const untilMs = clock.nowMs() + retryForMs;
     let result = await table.transact(transaction)();
     while (isLeft(result) && clock.nowMs() < untilMs) {
-      // eslint-disable-next-line no-await-in-loop -- each repeats what the last one may not have done
+      // eslint-disable-next-line no-await-in-loop -- each attempt repeats the last one
       await this.#pause(RETRY_MS);
       // eslint-disable-next-line no-await-in-loop
       result = await table.transact(transaction)();
@@ -135,14 +138,14 @@
     this.#disposables.dispose();
   }
 
-  /** Events of one turn are acted on together. */
-  #stepSoon(): void {
-    if (this.#isStepDue) return;
-    this.#isStepDue = true;
+  /** Schedules a step. Events of one turn of the event loop share a step. */
+  #scheduleStep(): void {
+    if (this.#isStepScheduled) return;
+    this.#isStepScheduled = true;
     const nowMs = this.#services.clock.nowMs();
-    const waitMs = this.#pace.waitMs(nowMs);
+    const waitMs = this.#stepThrottle.waitMs(nowMs);
     const step = (): void => {
-      this.#isStepDue = false;
+      this.#isStepScheduled = false;
       this.#step(nowMs + waitMs);
     };
     if (waitMs > 0) setTimeout(step, waitMs);
@@ -155,7 +158,7 @@
     const beganAtMs = clock.nowMs();
     const effects = this.#scheduler.step(wallNowMs(), beganAtMs);
     const endedAtMs = clock.nowMs();
-    this.#pace.note(beganAtMs, endedAtMs);
+    this.#stepThrottle.noteStep(beganAtMs, endedAtMs);
     if (this.#scheduler.handleStepTaken(dueAtMs, beganAtMs, endedAtMs)) {
       const limitPerS = Math.round(this.#scheduler.startLimitPerS);
       log.info('starts-limited', { limitPerS, lateMs: Math.round(beganAtMs - dueAtMs) });
@@ -179,7 +182,7 @@
       }
       case 'lease-write': {
         const result = await table.transact(effect.transaction)();
-        this.#renewals.note(effect.step, sentAtMs, clock.nowMs());
+        this.#renewalMonitor.note(effect.step, sentAtMs, clock.nowMs());
         scheduler.handleLeaseWritten(effect.step, result, sentAtMs, clock.nowMs());
         break;
       }
@@ -215,13 +218,13 @@
         break;
       }
       default:
-        this.#note(effect);
+        this.#logDecision(effect);
         return;
     }
-    this.#stepSoon();
+    this.#scheduleStep();
   }
 
-  #note({ event, fields }: Extract<FleetEffect, { kind: 'log' }>): void {
+  #logDecision({ event, fields }: Extract<FleetEffect, { kind: 'log' }>): void {
     const { log, metrics } = this.#services;
     log.info(event, fields);
     metrics.count('fleet_decisions', { event });
@@ -245,13 +248,13 @@
   async #hold({ epoch, request }: Extract<FleetEffect, { kind: 'hold' }>): Promise<void> {
     const { client, clock } = this.#services;
     const { workerId } = request;
-    const end = isFirstHold(request) ? await this.#firstHolds.next() : undefined;
+    const releaseSlot = isFirstHold(request) ? await this.#firstHoldLimiter.acquire() : undefined;
     if (this.#scheduler.epoch === epoch) {
       const sentAtMs = clock.nowMs();
       const result = await client.hold(request)();
       this.#scheduler.handleHeld(epoch, workerId, result, sentAtMs, clock.nowMs());
     }
-    end?.();
+    releaseSlot?.();
   }
 
   async #load(epoch: number): Promise<void> {
@@ -268,7 +271,7 @@
       knownWorkers: roster.workers.length,
       predecessorQuietMs: Math.round(this.#scheduler.predecessorQuietMs(clock.nowMs())),
     });
-    void this.#follow(epoch, loaded.position);
+    void this.#followChanges(epoch, loaded.position);
   }
 
   async #resolve(effect: Extract<FleetEffect, { kind: 'resolve' }>): Promise<void> {
@@ -278,14 +281,14 @@
     if (!this.#disposables.isDisposed) this.#perform([effect]);
   }
 
-  /** Follows what callers submit and cancel for as long as this epoch lasts. */
-  async #follow(epoch: number, fromPosition: number): Promise<void> {
+  /** Follows the callers' submissions and cancellations until this epoch ends. */
+  async #followChanges(epoch: number, fromPosition: number): Promise<void> {
     const { feed, clock } = this.#services;
     let position = fromPosition;
-    // Reading what is stored may have taken seconds, in which callers may have cancelled.
+    // Does not wait at first: callers may have cancelled during the load, which can take seconds.
     let waitMs = 0;
     while (this.#scheduler.epoch === epoch && !this.#disposables.isDisposed) {
-      // One call after the other: each goes on where the last one ended.
+      // Calls run one after the other, because each continues where the last one ended.
       // eslint-disable-next-line no-await-in-loop
       const page = await feed.follow(SUBMISSION_TABLE, position, waitMs)();
       if (isLeft(page)) {
@@ -305,7 +308,7 @@
         this.#scheduler.handleCaughtUp(epoch, clock.nowMs());
         waitMs = FEED_WAIT_MS;
       }
-      this.#stepSoon();
+      this.#scheduleStep();
     }
   }
 
@@ -317,7 +320,7 @@
     const result = await directory.workers()();
     if (isLeft(result)) return;
     this.#scheduler.handleWorkers(epoch, result.right, sentAtMs, clock.nowMs());
-    this.#stepSoon();
+    this.#scheduleStep();
   }
 
   #pause(durationMs: number): Promise<void> {
--- a/src/scheduler/node/storedStateReader.ts
+++ b/src/scheduler/node/storedStateReader.ts
@@ -1,4 +1,4 @@
-/** Reads what a new owner of the fleet has to know, and decodes the rows. */
+/** Reads and decodes the stored state that a new owner of the fleet needs. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { FleetDirectory } from '../../services/fleet/common/fleetDirectory.js';
@@ -22,13 +22,13 @@
   WAITING_COUNTS_KEY,
 } from '../../services/submissions/common/submissionRows.js';
 import type { TableRow, TableService } from '../../services/table/common/table.js';
-import type { StoredState, SubmissionChange } from '../common/fleet/fleetTenure.js';
+import type { StoredState, SubmissionChange } from '../common/fleet/fleetState.js';
 
 const NO_ROSTER: RosterRow = { epoch: 0, workers: [] };
 
 export interface ReadSubmissions {
   readonly changes: readonly SubmissionChange[];
-  /** Where a feed of the submissions goes on. */
+  /** The position from which a feed of the submissions continues. */
   readonly position: number;
 }
 
@@ -50,9 +50,9 @@
     this.#log = log;
   }
 
-  /** Undefined when any part of it could not be read. */
+  /** Reads the stored state. Returns undefined if any part of it could not be read. */
   async readAll(): Promise<LoadedState | undefined> {
-    const [submissions, progressRows, assignmentRows, own, workers] = await Promise.all([
+    const [submissions, progressRows, assignmentRows, ownerRows, workers] = await Promise.all([
       this.readSubmissions(),
       this.#table.read({ keys: [], prefixes: [PROGRESS_PREFIX] })(),
       this.#table.read({ keys: [], prefixes: [ASSIGNMENT_PREFIX] })(),
@@ -65,8 +65,12 @@
     if (submissions === undefined || isLeft(progressRows) || isLeft(assignmentRows)) {
       return undefined;
     }
-    if (isLeft(own) || isLeft(workers)) return undefined;
-    const rows = [...progressRows.right.rows, ...assignmentRows.right.rows, ...own.right.rows];
+    if (isLeft(ownerRows) || isLeft(workers)) return undefined;
+    const rows = [
+      ...progressRows.right.rows,
+      ...assignmentRows.right.rows,
+      ...ownerRows.right.rows,
+    ];
     return {
       position: submissions.position,
       stored: {
@@ -74,8 +78,8 @@
         progress: this.#toProgress(progressRows.right.rows),
         assignments: this.#toAssignments(assignmentRows.right.rows),
         versions: new Map(rows.map(({ key, version }) => [key, version])),
-        roster: this.#toRoster(own.right.rows),
-        interference: this.#toInterference(own.right.rows),
+        roster: this.#toRoster(ownerRows.right.rows),
+        interference: this.#toInterference(ownerRows.right.rows),
         workers: workers.right,
       },
     };
@@ -88,16 +92,19 @@
     return { changes: this.toChanges(rows), position };
   }
 
-  /** Cancellations go first, so that a submission that was cancelled starts nothing. */
+  /** Puts cancellations first, so that a cancelled submission starts nothing. */
   toChanges(rows: readonly TableRow[]): readonly SubmissionChange[] {
     const changes = rows.flatMap((row) => this.#toChange(row));
-    const isFirst = (change: SubmissionChange): boolean => change.kind === 'cancellation';
-    return [...changes.filter(isFirst), ...changes.filter((change) => !isFirst(change))];
+    const isCancellation = (change: SubmissionChange): boolean => change.kind === 'cancellation';
+    return [
+      ...changes.filter(isCancellation),
+      ...changes.filter((change) => !isCancellation(change)),
+    ];
   }
 
   #toChange(row: TableRow): SubmissionChange[] {
     const parts = parseSubmissionKey(row.key);
-    // Rows that were removed are those of submissions that ended long ago.
+    // Removed rows belong to submissions that ended long ago.
     if (row.value === null) return [];
     if (parts?.isCancellation === true) return [{ kind: 'cancellation', id: parts.id }];
     const parsed = submissionSchema.safeParse(row.value);
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -116,14 +116,14 @@
     pairs.reduce((known, [worker, job]) => known.withFailure(worker, job, 100, nowMs), health);
 
   // Many jobs fail on one worker. It gets no tasks for a while and is tried again later.
-  it('excludes a worker on which different jobs fail', () => {
+  it('quarantines a worker on which different jobs fail', () => {
     const health = failures(new WorkerHealth(), [
       ['w1', 'a'],
       ['w1', 'b'],
       ['w1', 'c'],
     ]);
-    expect(health.isSetAside('w1', 1_000)).toBe(true);
-    expect(health.isSetAside('w1', 31_000)).toBe(false);
+    expect(health.isQuarantined('w1', 1_000)).toBe(true);
+    expect(health.isQuarantined('w1', 31_000)).toBe(false);
     const again = failures(
       health,
       [
@@ -133,7 +133,7 @@
       ],
       31_000,
     );
-    expect(again.isSetAside('w1', 31_000 + 59_000)).toBe(true);
+    expect(again.isQuarantined('w1', 31_000 + 59_000)).toBe(true);
   });
 
   // In a cell of four workers, one worker fails every task. Its first failure may be the job's
@@ -165,24 +165,24 @@
     expect([isGivenUp(after(19, false)), isGivenUp(after(20, false))]).toEqual([false, true]);
   });
 
-  // Four bad jobs fail on many workers. None of these workers may be excluded because of them.
+  // Four bad jobs fail on many workers. None of these workers may be quarantined for it.
   it('does not count failures of jobs that fail on every worker against the workers', () => {
     const workers = Array.from({ length: 20 }, (_, index) => `w${index}`);
     const pairs = ['a', 'b', 'c', 'd'].flatMap((job) =>
       workers.map((worker) => [worker, job] as const),
     );
     const health = failures(new WorkerHealth(), pairs);
-    expect(workers.filter((worker) => health.isSetAside(worker, 1_000))).toEqual([]);
+    expect(workers.filter((worker) => health.isQuarantined(worker, 1_000))).toEqual([]);
   });
 
-  // The network fails for half of 100 workers. At most a tenth of all workers may be excluded.
+  // The network fails for half of 100 workers. At most a tenth of all workers may be quarantined.
   it('keeps most of the workers in use', () => {
     const pairs = Array.from({ length: 50 }, (_, worker) =>
       Array.from({ length: 4 }, (__, job) => [`w${worker}`, `job${worker}-${job}`] as const),
     ).flat();
     const health = failures(new WorkerHealth(), pairs);
     const excluded = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
-      health.isSetAside(worker, 1_000),
+      health.isQuarantined(worker, 1_000),
     );
     expect(excluded.length).toBe(10);
   });
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -1,4 +1,4 @@
-/** Daemons on processors of their own beside a table and workers, with work for all of them. */
+/** Simulates daemons whose work takes time on their processors, with a table and workers. */
 import { left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
@@ -30,19 +30,19 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { FleetTask } from '../../node/fleetTask.js';
 import { CONFIGURATION, STOP_MS, TIMING, WORKER_CAPACITY } from './fleetFixtures.js';
-import { type LoopModel, LoopWorld } from './loopModel.js';
+import { EventLoopSimulator, type SimulatedEventLoop } from './eventLoopSimulator.js';
 
-const WAY_MS = 1;
-const TABLE_MS = 4;
-const POLL_MS = 20;
-/** How long a daemon waits for an answer of the table. */
+const ONE_WAY_MS = 1;
+const TABLE_LATENCY_MS = 4;
+const POLL_INTERVAL_MS = 20;
+/** How long a daemon waits for an answer from the table. */
 const TABLE_TIMEOUT_MS = 700;
 
-/** What work takes on a daemon's processor. */
+/** Time that work takes on a daemon's processor. */
 export interface Costs {
   readonly sendMs: number;
   readonly answerMs: number;
-  /** On top of a send and of its answer, for the connection that the first call to a worker makes. */
+  /** Added to the send and the answer of the first call to a worker, which opens a connection. */
   readonly connectMs: number;
   readonly stepMs: number;
   readonly rowMs: number;
@@ -56,11 +56,11 @@
 
 type IsTransactionLost = (transaction: Transaction) => boolean;
 
-const NOTHING_LOST: IsTransactionLost = () => false;
+const NO_TRANSACTION_LOST: IsTransactionLost = () => false;
 
-/** A call that is never answered. */
+/** A call to the table that gets no answer and fails at its timeout. */
 const noAnswer =
-  (loop: LoopModel): TaskEither<Failure, never> =>
+  (loop: SimulatedEventLoop): TaskEither<Failure, never> =>
   () =>
     new Promise((resolve) => {
       loop.after(TABLE_TIMEOUT_MS, () =>
@@ -69,7 +69,7 @@
     });
 
 export class BusyFleet {
-  readonly world = new LoopWorld();
+  readonly simulator = new EventLoopSimulator();
 
   readonly table = new TableStandIn();
 
@@ -77,19 +77,19 @@
 
   readonly owners: Owner[] = [];
 
-  /** Runs that ended since the leases of their workers were over. */
+  /** Runs that ended because the leases of their workers had ended. */
   lapseCount = 0;
 
-  /** Starts by the name of the task. */
+  /** Number of starts by task name. */
   readonly startCounts = new Map<string, number>();
 
-  /** Steps of daemons to which they cost something. */
+  /** Steps of those daemons whose steps take processor time. */
   stepCount = 0;
 
-  /** Tells which transactions never reach the table, and get no answer. */
-  isTransactionLost = NOTHING_LOST;
+  /** Selects the transactions that never reach the table and get no answer. */
+  isTransactionLost = NO_TRANSACTION_LOST;
 
-  readonly #fed: Submission[] = [];
+  readonly #submissions: Submission[] = [];
 
   readonly #workMs: (taskName: string) => number;
 
@@ -105,8 +105,12 @@
     for (let index = 0; index < workerCount; index += 1) this.#addWorker(`worker-${index}`);
   }
 
-  addDaemon(name: string, costs: Costs, acquireDelayMs = 0): { loop: LoopModel; task: FleetTask } {
-    const loop = this.world.newLoop();
+  addDaemon(
+    name: string,
+    costs: Costs,
+    acquireDelayMs = 0,
+  ): { loop: SimulatedEventLoop; task: FleetTask } {
+    const loop = this.simulator.newLoop();
     const services = {
       table: this.#tableFor(loop, costs),
       feed: this.#feedFor(loop),
@@ -114,7 +118,7 @@
       client: this.#clientFor(loop, costs),
       clock: loop,
       wallNowMs: () => {
-        // Each step asks for the time of day once.
+        // Each step of the daemon reads the wall clock once, so the time of the step is spent here.
         if (costs.stepMs > 0) this.stepCount += 1;
         loop.spend(costs.stepMs);
         return loop.nowMs();
@@ -122,7 +126,7 @@
       log: this.#logOf(name, loop),
       metrics: new PrometheusMetrics(),
     };
-    const task = this.world.as(loop, () => {
+    const task = this.simulator.runOn(loop, () => {
       const operator = new OperatorFollower(services.directory, loop, silentLog);
       return new FleetTask({ ...services, operator }, name, TIMING, acquireDelayMs);
     });
@@ -130,7 +134,7 @@
   }
 
   submit(submission: Submission): void {
-    this.#fed.push(submission);
+    this.#submissions.push(submission);
     const value = submission as unknown as JsonValue;
     this.table.transact({
       operationId: submission.id,
@@ -164,7 +168,7 @@
     this.workers.set(id, model);
   }
 
-  #logOf(daemon: string, loop: LoopModel): Log {
+  #logOf(daemon: string, loop: SimulatedEventLoop): Log {
     const note = (event: LogEvent, fields: LogFields = {}): void => {
       if (event !== 'fleet-acquired') return;
       this.owners.push({ epoch: Number(fields.epoch), daemon, atMs: loop.nowMs() });
@@ -172,43 +176,43 @@
     return { ...silentLog, info: note };
   }
 
-  /** A call that arrives outside, is answered there and is taken in on the loop. */
+  /** A call that is served outside the daemons; its answer is handled on the daemon's loop. */
   #call<Answer>(
-    loop: LoopModel,
-    answerMs: () => number,
+    loop: SimulatedEventLoop,
+    answerCostMs: () => number,
     serve: (reply: (answer: Answer) => void) => void,
   ): TaskEither<Failure, Answer> {
     return () =>
       new Promise((resolve) => {
-        const { outside } = this.world;
+        const { outside } = this.simulator;
         const reply = (answer: Answer): void => {
-          this.world.add(loop, outside.nowMs() + WAY_MS, () => {
-            loop.spend(answerMs());
+          this.simulator.schedule(loop, outside.nowMs() + ONE_WAY_MS, () => {
+            loop.spend(answerCostMs());
             resolve(right(answer));
           });
         };
-        this.world.add(outside, loop.nowMs() + WAY_MS, () => serve(reply));
+        this.simulator.schedule(outside, loop.nowMs() + ONE_WAY_MS, () => serve(reply));
       });
   }
 
-  #tableFor(loop: LoopModel, costs: Costs): TableService {
-    const serve = <Answer>(answer: () => Answer, costMs: (of: Answer) => number) => {
-      let costOfMs = 0;
+  #tableFor(loop: SimulatedEventLoop, costs: Costs): TableService {
+    const serve = <Answer>(answer: () => Answer, costOf: (of: Answer) => number) => {
+      let costMs = 0;
       return this.#call<Answer>(
         loop,
-        () => costOfMs,
+        () => costMs,
         (reply) =>
-          this.world.outside.after(TABLE_MS, () => {
+          this.simulator.outside.after(TABLE_LATENCY_MS, () => {
             const answered = answer();
-            costOfMs = costMs(answered);
+            costMs = costOf(answered);
             reply(answered);
           }),
       );
     };
     const stamped = <Answer extends object>(answer: Answer) => ({
       ...answer,
-      tableNowMs: this.world.outside.nowMs(),
-      position: this.#fed.length,
+      tableNowMs: this.simulator.outside.nowMs(),
+      position: this.#submissions.length,
     });
     return {
       read: (request) =>
@@ -226,27 +230,27 @@
     };
   }
 
-  #feedFor(loop: LoopModel): TableFeed {
+  #feedFor(loop: SimulatedEventLoop): TableFeed {
     return {
       follow: (_, afterPosition, waitMs) =>
         this.#call(
           loop,
           () => 0,
           (reply) => {
-            const untilMs = this.world.outside.nowMs() + waitMs;
+            const untilMs = this.simulator.outside.nowMs() + waitMs;
             const poll = (): void => {
-              const isDue = this.#fed.length > afterPosition;
-              if (!isDue && this.world.outside.nowMs() < untilMs) {
-                this.world.outside.after(POLL_MS, poll);
+              const isDue = this.#submissions.length > afterPosition;
+              if (!isDue && this.simulator.outside.nowMs() < untilMs) {
+                this.simulator.outside.after(POLL_INTERVAL_MS, poll);
                 return;
               }
-              const rows = this.#fed.slice(afterPosition).map((submission) => ({
+              const rows = this.#submissions.slice(afterPosition).map((submission) => ({
                 key: specKey(submission.id),
                 version: 1,
                 value: submission as unknown as JsonValue,
                 operationId: submission.id,
               }));
-              reply({ kind: FeedKind.Changes, rows, position: this.#fed.length });
+              reply({ kind: FeedKind.Changes, rows, position: this.#submissions.length });
             };
             poll();
           },
@@ -254,7 +258,7 @@
     };
   }
 
-  #directoryFor(loop: LoopModel, costs: Costs): FleetDirectory {
+  #directoryFor(loop: SimulatedEventLoop, costs: Costs): FleetDirectory {
     return {
       operatorChanges: (afterPosition) =>
         this.#call(
@@ -265,7 +269,7 @@
             const changes = isWhole
               ? [{ kind: 'configuration' as const, configuration: this.#configuration }]
               : [];
-            this.world.outside.after(isWhole ? 0 : 2_000, () =>
+            this.simulator.outside.after(isWhole ? 0 : 2_000, () =>
               reply({ isWhole, changes, position: 1 }),
             );
           },
@@ -286,7 +290,7 @@
     }));
   }
 
-  #clientFor(loop: LoopModel, costs: Costs): FleetClient {
+  #clientFor(loop: SimulatedEventLoop, costs: Costs): FleetClient {
     const connected = new Set<string>();
     const call = <Answer>(workerId: string, serve: (reply: (answer: Answer) => void) => void) => {
       const connectMs = connected.has(workerId) ? 0 : costs.connectMs;
@@ -299,22 +303,24 @@
     return {
       hold: (request) => call<HoldOutcome>(request.workerId, (reply) => this.#hold(request, reply)),
       start: (request) =>
-        order(request.workerId, (worker) => worker.start(request, this.world.outside.nowMs())),
+        order(request.workerId, (worker) => worker.start(request, this.simulator.outside.nowMs())),
       stop: (reference) =>
-        order(reference.workerId, (worker) => worker.stop(reference, this.world.outside.nowMs())),
+        order(reference.workerId, (worker) =>
+          worker.stop(reference, this.simulator.outside.nowMs()),
+        ),
       pace: (reference) => order(reference.workerId, () => OrderOutcome.Accepted),
     };
   }
 
   #hold(request: HoldRequest, reply: (outcome: HoldOutcome) => void): void {
-    const { outside } = this.world;
+    const { outside } = this.simulator;
     const worker = this.workers.get(request.workerId) as WorkerModel;
     const untilMs = outside.nowMs() + request.waitMs;
     const poll = (): void => {
       const isDue =
         outside.nowMs() >= untilMs || worker.hasNews(request.acknowledgedSequence, outside.nowMs());
       if (isDue) reply(worker.hold(request, outside.nowMs()));
-      else outside.after(POLL_MS, poll);
+      else outside.after(POLL_INTERVAL_MS, poll);
     };
     worker.hold(request, outside.nowMs());
     poll();
--- a/src/scheduler/test/fleet/callTurns.test.ts
+++ b/src/scheduler/test/fleet/concurrencyLimiter.test.ts
@@ -1,17 +1,17 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { CallTurns } from '../../node/callTurns.js';
+import { ConcurrencyLimiter } from '../../node/concurrencyLimiter.js';
 
-describe('turns of calls', () => {
+describe('ConcurrencyLimiter', () => {
   beforeEach(() => vi.useFakeTimers());
   afterEach(() => vi.useRealTimers());
 
-  it('let few calls begin at a time, in order', async () => {
-    const turns = new CallTurns(2, 150);
+  it('lets a limited number of calls run at a time, in the order of their requests', async () => {
+    const limiter = new ConcurrencyLimiter(2, 150);
     const begun: number[] = [];
     const ends: (() => void)[] = [];
     [0, 1, 2, 3].forEach((call) => {
-      void turns.next().then((end) => {
+      void limiter.acquire().then((end) => {
         begun.push(call);
         ends.push(end);
       });
@@ -24,10 +24,10 @@
     expect(begun).toEqual([0, 1, 2]);
   });
 
-  it('are not kept by calls that get no answer', async () => {
-    const turns = new CallTurns(1, 150);
+  it('lets the next call begin when a call has had no answer for too long', async () => {
+    const limiter = new ConcurrencyLimiter(1, 150);
     const begun: number[] = [];
-    [0, 1].forEach((call) => void turns.next().then(() => begun.push(call)));
+    [0, 1].forEach((call) => void limiter.acquire().then(() => begun.push(call)));
     await vi.advanceTimersByTimeAsync(149);
     expect(begun).toEqual([0]);
     await vi.advanceTimersByTimeAsync(1);
--- a/src/scheduler/test/fleet/fleetWorld.ts
+++ b/src/scheduler/test/fleet/fleetWorld.ts
@@ -1,6 +1,6 @@
 /**
- * Several schedulers, a table and workers in virtual time, with faults between them, and a judge
- * that sees what the workers see.
+ * A simulated fleet in virtual time: several schedulers, a table and workers, faults between them,
+ * and a checker that observes the workers directly.
  */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
@@ -21,19 +21,19 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { type ModelTask, WorkerModel } from '../../../../standIns/fleet/workerModel.js';
 import type { FleetEffect } from '../../common/fleet/fleetEffects.js';
-import type { FleetNote } from '../../common/fleet/fleetNotes.js';
+import type { DecisionLogEntry } from '../../common/fleet/decisionLog.js';
 import { FleetScheduler } from '../../common/fleet/fleetScheduler.js';
 import { DEFAULT_FLEET_POLICY } from '../../common/fleet/fleetPolicy.js';
 import { StoredStateReader } from '../../node/storedStateReader.js';
 import { CONFIGURATION, entryOf, STOP_MS, TIMING, WORKER_CAPACITY } from './fleetFixtures.js';
-import { FleetJudge } from './fleetJudge.js';
-import { DrawnFates } from './messageFates.js';
+import { InvariantChecker } from './invariantChecker.js';
+import { RandomDeliveries } from './messageDelivery.js';
 import { TICK_MS, VirtualTime } from './virtualTime.js';
 import { WorkerLinks } from './workerLinks.js';
-import { CALL_MS, emptySeat, noFaults, replyTo, type SchedulerSeat } from './worldFaults.js';
+import { CALL_MS, emptySlot, noFaults, replyTo, type SchedulerSlot } from './worldFaults.js';
 
-const LIST_MS = 1_000;
-/** The table's clock began earlier than that of the test. */
+const WORKER_LIST_INTERVAL_MS = 1_000;
+/** The table's clock started earlier than the clock of the test. */
 const TABLE_CLOCK_AHEAD_MS = 1_000_000;
 
 export class FleetWorld {
@@ -41,13 +41,13 @@
 
   readonly workers = new Map<string, WorkerModel>();
 
-  /** Workers that nobody can call. */
+  /** Workers that no scheduler can reach. */
   readonly cutWorkers = new Set<string>();
 
-  readonly seats: SchedulerSeat[] = [];
+  readonly schedulerSlots: SchedulerSlot[] = [];
 
-  /** What the schedulers have told the log. */
-  readonly logged: FleetNote[] = [];
+  /** The log entries of all schedulers. */
+  readonly logged: DecisionLogEntry[] = [];
 
   readonly faults = noFaults();
 
@@ -55,10 +55,10 @@
 
   readonly drainingWorkers = new Set<string>();
 
-  /** Since when workers drain, and for how long they say that they go on at the least. */
+  /** When each worker began to drain, and for how long it announced to stay at least. */
   readonly #drains = new Map<string, { readonly sinceMs: number; readonly stayMs: number }>();
 
-  /** What workers list as their room, where it is not that of all. */
+  /** The capacity that a worker lists, if it differs from `WORKER_CAPACITY`. */
   readonly capacities = new Map<string, Resources>();
 
   readonly time = new VirtualTime();
@@ -67,22 +67,29 @@
 
   readonly #submissions = new Map<string, Submission>();
 
-  readonly judge = new FleetJudge(this.#submissions, (id) => this.progress(id));
+  readonly invariants = new InvariantChecker(this.#submissions, (id) => this.progress(id));
 
   readonly #taskOf: (taskName: string) => ModelTask;
 
   readonly #links: WorkerLinks;
 
-  #lastFedOperation = 0;
+  #deliveredChangeCount = 0;
 
-  readonly #fed: { readonly id: string; readonly isCancellation: boolean }[] = [];
+  readonly #changes: { readonly id: string; readonly isCancellation: boolean }[] = [];
 
   constructor(seed: number, taskOf: (taskName: string) => ModelTask) {
     this.#random = new SeededRandom(seed);
     this.#taskOf = taskOf;
-    const { time, workers, cutWorkers, seats, faults } = this;
-    const fates = new DrawnFates(faults, this.#random);
-    this.#links = new WorkerLinks({ time, workers, cutWorkers, seats, faults, fates });
+    const { time, workers, cutWorkers, schedulerSlots, faults } = this;
+    const deliveries = new RandomDeliveries(faults, this.#random);
+    this.#links = new WorkerLinks({
+      time,
+      workers,
+      cutWorkers,
+      schedulerSlots,
+      faults,
+      deliveries,
+    });
   }
 
   get nowMs(): number {
@@ -93,18 +100,18 @@
     return this.#random;
   }
 
-  get carriedCallCount(): number {
-    return this.#links.carriedCount;
+  get deliveredCallCount(): number {
+    return this.#links.deliveredCount;
   }
 
   get owners(): readonly FleetScheduler[] {
-    return this.seats
+    return this.schedulerSlots
       .map(({ scheduler }) => scheduler)
-      .filter((one): one is FleetScheduler => one?.epoch !== undefined);
+      .filter((scheduler): scheduler is FleetScheduler => scheduler?.epoch !== undefined);
   }
 
   addWorker(id: string, maximumLeaseMs = TIMING.maximumLeaseMs): void {
-    const lifeKey = (): string => `${id}/${this.workers.get(id)?.incarnation ?? 0}`;
+    const processKey = (): string => `${id}/${this.workers.get(id)?.incarnation ?? 0}`;
     const model = new WorkerModel(
       {
         id,
@@ -113,10 +120,11 @@
         stopMs: STOP_MS,
         clockRate: 0.98 + this.#random.nextFraction() * 0.03,
         taskOf: this.#taskOf,
-        onStart: (taskName, run, nowMs) => this.judge.noteStart(id, taskName, run, nowMs),
-        onEnd: (finished, endedAtMs) => this.judge.noteEnd(lifeKey(), finished, endedAtMs),
-        onLapse: () => this.judge.noteLapse(lifeKey()),
-        onAcknowledge: (sequence, nowMs) => this.judge.noteAcknowledged(lifeKey(), sequence, nowMs),
+        onStart: (taskName, run, nowMs) => this.invariants.noteStart(id, taskName, run, nowMs),
+        onEnd: (finished, endedAtMs) => this.invariants.noteEnd(processKey(), finished, endedAtMs),
+        onLapse: () => this.invariants.noteLapse(processKey()),
+        onAcknowledge: (sequence, nowMs) =>
+          this.invariants.noteAcknowledged(processKey(), sequence, nowMs),
       },
       this.nowMs,
     );
@@ -125,47 +133,47 @@
   }
 
   addScheduler(): number {
-    this.seats.push(emptySeat());
-    const index = this.seats.length - 1;
+    this.schedulerSlots.push(emptySlot());
+    const index = this.schedulerSlots.length - 1;
     this.startScheduler(index);
     return index;
   }
 
   startScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    seat.generation += 1;
-    const selfId = `daemon-${index}#${seat.generation}`;
-    seat.scheduler = new FleetScheduler(selfId, TIMING, 0, DEFAULT_FLEET_POLICY, this.nowMs);
-    seat.scheduler.handleOperatorState({
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
+    slot.generation += 1;
+    const selfId = `daemon-${index}#${slot.generation}`;
+    slot.scheduler = new FleetScheduler(selfId, TIMING, 0, DEFAULT_FLEET_POLICY, this.nowMs);
+    slot.scheduler.handleOperatorState({
       configuration: CONFIGURATION,
       withdrawnZones: new Set(),
     });
   }
 
-  /** Ends a process at once; what it has sent still arrives. */
+  /** Kills a scheduler process; calls that it has sent still arrive. */
   killScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    seat.generation += 1;
-    seat.scheduler = undefined;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
+    slot.generation += 1;
+    slot.scheduler = undefined;
   }
 
-  /** Ends a process in order: it hands the fleet over first, if it owns it. */
+  /** Shuts a scheduler process down gracefully: if it owns the fleet, it first releases it. */
   stopScheduler(index: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    const transaction = seat.scheduler?.release();
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
+    const transaction = slot.scheduler?.release();
     this.killScheduler(index);
     if (transaction !== undefined)
       this.time.later(CALL_MS, () => void this.table.transact(transaction));
   }
 
-  /** Takes a worker away with its machine: calls to it are neither answered nor refused. */
+  /** Removes a worker with its machine: calls to it are neither answered nor refused. */
   removeWorker(id: string): void {
     this.workers.get(id)?.crash();
     this.cutWorkers.add(id);
     this.listedWorkers.delete(id);
   }
 
-  /** The worker says that it goes on for `remainingMs` at least, and leaves `lingerMs` later. */
+  /** The worker announces that it stays at least `remainingMs`; it leaves `lingerMs` after that. */
   drainWorker(id: string, remainingMs: number, lingerMs: number): void {
     this.drainingWorkers.add(id);
     this.#drains.set(id, { sinceMs: this.nowMs, stayMs: remainingMs });
@@ -175,12 +183,12 @@
   submit(submission: Submission): void {
     this.#submissions.set(submission.id, submission);
     this.#write(specKey(submission.id), submission as unknown as JsonValue);
-    this.#fed.push({ id: submission.id, isCancellation: false });
+    this.#changes.push({ id: submission.id, isCancellation: false });
   }
 
   cancel(id: string): void {
     this.#write(cancelKey(id), {});
-    this.#fed.push({ id, isCancellation: true });
+    this.#changes.push({ id, isCancellation: true });
   }
 
   progress(id: string): Progress | undefined {
@@ -188,7 +196,7 @@
     return row === undefined ? undefined : (row.value as unknown as Progress);
   }
 
-  runsOf(taskName: string): readonly string[] {
+  workersRunning(taskName: string): readonly string[] {
     return [...this.workers.values()]
       .filter((worker) => worker.isUp && worker.runs.has(taskName))
       .map(({ id }) => id);
@@ -199,25 +207,29 @@
     while (this.nowMs < untilMs) {
       this.time.nowMs += TICK_MS;
       this.workers.forEach((worker) => worker.isUp && worker.advance(this.nowMs));
-      // eslint-disable-next-line no-await-in-loop -- time goes by step by step
+      // eslint-disable-next-line no-await-in-loop -- virtual time advances step by step
       await this.time.runDue();
-      this.#feed();
-      this.seats.forEach((seat, index) => this.#stepSeat(seat, index));
-      this.judge.look(this.workers.values(), this.nowMs);
+      this.#deliverChanges();
+      this.schedulerSlots.forEach((slot, index) => this.#stepScheduler(slot, index));
+      this.invariants.checkRunningTasks(this.workers.values(), this.nowMs);
     }
   }
 
-  #stepSeat(seat: SchedulerSeat, index: number): void {
-    const { scheduler } = seat;
+  #stepScheduler(slot: SchedulerSlot, index: number): void {
+    const { scheduler } = slot;
     if (scheduler === undefined) return;
-    if (this.nowMs % LIST_MS === 0 && scheduler.epoch !== undefined && this.#reachesTable(seat)) {
+    if (
+      this.nowMs % WORKER_LIST_INTERVAL_MS === 0 &&
+      scheduler.epoch !== undefined &&
+      this.#reachesTable(slot)
+    ) {
       scheduler.handleWorkers(scheduler.epoch, this.#entries(), this.nowMs, this.nowMs);
     }
     scheduler.step(this.nowMs, this.nowMs).forEach((effect) => this.#perform(index, effect));
   }
 
-  #reachesTable(seat: SchedulerSeat): boolean {
-    return !this.faults.isTableDown && !seat.isCutFromTable;
+  #reachesTable(slot: SchedulerSlot): boolean {
+    return !this.faults.isTableDown && !slot.isCutFromTable;
   }
 
   #entries(): readonly FleetWorkerEntry[] {
@@ -228,7 +240,7 @@
     }));
   }
 
-  /** As of the worker's last check-in. */
+  /** The remaining time that the worker reported at its last check-in. */
   #remainingOf(id: string): Pick<FleetWorkerEntry, 'remainingMs'> {
     const drain = this.#drains.get(id);
     if (drain === undefined) return {};
@@ -237,18 +249,20 @@
     return { remainingMs: Math.max(0, sinceMs + stayMs - (this.nowMs - ageMs)) };
   }
 
-  #feed(): void {
-    const owners = this.seats.filter(
-      (seat) => seat.scheduler?.epoch !== undefined && this.#reachesTable(seat),
+  #deliverChanges(): void {
+    const owningSlots = this.schedulerSlots.filter(
+      (slot) => slot.scheduler?.epoch !== undefined && this.#reachesTable(slot),
+    );
+    if (owningSlots.length === 0 || this.faults.isFeedSilent) return;
+    owningSlots.forEach(({ scheduler }) =>
+      scheduler?.handleCaughtUp(scheduler.epoch ?? 0, this.nowMs),
     );
-    if (owners.length === 0 || this.faults.isFeedSilent) return;
-    owners.forEach(({ scheduler }) => scheduler?.handleCaughtUp(scheduler.epoch ?? 0, this.nowMs));
-    // A new owner has read the rows, so being told of them again must change nothing.
-    const news = this.#fed.slice(this.#lastFedOperation);
-    this.#lastFedOperation = this.#fed.length;
-    news.forEach(({ id, isCancellation }) => {
+    // A new owner has already read the rows, so receiving them again must change nothing.
+    const newChanges = this.#changes.slice(this.#deliveredChangeCount);
+    this.#deliveredChangeCount = this.#changes.length;
+    newChanges.forEach(({ id, isCancellation }) => {
       const submission = this.#submissions.get(id);
-      owners.forEach(({ scheduler }) => {
+      owningSlots.forEach(({ scheduler }) => {
         const epoch = scheduler?.epoch;
         if (scheduler === undefined || epoch === undefined) return;
         if (isCancellation) {
@@ -261,7 +275,7 @@
   }
 
   #reply(index: number, delayMs: number, run: (scheduler: FleetScheduler) => void): void {
-    replyTo(this.time, this.seats[index] as SchedulerSeat, delayMs, run);
+    replyTo(this.time, this.schedulerSlots[index] as SchedulerSlot, delayMs, run);
   }
 
   #perform(index: number, effect: FleetEffect): void {
@@ -321,7 +335,7 @@
     reply: (result: Either<Failure, Answer>, scheduler: FleetScheduler) => void,
     delayMs = CALL_MS,
   ): void {
-    const isReached = this.#reachesTable(this.seats[index] as SchedulerSeat);
+    const isReached = this.#reachesTable(this.schedulerSlots[index] as SchedulerSlot);
     const result: Either<Failure, Answer> = isReached
       ? right({ ...call(), tableNowMs: TABLE_CLOCK_AHEAD_MS + this.nowMs })
       : left(failure(ErrorKind.StoreUnavailable, 'out of reach'));
@@ -336,14 +350,14 @@
       scheduler: FleetScheduler,
     ) => void,
   ): void {
-    const isReached = this.#reachesTable(this.seats[index] as SchedulerSeat);
+    const isReached = this.#reachesTable(this.schedulerSlots[index] as SchedulerSlot);
     if (isReached && this.#random.nextFraction() < this.faults.lostAnswerShare) {
-      // Carried out now or seconds later, if its conditions still hold.
+      // The transaction is applied now or seconds later, if its conditions still hold.
       this.time.later(this.#random.nextIndex(3_000), () => {
         this.table.transact(transaction);
       });
-      const lost = left(failure(ErrorKind.StoreAnswerLost, 'no answer'));
-      this.#reply(index, 1_000, (scheduler) => reply(lost, scheduler));
+      const lostAnswer = left(failure(ErrorKind.StoreAnswerLost, 'no answer'));
+      this.#reply(index, 1_000, (scheduler) => reply(lostAnswer, scheduler));
       return;
     }
     const delayMs = this.faults.transactionMs;
@@ -351,11 +365,11 @@
   }
 
   #load(index: number, epoch: number): void {
-    const seat = this.seats[index] as SchedulerSeat;
-    const { generation } = seat;
+    const slot = this.schedulerSlots[index] as SchedulerSlot;
+    const { generation } = slot;
     const table = {
       read: (request) => async () =>
-        this.#reachesTable(seat)
+        this.#reachesTable(slot)
           ? right(this.table.read(request))
           : left(failure(ErrorKind.StoreUnavailable, 'out of reach')),
     } as TableService;
@@ -366,8 +380,8 @@
     const reader = new StoredStateReader(table, directory, silentLog);
     this.time.later(CALL_MS, async () => {
       const loaded = await reader.readAll();
-      if (seat.generation !== generation) return;
-      seat.scheduler?.handleLoaded(epoch, loaded?.stored, this.nowMs);
+      if (slot.generation !== generation) return;
+      slot.scheduler?.handleLoaded(epoch, loaded?.stored, this.nowMs);
     });
   }
 
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -3,30 +3,30 @@
 import { SeededRandom } from '../../../base/common/random.js';
 import { FleetWorkerView } from '../../common/fleet/fleetWorkerView.js';
 import { LearningInterferenceControl } from '../../common/fleet/learningInterferenceControl.js';
-import { newRun } from '../../common/fleet/runKeeper.js';
-import { SubmissionBook } from '../../common/fleet/submissionBook.js';
+import { newRun } from '../../common/fleet/runTracker.js';
+import { SubmissionRegistry } from '../../common/fleet/submissionRegistry.js';
 import { NO_ASSIGNMENTS, RunState, type TaskRun } from '../../common/fleet/taskRecords.js';
 import { STEP, submissionOf } from './fleetFixtures.js';
 
 const TARGET_MS = 18;
-const LOOK_MS = 600;
-/** Users notice a tail that is over its target for so long. */
-const NOTICED_MS = 4_000;
-/** How far single figures scatter around the tail that they stand for. */
-const SCATTER = 0.3;
+const POLL_MS = 600;
+/** Users notice a tail latency that is over its target for this long. */
+const NOTICE_MS = 4_000;
+/** Relative noise of single samples around the actual tail latency. */
+const SAMPLE_NOISE = 0.3;
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000, acceleratorCount: 0 };
 
 const SERVING = { ...STEP, image: 'serves', targetLatencyMs: TARGET_MS, isPersistent: true };
 const FILLER = { ...STEP, isFiller: true, size: { ...STEP.size, processorMillis: 3_500 } };
 
-interface Scene {
+interface Scenario {
   readonly view: FleetWorkerView;
   readonly serving: readonly TaskRun[];
   readonly fillers: readonly TaskRun[];
 }
 
-const sceneOf = (servingCount: number, fillerImages: readonly string[]): Scene => {
-  const book = new SubmissionBook();
+const newScenario = (servingCount: number, fillerImages: readonly string[]): Scenario => {
+  const registry = new SubmissionRegistry();
   const view = new FleetWorkerView(
     {
       id: 'worker',
@@ -46,8 +46,8 @@
     { ...SERVING, taskCount: servingCount },
     ...fillerImages.map((image) => ({ ...FILLER, image })),
   ];
-  book.add(submissionOf('00000000000000d1', steps), undefined, NO_ASSIGNMENTS, 0);
-  const runs = [...book.waiting].map((task) => {
+  registry.add(submissionOf('00000000000000d1', steps), undefined, NO_ASSIGNMENTS, 0);
+  const runs = [...registry.waiting].map((task) => {
     const run = newRun(task, 1, 'worker', 0);
     run.state = RunState.Running;
     run.workedPercent = task.step.isPersistent ? 100 : 10;
@@ -61,152 +61,152 @@
   };
 };
 
-/** Looks every 600 ms; `tailMs` is what each serving task really suffers. */
-const play = (
-  scene: Scene,
+/** Polls every 600 ms; `tailMs` returns the actual tail latency of each serving task. */
+const simulate = (
+  scenario: Scenario,
   control: LearningInterferenceControl,
   random: SeededRandom,
   fromMs: number,
   untilMs: number,
   tailMs: (run: TaskRun, index: number) => number,
-  scatter = SCATTER,
+  amplitude = SAMPLE_NOISE,
 ): void => {
-  for (let nowMs = fromMs; nowMs <= untilMs; nowMs += LOOK_MS) {
-    scene.serving.forEach((run, index) => {
-      const noise = 1 + scatter * (2 * random.nextFraction() - 1);
+  for (let nowMs = fromMs; nowMs <= untilMs; nowMs += POLL_MS) {
+    scenario.serving.forEach((run, index) => {
+      const noise = 1 + amplitude * (2 * random.nextFraction() - 1);
       run.recentFigure = Math.round(tailMs(run, index) * noise);
     });
-    scene.fillers.forEach((run) => {
+    scenario.fillers.forEach((run) => {
       run.recentFigure = (run.task.step.size.processorMillis * run.pacePercent) / 100;
     });
-    control.observe(scene.view, nowMs);
-    const { paces, moves } = control.answer(scene.view, nowMs);
-    if (paces.length + moves.length > 0) scene.view.pacedAtMs = nowMs;
+    control.observe(scenario.view, nowMs);
+    const { paces, moves } = control.decide(scenario.view, nowMs);
+    if (paces.length + moves.length > 0) scenario.view.pacedAtMs = nowMs;
     paces.forEach(({ run, percent }) => {
-      if (percent < run.pacePercent) run.pacedSinceMs = nowMs;
+      if (percent < run.pacePercent) run.paceLoweredAtMs = nowMs;
       run.pacePercent = percent;
     });
-    moves.forEach((run) => scene.view.removeRun(run));
+    moves.forEach((run) => scenario.view.removeRun(run));
   }
 };
 
-const isAtWork = ({ pacePercent }: TaskRun): boolean => pacePercent > 0;
+const isActive = ({ pacePercent }: TaskRun): boolean => pacePercent > 0;
 
-describe('fillers beside tasks that serve', () => {
+describe('fillers beside serving tasks', () => {
   it.each([1, 2, 3, 4, 5, 6, 7, 8, 9, 10])(
-    'stand still before users notice one task a fifth over its target (seed %i)',
+    'are suspended before users notice that one task is a fifth over its target (seed %i)',
     (seed) => {
-      // One of six tasks of an image suffers, a fifth over its target, and its figures scatter so
-      // that one in four says that all is well. The mean over its like shows nothing. Its users
-      // notice after four seconds, and by then nothing may work beside it.
-      const scene = sceneOf(6, ['a', 'b', 'c']);
+      // The tail of one of six tasks of an image is a fifth over its target, and noise puts one in
+      // four of its samples below the target. The mean over the six tasks doesn't show it. Users
+      // notice after four seconds, so all fillers must be suspended by then.
+      const scenario = newScenario(6, ['a', 'b', 'c']);
       const control = new LearningInterferenceControl();
       const random = new SeededRandom(seed);
-      play(scene, control, random, 0, 2_400, () => 8);
-      play(scene, control, random, 3_000, 3_000 + NOTICED_MS - LOOK_MS, (_run, index) =>
+      simulate(scenario, control, random, 0, 2_400, () => 8);
+      simulate(scenario, control, random, 3_000, 3_000 + NOTICE_MS - POLL_MS, (_run, index) =>
         index === 0 ? TARGET_MS * 1.2 : 8,
       );
-      expect(scene.fillers.filter(isAtWork)).toEqual([]);
+      expect(scenario.fillers.filter(isActive)).toEqual([]);
     },
   );
 
   it('are not started beside a task that is over its target', () => {
-    const scene = sceneOf(6, []);
+    const scenario = newScenario(6, []);
     const control = new LearningInterferenceControl();
-    const filler = sceneOf(0, ['a']).fillers[0] as TaskRun;
+    const filler = newScenario(0, ['a']).fillers[0] as TaskRun;
     const random = new SeededRandom(1);
-    play(scene, control, random, 0, 2_400, () => 8, 0);
-    expect(control.admit(scene.view, filler.task, 2_400)?.percent).toBe(100);
-    play(scene, control, random, 3_000, 4_200, (_run, index) => (index === 0 ? 24 : 8), 0);
-    expect(control.admit(scene.view, filler.task, 4_200)).toBeUndefined();
+    simulate(scenario, control, random, 0, 2_400, () => 8, 0);
+    expect(control.admit(scenario.view, filler.task, 2_400)?.percent).toBe(100);
+    simulate(scenario, control, random, 3_000, 4_200, (_run, index) => (index === 0 ? 24 : 8), 0);
+    expect(control.admit(scenario.view, filler.task, 4_200)).toBeUndefined();
   });
 
-  it('go on at full pace where the tails are well', () => {
-    const scene = sceneOf(4, ['a', 'b', 'c']);
-    play(scene, new LearningInterferenceControl(), new SeededRandom(3), 0, 30_000, () => 8);
-    expect(scene.fillers.every(({ pacePercent }) => pacePercent === 100)).toBe(true);
+  it('keep full pace while the tail latencies are well below their targets', () => {
+    const scenario = newScenario(4, ['a', 'b', 'c']);
+    simulate(scenario, new LearningInterferenceControl(), new SeededRandom(3), 0, 30_000, () => 8);
+    expect(scenario.fillers.every(({ pacePercent }) => pacePercent === 100)).toBe(true);
   });
 
-  it('slow down only if they are antagonists; benign ones keep their pace', () => {
-    // Two images work beside a service. Whenever the one works, tails rise from 8 to 20 ms; the
-    // other has run alone for long without slowing it. Only the first is slowed.
-    const scene = sceneOf(4, ['antagonist', 'benign']);
-    const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+  it('are slowed only if they are antagonists', () => {
+    // Fillers of two images run beside a service. The first raises the tails from 8 to 20 ms; the
+    // second has run beside it for a while without slowing it. Only the first one is slowed.
+    const scenario = newScenario(4, ['antagonist', 'benign']);
+    const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(5);
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 0, 6_000, () => 8);
-    scene.view.addRun(antagonist);
-    play(scene, control, random, 6_600, 7_800, () => 8 + antagonist.pacePercent * 0.12);
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    scenario.view.addRun(antagonist);
+    simulate(scenario, control, random, 6_600, 7_800, () => 8 + antagonist.pacePercent * 0.12);
     expect(antagonist.pacePercent).toBeLessThan(100);
     expect(benign.pacePercent).toBe(100);
   });
 
-  it('come back to full pace once a strain that they did not cause is over', () => {
-    // A burst of the service's own load strains it for two seconds. The filler stands still
-    // meanwhile and then returns to full pace, having long run there without interference.
-    const scene = sceneOf(4, ['a']);
+  it('return to full pace after an overload that they did not cause', () => {
+    // A burst of the service's own load overloads it for two seconds. The filler is slowed in the
+    // meantime, and then returns to full pace because it has run there without interference.
+    const scenario = newScenario(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
-    play(scene, control, random, 0, 6_000, () => 8);
-    play(scene, control, random, 6_600, 8_400, () => 40);
-    expect(scene.fillers[0]?.pacePercent).toBeLessThan(50);
-    play(scene, control, random, 9_000, 12_000, () => 6);
-    expect(scene.fillers[0]?.pacePercent).toBe(100);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    simulate(scenario, control, random, 6_600, 8_400, () => 40);
+    expect(scenario.fillers[0]?.pacePercent).toBeLessThan(50);
+    simulate(scenario, control, random, 9_000, 12_000, () => 6);
+    expect(scenario.fillers[0]?.pacePercent).toBe(100);
   });
 
-  it('go back into the queue where they can only be held', () => {
-    const scene = sceneOf(4, ['a']);
+  it('go back into the queue if they stay throttled', () => {
+    const scenario = newScenario(4, ['a']);
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(7);
-    play(scene, control, random, 0, 9_000, () => 40);
-    expect(scene.view.runs.size).toBe(4);
+    simulate(scenario, control, random, 0, 9_000, () => 40);
+    expect(scenario.view.runs.size).toBe(4);
   });
 });
 
-describe('a successor', () => {
-  it('knows the interference that its predecessor has learnt', () => {
-    // The owner has learnt that one image slows a service and another does not. It dies, and its
-    // successor must not start the antagonist beside the service only to learn it once more.
-    const scene = sceneOf(4, ['antagonist', 'benign']);
-    const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+describe('a new owner', () => {
+  it('uses the interference estimates of the previous owner', () => {
+    // The previous owner has learnt that one image slows a service and another does not. After the
+    // takeover, the new owner must not start the antagonist beside the service to learn it again.
+    const scenario = newScenario(4, ['antagonist', 'benign']);
+    const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(5);
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 0, 6_000, () => 8);
-    scene.view.addRun(antagonist);
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 0, 6_000, () => 8);
+    scenario.view.addRun(antagonist);
     for (let round = 0; round < 4; round += 1) {
       antagonist.pacePercent = 100;
-      play(scene, control, random, 6_600 + round * 600, 6_600 + round * 600, () => 40);
+      simulate(scenario, control, random, 6_600 + round * 600, 6_600 + round * 600, () => 40);
     }
-    // Held still or moved, it leaves the other alone with the service, which is well again.
-    scene.view.removeRun(antagonist);
-    play(scene, control, random, 9_000, 15_000, () => 8);
+    // Without the antagonist, only the benign filler runs beside the service, which recovers.
+    scenario.view.removeRun(antagonist);
+    simulate(scenario, control, random, 9_000, 15_000, () => 8);
     const successor = new LearningInterferenceControl();
     successor.inherit(control.learnt(), 15_000);
-    const isBorneBy = (one: LearningInterferenceControl, { task }: TaskRun): boolean => {
-      const beside = sceneOf(4, []);
-      const calm = new SeededRandom(9);
-      play(beside, one, calm, 15_600, 36_000, () => 11);
-      return one.admit(beside.view, task, 36_000)?.percent === 100;
+    const isAdmittedBy = (tested: LearningInterferenceControl, { task }: TaskRun): boolean => {
+      const otherScenario = newScenario(4, []);
+      const otherRandom = new SeededRandom(9);
+      simulate(otherScenario, tested, otherRandom, 15_600, 36_000, () => 11);
+      return tested.admit(otherScenario.view, task, 36_000)?.percent === 100;
     };
-    expect(isBorneBy(control, antagonist)).toBe(false);
-    expect(isBorneBy(successor, antagonist)).toBe(false);
-    expect(isBorneBy(successor, benign)).toBe(true);
+    expect(isAdmittedBy(control, antagonist)).toBe(false);
+    expect(isAdmittedBy(successor, antagonist)).toBe(false);
+    expect(isAdmittedBy(successor, benign)).toBe(true);
   });
 });
 
-describe('what is learnt of many images', () => {
-  it('fits into one row of the table, the pairs seen last', () => {
-    // Callers name a new image with each submission. What the owner hands to its successor grows
-    // with them, until the row is larger than the table takes, and no progress is stored any more.
+describe('the stored estimates of many images', () => {
+  it('fit into one row of the table and hold the most recently seen pairs', () => {
+    // If callers use a new image for each submission, the estimates stored for the next owner could
+    // grow until the table rejects the row, and no progress could be stored any more.
     const ROW_BYTES = 65_536;
     const control = new LearningInterferenceControl();
     const random = new SeededRandom(3);
     for (let count = 0; count < 600; count += 1) {
       const image = `${count}`.padStart(40, 'image');
-      const scene = sceneOf(4, [image]);
-      play(scene, control, random, count * 3_000, count * 3_000 + 2_400, () => 8);
+      const scenario = newScenario(4, [image]);
+      simulate(scenario, control, random, count * 3_000, count * 3_000 + 2_400, () => 8);
     }
     const learnt = control.learnt();
     expect(learnt.length).toBeGreaterThan(100);
@@ -215,51 +215,56 @@
   });
 });
 
-describe('services whose load swings', () => {
-  /** Waiting times: the tail without load, and what batch work adds to the work of a request. */
+describe('services with a periodic load', () => {
+  /**
+   * The tail latency without load. `tailOf` models waiting times, and `pressure` is the work that
+   * batch work adds to each request, as a fraction.
+   */
   const UNLOADED_TAIL_MS = 4;
-  const SWING_MS = 10_000;
-  /** Figures of services that nothing disturbs scatter so little. */
-  const MEAN_SCATTER = 0.1;
+  const PERIOD_MS = 10_000;
+  /** Relative noise of samples of services that are not disturbed. */
+  const UNDISTURBED_NOISE = 0.1;
   const loadAt = (nowMs: number): number =>
-    0.42 * (1 + 0.5 * Math.sin((nowMs / SWING_MS) * 2 * Math.PI));
+    0.42 * (1 + 0.5 * Math.sin((nowMs / PERIOD_MS) * 2 * Math.PI));
 
   const tailOf = (load: number, pressure: number): number => {
-    const left = 1 - load * (1 + pressure);
-    return left <= 0.02 ? 200 : (UNLOADED_TAIL_MS * (1 + pressure)) / left;
+    const remainingCapacity = 1 - load * (1 + pressure);
+    return remainingCapacity <= 0.02
+      ? 200
+      : (UNLOADED_TAIL_MS * (1 + pressure)) / remainingCapacity;
   };
 
   it.each([1, 2, 3, 4, 5, 6, 7, 8])(
-    'suffer from no batch work at their crests (seed %i)',
+    'are not slowed by batch work at their peak load (seed %i)',
     (seed) => {
-      // A load swings within ten seconds. One image slows the service only at the crest: in the
-      // trough the tail stays well below the target with it. The owner must neither let it run into
-      // the crest, where users would see tails of several times the target, nor stop the other
-      // image, which is benign.
-      const scene = sceneOf(4, ['antagonist', 'benign']);
-      const [antagonist, benign] = scene.fillers as [TaskRun, TaskRun];
+      // The load has a period of ten seconds. One image slows the service only at peak load; at low
+      // load the tail stays well below the target beside it. The owner must not let it run into the
+      // peak, where the tail would be several times the target, and must not stop the other image,
+      // which is benign.
+      const scenario = newScenario(4, ['antagonist', 'benign']);
+      const [antagonist, benign] = scenario.fillers as [TaskRun, TaskRun];
       const control = new LearningInterferenceControl();
       const random = new SeededRandom(seed);
       let overMs = 0;
       let workedMs = 0;
       const untilMs = 60_000;
-      for (let nowMs = 0; nowMs <= untilMs; nowMs += LOOK_MS) {
+      for (let nowMs = 0; nowMs <= untilMs; nowMs += POLL_MS) {
         const pressure =
           0.4 *
-          (scene.view.runs.has(`${antagonist.task.name}#1`) ? antagonist.pacePercent / 100 : 0);
+          (scenario.view.runs.has(`${antagonist.task.name}#1`) ? antagonist.pacePercent / 100 : 0);
         const tailMs = tailOf(loadAt(nowMs), pressure);
-        if (nowMs > SWING_MS && tailMs > TARGET_MS) overMs += LOOK_MS;
-        if (nowMs > SWING_MS) workedMs += (LOOK_MS * antagonist.pacePercent) / 100;
-        play(scene, control, random, nowMs, nowMs, () => tailMs, MEAN_SCATTER);
-        // What is moved away comes back in the next trough, as the queue would have it.
-        const isAway = !scene.view.runs.has(`${antagonist.task.name}#1`);
-        if (isAway && control.admit(scene.view, antagonist.task, nowMs)?.percent === 100) {
+        if (nowMs > PERIOD_MS && tailMs > TARGET_MS) overMs += POLL_MS;
+        if (nowMs > PERIOD_MS) workedMs += (POLL_MS * antagonist.pacePercent) / 100;
+        simulate(scenario, control, random, nowMs, nowMs, () => tailMs, UNDISTURBED_NOISE);
+        // A moved filler returns at the next low load, as it would from the queue.
+        const isAbsent = !scenario.view.runs.has(`${antagonist.task.name}#1`);
+        if (isAbsent && control.admit(scenario.view, antagonist.task, nowMs)?.percent === 100) {
           antagonist.pacePercent = 100;
-          scene.view.addRun(antagonist);
-        } else if (isAway) antagonist.pacePercent = 0;
+          scenario.view.addRun(antagonist);
+        } else if (isAbsent) antagonist.pacePercent = 0;
       }
-      expect(overMs).toBeLessThanOrEqual(0.05 * (untilMs - SWING_MS));
-      expect(workedMs).toBeGreaterThan(0.25 * (untilMs - SWING_MS));
+      expect(overMs).toBeLessThanOrEqual(0.05 * (untilMs - PERIOD_MS));
+      expect(workedMs).toBeGreaterThan(0.25 * (untilMs - PERIOD_MS));
       expect(benign.pacePercent).toBe(100);
     },
   );
--- a/src/scheduler/test/fleet/takeover.test.ts
+++ b/src/scheduler/test/fleet/takeover.test.ts
@@ -5,16 +5,16 @@
 import { FleetWorld } from './fleetWorld.js';
 
 const ID = '00000000000000c1';
-const LASTING_ID = '00000000000000c2';
-const LASTING_TASK = `${LASTING_ID}.0.0.0`;
-const LASTING_STEP = { ...STEP, isPersistent: true };
-/** A lease, the slack of clocks and calls, and the time in which a worker is found to be gone. */
+const PERSISTENT_ID = '00000000000000c2';
+const PERSISTENT_TASK = `${PERSISTENT_ID}.0.0.0`;
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
+/** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
-/** From the death of an owner until its successor has placed what waits. */
+/** The time from the death of an owner until its successor has placed the waiting tasks. */
 const TAKEOVER_MS = 4_000;
 
 const taskOf = (taskName: string): { workMs: number; end: RunEnd } => ({
-  workMs: taskName.startsWith(LASTING_ID) ? 90_000 : 800,
+  workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : 800,
   end: RunEnd.Done,
 });
 
@@ -27,7 +27,7 @@
 };
 
 const ownerIndex = (world: FleetWorld): number =>
-  world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
 
 /** Runs until the task runs somewhere, and returns how long that took. */
 const untilRunningMs = async (
@@ -36,14 +36,14 @@
   limitMs: number,
 ): Promise<number> => {
   const sinceMs = world.nowMs;
-  while (world.runsOf(taskName).length === 0 && world.nowMs - sinceMs < limitMs) {
-    // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+  while (world.workersRunning(taskName).length === 0 && world.nowMs - sinceMs < limitMs) {
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(50);
   }
   return world.nowMs - sinceMs;
 };
 
-/** For how long tasks ran nowhere. */
+/** Measures the longest time that a task ran nowhere. */
 class Absences {
   readonly #awaySinceMs = new Map<string, number>();
 
@@ -55,9 +55,9 @@
     this.#names = names;
   }
 
-  look(world: FleetWorld): void {
+  sample(world: FleetWorld): void {
     this.#names.forEach((name) => {
-      if (world.runsOf(name).length > 0) this.#awaySinceMs.delete(name);
+      if (world.workersRunning(name).length > 0) this.#awaySinceMs.delete(name);
       else if (!this.#awaySinceMs.has(name)) this.#awaySinceMs.set(name, world.nowMs);
       const awayMs = world.nowMs - (this.#awaySinceMs.get(name) ?? world.nowMs);
       this.longestMs = Math.max(this.longestMs, awayMs);
@@ -66,39 +66,39 @@
 }
 
 describe('a takeover of the fleet', () => {
-  it('does not hold tasks back that cannot run on the worker that is out of reach', async () => {
+  it('does not delay tasks that cannot be running on the unreachable worker', async () => {
     const world = await worldOf(3, 2);
     world.submit(submissionOf(ID, [STEP, { ...STEP, after: [0] }]));
     await world.runFor(400);
     const [idle] = [...world.workers.keys()].filter(
-      (id) => !world.runsOf(`${ID}.0.0.0`).includes(id),
+      (id) => !world.workersRunning(`${ID}.0.0.0`).includes(id),
     );
     world.removeWorker(idle as string);
     world.killScheduler(ownerIndex(world));
     const waitedMs = await untilRunningMs(world, `${ID}.0.1.0`, 20_000);
     expect(waitedMs).toBeLessThan(TAKEOVER_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 
-  it('does not put off when the tasks of a lost worker start, however many owners follow', async () => {
+  it("does not postpone the restart of a lost worker's tasks, even after several owner changes", async () => {
     const world = await worldOf(3, 7);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    world.removeWorker(world.runsOf(LASTING_TASK)[0] as string);
+    world.removeWorker(world.workersRunning(PERSISTENT_TASK)[0] as string);
     for (let round = 0; round < 6; round += 1) {
       world.killScheduler(ownerIndex(world));
       // eslint-disable-next-line no-await-in-loop -- each owner lives until the next has taken over
       await world.runFor(2_500);
     }
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.invariants.broken).toEqual([]);
   });
 
-  it('keeps tasks that last at work while owners are stopped in turn and workers leave', async () => {
+  it('keeps persistent tasks running while owners are stopped in turn and workers leave', async () => {
     const world = await worldOf(8, 4);
-    world.submit(submissionOf(LASTING_ID, [{ ...LASTING_STEP, taskCount: 8 }]));
+    world.submit(submissionOf(PERSISTENT_ID, [{ ...PERSISTENT_STEP, taskCount: 8 }]));
     await world.runFor(1_000);
-    const names = Array.from({ length: 8 }, (_, index) => `${LASTING_ID}.0.0.${index}`);
+    const names = Array.from({ length: 8 }, (_, index) => `${PERSISTENT_ID}.0.0.${index}`);
     const absences = new Absences(names);
     for (let tick = 0; tick < 300; tick += 1) {
       if (tick % 7 === 0 && tick < 50) {
@@ -110,102 +110,104 @@
         world.stopScheduler(owner);
         world.startScheduler(owner);
       }
-      // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
-      absences.look(world);
+      absences.sample(world);
     }
     expect(absences.longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
-describe('a worker that drains', () => {
-  it('does not keep tasks that last until it leaves while others have room', async () => {
+describe('a draining worker', () => {
+  it('does not keep a persistent task until it leaves if other workers have room', async () => {
     const world = await worldOf(2, 1);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
-    const [drained] = world.runsOf(LASTING_TASK);
+    const [drained] = world.workersRunning(PERSISTENT_TASK);
     world.drainingWorkers.add(drained as string);
-    const absences = new Absences([LASTING_TASK]);
+    const absences = new Absences([PERSISTENT_TASK]);
     for (let tick = 0; tick < 30; tick += 1) {
-      // eslint-disable-next-line no-await-in-loop -- looks at the workers as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(100);
-      absences.look(world);
+      absences.sample(world);
     }
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
-    expect(world.runsOf(LASTING_TASK)).not.toContain(drained);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
+    expect(world.workersRunning(PERSISTENT_TASK)).not.toContain(drained);
     expect(absences.longestMs).toBeLessThan(STOP_MS);
   });
 
-  it('leaves no lease behind that a successor waits for much longer than it was there', async () => {
+  it('has leases so short that a successor does not wait long for them after it has left', async () => {
     const world = await worldOf(1, 2);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     world.drainingWorkers.add('worker-0');
     await world.runFor(8_000);
-    expect(world.runsOf(LASTING_TASK)).toHaveLength(1);
+    expect(world.workersRunning(PERSISTENT_TASK)).toHaveLength(1);
     world.removeWorker('worker-0');
     world.addWorker('worker-1');
     world.killScheduler(ownerIndex(world));
-    const waitedMs = await untilRunningMs(world, LASTING_TASK, 20_000);
+    const waitedMs = await untilRunningMs(world, PERSISTENT_TASK, 20_000);
     expect(waitedMs).toBeLessThan(LEASE_AND_SLACK_MS);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
 
-describe('an owner that is cut from the table', () => {
-  /** The former owner reaches only the worker that runs the task, its successor only the other. */
+describe('an owner that is cut off from the table', () => {
+  /**
+   * The former owner reaches only the worker that runs the task. Its successor reaches the other.
+   */
   const splitWorld = async (isDraining: boolean): Promise<FleetWorld> => {
     const world = await worldOf(1, 2);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     const former = ownerIndex(world);
-    world.seats[former]?.unreachableWorkers.add('worker-1');
-    world.seats[1 - former]?.unreachableWorkers.add('worker-0');
+    world.schedulerSlots[former]?.unreachableWorkers.add('worker-1');
+    world.schedulerSlots[1 - former]?.unreachableWorkers.add('worker-0');
     world.addWorker('worker-1');
     if (isDraining) world.drainingWorkers.add('worker-0');
     await world.runFor(isDraining ? 8_000 : 1_500);
-    Object.assign(world.seats[former] ?? {}, { isCutFromTable: true });
+    Object.assign(world.schedulerSlots[former] ?? {}, { isCutFromTable: true });
     return world;
   };
 
-  it('never has a task running twice, by leases that it grants while its successor waits', async () => {
+  it('does not run a task twice under leases that it grants while its successor waits', async () => {
     const world = await splitWorld(false);
     await world.runFor(20_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
-  it('never has a task running twice when its successor hands over at once', async () => {
+  it('does not run a task twice if its successor hands over at once', async () => {
     const world = await worldOf(1, 3);
-    world.submit(submissionOf(LASTING_ID, [LASTING_STEP]));
+    world.submit(submissionOf(PERSISTENT_ID, [PERSISTENT_STEP]));
     await world.runFor(500);
     const former = ownerIndex(world);
     world.addWorker('worker-1');
-    world.seats.forEach((seat, index) =>
-      seat.unreachableWorkers.add(index === former ? 'worker-1' : 'worker-0'),
+    world.schedulerSlots.forEach((slot, index) =>
+      slot.unreachableWorkers.add(index === former ? 'worker-1' : 'worker-0'),
     );
-    Object.assign(world.seats[former] ?? {}, { isCutFromTable: true });
+    Object.assign(world.schedulerSlots[former] ?? {}, { isCutFromTable: true });
     const next = (): number =>
-      world.seats.findIndex(
+      world.schedulerSlots.findIndex(
         ({ scheduler }, index) => index !== former && scheduler?.epoch !== undefined,
       );
     while (next() < 0) {
-      // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+      // eslint-disable-next-line no-await-in-loop -- polls in virtual time
       await world.runFor(50);
     }
     await world.runFor(200);
     world.stopScheduler(next());
     await world.runFor(15_000);
-    expect(world.judge.broken).toEqual([]);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.invariants.broken).toEqual([]);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
   });
 
-  it('grants a worker that drains no lease beyond what its successor knows', async () => {
+  it('grants a draining worker no lease beyond the limit that its successor knows', async () => {
     const world = await splitWorld(true);
     await world.runFor(7_000);
-    expect(world.runsOf(LASTING_TASK)).toEqual(['worker-1']);
+    expect(world.workersRunning(PERSISTENT_TASK)).toEqual(['worker-1']);
     await world.runFor(10_000);
-    expect(world.judge.broken).toEqual([]);
+    expect(world.invariants.broken).toEqual([]);
   });
 });
