--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -43,7 +43,7 @@
 import {
   attemptKey,
   presumedLeaseEndMs,
-  unreachedWorker,
+  unreachedWorkerView,
   withReport,
   type WorkerView,
 } from './workerView.js';
@@ -70,7 +70,8 @@
     .filter(([id]) => state.rows === undefined || state.rows.assignmentsByWorker.has(id))
     .map(([id, view]): [string, WorkerView] => [id, { ...view, isListed: false }]);
   const views = [...listed].map(([id, instance]): [string, WorkerView] => {
-    const knownView = state.workers.get(id) ?? unreachedWorker(instance, presumedLeaseEndMs(state));
+    const knownView =
+      state.workers.get(id) ?? unreachedWorkerView(instance, presumedLeaseEndMs(state));
     return [id, { ...knownView, instance, isListed: true }];
   });
   return withAllStale({ ...state, workers: new Map([...unlisted, ...views]) });
@@ -128,13 +129,13 @@
     retryAtMs: new Map<string, number>(),
     taskTransfer: INITIAL_TASK_TRANSFER,
     learntSizes: new LearntSizes(),
-    readDivision: '',
+    readQuotaDivision: '',
     quotaWaits: new Map<string, number>(),
   };
   const workers = new Map(
     [...after.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      unreachedWorker(view.instance, presumedLeaseEndMs(reset)),
+      unreachedWorkerView(view.instance, presumedLeaseEndMs(reset)),
     ]),
   );
   const event = after.lease.isOwner ? 'cell-acquired' : 'cell-lost';
@@ -223,7 +224,7 @@
   const rows = pending.draft.committed(result.right.version);
   // No task of a team with a quota starts under a new quota division until the other cells' rows
   // have been read after its publication, so they are read at once.
-  const isDivisionNew = publishedQuotaDivision(rows) !== state.readDivision;
+  const isDivisionNew = publishedQuotaDivision(rows) !== state.readQuotaDivision;
   const nextPollAtMs = isDivisionNew ? nowMs : state.nextPollAtMs;
   return withoutEffects(withNewRows({ ...proved, nextPollAtMs }, rows));
 };
--- a/src/scheduler/common/cellLease.ts
+++ b/src/scheduler/common/cellLease.ts
@@ -29,7 +29,7 @@
   takeoverAllowedAtMs,
   publishedDelayMs,
   type WatchedOwner,
-} from './leasePatience.js';
+} from './cellLeaseTiming.js';
 
 /**
  * Delay after a failed call. A whole heartbeat interval would use up most of the time that watchers
@@ -63,7 +63,7 @@
    */
   readonly heartbeatSentTableMs: number | undefined;
   /** When the last heartbeat that is known to be committed was sent. */
-  readonly heldAtMs: number;
+  readonly lastHeartbeatSentAtMs: number;
   /** When the first of the unanswered acquisitions was sent. Any of them may have committed. */
   readonly acquiringSinceMs: number | undefined;
   readonly tableClock: TableClock | undefined;
@@ -98,7 +98,7 @@
   heartbeatCounter: 0,
   heartbeatSentTableMs: undefined,
   unchangedSinceMs: nowMs,
-  heldAtMs: Number.NEGATIVE_INFINITY,
+  lastHeartbeatSentAtMs: Number.NEGATIVE_INFINITY,
   acquiringSinceMs: undefined,
   overdueSinceMs: undefined,
   leastDelayMs: undefined,
@@ -279,7 +279,9 @@
     heartbeatSentTableMs: heartbeat?.sentAtTableMs,
     unchangedSinceMs: isUnchanged ? lease.unchangedSinceMs : nowMs,
     // Other daemons count from the heartbeat that the acquisition wrote, not from this read.
-    heldAtMs: isOwner ? (lease.acquiringSinceMs ?? sentAtMs) : lease.heldAtMs,
+    lastHeartbeatSentAtMs: isOwner
+      ? (lease.acquiringSinceMs ?? sentAtMs)
+      : lease.lastHeartbeatSentAtMs,
     overdueSinceMs: isOverdue ? (overdueBeforeMs ?? nowMs) : undefined,
     leastDelayMs: heartbeat?.leastDelayMs,
     tableClock: tableClockOf(lease, tableNowMs, sentAtMs, nowMs),
@@ -308,7 +310,7 @@
     heartbeatRowVersion: version,
     heartbeatCounter: lease.heartbeatCounter + 1,
     unchangedSinceMs: nowMs,
-    heldAtMs: sentAtMs,
+    lastHeartbeatSentAtMs: sentAtMs,
     acquiringSinceMs: undefined,
     overdueSinceMs: undefined,
     leastDelayMs: publishedDelayMs(lease, timing),
--- a/src/scheduler/common/cellReads.ts
+++ b/src/scheduler/common/cellReads.ts
@@ -104,12 +104,12 @@
   ownRows: CellRows | undefined,
 ): CellState => {
   // No other call was in flight, so the other cells' rows were read after the own row was written.
-  const readDivision = publishedQuotaDivision(ownRows);
+  const readQuotaDivision = publishedQuotaDivision(ownRows);
   return {
     ...state,
-    exchangeElsewhere: toOtherCellsExchange(state.cell, rows),
-    readDivision,
-    isRoundStale: state.isRoundStale || readDivision !== state.readDivision,
+    otherCellsExchange: toOtherCellsExchange(state.cell, rows),
+    readQuotaDivision,
+    isRoundStale: state.isRoundStale || readQuotaDivision !== state.readQuotaDivision,
   };
 };
 
--- a/src/scheduler/common/cellScheduler.ts
+++ b/src/scheduler/common/cellScheduler.ts
@@ -48,7 +48,7 @@
   unreachedWorkerIds: new Set(),
   surplusTaskIds: new Set(),
   endpointView: NO_ENDPOINTS,
-  exchangeElsewhere: new Map(),
+  otherCellsExchange: new Map(),
   nextFullEndpointReadAtMs: nowMs,
   arrivals: undefined,
   workers: new Map(),
@@ -69,7 +69,7 @@
   taskTransfer: INITIAL_TASK_TRANSFER,
   learntSizes: new LearntSizes(),
   nextLearningAtMs: nowMs,
-  readDivision: '',
+  readQuotaDivision: '',
   quotaWaits: new Map(),
   isRoundStale: true,
   nextRoundAtMs: nowMs,
@@ -148,7 +148,7 @@
       if (!added.has(key) && !state.preempted.has(key)) return;
       preempted.add(key);
       const view = workers.get(workerId);
-      if (view !== undefined) workers.set(workerId, { ...view, isMessageStale: true });
+      if (view !== undefined) workers.set(workerId, { ...view, isCommandStale: true });
     }),
   );
   return { ...state, preempted, workers };
@@ -179,7 +179,7 @@
   return {
     state: {
       ...planned,
-      ...round.learnt,
+      ...round.failureTracking,
       operationCount: state.operationCount + 1,
       unreachedWorkerIds: new Set([...state.unreachedWorkerIds, ...round.draft.unreached.keys()]),
       nextRoundAtMs: nextRoundAtMs(state, transaction.writes.length, nowMs),
--- a/src/scheduler/common/cellState.ts
+++ b/src/scheduler/common/cellState.ts
@@ -19,7 +19,7 @@
 import type { EndpointView } from '../../services/workload/common/endpointView.js';
 import type { ExchangeRow } from '../../services/workload/common/workRows.js';
 import type { CellLease, LeaseStepKind } from './cellLease.js';
-import type { CellLeaseTiming } from './leasePatience.js';
+import type { CellLeaseTiming } from './cellLeaseTiming.js';
 import type { CellDraft } from './cellDraft.js';
 import type { CellRows } from './cellRows.js';
 import type { TaskTransferState } from './taskTransfer.js';
@@ -136,7 +136,7 @@
   readonly learntSizes: LearntSizes;
   readonly nextLearningAtMs: number;
   /** The quota division that this cell had published when it last read the other cells' rows. */
-  readonly readDivision: string;
+  readonly readQuotaDivision: string;
   /** Since when a large task of a team has had enough quota but no worker with room, by team. */
   readonly quotaWaits: ReadonlyMap<string, number>;
   /** True if something changed that a round may have to act on. */
@@ -147,7 +147,7 @@
   /** The servers that the other cells published, as last read. */
   readonly endpointView: EndpointView;
   /** The exchange rows of the other cells as last read, by cell. */
-  readonly exchangeElsewhere: ReadonlyMap<string, ExchangeRow>;
+  readonly otherCellsExchange: ReadonlyMap<string, ExchangeRow>;
   /** When to read the published servers of all cells again. */
   readonly nextFullEndpointReadAtMs: number;
   readonly arrivals: Arrivals | undefined;
--- a/src/scheduler/common/fleet/fleetOwnership.ts
+++ b/src/scheduler/common/fleet/fleetOwnership.ts
@@ -23,7 +23,7 @@
   withLeaseLost,
   withLeaseRows,
 } from '../cellLease.js';
-import type { CellLeaseTiming } from '../leasePatience.js';
+import type { CellLeaseTiming } from '../cellLeaseTiming.js';
 import type { FleetEffect } from './fleetEffects.js';
 import { type FleetTiming, longestLeaseMs } from './fleetTiming.js';
 
@@ -203,7 +203,7 @@
 
   /** The time since the last heartbeat that is known to be stored was sent. */
   #sinceConfirmedHeartbeatMs(nowMs: number): number {
-    return nowMs - this.#lease.heldAtMs;
+    return nowMs - this.#lease.lastHeartbeatSentAtMs;
   }
 
   /**
--- a/src/scheduler/common/freeCapacity.ts
+++ b/src/scheduler/common/freeCapacity.ts
@@ -14,7 +14,7 @@
 import { ledgerChange } from './invariants.js';
 import type { PlacementCandidate, PlacementRequest } from './placement.js';
 import { isWorkerDraining } from './wantedEvictions.js';
-import { attemptKey, isInContact, type WorkerView } from './workerView.js';
+import { attemptKey, hasRecentReport, type WorkerView } from './workerView.js';
 import { openShare } from './zoneReturn.js';
 
 interface UsageCacheEntry {
@@ -41,7 +41,7 @@
 
 const isUsable = (state: CellState, view: WorkerView, nowMs: number): boolean =>
   view.isListed &&
-  isInContact(view, state.timing.reportFreshnessMs, nowMs) &&
+  hasRecentReport(view, state.timing.reportFreshnessMs, nowMs) &&
   !isWorkerDraining(state, view.instance.id) &&
   !state.workerHealth.isQuarantined(view.instance.id, nowMs);
 
--- a/src/scheduler/common/interference/interferenceStep.ts
+++ b/src/scheduler/common/interference/interferenceStep.ts
@@ -4,7 +4,7 @@
 import { assignmentsOf, type CellRows } from '../cellRows.js';
 import type { CellDecision, CellEffect, CellState } from '../cellState.js';
 import { isEvictionWanted } from '../wantedEvictions.js';
-import { attemptKey, isInContact, type WorkerView } from '../workerView.js';
+import { attemptKey, hasRecentReport, type WorkerView } from '../workerView.js';
 import type { InterferenceState, WorkerControl } from './interferenceState.js';
 import { withLearntSample, SampleStatus, sampleStatus } from './learning.js';
 import { controlStep, observedControl } from './workerControl.js';
@@ -28,7 +28,7 @@
   const loads = new Map<string, WorkerLoad>();
   const controls = new Map<string, WorkerControl>();
   state.workers.forEach((view, workerId) => {
-    if (!isInContact(view, state.timing.reportFreshnessMs, nowMs)) return;
+    if (!hasRecentReport(view, state.timing.reportFreshnessMs, nowMs)) return;
     const load = workerLoad(rows, view);
     loads.set(workerId, load);
     const known = state.interference.controls.get(workerId);
@@ -128,7 +128,7 @@
       allowedEvictionCount -= 1;
     }
     if (step.control.actedAtMs !== before.actedAtMs) {
-      workers.set(workerId, { ...view, isMessageStale: true });
+      workers.set(workerId, { ...view, isCommandStale: true });
     }
   });
   return {
--- a/src/scheduler/common/quotaRound.ts
+++ b/src/scheduler/common/quotaRound.ts
@@ -40,8 +40,8 @@
     state.configuration?.view,
     state.cell,
     rows.exchange.quota,
-    state.exchangeElsewhere,
-    state.readDivision,
+    state.otherCellsExchange,
+    state.readQuotaDivision,
   );
 
 /** The cell's shards, including those of cancelled jobs. */
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -32,7 +32,7 @@
 export interface Round {
   readonly draft: CellDraft;
   readonly ends: readonly RecordedEnd[];
-  readonly learnt: FailureTracking;
+  readonly failureTracking: FailureTracking;
   readonly assignedCount: number;
   /** Keys of the attempts that are preempted for urgent work or a service. */
   readonly preempted: ReadonlySet<string>;
@@ -166,8 +166,8 @@
   cancelQueuedTasks(draft, state.timing.maximumRowsPerRound);
   // A failed task is queued again in this round. Failures are learned before assigning; otherwise
   // the task would be retried at once, possibly on the worker on which it failed.
-  const learnt = trackFailures(state, ends, nowMs);
-  const stateAfterEnds = { ...state, ...learnt };
+  const failureTracking = trackFailures(state, ends, nowMs);
+  const stateAfterEnds = { ...state, ...failureTracking };
   const parts = quotaPartsOf(state, rows);
   const assigned = isAssigning
     ? assignQueuedWork(stateAfterEnds, rows, draft, parts, policy, operationId, nowMs)
@@ -185,7 +185,7 @@
   publishRoom(state, draft, assigned?.capacity, shardIdsWithoutRoom.size > 0, nowMs);
   const quotaWaits = nextQuotaWaits(state, draft, parts, nowMs);
   return {
-    ...{ draft, ends, learnt, quotaWaits },
+    ...{ draft, ends, failureTracking, quotaWaits },
     taskTransfer: isAssigning
       ? nextTaskTransfer(state.taskTransfer, shardIdsWithoutRoom, receivingCells, nowMs)
       : state.taskTransfer,
--- a/src/scheduler/common/staleness.ts
+++ b/src/scheduler/common/staleness.ts
@@ -12,7 +12,7 @@
   workers: new Map(
     [...state.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      view.isMessageStale ? view : { ...view, isMessageStale: true },
+      view.isCommandStale ? view : { ...view, isCommandStale: true },
     ]),
   ),
 });
@@ -27,7 +27,7 @@
   const workers = new Map(
     [...state.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      isSame(id) ? view : { ...view, isMessageStale: true },
+      isSame(id) ? view : { ...view, isCommandStale: true },
     ]),
   );
   const unreachedWorkerIds = new Set(rows.unreached.keys());
--- a/src/scheduler/common/taskEnds.ts
+++ b/src/scheduler/common/taskEnds.ts
@@ -14,7 +14,7 @@
 import { isGivenUp, withFailureWeight } from './failureWeight.js';
 import { isEvictionWanted, isWorkerDraining } from './wantedEvictions.js';
 import { formerLeasesOverAtMs } from './unreachedWorkers.js';
-import { isInContact, reportedTask, type WorkerView } from './workerView.js';
+import { hasRecentReport, reportedTask, type WorkerView } from './workerView.js';
 
 export const AssignmentEnd = {
   Finished: 'finished',
@@ -69,7 +69,7 @@
   if (reportedEnd !== undefined) return reportedEnd;
   // A worker that holds no lease because its first start message is not sent yet is not lost.
   // Taking the start back while it is being sent ran tasks twice.
-  if (!isInContact(view, state.timing.reportFreshnessMs, nowMs)) {
+  if (!hasRecentReport(view, state.timing.reportFreshnessMs, nowMs)) {
     // An owner that was paused has received no reports, so tasks that ended well within their
     // leases would all run again. The worker is therefore asked once more after its leases have
     // ended.
@@ -82,7 +82,7 @@
   // effect by the worker's clock. Otherwise the assignment would hold its capacity forever.
   const isUnwanted =
     state.withdrawnSinceMs !== undefined || isEvictionWanted(state, assignment, nowMs);
-  const isStartExpired = report.workerNowMs > view.startsGoodUntilWorkerMs;
+  const isStartExpired = report.workerNowMs > view.startsValidUntilWorkerMs;
   return task === undefined && isUnwanted && isStartExpired
     ? AssignmentEnd.NeverStarted
     : undefined;
@@ -181,7 +181,8 @@
   nowMs: number,
 ): boolean => {
   const view = state.workers.get(workerId);
-  if (view === undefined || !isInContact(view, state.timing.reportFreshnessMs, nowMs)) return false;
+  if (view === undefined || !hasRecentReport(view, state.timing.reportFreshnessMs, nowMs))
+    return false;
   if (state.withdrawnSinceMs !== undefined || isWorkerDraining(state, workerId)) return false;
   // An assignment that never started ends when it is no longer wanted, even without a new report.
   const mayBeUnwanted =
--- a/src/scheduler/common/taskTransfer.ts
+++ b/src/scheduler/common/taskTransfer.ts
@@ -134,7 +134,7 @@
   const shareOf = (amount: number): number => Math.floor(amount / others.length);
   return new Map(
     others.filter(isIntervalOver).map((zone) => {
-      const room = state.exchangeElsewhere.get(zone)?.room ?? NO_RESOURCES;
+      const room = state.otherCellsExchange.get(zone)?.room ?? NO_RESOURCES;
       return [
         zone,
         {
--- a/src/scheduler/common/workerCommands.ts
+++ b/src/scheduler/common/workerCommands.ts
@@ -204,7 +204,7 @@
   report: WorkerReport,
 ): WorkerCommand | undefined => {
   const { repeatableRenewal: repeatable } = view;
-  if (repeatable === undefined || view.isMessageStale || state.withdrawnSinceMs !== undefined) {
+  if (repeatable === undefined || view.isCommandStale || state.withdrawnSinceMs !== undefined) {
     return undefined;
   }
   // A worker may forget a throttle without any other change in its report.
@@ -242,7 +242,7 @@
 
 /** True while the owner may renew leases without having reached the table. */
 const mayRenewLeases = (state: CellState, nowMs: number): boolean =>
-  nowMs - state.lease.heldAtMs <= state.timing.maximumRenewalWithoutTableMs;
+  nowMs - state.lease.lastHeartbeatSentAtMs <= state.timing.maximumRenewalWithoutTableMs;
 
 /**
  * The time bounds in the view after `command` was sent. They determine when the worker may be given
@@ -253,7 +253,7 @@
   view: WorkerView,
   report: WorkerReport,
   command: WorkerCommand,
-): Pick<WorkerView, 'leasesOverAtMs' | 'startsGoodUntilWorkerMs'> => {
+): Pick<WorkerView, 'leasesOverAtMs' | 'startsValidUntilWorkerMs'> => {
   const grantsLease = command.renewals.length + command.starts.length > 0;
   // The report was made before it was received, so a lease counted from the report ends by then.
   const grantedUntilMs = view.reportedAtMs + withDriftMargin(state.timing.workerLeaseMs);
@@ -262,10 +262,10 @@
     leasesOverAtMs: grantsLease
       ? Math.max(view.leasesOverAtMs, grantedUntilMs)
       : view.leasesOverAtMs,
-    startsGoodUntilWorkerMs:
+    startsValidUntilWorkerMs:
       command.starts.length > 0
-        ? Math.max(view.startsGoodUntilWorkerMs, startBeforeWorkerMs)
-        : view.startsGoodUntilWorkerMs,
+        ? Math.max(view.startsValidUntilWorkerMs, startBeforeWorkerMs)
+        : view.startsValidUntilWorkerMs,
   };
 };
 
@@ -281,7 +281,7 @@
 ): PlannedCommand | undefined => {
   if (view.isCommandInFlight) return undefined;
   const isRenewalDue = nowMs - view.commandSentAtMs >= state.timing.workerRenewalIntervalMs;
-  if ((!isRenewalDue && !view.isMessageStale) || !mayRenewLeases(state, nowMs)) return undefined;
+  if ((!isRenewalDue && !view.isCommandStale) || !mayRenewLeases(state, nowMs)) return undefined;
   const sent = { ...view, commandSentAtMs: nowMs, isCommandInFlight: true };
   const { report } = view;
   if (report === undefined) {
@@ -296,17 +296,17 @@
   }
   const { command, withheldCount } = commandFor(state, view, report, nowMs);
   // While the rows are in doubt only renewals are sent, so the command has to be computed again.
-  const isMessageStale = withheldCount > 0 || state.rows === undefined;
+  const isCommandStale = withheldCount > 0 || state.rows === undefined;
   const keys = instructionKeys(command);
   if (!isRenewalDue && [...keys].every((key) => view.sentKeys.has(key))) {
-    return { command: undefined, view: { ...view, isMessageStale, repeatableRenewal: undefined } };
+    return { command: undefined, view: { ...view, isCommandStale, repeatableRenewal: undefined } };
   }
   return {
     command,
     view: {
       ...sent,
       ...boundsAfterSending(state, view, report, command),
-      isMessageStale,
+      isCommandStale,
       sentKeys: keys,
       repeatableRenewal: toRepeatableRenewal(state, view, command, keys),
     },
--- a/src/scheduler/common/workerView.ts
+++ b/src/scheduler/common/workerView.ts
@@ -17,7 +17,7 @@
   /** The time on this process's clock by which every lease that the worker may hold has ended. */
   readonly leasesOverAtMs: number;
   /** The latest time on the worker's clock until which a start that was sent is valid. */
-  readonly startsGoodUntilWorkerMs: number;
+  readonly startsValidUntilWorkerMs: number;
   readonly commandSentAtMs: number;
   readonly isCommandInFlight: boolean;
   /**
@@ -32,7 +32,7 @@
    */
   readonly sentKeys: ReadonlySet<string>;
   /** True if something changed since the last command, so that it has to be computed again. */
-  readonly isMessageStale: boolean;
+  readonly isCommandStale: boolean;
   /** Set while the last command only renewed all of the worker's assignments. */
   readonly repeatableRenewal: RepeatableRenewal | undefined;
 }
@@ -80,18 +80,21 @@
  * The view of a worker that this owner has not reached yet. Its tasks may have leases from a former
  * owner that last until `leasesOverAtMs`.
  */
-export const unreachedWorker = (instance: WorkerInstance, leasesOverAtMs: number): WorkerView => ({
+export const unreachedWorkerView = (
+  instance: WorkerInstance,
+  leasesOverAtMs: number,
+): WorkerView => ({
   instance,
   isListed: true,
   report: undefined,
   reportedAtMs: Number.NEGATIVE_INFINITY,
   leasesOverAtMs,
-  startsGoodUntilWorkerMs: Number.POSITIVE_INFINITY,
+  startsValidUntilWorkerMs: Number.POSITIVE_INFINITY,
   commandSentAtMs: Number.NEGATIVE_INFINITY,
   isCommandInFlight: false,
   tasks: NO_TASKS,
   sentKeys: NO_KEYS,
-  isMessageStale: true,
+  isCommandStale: true,
   repeatableRenewal: undefined,
 });
 
@@ -139,7 +142,7 @@
   report: WorkerReport,
   tasks: WorkerView['tasks'],
 ): ReadonlySet<string> => {
-  if (report.workerNowMs <= view.startsGoodUntilWorkerMs) return view.sentKeys;
+  if (report.workerNowMs <= view.startsValidUntilWorkerMs) return view.sentKeys;
   const isRefusedStart = (key: string): boolean =>
     key.startsWith(START_KEY) && !tasks.has(key.slice(START_KEY.length));
   const kept = [...view.sentKeys].filter((key) => !isRefusedStart(key));
@@ -165,11 +168,11 @@
     report,
     reportedAtMs: receivedAtMs,
     leasesOverAtMs: isFirst ? reportedOverAtMs : Math.max(view.leasesOverAtMs, reportedOverAtMs),
-    startsGoodUntilWorkerMs: isFirst ? report.workerNowMs : view.startsGoodUntilWorkerMs,
+    startsValidUntilWorkerMs: isFirst ? report.workerNowMs : view.startsValidUntilWorkerMs,
     isCommandInFlight: false,
     tasks,
     sentKeys,
-    isMessageStale: view.isMessageStale || tasks !== view.tasks || sentKeys !== view.sentKeys,
+    isCommandStale: view.isCommandStale || tasks !== view.tasks || sentKeys !== view.sentKeys,
   };
 };
 
@@ -186,5 +189,8 @@
     : undefined;
 
 /** True if the worker's last report is recent enough to rely on. */
-export const isInContact = (view: WorkerView, reportFreshnessMs: number, nowMs: number): boolean =>
-  view.report !== undefined && nowMs - view.reportedAtMs <= reportFreshnessMs;
+export const hasRecentReport = (
+  view: WorkerView,
+  reportFreshnessMs: number,
+  nowMs: number,
+): boolean => view.report !== undefined && nowMs - view.reportedAtMs <= reportFreshnessMs;
--- a/src/scheduler/test/arrivals.test.ts
+++ b/src/scheduler/test/arrivals.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { cancellationKey, workKey, workPrefix } from '../../services/workload/common/workRows.js';
-import { expectNoHarm, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
 import { CELL, type VirtualCell } from './virtualCell.js';
 
 const LONG_MS = 60_000;
@@ -39,7 +39,7 @@
     cell.runFor(2_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(5);
     expect(cell.table.counts.readRowCount - before).toBeLessThan(JOB_COUNT * 5);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The inbox lists the rows of two submissions, and between them a writer updates it without
@@ -51,7 +51,7 @@
     addJob(cell, 'kitchen.named-2', SHORT_MS);
     cell.runFor(4_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(3);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Answers to the owner's transactions are lost while work arrives, so the owner reads all rows
@@ -66,7 +66,7 @@
     cell.lostAnswerRatio = 0;
     cell.runFor(20_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(10);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('is found after an outage of the table', () => {
@@ -77,7 +77,7 @@
     cell.isTableDown = false;
     cell.runFor(5_000);
     expect(openJobIds(cell)).not.toContain('kitchen.new');
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
@@ -90,6 +90,6 @@
     cell.runFor(5_000);
     expect(openJobIds(cell)).not.toContain('kitchen.0');
     expect(openJobIds(cell)).not.toContain('kitchen.late');
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/cellFixtures.ts
+++ b/src/scheduler/test/cellFixtures.ts
@@ -77,7 +77,7 @@
  * Expects that no safety property was violated, and that no invariant check prevented a step except
  * the expected ones.
  */
-export const expectNoHarm = (
+export const expectNoViolations = (
   cell: VirtualCell,
   expectedInvariants: readonly string[] = [],
 ): void => {
--- a/src/scheduler/test/cellLease.test.ts
+++ b/src/scheduler/test/cellLease.test.ts
@@ -13,7 +13,7 @@
   withLeaseRows,
 } from '../common/cellLease.js';
 import { acquireDelayMs } from '../common/fleet/acquireDelay.js';
-import type { CellLeaseTiming } from '../common/leasePatience.js';
+import type { CellLeaseTiming } from '../common/cellLeaseTiming.js';
 
 const TIMING = { heartbeatIntervalMs: 450, leaseMs: 1_500, acquireDelayMs: 0 };
 /** The timing of an owner with hundreds of workers. */
--- a/src/scheduler/test/cellScheduler.test.ts
+++ b/src/scheduler/test/cellScheduler.test.ts
@@ -2,7 +2,7 @@
 
 import { serviceKey } from '../../services/configuration/common/documents.js';
 import { workKey } from '../../services/workload/common/workRows.js';
-import { expectNoHarm, shard, SIZE, startCell } from './cellFixtures.js';
+import { expectNoViolations, shard, SIZE, startCell } from './cellFixtures.js';
 import { CELL } from './virtualCell.js';
 
 describe('a cell', () => {
@@ -19,7 +19,7 @@
     cell.runFor(15_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(100);
     expect(cell.judge.verdict().startCount).toBe(103);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The owner dies while tasks run. Services must not be interrupted and no task may run again. The
@@ -38,7 +38,7 @@
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(80);
     expect(cell.judge.verdict().startCount).toBe(80);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The owner is paused for longer than its lease and resumes. Another daemon has taken over by
@@ -53,7 +53,7 @@
     if (owner !== undefined) cell.resume(owner);
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(200);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Answers to transactions are lost after the commit. The owner cannot know which transactions
@@ -64,6 +64,6 @@
     cell.writeRow(workKey(CELL, `kitchen.plan~${CELL}`), shard(100, 1_000));
     cell.runFor(40_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(100);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/decisions.test.ts
+++ b/src/scheduler/test/decisions.test.ts
@@ -17,7 +17,7 @@
 import { WorkerHealth } from '../common/workerHealth.js';
 import {
   CAPACITY,
-  expectNoHarm,
+  expectNoViolations,
   setZone,
   shard,
   SIZE,
@@ -38,7 +38,7 @@
     cell.runFor(15_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(50);
     expect(cell.judge.verdict().evictionCount).toBe(0);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A job is larger than any worker. It is not refused at once, because a large worker may just be
@@ -58,7 +58,7 @@
     const [refused] = workRowsOf(cell, finishedPrefix(CELL));
     expect(refused?.refusal).toMatch(/^needs 64000 processorMillis.*zone-b, zone-a has$/u);
     expect(refused?.tasks.map(({ state }) => state)).toEqual(['failed', 'failed', 'failed']);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The cell is full of batch tasks that run for minutes when an urgent job arrives. The owner
@@ -77,7 +77,7 @@
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(206);
     expect(cell.judge.verdict().evictionCount).toBe(6);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A team submits far more than its quota while another team submits too. The team may use only
@@ -181,10 +181,10 @@
       Array.from({ length: 4 }, (__, job) => [`w${worker}`, `job${worker}-${job}`] as const),
     ).flat();
     const health = failures(new WorkerHealth(), pairs);
-    const excluded = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
+    const quarantined = Array.from({ length: 50 }, (_, worker) => `w${worker}`).filter((worker) =>
       health.isQuarantined(worker, 1_000),
     );
-    expect(excluded.length).toBe(10);
+    expect(quarantined.length).toBe(10);
   });
 });
 
@@ -212,7 +212,7 @@
     cell.writeRow(endpointKey('zone-b'), { servers });
     cell.runFor(5_000);
     expect(cell.judge.verdict().evictionCount).toBe(4);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A zone is withdrawn and returns to use. Tasks must not move back and forth.
@@ -228,7 +228,7 @@
     cell.runFor(60_000);
     expect(cell.judge.verdict().evictionCount).toBe(28);
     expect(cell.judge.verdict().startCount).toBe(56);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A worker with replicas moves to another rack and its capacity shrinks. Its tasks are not
@@ -245,6 +245,6 @@
     cell.runFor(10_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(60);
     expect(cell.judge.verdict().startCount).toBe(8 + 60 + 2);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/expiredStarts.test.ts
+++ b/src/scheduler/test/expiredStarts.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { expectNoHarm, shard, startCell, submit } from './cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit } from './cellFixtures.js';
 
 const SEEDS = Array.from({ length: 20 }, (_, index) => index + 1);
 
@@ -16,6 +16,6 @@
     cell.runFor(8_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(1);
     expect(cell.judge.verdict().startCount).toBe(1);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/interference/interference.test.ts
+++ b/src/scheduler/test/interference/interference.test.ts
@@ -6,7 +6,7 @@
   type WorkerTaskReport,
   WorkerTaskState,
 } from '../../../services/worker/common/workerClient.js';
-import { expectNoHarm, shard, startCell, submit } from '../cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit } from '../cellFixtures.js';
 import { GIBIBYTE, type VirtualCell } from '../virtualCell.js';
 
 const BASE_MS = 20;
@@ -63,7 +63,8 @@
         endedAtMs: cell.nowMs,
       }));
     delayedSamples.push(samples);
-    if (delayedSamples.length > DELAY_WINDOWS) cell.measure(delayedSamples.shift() ?? []);
+    if (delayedSamples.length > DELAY_WINDOWS)
+      cell.deliverLatencySamples(delayedSamples.shift() ?? []);
   }
 };
 
@@ -81,7 +82,7 @@
     expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1]);
     expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     expect(cell.count('assignments_evicted')).toBe(0);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A worker releases a throttle by itself. Nothing else about the worker changes, so the owner
@@ -109,7 +110,7 @@
     expect(processorSharesOf(cell, 'cache')).toEqual([1]);
     cell.runFor(3_000);
     expect(processorSharesOf(cell, 'cache')).toEqual(before);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The owner dies, and its estimates are lost. The throttles must stay, because callers would feel
@@ -128,7 +129,7 @@
     expect(processorSharesOf(cell, 'cache')).toEqual([0.25]);
     runWithSamples(cell, 60_000, () => 1);
     expect(processorSharesOf(cell, 'cache')).toEqual([1]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A harmful task ends and a task of another kind takes its place at once. For some seconds,
@@ -154,13 +155,13 @@
       endedAtMs: startedAtMs + WINDOW_MS,
     }));
     for (let count = 0; count < 20; count += 1) {
-      cell.measure(stale);
+      cell.deliverLatencySamples(stale);
       cell.runFor(1_000);
     }
     expect(processorSharesOf(cell, 'quiet')).toEqual([1, 1, 1, 1, 1, 1]);
     expect(cell.count('interference_throttle_changes')).toBe(changesBefore);
     expect(cell.count('interference_samples_stale')).toBeGreaterThanOrEqual(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('places a harmful kind apart from the service once its effect is known', () => {
@@ -185,7 +186,7 @@
     expect(
       workersWithoutService.flatMap(([id]) => ofTeam(runningTasks(cell, id), 'cache')),
     ).toHaveLength(3);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('throttles nothing when interference control is disabled', () => {
--- a/src/scheduler/test/interference/learning.test.ts
+++ b/src/scheduler/test/interference/learning.test.ts
@@ -4,7 +4,7 @@
 import { settingsSchema } from '../../../services/settings/common/settings.js';
 import { SampleStatus, sampleStatus } from '../../common/interference/learning.js';
 import { observedControl } from '../../common/interference/workerControl.js';
-import { unreachedWorker, type WorkerView } from '../../common/workerView.js';
+import { unreachedWorkerView, type WorkerView } from '../../common/workerView.js';
 
 const POLICY = settingsSchema.shape.scheduler.parse({}).interference;
 const CHANGED_AT_MS = 100_000;
@@ -12,7 +12,7 @@
 const CONTROL = observedControl(undefined, NO_LOAD, CHANGED_AT_MS);
 
 const viewReportedAt = (reportedAtMs: number): WorkerView => ({
-  ...unreachedWorker({ id: 'w0' } as WorkerInstance, 0),
+  ...unreachedWorkerView({ id: 'w0' } as WorkerInstance, 0),
   commandSentAtMs: reportedAtMs - 10,
   reportedAtMs,
 });
--- a/src/scheduler/test/lateTransactions.test.ts
+++ b/src/scheduler/test/lateTransactions.test.ts
@@ -6,7 +6,7 @@
   ledgerPrefix,
   ledgerRowSchema,
 } from '../../services/workload/common/workRows.js';
-import { CAPACITY, expectNoHarm, shard, startCell, submit } from './cellFixtures.js';
+import { CAPACITY, expectNoViolations, shard, startCell, submit } from './cellFixtures.js';
 import { CELL, type VirtualCell } from './virtualCell.js';
 
 const STEP_MS = 5;
@@ -54,6 +54,6 @@
     cell.runFor(3 * WORK_MS);
     expect(cell.judge.verdict().completedBatchCount).toBe(1);
     expect(cell.judge.verdict().startCount).toBe(1);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/learntSizes.test.ts
+++ b/src/scheduler/test/learntSizes.test.ts
@@ -8,7 +8,7 @@
   ledgerRowSchema,
 } from '../../services/workload/common/workRows.js';
 import { LearntSizes, type UsageSample } from '../common/learntSizes.js';
-import { CAPACITY, expectNoHarm, shard, SIZE, startCell, submit } from './cellFixtures.js';
+import { CAPACITY, expectNoViolations, shard, SIZE, startCell, submit } from './cellFixtures.js';
 import { CELL, GIBIBYTE, type VirtualCell, type VirtualDaemon } from './virtualCell.js';
 
 const setUsage = (cell: VirtualCell, usage: Resources): void =>
@@ -43,7 +43,7 @@
     expect(assignments(cell).length).toBeGreaterThan(100);
     cell.runFor(90_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(300);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Tasks use one and a half times the processors that they declare. Sixteen fit a worker by
@@ -58,7 +58,7 @@
     expect(maximumTasksOnOneWorker(cell)).toBeLessThanOrEqual(10);
     cell.runFor(300_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(300);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Tasks grow to ten times the memory that they declare. A worker would kill some of them, and
@@ -77,7 +77,7 @@
     cell.runFor(900_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
     expect(cell.judge.verdict().evictionCount).toBeLessThan(2 * 40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The owner dies with its learnt sizes. The next owner knows none, finds tasks committed at
@@ -91,7 +91,7 @@
     for (let job = 0; job < 12; job += 1) submit(cell, shard(25, 25_000, `kitchen.more${job}`));
     cell.runFor(300_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(600);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('uses the declared sizes when the policy disables learning', () => {
--- a/src/scheduler/test/newCellOwner.test.ts
+++ b/src/scheduler/test/newCellOwner.test.ts
@@ -2,7 +2,7 @@
 
 import { serviceKey } from '../../services/configuration/common/documents.js';
 import { endpointKey, type EndpointRow } from '../../services/workload/common/workRows.js';
-import { expectNoHarm, shard, SIZE, startCell, submit } from './cellFixtures.js';
+import { expectNoViolations, shard, SIZE, startCell, submit } from './cellFixtures.js';
 import { CELL } from './virtualCell.js';
 
 describe('a new owner of a cell', () => {
@@ -54,6 +54,6 @@
       cell.runFor(30_000);
     }
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/quotas.test.ts
+++ b/src/scheduler/test/quotas.test.ts
@@ -6,7 +6,7 @@
 import { cancellationKey, exchangeKey } from '../../services/workload/common/workRows.js';
 import { TeamUsage } from '../common/queueOrder.js';
 import {
-  expectNoHarm,
+  expectNoViolations,
   setZone,
   shard,
   SIZE,
@@ -61,7 +61,7 @@
     submit(cell, shardIn('zone-b', 'many', 30, 2_000), 'zone-b');
     runAndCheckQuota(cell, 3_000);
     isWithinQuotaMock.mockRestore();
-    expectNoHarm(cell, ['invariant_quota_exceeded']);
+    expectNoViolations(cell, ['invariant_quota_exceeded']);
     runAndCheckQuota(cell, 30_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
   });
@@ -80,7 +80,7 @@
     runAndCheckQuota(cell, 25_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
     expect(cell.judge.verdict().completedBatchCount).toBe(26);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Several cells have large tasks at the same time. Each would wait for what the others keep,
@@ -99,7 +99,7 @@
       const [row] = cell.table.read({ keys: [exchangeKey(zone)], prefixes: [] }).rows;
       expect(row?.value).toMatchObject({ quota: { asks: {}, ceded: {}, held: {} } });
     });
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // No worker has room for the large task, because another team's long tasks fill them all. The
@@ -116,7 +116,7 @@
     expect(workRowsOf(cell, 'work/zone-b/')).toEqual([]);
     runAndCheckQuota(cell, 300_000);
     expect(workRowsOf(cell, 'work/')).toEqual([]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A zone is withdrawn, and the other zones use the whole quota. When the zone returns, it has a
@@ -133,7 +133,7 @@
     submit(cell, shardIn('zone-c', 'zone-c', 8, 1_000), 'zone-c');
     runAndCheckQuota(cell, 60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A zone is withdrawn while checkpoints cannot be written, so its tasks continue to run. The
@@ -151,7 +151,7 @@
     cell.setObjectStoreDown(false);
     runAndCheckQuota(cell, 400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(60);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A job is cancelled while checkpoints cannot be written, so its tasks continue to run and hold
@@ -167,7 +167,7 @@
     submit(cell, shardIn('zone-a', 'second', 4, 60_000));
     cell.runFor(5_000);
     expect(usedOf(cell).processorMillis).toBe(8_000);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Small and large tasks run in all cells while a zone leaves and returns at random, answers are
@@ -202,7 +202,7 @@
       runAndCheckQuota(cell, 200_000);
       expect(workRowsOf(cell, 'work/')).toEqual([]);
       expect(cell.judge.verdict().completedBatchCount).toBe(taskCount);
-      expectNoHarm(cell);
+      expectNoViolations(cell);
     },
   );
 });
--- a/src/scheduler/test/repeatedRenewals.test.ts
+++ b/src/scheduler/test/repeatedRenewals.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { expectNoHarm, shard, startCell, submit } from './cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit } from './cellFixtures.js';
 import type { VirtualCell } from './virtualCell.js';
 
 const LONG_MS = 600_000;
@@ -26,7 +26,7 @@
     expect(repeatingWorkerCount(cell)).toBeGreaterThan(0);
     cell.runFor(5 * LEASE_MS);
     expect(cell.judge.verdict()).toMatchObject({ lapsedCount: 0, startCount: 16 });
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Computing each command again took four times the processor time in a cell of 123 workers.
@@ -55,7 +55,7 @@
     cell.runFor(2_000);
     expect(taskCount).toBeGreaterThan(0);
     expect(cell.judge.verdict().evictionCount).toBe(taskCount);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The worker restarts and has lost its tasks, so renewals to it would have no effect.
@@ -67,6 +67,6 @@
     cell.restartWorker(view?.instance.id ?? '');
     cell.runFor(10_000);
     expect(cell.judge.verdict().startCount).toBe(16 + (view?.tasks.size ?? 0));
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/runsOnce.test.ts
+++ b/src/scheduler/test/runsOnce.test.ts
@@ -19,7 +19,7 @@
 import type { WorkerView } from '../common/workerView.js';
 import {
   CAPACITY,
-  expectNoHarm,
+  expectNoViolations,
   setZone,
   shard,
   SIZE,
@@ -131,7 +131,7 @@
     submit(cell, shard(40, 5_000));
     cell.runFor(10_000);
     expect(cell.count('invariant_overcommitted')).toBeGreaterThan(0);
-    expectNoHarm(cell, ['invariant_overcommitted']);
+    expectNoViolations(cell, ['invariant_overcommitted']);
   });
 
   // A worker's capacity shrinks below its usage. A check of the whole ledger then failed in every
@@ -144,7 +144,7 @@
     submit(cell, shard(20, 1_000, 'kitchen.more'));
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(84);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Two daemons both believe that they own the cell. One was paused for longer than its lease and
@@ -162,7 +162,7 @@
     }
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(200);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
@@ -182,7 +182,7 @@
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(60);
     expect(cell.judge.verdict().startCount).toBe(60);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Commands arrive after their call has timed out, answers of workers and of the table are lost,
@@ -203,7 +203,7 @@
     cell.restartWorker('w2');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(150);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A worker becomes unreachable, finishes its tasks and returns while the next attempts run on
@@ -220,7 +220,7 @@
     cell.runFor(60_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
     expect(workRowsOf(cell, workPrefix(CELL))).toEqual([]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A worker has been idle for longer than a lease, so it holds none. Its next task was then
@@ -241,7 +241,7 @@
     expect(assignmentEnd(state, view, assignment, nowMs)).toBeUndefined();
     // Without a recent report the task is given up, because its start can no longer take effect.
     expect(assignmentEnd(state, view, assignment, nowMs + 60_000)).toBe(AssignmentEnd.Lost);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A worker leaves the instance list and all daemons are replaced, so the next owner never sees
@@ -261,7 +261,7 @@
     cell.addDaemon('d3');
     cell.runFor(180_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(64);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
@@ -297,7 +297,7 @@
       runWithEvictions(cell);
       cell.runFor(30_000);
       expect([step, cell.judge.verdict().completedBatchCount]).toEqual([step, 40]);
-      expectNoHarm(cell);
+      expectNoViolations(cell);
       // Lets the test runner process its own messages, see tools/test/eventLoopTurns.ts.
       // eslint-disable-next-line no-await-in-loop
       await waitForEventLoop();
@@ -327,7 +327,7 @@
     cell.runFor(90_000);
     expect(cell.judge.verdict().evictionCount).toBeGreaterThan(0);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The zone is withdrawn while tasks run. Each task is evicted once, and its shard moves to
@@ -348,6 +348,6 @@
     const { tasks } = workRowSchema.parse(rows[0]?.value);
     expect(tasks.filter(({ checkpoint }) => checkpoint === null)).toEqual([]);
     expect(cell.judge.verdict().evictionCount).toBe(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/taskTransfer.test.ts
+++ b/src/scheduler/test/taskTransfer.test.ts
@@ -2,7 +2,14 @@
 
 import { SeededRandom } from '../../base/common/random.js';
 import { cancellationKey } from '../../services/workload/common/workRows.js';
-import { expectNoHarm, setZone, shard, startCells, submit, workRowsOf } from './cellFixtures.js';
+import {
+  expectNoViolations,
+  setZone,
+  shard,
+  startCells,
+  submit,
+  workRowsOf,
+} from './cellFixtures.js';
 import type { VirtualCell } from './virtualCell.js';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
@@ -31,7 +38,7 @@
     cell.runFor(80_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(140);
     expect(cell.judge.verdict().evictionCount).toBe(0);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // All cells have more tasks than they can run. Transfers would cost writes without any benefit.
@@ -43,7 +50,7 @@
     expect(cell.count('tasks_handed_on')).toBe(0);
     cell.runFor(90_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(300);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Two full cells transfer tasks to a third one at the same time, based on the same published
@@ -62,7 +69,7 @@
     expect(mostQueued).toBeLessThanOrEqual(48);
     // 48 tasks find room. A few more may have been sent when little room was left.
     expect(cell.count('tasks_handed_on')).toBeLessThan(56);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Jobs arrive in random cells, some are cancelled while their tasks are transferred, answers of
@@ -102,6 +109,6 @@
     const done = ended.filter(({ state }) => state === 'done');
     expect(done.length).toBeGreaterThanOrEqual(taskCount);
     expect(cell.count('tasks_handed_on')).toBeGreaterThan(0);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
--- a/src/scheduler/test/unreachedWorkers.test.ts
+++ b/src/scheduler/test/unreachedWorkers.test.ts
@@ -9,7 +9,7 @@
   workPrefix,
 } from '../../services/workload/common/workRows.js';
 import { toCellMs } from '../common/cellClock.js';
-import { expectNoHarm, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
 import { CELL, type VirtualCell } from './virtualCell.js';
 
 const UNREACHED_KEY = cellUnreachedKey(CELL);
@@ -54,7 +54,7 @@
     cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('is granted no lease while the row with its lease bound cannot be changed', () => {
@@ -70,7 +70,7 @@
     cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('is not added to the row by a late transaction after it was granted leases', () => {
@@ -95,7 +95,7 @@
     cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('is granted no lease while a transaction that lists it may still commit', () => {
@@ -119,7 +119,7 @@
     cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -214,7 +214,7 @@
   }
 
   /** Delivers latency samples with virtual times to all daemons. */
-  measure(samples: readonly LatencySample[]): void {
+  deliverLatencySamples(samples: readonly LatencySample[]): void {
     this.daemons.forEach((daemon) => {
       const { clockOffsetMs } = daemon;
       const own = samples.map((sample) => ({
--- a/src/scheduler/test/zoneAndStore.test.ts
+++ b/src/scheduler/test/zoneAndStore.test.ts
@@ -10,7 +10,7 @@
 import { SpreadAndPackPolicy } from '../common/placement.js';
 import {
   CAPACITY,
-  expectNoHarm,
+  expectNoViolations,
   setZone,
   shard,
   startCell,
@@ -65,13 +65,13 @@
     if (fault === 1) cell.resume(owner);
     submitSteadily(cell, 20, 300);
     cell.runFor(10_000);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
     // Once the zone is back in use, it completes all work, because there is no other zone.
     owner.isCutFromTable = false;
     setZone(cell, 'in-use');
     cell.runFor(120_000);
     expect(cell.table.read({ keys: [], prefixes: [workPrefix(CELL)] }).rows).toEqual([]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Assignments are committed for a worker that is unreachable. The zone is withdrawn and the only
@@ -94,7 +94,7 @@
       cell.unreachableWorkers.delete('w3');
       cell.runFor(10_000);
       expect(cell.judge.verdict().startCount).toBe(48);
-      expectNoHarm(cell);
+      expectNoViolations(cell);
     },
   );
 
@@ -142,7 +142,7 @@
     expect([...states].filter((state) => state !== 'cancelled' && state !== 'done')).toEqual([]);
     const { rows } = cell.table.read({ keys: [], prefixes: [`cancellation/${CELL}/`] });
     expect(rows).toEqual([]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // A shard is about to move to another zone when its job is cancelled. The owner that moves it has
@@ -197,7 +197,7 @@
     cell.runFor(60_000);
     expect(cell.judge.verdict().lapsedCount).toBe(0);
     expect(workRowsOf(cell, workPrefix(CELL)).map(({ jobId }) => jobId)).toEqual(['kitchen.long']);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Every table call takes more than half a second. Work continues, but more slowly.
@@ -208,7 +208,7 @@
     submit(cell, shard(40, 3_000));
     cell.runFor(30_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
@@ -228,7 +228,7 @@
         cell.runFor(50);
       }
       delaysMs.push(cell.nowMs - diedAtMs);
-      expectNoHarm(cell);
+      expectNoViolations(cell);
     }
     expect(Math.max(...delaysMs)).toBeLessThan(5_000);
   });
--- a/src/scheduler/test/zoneReturn.test.ts
+++ b/src/scheduler/test/zoneReturn.test.ts
@@ -8,7 +8,7 @@
 } from '../../services/workload/common/workRows.js';
 import { openShare } from '../common/zoneReturn.js';
 import {
-  expectNoHarm,
+  expectNoViolations,
   setZone,
   shard,
   SIZE,
@@ -73,7 +73,7 @@
     // The zone has 48 places. When it opened at once, 40 of them were filled from 1 s to 2 s later.
     expect(maximumPerSecond).toBeLessThanOrEqual(24);
     expect(assignedIn(cell, RETURNING)).toBeGreaterThan(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // Another zone is withdrawn during the return. Its tasks need room, so the gradual opening ends.
@@ -85,7 +85,7 @@
     setZone(cell, 'withdrawn', 'zone-b');
     cell.runFor(6_000);
     expect(assignedIn(cell, RETURNING)).toBeGreaterThan(40);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // An urgent job is submitted to the zone that has just returned.
@@ -98,7 +98,7 @@
     expect(assignedIn(cell, RETURNING)).toBeGreaterThanOrEqual(30);
     const tasks = workRowsOf(cell, 'work/').flatMap((row) => row.tasks);
     expect(tasks.filter(({ evictionCount }) => evictionCount > 0)).toEqual([]);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   // The two remaining zones have too little capacity for all replicas, so some are missing in every
@@ -120,7 +120,7 @@
     expect(servingCount(cell)).toBe(130);
     cell.writeRow(zoneKey('zone-d'), { name: 'zone-d', region: 'r', state: 'withdrawn' });
     cell.runFor(1_000);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
   it('opens linearly from an eighth to all of its capacity', () => {
