--- a/soak/test/brokenSafeguards.test.ts
+++ b/soak/test/brokenSafeguards.test.ts
@@ -9,17 +9,17 @@
 import type { CellState } from '../../src/scheduler/common/cellState.js';
 import type { WorkerView } from '../../src/scheduler/common/workerView.js';
 import { assertNothingFound } from './soakCommands.js';
-import type { Sabotage } from './sabotage.js';
-import { SERVICE, TASK_SIZE, ZONES } from './soakParts.js';
+import type { SafeguardFaults } from './safeguardFaults.js';
+import { SERVICE, TASK_SIZE, ZONES } from './soakTypes.js';
 import { SoakWorld } from './soakWorld.js';
 
 type Steps = (world: SoakWorld) => Promise<void>;
 
 interface Case {
   /** The point of the brief. */
-  readonly point: string;
-  readonly broken: string;
-  readonly sabotage: Sabotage;
+  readonly guarantee: string;
+  readonly brokenSafeguard: string;
+  readonly safeguardFaults: SafeguardFaults;
   readonly steps: Steps;
   readonly finding: RegExp;
 }
@@ -31,13 +31,13 @@
   void world.operate(0, { intent: 'submit-job', urgency: 'normal', ...job });
 };
 
-const withViews = (state: CellState, alter: (view: WorkerView) => WorkerView): CellState => ({
+const mapWorkerViews = (state: CellState, alter: (view: WorkerView) => WorkerView): CellState => ({
   ...state,
   workers: new Map([...state.workers].map(([id, view]) => [id, alter(view)])),
 });
 
 /** The view of a cell that goes on believing that all zones are in use. */
-const deafView = (view: ConfigurationView): ConfigurationView => ({
+const ignoreWithdrawals = (view: ConfigurationView): ConfigurationView => ({
   ...view,
   zones: new Map(
     [...view.zones].map(([name, zone]) => [name, { ...zone, state: 'in-use' as const }]),
@@ -46,11 +46,11 @@
 
 const CASES: readonly Case[] = [
   {
-    point: 'no instance is committed beyond its processors',
-    broken: 'the scheduler believes in twice the capacity',
-    sabotage: {
+    guarantee: 'no instance is committed beyond its processors',
+    brokenSafeguard: 'the scheduler believes in twice the capacity',
+    safeguardFaults: {
       alterState: (state) =>
-        withViews(state, (view) => {
+        mapWorkerViews(state, (view) => {
           const { capacity } = view.instance;
           const twice = { ...capacity, processorMillis: 16_000 };
           return { ...view, instance: { ...view.instance, capacity: twice } };
@@ -63,11 +63,11 @@
     finding: /overcommitted/u,
   },
   {
-    point: 'no task runs in two places at once',
-    broken: 'silence is taken for the end of the leases',
-    sabotage: {
+    guarantee: 'no task runs in two places at once',
+    brokenSafeguard: 'silence is taken for the end of the leases',
+    safeguardFaults: {
       alterState: (state) =>
-        withViews(state, (view) => ({
+        mapWorkerViews(state, (view) => ({
           ...view,
           leasesOverAtMs: Math.min(view.leasesOverAtMs, view.reportedAtMs + 1_000),
         })),
@@ -81,9 +81,9 @@
     finding: /ran in two places/u,
   },
   {
-    point: 'evicted work resumes exactly once',
-    broken: 'the checkpoint is left out of the start',
-    sabotage: {
+    guarantee: 'evicted work resumes exactly once',
+    brokenSafeguard: 'the checkpoint is left out of the start',
+    safeguardFaults: {
       alterCommand: (command) => ({
         ...command,
         starts: command.starts.map((start) => ({ ...start, checkpoint: null })),
@@ -98,10 +98,10 @@
     finding: /did not resume from the checkpoint/u,
   },
   {
-    point: 'no task starts in a withdrawn zone',
-    broken: 'no condition on the zone, no look at the configuration',
-    sabotage: {
-      alterView: deafView,
+    guarantee: 'no task starts in a withdrawn zone',
+    brokenSafeguard: 'no condition on the zone, no look at the configuration',
+    safeguardFaults: {
+      alterView: ignoreWithdrawals,
       alterTransaction: (transaction) => ({
         ...transaction,
         conditions: transaction.conditions.filter(({ key }) => !key.startsWith(ZONE_PREFIX)),
@@ -116,9 +116,9 @@
     finding: /starts in a withdrawn zone/u,
   },
   {
-    point: '"not run" is said only of what did not run',
-    broken: 'a lost answer is reported as not run',
-    sabotage: { isAlwaysDenied: true },
+    guarantee: '"not run" is said only of what did not run',
+    brokenSafeguard: 'a lost answer is reported as not run',
+    safeguardFaults: { isAlwaysReportedNotRun: true },
     steps: async (world) => {
       const planCount = (): number =>
         world.table.read({ keys: [], prefixes: ['plan/'] }).rows.length;
@@ -134,9 +134,9 @@
     finding: /"not run", but the plan was accepted/u,
   },
   {
-    point: 'a server that is leaving receives no new work',
-    broken: 'the entry keeps the routes it has',
-    sabotage: { hasDeafEntries: true },
+    guarantee: 'a server that is leaving receives no new work',
+    brokenSafeguard: 'the entry keeps the routes it has',
+    safeguardFaults: { hasStaleEntries: true },
     steps: async (world) => {
       const [server] = world.daemons[0]?.routes.get(SERVICE) ?? [];
       const zone = server?.availabilityZone ?? ZONES[0];
@@ -146,9 +146,9 @@
     finding: /sends new work to zone-/u,
   },
   {
-    point: 'an accepted configuration never reverts',
-    broken: 'the reader takes older answers too',
-    sabotage: { hasRevertingReaders: true },
+    guarantee: 'an accepted configuration never reverts',
+    brokenSafeguard: 'the reader takes older answers too',
+    safeguardFaults: { hasRevertingReaders: true },
     steps: async (world) => {
       Object.assign(world.tableFaults, { lateRatio: 0.5, lateDelayMs: 700 });
       Array.from({ length: 20 }, (_, index) => index).forEach((index) => {
@@ -165,8 +165,11 @@
   },
 ];
 
-const findingsOf = async (steps: Steps, sabotage: Sabotage): Promise<string> => {
-  const world = new SoakWorld(SEED, sabotage);
+const runAndCollectFindings = async (
+  steps: Steps,
+  safeguardFaults: SafeguardFaults,
+): Promise<string> => {
+  const world = new SoakWorld(SEED, safeguardFaults);
   await world.start();
   await steps(world);
   try {
@@ -178,10 +181,10 @@
 };
 
 describe('the judge can fail', () => {
-  CASES.forEach(({ point, broken, sabotage, steps, finding }) =>
-    it(`${point}: ${broken}`, async () => {
-      expect(await findingsOf(steps, {})).toBe('');
-      expect(await findingsOf(steps, sabotage)).toMatch(finding);
+  CASES.forEach(({ guarantee, brokenSafeguard, safeguardFaults, steps, finding }) =>
+    it(`${guarantee}: ${brokenSafeguard}`, async () => {
+      expect(await runAndCollectFindings(steps, {})).toBe('');
+      expect(await runAndCollectFindings(steps, safeguardFaults)).toMatch(finding);
     }),
   );
 });
--- a/soak/test/platform/daemonInstance.ts
+++ b/soak/test/platform/daemonInstance.ts
@@ -9,7 +9,7 @@
 import { Pool } from 'undici';
 
 import { SilentRelay } from '../../../standIns/relay/silentRelay.js';
-import { MAXIMUM_LEASE_MS, REPORT_INTERVAL_MS, STOP_MS } from './fleetWorkerParts.js';
+import { MAXIMUM_LEASE_MS, REPORT_INTERVAL_MS, STOP_MS } from './fleetWorkerOptions.js';
 import type { Zone } from './soakTypes.js';
 
 const PROGRAM = ['--max-old-space-size=160', '--max-semi-space-size=4', 'target/snipethread.cjs'];
@@ -19,7 +19,7 @@
 const MS_PER_SECOND = 1_000;
 const START_TIMEOUT_MS = 15_000;
 
-export interface InstanceParts {
+export interface InstanceOptions {
   readonly id: string;
   readonly zone: Zone;
   readonly folder: string;
@@ -29,21 +29,21 @@
   readonly onUnexpectedExit: (text: string) => void;
 }
 
-interface Life {
+interface DaemonProcess {
   readonly child: ChildProcess;
-  readonly hasExited: Promise<void>;
+  readonly exited: Promise<void>;
   readonly log: WriteStream;
-  isEndAsked: boolean;
+  isEndRequested: boolean;
 }
 
 export class DaemonInstance {
-  readonly #parts: InstanceParts;
+  readonly #options: InstanceOptions;
 
   readonly #storeRelay: SilentRelay;
 
-  #life: Life | undefined;
+  #process: DaemonProcess | undefined;
 
-  #lifeCount = 0;
+  #startCount = 0;
 
   /** Host and port at which the store sees this instance's calls. */
   storeHost = '';
@@ -56,22 +56,22 @@
 
   isFrozen = false;
 
-  constructor(parts: InstanceParts) {
-    this.#parts = parts;
-    this.#storeRelay = new SilentRelay(parts.storePort, parts.relayHost);
+  constructor(options: InstanceOptions) {
+    this.#options = options;
+    this.#storeRelay = new SilentRelay(options.storePort, options.relayHost);
   }
 
   get id(): string {
-    return this.#parts.id;
+    return this.#options.id;
   }
 
   get zone(): Zone {
-    return this.#parts.zone;
+    return this.#options.zone;
   }
 
   /** The process runs, and nothing has ended or frozen it. */
   get isSteady(): boolean {
-    return this.pool !== undefined && this.#life?.isEndAsked === false && !this.isFrozen;
+    return this.pool !== undefined && this.#process?.isEndRequested === false && !this.isFrozen;
   }
 
   get storeRelay(): SilentRelay {
@@ -79,12 +79,12 @@
   }
 
   async prepare(): Promise<void> {
-    const { relayHost, storePort } = this.#parts;
+    const { relayHost, storePort } = this.#options;
     this.storeHost = `${relayHost}:${await this.#storeRelay.listen(storePort)}`;
     const free = '127.0.0.1:0';
     const settings = {
       instanceId: this.id,
-      availabilityZone: this.#parts.zone,
+      availabilityZone: this.#options.zone,
       listen: { callers: free, readiness: free, metrics: free },
       storeAddress: this.storeHost,
       maximumLeaseMs: MAXIMUM_LEASE_MS,
@@ -98,20 +98,20 @@
 
   /** Starts the process and resolves when it listens, or has ended before. */
   async start(): Promise<void> {
-    this.#lifeCount += 1;
+    this.#startCount += 1;
     this.isFrozen = false;
-    const logPath = join(this.#parts.folder, `${this.id}-${this.#lifeCount}.log`);
+    const logPath = join(this.#options.folder, `${this.id}-${this.#startCount}.log`);
     const log = createWriteStream(logPath);
     const child = spawn(process.execPath, [...PROGRAM, this.#settingsPath], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
-    const hasExited = once(child, 'exit').then(([code, signal]) => {
+    const exited = once(child, 'exit').then(([code, signal]) => {
       log.write(`${JSON.stringify({ event: 'process-ended', code, signal })}\n`);
       this.#noteExit(`${this.id} ended by itself with ${code ?? signal}, see ${logPath}`);
     });
-    this.#life = { child, hasExited, log, isEndAsked: false };
+    this.#process = { child, exited, log, isEndRequested: false };
     child.stderr.on('data', (chunk) => log.write(chunk));
-    const listens = new Promise<void>((resolve) => {
+    const listening = new Promise<void>((resolve) => {
       createInterface({ input: child.stdout }).on('line', (line) => {
         log.write(`${line}\n`);
         if (this.callerRelay !== undefined || !line.includes('"listening"')) return;
@@ -120,39 +120,39 @@
       });
     });
     const timer = setTimeout(() => child.kill('SIGKILL'), START_TIMEOUT_MS);
-    await Promise.race([listens, hasExited]);
+    await Promise.race([listening, exited]);
     clearTimeout(timer);
   }
 
   /** Asks the process to end and resolves when it has; false when it had to be killed. */
   async stop(): Promise<boolean> {
-    const life = this.#askEnd();
-    if (life === undefined) return true;
+    const daemonProcess = this.#requestEnd();
+    if (daemonProcess === undefined) return true;
     let isInTime = true;
     const timer = setTimeout(() => {
       isInTime = false;
-      life.child.kill('SIGKILL');
+      daemonProcess.child.kill('SIGKILL');
     }, GRACE_SECONDS * MS_PER_SECOND);
-    life.child.kill('SIGTERM');
-    await life.hasExited;
+    daemonProcess.child.kill('SIGTERM');
+    await daemonProcess.exited;
     clearTimeout(timer);
     return isInTime;
   }
 
   async kill(): Promise<void> {
-    const life = this.#askEnd();
-    life?.child.kill('SIGKILL');
-    await life?.hasExited;
+    const daemonProcess = this.#requestEnd();
+    daemonProcess?.child.kill('SIGKILL');
+    await daemonProcess?.exited;
   }
 
   freeze(): void {
     this.isFrozen = true;
-    this.#life?.child.kill('SIGSTOP');
+    this.#process?.child.kill('SIGSTOP');
   }
 
   resume(): void {
     this.isFrozen = false;
-    this.#life?.child.kill('SIGCONT');
+    this.#process?.child.kill('SIGCONT');
   }
 
   async close(): Promise<void> {
@@ -162,7 +162,7 @@
 
   /** For the end of the soak's own process, where nothing can be waited for. */
   killNow(): void {
-    this.#life?.child.kill('SIGKILL');
+    this.#process?.child.kill('SIGKILL');
   }
 
   async #openToClients(callersPort: number): Promise<void> {
@@ -178,23 +178,23 @@
     });
   }
 
-  #askEnd(): Life | undefined {
-    if (this.#life !== undefined) this.#life.isEndAsked = true;
-    return this.#life;
+  #requestEnd(): DaemonProcess | undefined {
+    if (this.#process !== undefined) this.#process.isEndRequested = true;
+    return this.#process;
   }
 
   #noteExit(text: string): void {
-    const life = this.#life;
-    life?.log.end();
+    const daemonProcess = this.#process;
+    daemonProcess?.log.end();
     void this.pool?.destroy();
     this.pool = undefined;
     this.callerRelay?.close();
     this.callerRelay = undefined;
-    this.#life = undefined;
-    if (life?.isEndAsked === false) this.#parts.onUnexpectedExit(text);
+    this.#process = undefined;
+    if (daemonProcess?.isEndRequested === false) this.#options.onUnexpectedExit(text);
   }
 
   get #settingsPath(): string {
-    return join(this.#parts.folder, `${this.id}.json`);
+    return join(this.#options.folder, `${this.id}.json`);
   }
 }
--- a/soak/test/platform/faultPlan.ts
+++ b/soak/test/platform/faultPlan.ts
@@ -42,24 +42,28 @@
 
 const FIRST_AT_MS = 3_000;
 const INCIDENT_MS = 34_000;
-const STOPPED_IN_TURN = 6;
-const LEAVING_WORKERS = 20;
+const STOPPED_INSTANCE_COUNT = 6;
+const LEAVING_WORKER_COUNT = 20;
 /** Most gaps are short, so that faults overlap; some leave room for the checks of calm times. */
-const HIGHEST_CALM_RATIO = 0.3;
+const MAXIMUM_CALM_RATIO = 0.3;
 const CALM_GAP_MS = 13_000;
-const GAP_MS = 3_500;
+const MAXIMUM_GAP_MS = 3_500;
 const DURATION_MS = { least: 1_000, spread: 6_000 };
 const ZONE_CUT_MS = { least: 4_000, spread: 3_000 };
-const CHOICE_SEEDS = 2 ** 30;
+const CHOICE_SEED_COUNT = 2 ** 30;
 
 /** Instances stop in turn while workers leave without refusing connections. */
 const incident = (random: RandomSource): readonly PlannedFault[] => {
-  const choiceSeed = random.nextIndex(CHOICE_SEEDS);
+  const choiceSeed = random.nextIndex(CHOICE_SEED_COUNT);
   const common = { durationMs: 0, isSilent: true, choiceSeed };
-  const roll = { kind: FaultKind.StopInTurn, atMs: FIRST_AT_MS, count: STOPPED_IN_TURN };
-  const leave = { kind: FaultKind.WorkersLeave, atMs: FIRST_AT_MS + 1_000, count: LEAVING_WORKERS };
+  const stop = { kind: FaultKind.StopInTurn, atMs: FIRST_AT_MS, count: STOPPED_INSTANCE_COUNT };
+  const leave = {
+    kind: FaultKind.WorkersLeave,
+    atMs: FIRST_AT_MS + 1_000,
+    count: LEAVING_WORKER_COUNT,
+  };
   return [
-    { ...common, ...roll },
+    { ...common, ...stop },
     { ...common, ...leave },
   ];
 };
@@ -71,13 +75,13 @@
   durationMs: ZONE_CUT_MS.least + random.nextIndex(ZONE_CUT_MS.spread),
   count: 0,
   isSilent: false,
-  choiceSeed: random.nextIndex(CHOICE_SEEDS),
+  choiceSeed: random.nextIndex(CHOICE_SEED_COUNT),
 });
 
 const mixed = (random: RandomSource, fromMs: number, untilMs: number): readonly PlannedFault[] => {
   const kinds = Object.values(FaultKind);
   const faults: PlannedFault[] = [];
-  const calmRatio = random.nextFraction() * HIGHEST_CALM_RATIO;
+  const calmRatio = random.nextFraction() * MAXIMUM_CALM_RATIO;
   let atMs = fromMs;
   while (atMs < untilMs) {
     faults.push({
@@ -86,10 +90,10 @@
       durationMs: DURATION_MS.least + random.nextIndex(DURATION_MS.spread),
       count: 1 + random.nextIndex(6),
       isSilent: random.nextFraction() < 0.6,
-      choiceSeed: random.nextIndex(CHOICE_SEEDS),
+      choiceSeed: random.nextIndex(CHOICE_SEED_COUNT),
     });
     const isCalm = random.nextFraction() < calmRatio;
-    atMs += isCalm ? CALM_GAP_MS : random.nextIndex(GAP_MS);
+    atMs += isCalm ? CALM_GAP_MS : random.nextIndex(MAXIMUM_GAP_MS);
   }
   return faults;
 };
--- a/soak/test/platform/faultTimes.ts
+++ b/soak/test/platform/faultWindows.ts
@@ -1,30 +1,30 @@
 /** When faults were in force, for the checks that hold only while none is near. */
 import { FaultScope } from './soakTypes.js';
 
-interface FaultTime {
+interface FaultWindow {
   readonly scope: FaultScope;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-export class FaultTimes {
-  readonly #faults: FaultTime[] = [];
+export class FaultWindows {
+  readonly #faults: FaultWindow[] = [];
 
   add(scope: FaultScope, fromMs: number, untilMs: number): void {
     this.#faults.push({ scope, fromMs, untilMs });
   }
 
   /** Whether daemons may have been cut off from the store within this time. */
-  isCoreDisturbed(fromMs: number, untilMs: number): boolean {
-    return this.#isDisturbed([FaultScope.Core], fromMs, untilMs);
+  hasCoreFault(fromMs: number, untilMs: number): boolean {
+    return this.#hasFault([FaultScope.Core], fromMs, untilMs);
   }
 
   /** Whether anything but planned work happened within this time. */
   isCalm(fromMs: number, untilMs: number): boolean {
-    return !this.#isDisturbed([FaultScope.Core, FaultScope.Unplanned], fromMs, untilMs);
+    return !this.#hasFault([FaultScope.Core, FaultScope.Unplanned], fromMs, untilMs);
   }
 
-  #isDisturbed(scopes: readonly FaultScope[], fromMs: number, untilMs: number): boolean {
+  #hasFault(scopes: readonly FaultScope[], fromMs: number, untilMs: number): boolean {
     return this.#faults.some(
       (fault) => scopes.includes(fault.scope) && fault.fromMs <= untilMs && fault.untilMs >= fromMs,
     );
--- a/soak/test/platform/fleetWorker.ts
+++ b/soak/test/platform/fleetWorker.ts
@@ -14,19 +14,19 @@
 import {
   Absence,
   CAPACITY,
-  type FleetWorkerParts,
+  type FleetWorkerOptions,
   MAXIMUM_LEASE_MS,
   SERVICE,
   STOP_MS,
-} from './fleetWorkerParts.js';
+} from './fleetWorkerOptions.js';
 import {
   answerOrder,
   INSTANCE_HEADER,
-  lastingPercent,
+  persistentPercent,
   type Order,
   STATUS_OTHER_WORKER,
   toHoldBody,
-} from './orderForms.js';
+} from './orderMessages.js';
 import { SilentPort } from './silentPort.js';
 import { RunOutcome, type Zone, ZONE_HOSTS, ZONES } from './soakTypes.js';
 
@@ -36,7 +36,7 @@
 const ENTRY_EXPIRY_MS = 3_300;
 
 export class FleetWorker {
-  readonly #parts: FleetWorkerParts;
+  readonly #options: FleetWorkerOptions;
 
   readonly #model: WorkerModel;
 
@@ -45,7 +45,7 @@
   readonly #running = new Map<string, ModelRun>();
 
   /** By the zone whose instances call through them. */
-  #doors: readonly (readonly [Zone, SilentRelay])[] = [];
+  #relays: readonly (readonly [Zone, SilentRelay])[] = [];
 
   #silentPort: SilentPort | undefined;
 
@@ -60,13 +60,13 @@
 
   isDraining = false;
 
-  #staysUntilMs = Number.POSITIVE_INFINITY;
+  #earliestEndMs = Number.POSITIVE_INFINITY;
 
-  constructor(parts: FleetWorkerParts) {
-    this.#parts = parts;
+  constructor(options: FleetWorkerOptions) {
+    this.#options = options;
     this.#model = new WorkerModel(
       {
-        id: parts.id,
+        id: options.id,
         capacity: {
           processorMillis: CAPACITY.processorMillis,
           memoryBytes: CAPACITY.memoryMegabytes * BYTES_PER_MEGABYTE,
@@ -74,15 +74,18 @@
         },
         maximumLeaseMs: MAXIMUM_LEASE_MS,
         stopMs: STOP_MS,
-        clockRate: parts.clockRate,
-        taskOf: parts.taskOf,
+        clockRate: options.clockRate,
+        taskOf: options.taskOf,
         onStart: (taskName, run, nowMs) => {
           const fence = this.#startFence;
-          parts.log('start', { lifeKey: this.lifeKey, taskName, run, fence });
-          parts.judge.noteStart({ lifeKey: this.lifeKey, taskName, run, fence }, nowMs);
+          options.log('start', { lifeKey: this.incarnationKey, taskName, run, fence });
+          options.judge.noteStart(
+            { incarnationKey: this.incarnationKey, taskName, run, fence },
+            nowMs,
+          );
         },
       },
-      parts.nowMs(),
+      options.nowMs(),
     );
     this.#serve('/api/hold', (order, reply) => this.#hold(order, reply));
     this.#serve('/api/run-start', (order, reply) => this.#start(order, reply));
@@ -90,7 +93,7 @@
   }
 
   get id(): string {
-    return this.#parts.id;
+    return this.#options.id;
   }
 
   get isCut(): boolean {
@@ -101,7 +104,7 @@
     return this.#port;
   }
 
-  get lifeKey(): string {
+  get incarnationKey(): string {
     return `${this.id}/${this.#model.incarnation}`;
   }
 
@@ -109,22 +112,22 @@
     await this.#server.listen({ host: '127.0.0.1', port: 0 });
     // Its own listener keeps the port from other processes while doors are closed.
     this.#port = listeningPort(this.#server);
-    this.#doors = ZONES.map((zone) => [zone, new SilentRelay(this.#port, ZONE_HOSTS[zone])]);
+    this.#relays = ZONES.map((zone) => [zone, new SilentRelay(this.#port, ZONE_HOSTS[zone])]);
     await this.#open();
   }
 
   /** Says that it leaves, and for how long it surely stays; it goes on working until `leave`. */
   drain(remainingMs: number): void {
     this.isDraining = true;
-    this.#staysUntilMs = this.#parts.nowMs() + remainingMs;
+    this.#earliestEndMs = this.#options.nowMs() + remainingMs;
     this.#register();
-    this.#parts.judge.noteDraining(this.lifeKey, this.#parts.nowMs());
+    this.#options.judge.noteDraining(this.incarnationKey, this.#options.nowMs());
     this.#silentPort = new SilentPort(this.#port, Object.values(ZONE_HOSTS));
   }
 
   leave(absence: Absence): void {
     this.#end(absence);
-    this.#parts.store.remove('servers', this.id);
+    this.#options.store.remove('servers', this.id);
   }
 
   /** Ends without a word; its entry expires unless it is back by then. */
@@ -133,11 +136,11 @@
     this.#end(absence);
     const expiryMs = Math.min(ENTRY_EXPIRY_MS, backAfterMs ?? ENTRY_EXPIRY_MS);
     await delay(expiryMs);
-    if (expiryMs === ENTRY_EXPIRY_MS) this.#parts.store.remove('servers', this.id);
+    if (expiryMs === ENTRY_EXPIRY_MS) this.#options.store.remove('servers', this.id);
     if (backAfterMs === undefined) return;
     await delay(backAfterMs - expiryMs);
     await this.#silentPort?.close();
-    this.#model.restart(this.#parts.nowMs());
+    this.#model.restart(this.#options.nowMs());
     await this.#open();
   }
 
@@ -146,31 +149,31 @@
    * that zone is cut off from the others, which this worker is in or not.
    */
   async cut(absence: Absence, durationMs: number, cutZone?: Zone): Promise<void> {
-    const isInside = cutZone === undefined || cutZone === this.#parts.zone;
-    const heals = this.#doors
+    const isInside = cutZone === undefined || cutZone === this.#options.zone;
+    const heals = this.#relays
       .filter(([zone]) => cutZone === undefined || (zone === cutZone) !== isInside)
       .map(([, relay]) => relay.cut(absence === Absence.Refusing));
-    if (isInside) await this.#missStore(durationMs);
+    if (isInside) await this.#stayOffStore(durationMs);
     else await delay(durationMs);
     await Promise.all(heals.map((heal) => heal()));
     if (isInside && this.isUp) this.#register();
   }
 
-  async #missStore(durationMs: number): Promise<void> {
+  async #stayOffStore(durationMs: number): Promise<void> {
     this.#cutCount += 1;
     const expiryMs = Math.min(ENTRY_EXPIRY_MS, durationMs);
     await delay(expiryMs);
-    if (expiryMs === ENTRY_EXPIRY_MS) this.#parts.store.remove('servers', this.id);
+    if (expiryMs === ENTRY_EXPIRY_MS) this.#options.store.remove('servers', this.id);
     await delay(durationMs - expiryMs);
     this.#cutCount -= 1;
   }
 
   resetConnections(): void {
-    this.#doors.forEach(([, relay]) => relay.resetAll());
+    this.#relays.forEach(([, relay]) => relay.resetAll());
   }
 
   silenceConnections(silence: Silence): void {
-    this.#doors.forEach(([, relay]) => relay.silenceAll(silence));
+    this.#relays.forEach(([, relay]) => relay.silenceAll(silence));
   }
 
   /** Lets what is due happen, and tells the judge of what has ended. */
@@ -186,36 +189,40 @@
       const endedAtMs = Math.min(run.endsAtMs, lapsesAtMs);
       this.#noteEnd(taskName, outcome, endedAtMs);
     });
-    if (lapsesAtMs <= nowMs) this.#parts.judge.noteLeaseLapsed(this.lifeKey);
+    if (lapsesAtMs <= nowMs) this.#options.judge.noteLeaseLapsed(this.incarnationKey);
   }
 
   async close(): Promise<void> {
     this.isUp = false;
-    this.#doors.forEach(([, relay]) => relay.close());
+    this.#relays.forEach(([, relay]) => relay.close());
     await this.#silentPort?.close();
     await this.#server.close();
   }
 
   async #open(): Promise<void> {
-    await Promise.all(this.#doors.map(([, relay]) => relay.listen(this.#port)));
+    await Promise.all(this.#relays.map(([, relay]) => relay.listen(this.#port)));
     this.isUp = true;
-    this.#parts.judge.noteWorker({ key: this.lifeKey, workerId: this.id, capacity: CAPACITY });
+    this.#options.judge.noteWorker({
+      key: this.incarnationKey,
+      workerId: this.id,
+      capacity: CAPACITY,
+    });
     this.#register();
   }
 
   #end(absence: Absence): void {
-    const nowMs = this.#parts.nowMs();
+    const nowMs = this.#options.nowMs();
     this.advance(nowMs);
     this.isUp = false;
     this.#running.forEach((_, taskName) => this.#noteEnd(taskName, RunOutcome.Other, nowMs));
     this.#running.clear();
-    this.#parts.judge.noteWorkerGone(this.lifeKey);
+    this.#options.judge.noteWorkerGone(this.incarnationKey);
     this.#model.crash();
     if (absence === Absence.Refusing) {
-      this.#doors.forEach(([, relay]) => relay.close());
+      this.#relays.forEach(([, relay]) => relay.close());
       return;
     }
-    this.#doors.forEach(([, relay]) => {
+    this.#relays.forEach(([, relay]) => {
       relay.silenceAll('both');
       relay.stopListening();
     });
@@ -224,14 +231,14 @@
 
   #register(): void {
     if (this.isCut) return;
-    const { id, zone, rack, store } = this.#parts;
+    const { id, zone, rack, store } = this.#options;
     store.put('servers', id, {
       Service: SERVICE,
       Address: `127.0.0.1:${this.#port}`,
       Zone: zone,
       State: this.isDraining ? 'draining' : 'ready',
       ...(this.isDraining && {
-        RemainingMs: Math.max(0, Math.floor(this.#staysUntilMs - this.#parts.nowMs())),
+        RemainingMs: Math.max(0, Math.floor(this.#earliestEndMs - this.#options.nowMs())),
       }),
       Capacity: { Cpu: CAPACITY.processorMillis, MemMb: CAPACITY.memoryMegabytes },
       Labels: ['plain', rack],
@@ -245,43 +252,47 @@
         return reply.code(STATUS_OTHER_WORKER).send({});
       }
       if (!this.isUp) return reply.hijack();
-      this.#parts.advanceAll();
+      this.#options.advanceAll();
       return handle(request.body as Order, reply);
     });
   }
 
   async #hold(order: Order, reply: FastifyReply): Promise<FastifyReply> {
-    const { lifeKey } = this;
+    const { incarnationKey } = this;
     const acknowledgedSequence = order.AckedUpto ?? 0;
     const request = { ...this.#reference(order), acknowledgedSequence, waitMs: 0 };
     const due = order.DueMs === undefined ? {} : { leaseEndWorkerMs: order.DueMs };
-    const first = this.#model.hold({ ...request, ...due }, this.#parts.nowMs());
+    const first = this.#model.hold({ ...request, ...due }, this.#options.nowMs());
     if (first.kind !== 'held') return answerOrder(reply, StartOutcome.Fenced);
     this.#noteFence(request.fence);
-    this.#parts.judge.noteAcknowledged(lifeKey, acknowledgedSequence, this.#parts.nowMs());
-    const endsAtMs = this.#parts.nowMs() + (order.WaitMs ?? 0);
+    this.#options.judge.noteAcknowledged(
+      incarnationKey,
+      acknowledgedSequence,
+      this.#options.nowMs(),
+    );
+    const endsAtMs = this.#options.nowMs() + (order.WaitMs ?? 0);
     while (
-      this.lifeKey === lifeKey &&
-      this.#parts.nowMs() < endsAtMs &&
+      this.incarnationKey === incarnationKey &&
+      this.#options.nowMs() < endsAtMs &&
       !this.#hasNews(acknowledgedSequence)
     ) {
       // eslint-disable-next-line no-await-in-loop -- waits for an end, at most as long as asked
       await delay(HOLD_POLL_MS);
     }
     // Another life, or none, has nothing to say to this caller.
-    if (this.lifeKey !== lifeKey || !this.isUp) return reply.hijack();
-    this.advance(this.#parts.nowMs());
-    const held = this.#model.hold(request, this.#parts.nowMs());
+    if (this.incarnationKey !== incarnationKey || !this.isUp) return reply.hijack();
+    this.advance(this.#options.nowMs());
+    const held = this.#model.hold(request, this.#options.nowMs());
     if (held.kind !== 'held') return answerOrder(reply, StartOutcome.Fenced);
     held.answer.finished.forEach(({ sequence, taskName }) =>
-      this.#parts.judge.noteListed(lifeKey, sequence, taskName),
+      this.#options.judge.noteListed(incarnationKey, sequence, taskName),
     );
     return reply.send(toHoldBody(held.answer, (run) => this.#percentOf(run)));
   }
 
   #hasNews(acknowledgedSequence: number): boolean {
-    this.advance(this.#parts.nowMs());
-    return this.#model.hasNews(acknowledgedSequence, this.#parts.nowMs());
+    this.advance(this.#options.nowMs());
+    return this.#model.hasNews(acknowledgedSequence, this.#options.nowMs());
   }
 
   async #start(order: Order, reply: FastifyReply): Promise<FastifyReply> {
@@ -292,7 +303,7 @@
       checkpoint: '',
     };
     this.#startFence = request.fence;
-    const outcome = this.#model.start(request, this.#parts.nowMs());
+    const outcome = this.#model.start(request, this.#options.nowMs());
     const run = this.#model.runs.get(order.Task);
     if (run !== undefined) this.#running.set(order.Task, run);
     if (outcome !== StartOutcome.Fenced) this.#noteFence(request.fence);
@@ -301,7 +312,7 @@
 
   async #stop(order: Order, reply: FastifyReply): Promise<FastifyReply> {
     const reference = this.#reference(order);
-    const outcome = this.#model.stop(reference, this.#parts.nowMs());
+    const outcome = this.#model.stop(reference, this.#options.nowMs());
     if (outcome === OrderOutcome.Fenced) return answerOrder(reply, StartOutcome.Fenced);
     this.#noteFence(reference.fence);
     return reply.send({});
@@ -309,17 +320,17 @@
 
   #percentOf({ taskName, workedPercent }: RunningTask): number {
     const run = this.#running.get(taskName);
-    if (run === undefined || !this.#parts.isLasting(taskName)) return workedPercent;
-    return lastingPercent(this.#parts.nowMs() - run.startedAtMs);
+    if (run === undefined || !this.#options.isPersistentTask(taskName)) return workedPercent;
+    return persistentPercent(this.#options.nowMs() - run.startedAtMs);
   }
 
   #noteEnd(taskName: string, outcome: RunOutcome, endedAtMs: number): void {
-    this.#parts.log('end', { lifeKey: this.lifeKey, taskName, outcome, endedAtMs });
-    this.#parts.judge.noteEnd(this.lifeKey, taskName, outcome, endedAtMs);
+    this.#options.log('end', { lifeKey: this.incarnationKey, taskName, outcome, endedAtMs });
+    this.#options.judge.noteEnd(this.incarnationKey, taskName, outcome, endedAtMs);
   }
 
   #noteFence(fence: number): void {
-    this.#parts.judge.noteFence(this.lifeKey, fence, this.#parts.nowMs());
+    this.#options.judge.noteFence(this.incarnationKey, fence, this.#options.nowMs());
   }
 
   #reference({ Task, Run, Fence }: Order) {
--- a/soak/test/platform/fleetWorkerParts.ts
+++ b/soak/test/platform/fleetWorkerOptions.ts
@@ -16,7 +16,7 @@
 export const Absence = { Silent: 'silent', Refusing: 'refusing' } as const;
 export type Absence = (typeof Absence)[keyof typeof Absence];
 
-export interface FleetWorkerParts {
+export interface FleetWorkerOptions {
   readonly id: string;
   readonly zone: Zone;
   readonly rack: string;
@@ -25,7 +25,7 @@
   readonly store: StoreServer;
   readonly nowMs: () => number;
   readonly taskOf: (taskName: string) => ModelTask;
-  readonly isLasting: (taskName: string) => boolean;
+  readonly isPersistentTask: (taskName: string) => boolean;
   /** Lets every worker's time pass, so that what has lapsed elsewhere is over. */
   readonly advanceAll: () => void;
   readonly log: SoakLog;
--- a/soak/test/platform/main.ts
+++ b/soak/test/platform/main.ts
@@ -14,7 +14,7 @@
 const MS_PER_SECOND = 1_000;
 const SHOWN_FINDINGS = 20;
 
-const say = (line: unknown): void => {
+const printLine = (line: unknown): void => {
   process.stdout.write(`${typeof line === 'string' ? line : JSON.stringify(line)}\n`);
 };
 
@@ -54,14 +54,14 @@
       const options = { seed, scenario, durationMs, instanceCount, workerCount, folder };
       // eslint-disable-next-line no-await-in-loop
       const { findings, figures } = await new PlatformRun(options).run();
-      say({ seed, scenario, ok: findings.length === 0, ...figures });
-      findings.slice(0, SHOWN_FINDINGS).forEach(say);
+      printLine({ seed, scenario, ok: findings.length === 0, ...figures });
+      findings.slice(0, SHOWN_FINDINGS).forEach(printLine);
       if (findings.length > 0) {
         failedCount += 1;
         const sizes = `--instances ${instanceCount} --workers ${workerCount}`;
         const command = `--seed ${seed} --scenario ${scenario} --seconds ${seconds} ${sizes}`;
-        say(`seed ${seed}: ${findings.length} checks failed; logs: ${folder}`);
-        say(`repeat: npm run soak:platform -- ${command}`);
+        printLine(`seed ${seed}: ${findings.length} checks failed; logs: ${folder}`);
+        printLine(`repeat: npm run soak:platform -- ${command}`);
       } else if (args.logs === '') {
         // eslint-disable-next-line no-await-in-loop
         await rm(folder, { recursive: true });
--- a/soak/test/platform/orderForms.ts
+++ b/soak/test/platform/orderMessages.ts
@@ -11,7 +11,7 @@
 export const INSTANCE_HEADER = 'snipethread-target-instance';
 export const STATUS_OTHER_WORKER = 421;
 const STATUS_CONFLICT = 409;
-const LASTING_START_MS = 500;
+const PERSISTENT_START_MS = 500;
 const WHOLE_PERCENT = 100;
 
 export interface Order {
@@ -36,8 +36,8 @@
 };
 
 /** A task that lasts is at work, at 100, after a short start. */
-export const lastingPercent = (runsForMs: number): number =>
-  Math.min(WHOLE_PERCENT, Math.floor((WHOLE_PERCENT * runsForMs) / LASTING_START_MS));
+export const persistentPercent = (runsForMs: number): number =>
+  Math.min(WHOLE_PERCENT, Math.floor((WHOLE_PERCENT * runsForMs) / PERSISTENT_START_MS));
 
 export const toHoldBody = (
   { workerClockMs, incarnation, running, finished }: HoldAnswer,
--- a/soak/test/platform/lastingTasks.ts
+++ b/soak/test/platform/persistentTasks.ts
@@ -1,7 +1,7 @@
 /** How long tasks that last wait to be at work again. */
-import type { FaultTimes } from './faultTimes.js';
+import type { FaultWindows } from './faultWindows.js';
 import { type SoakSubmission, type TaskSize, taskNames } from './soakTypes.js';
-import type { WorkerLedger } from './workerLedger.js';
+import type { WorkerTracker } from './workerTracker.js';
 
 export const LONGEST_WAIT_MS = 9_000;
 /** No fault for so long, and calm for as long as the room must have lasted. */
@@ -12,13 +12,13 @@
   readonly size: TaskSize;
   readonly sinceMs: number;
   roomSinceMs: number | undefined;
-  isFound: boolean;
+  isReported: boolean;
 }
 
-export class LastingTasks {
-  readonly #faults: FaultTimes;
+export class PersistentTasks {
+  readonly #faults: FaultWindows;
 
-  readonly #workers: WorkerLedger;
+  readonly #workers: WorkerTracker;
 
   readonly #sizes = new Map<string, TaskSize>();
 
@@ -27,7 +27,7 @@
   /** The longest wait that ended or was found, whatever excuses it. */
   longestWaitMs = 0;
 
-  constructor(faults: FaultTimes, workers: WorkerLedger) {
+  constructor(faults: FaultWindows, workers: WorkerTracker) {
     this.#faults = faults;
     this.#workers = workers;
   }
@@ -37,7 +37,8 @@
       if (!isPersistent) return;
       taskNames(submission, stepIndex).forEach((name) => {
         this.#sizes.set(name, size);
-        if (this.#workers.placesOf(name).length === 0) this.#wait(name, size, nowMs);
+        if (this.#workers.incarnationsRunning(name).length === 0)
+          this.#startWait(name, size, nowMs);
       });
     });
   }
@@ -60,7 +61,7 @@
 
   noteEnd(taskName: string, nowMs: number): void {
     const size = this.#sizes.get(taskName);
-    if (size !== undefined) this.#wait(taskName, size, nowMs);
+    if (size !== undefined) this.#startWait(taskName, size, nowMs);
   }
 
   waiting(): readonly string[] {
@@ -72,14 +73,14 @@
     return [...this.#waits].flatMap(([name, wait]) => {
       const hasRoom = this.#workers.hasRoom(wait.size);
       Object.assign(wait, { roomSinceMs: hasRoom ? (wait.roomSinceMs ?? nowMs) : undefined });
-      if (wait.isFound || !this.#isTooLong(wait, nowMs)) return [];
-      Object.assign(wait, { isFound: true });
+      if (wait.isReported || !this.#isTooLong(wait, nowMs)) return [];
+      Object.assign(wait, { isReported: true });
       return [`${name} lasts and waits for ${Math.round(nowMs - wait.sinceMs)} ms`];
     });
   }
 
-  #wait(name: string, size: TaskSize, nowMs: number): void {
-    this.#waits.set(name, { size, sinceMs: nowMs, roomSinceMs: undefined, isFound: false });
+  #startWait(name: string, size: TaskSize, nowMs: number): void {
+    this.#waits.set(name, { size, sinceMs: nowMs, roomSinceMs: undefined, isReported: false });
   }
 
   #isTooLong({ sinceMs, roomSinceMs }: Wait, nowMs: number): boolean {
--- a/soak/test/platform/platformJudge.test.ts
+++ b/soak/test/platform/platformJudge.test.ts
@@ -1,17 +1,17 @@
 /** That the judge of the platform's soak notices each broken promise, and no kept one. */
 import { beforeEach, describe, expect, it } from 'vitest';
 
-import { FaultTimes } from './faultTimes.js';
+import { FaultWindows } from './faultWindows.js';
 import { PlatformJudge } from './platformJudge.js';
 import { FaultScope, RunOutcome } from './soakTypes.js';
 
 const SIZE = { processorMillis: 1_000, memoryMegabytes: 500 };
 const ROOM_FOR_FOUR = { processorMillis: 4_000, memoryMegabytes: 2_000 };
 const CHAIN = 'aaaaaaaaaaaaaaaa';
-const LASTING = 'bbbbbbbbbbbbbbbb';
+const PERSISTENT = 'bbbbbbbbbbbbbbbb';
 const FIRST_TASK = `${CHAIN}.0.0.0`;
 const SECOND_TASK = `${CHAIN}.0.1.0`;
-const LASTING_TASK = `${LASTING}.0.0.0`;
+const PERSISTENT_TASK = `${PERSISTENT}.0.0.0`;
 
 const step = (after: readonly number[], isPersistent: boolean) => ({
   taskCount: 1,
@@ -22,28 +22,33 @@
 });
 
 describe('the judge of the soak of the platform', () => {
-  let times: FaultTimes;
+  let faultWindows: FaultWindows;
   let judge: PlatformJudge;
 
   beforeEach(() => {
-    times = new FaultTimes();
-    judge = new PlatformJudge(times);
+    faultWindows = new FaultWindows();
+    judge = new PlatformJudge(faultWindows);
     ['w1', 'w2'].forEach((key) =>
       judge.noteWorker({ key, workerId: key, capacity: ROOM_FOR_FOUR }),
     );
     judge.noteSubmission({ id: CHAIN, steps: [step([], false), step([0], false)] });
-    judge.noteSubmission({ id: LASTING, steps: [step([], true)] });
+    judge.noteSubmission({ id: PERSISTENT, steps: [step([], true)] });
   });
 
-  const start = (taskName: string, lifeKey: string, nowMs: number, run = 1, fence = 1): void =>
-    judge.noteStart({ lifeKey, taskName, run, fence }, nowMs);
-
-  const runToEnd = (taskName: string, lifeKey: string, endedAtMs: number): void => {
-    start(taskName, lifeKey, endedAtMs - 100);
-    judge.noteEnd(lifeKey, taskName, RunOutcome.Done, endedAtMs);
+  const start = (
+    taskName: string,
+    incarnationKey: string,
+    nowMs: number,
+    run = 1,
+    fence = 1,
+  ): void => judge.noteStart({ incarnationKey, taskName, run, fence }, nowMs);
+
+  const runToEnd = (taskName: string, incarnationKey: string, endedAtMs: number): void => {
+    start(taskName, incarnationKey, endedAtMs - 100);
+    judge.noteEnd(incarnationKey, taskName, RunOutcome.Done, endedAtMs);
   };
 
-  const watchLasting = (fromMs: number, untilMs: number): void => {
+  const advanceJudge = (fromMs: number, untilMs: number): void => {
     for (let nowMs = fromMs; nowMs <= untilMs; nowMs += 100) judge.advance(nowMs);
   };
 
@@ -140,8 +145,8 @@
   it('notices a refused submission that starts, before or after the refusal', () => {
     start(FIRST_TASK, 'w1', 100);
     judge.noteRefused(CHAIN, 200);
-    judge.noteRefused(LASTING, 200);
-    start(LASTING_TASK, 'w1', 300);
+    judge.noteRefused(PERSISTENT, 200);
+    start(PERSISTENT_TASK, 'w1', 300);
     expect(judge.findings).toEqual([
       expect.stringContaining('was refused and has started'),
       expect.stringContaining('starts, and was refused'),
@@ -186,14 +191,14 @@
     });
 
     it('notices it beside planned work and killed processes', () => {
-      times.add(FaultScope.Planned, 9_000, 12_000);
-      times.add(FaultScope.Unplanned, 9_000, 12_000);
+      faultWindows.add(FaultScope.Planned, 9_000, 12_000);
+      faultWindows.add(FaultScope.Unplanned, 9_000, 12_000);
       start(FIRST_TASK, 'w1', 13_100);
       expectFinding('3100 ms after cancel');
     });
 
     it('excuses it while daemons may have been cut off from the store', () => {
-      times.add(FaultScope.Core, 11_000, 12_000);
+      faultWindows.add(FaultScope.Core, 11_000, 12_000);
       start(FIRST_TASK, 'w1', 13_100);
       expect(judge.findings).toEqual([]);
     });
@@ -201,45 +206,45 @@
 
   describe('for a task that lasts and has lost its worker', () => {
     beforeEach(() => {
-      judge.noteAccepted(LASTING, 0);
-      start(LASTING_TASK, 'w1', 100);
-      judge.noteEnd('w1', LASTING_TASK, RunOutcome.Other, 10_000);
+      judge.noteAccepted(PERSISTENT, 0);
+      start(PERSISTENT_TASK, 'w1', 100);
+      judge.noteEnd('w1', PERSISTENT_TASK, RunOutcome.Other, 10_000);
     });
 
     it('notices a wait over nine seconds, once', () => {
-      watchLasting(10_000, 19_000);
+      advanceJudge(10_000, 19_000);
       expect(judge.findings).toEqual([]);
-      watchLasting(19_100, 25_000);
+      advanceJudge(19_100, 25_000);
       expectFinding('waits for 9100 ms');
     });
 
     it('notices it also while workers leave and instances stop', () => {
-      times.add(FaultScope.Planned, 9_000, 25_000);
-      watchLasting(10_000, 19_100);
+      faultWindows.add(FaultScope.Planned, 9_000, 25_000);
+      advanceJudge(10_000, 19_100);
       expectFinding('waits for');
     });
 
     it('notices it only once the time is calm again', () => {
-      times.add(FaultScope.Unplanned, 15_000, 15_000);
-      watchLasting(10_000, 22_000);
+      faultWindows.add(FaultScope.Unplanned, 15_000, 15_000);
+      advanceJudge(10_000, 22_000);
       expect(judge.findings).toEqual([]);
-      watchLasting(22_100, 22_100);
+      advanceJudge(22_100, 22_100);
       expectFinding('waits for');
     });
 
     it('notices it only once there has been room for three seconds', () => {
       ['w1', 'w2'].forEach((key) => judge.noteDraining(key, 10_000));
-      watchLasting(10_000, 20_000);
+      advanceJudge(10_000, 20_000);
       judge.noteWorker({ key: 'w3', workerId: 'w3', capacity: ROOM_FOR_FOUR });
-      watchLasting(20_100, 23_000);
+      advanceJudge(20_100, 23_000);
       expect(judge.findings).toEqual([]);
-      watchLasting(23_100, 23_100);
+      advanceJudge(23_100, 23_100);
       expectFinding('waits for');
     });
 
     it('owes nothing once it is cancelled', () => {
-      judge.noteCancelSent(LASTING);
-      watchLasting(10_000, 30_000);
+      judge.noteCancelSent(PERSISTENT);
+      advanceJudge(10_000, 30_000);
       expect(judge.findings).toEqual([]);
     });
   });
@@ -247,11 +252,11 @@
   it('notices what is not complete, or not at work, at the end', () => {
     judge.noteAccepted(CHAIN, 0);
     judge.noteState(CHAIN, 'running', 600, 610);
-    judge.noteAccepted(LASTING, 0);
+    judge.noteAccepted(PERSISTENT, 0);
     judge.noteUnfinished(1_000);
     expect(judge.findings).toEqual([
       expect.stringContaining(`${CHAIN} is running at the end`),
-      expect.stringContaining(`${LASTING_TASK} waits at the end`),
+      expect.stringContaining(`${PERSISTENT_TASK} waits at the end`),
     ]);
   });
 });
--- a/soak/test/platform/platformJudge.ts
+++ b/soak/test/platform/platformJudge.ts
@@ -3,29 +3,29 @@
  * an argument, so that tests replay any order of events.
  */
 import { type EndRecord, EndRecords } from '../../../standIns/fleet/endRecords.js';
-import type { FaultTimes } from './faultTimes.js';
+import type { FaultWindows } from './faultWindows.js';
 import {
   RunOutcome,
   type SoakStep,
   type SoakSubmission,
   taskNames,
-  toTaskPlace,
-  type WorkerLife,
+  parseTaskName,
+  type WorkerIncarnation,
 } from './soakTypes.js';
 import { SubmissionRecord } from './submissionRecord.js';
-import { LastingTasks } from './lastingTasks.js';
-import { WorkerLedger } from './workerLedger.js';
+import { PersistentTasks } from './persistentTasks.js';
+import { WorkerTracker } from './workerTracker.js';
 
-const CANCEL_MS = 3_000;
-const VISIBLE_MS = 3_000;
+const CANCEL_BOUND_MS = 3_000;
+const VISIBLE_BOUND_MS = 3_000;
 /** After a submission is shown as complete, or an end is recorded. */
-const LATE_START_MS = 1_000;
-const DRAIN_MS = 2_000;
+const LATE_START_BOUND_MS = 1_000;
+const DRAIN_BOUND_MS = 2_000;
 /** A disturbance of the core is near while it ended less than this before. */
-const STABLE_MS = 3_000;
+const DISTURBANCE_MARGIN_MS = 3_000;
 
-export interface StartNote {
-  readonly lifeKey: string;
+export interface StartEvent {
+  readonly incarnationKey: string;
   readonly taskName: string;
   readonly run: number;
   readonly fence: number;
@@ -38,11 +38,11 @@
 
   readonly counts = { starts: 0, ends: 0, accepted: 0, refused: 0, cancelled: 0, states: 0 };
 
-  readonly lasting: LastingTasks;
+  readonly persistentTasks: PersistentTasks;
 
-  readonly #faults: FaultTimes;
+  readonly #faults: FaultWindows;
 
-  readonly #workers = new WorkerLedger();
+  readonly #workers = new WorkerTracker();
 
   readonly #ends = new EndRecords();
 
@@ -50,30 +50,30 @@
 
   readonly #drainingSinceMs = new Map<string, number>();
 
-  constructor(faults: FaultTimes) {
+  constructor(faults: FaultWindows) {
     this.#faults = faults;
-    this.lasting = new LastingTasks(faults, this.#workers);
+    this.persistentTasks = new PersistentTasks(faults, this.#workers);
   }
 
   /** The step of a task that somebody has asked for. */
   stepOf(taskName: string): SoakStep | undefined {
-    const place = toTaskPlace(taskName);
+    const place = parseTaskName(taskName);
     if (place === undefined) return undefined;
     return this.submissions.get(place.submissionId)?.submission.steps[place.stepIndex];
   }
 
-  noteWorker(life: WorkerLife): void {
-    this.#workers.add(life);
+  noteWorker(incarnation: WorkerIncarnation): void {
+    this.#workers.add(incarnation);
   }
 
-  noteDraining(lifeKey: string, nowMs: number): void {
-    this.#workers.close(lifeKey);
-    this.#drainingSinceMs.set(lifeKey, nowMs);
+  noteDraining(incarnationKey: string, nowMs: number): void {
+    this.#workers.markDraining(incarnationKey);
+    this.#drainingSinceMs.set(incarnationKey, nowMs);
   }
 
   /** The process has ended, and all that ran on it. */
-  noteWorkerGone(lifeKey: string): void {
-    this.#workers.remove(lifeKey);
+  noteWorkerGone(incarnationKey: string): void {
+    this.#workers.remove(incarnationKey);
   }
 
   noteSubmission(submission: SoakSubmission): void {
@@ -85,8 +85,8 @@
     if (record === undefined || record.acceptedAtMs !== undefined) return;
     record.acceptedAtMs = nowMs;
     this.counts.accepted += 1;
-    if (record.isRefused) this.#find(`${id} was accepted after it was refused`, nowMs);
-    this.lasting.noteAccepted(record.submission, nowMs);
+    if (record.isRefused) this.#addFinding(`${id} was accepted after it was refused`, nowMs);
+    this.persistentTasks.noteAccepted(record.submission, nowMs);
   }
 
   /** Every attempt to hand it in was turned down. */
@@ -95,13 +95,13 @@
     if (record === undefined) return;
     record.isRefused = true;
     this.counts.refused += 1;
-    if (record.hasStarted) this.#find(`${id} was refused and has started`, nowMs);
+    if (record.hasStarted) this.#addFinding(`${id} was refused and has started`, nowMs);
   }
 
   noteCancelSent(id: string): void {
     const record = this.submissions.get(id);
     if (record !== undefined) record.isCancelSent = true;
-    this.lasting.noteCancelSent(id);
+    this.persistentTasks.noteCancelSent(id);
   }
 
   noteCancelled(id: string, nowMs: number): void {
@@ -117,97 +117,108 @@
     if (record === undefined) return;
     this.counts.states += 1;
     record.lastState = state;
-    const isDue = record.acceptedAtMs !== undefined && sentAtMs > record.acceptedAtMs + VISIBLE_MS;
+    const isDue =
+      record.acceptedAtMs !== undefined && sentAtMs > record.acceptedAtMs + VISIBLE_BOUND_MS;
     if (state === undefined) {
-      if (isDue) this.#find(`${id} was accepted and is answered 410`, nowMs);
+      if (isDue) this.#addFinding(`${id} was accepted and is answered 410`, nowMs);
       return;
     }
-    if (record.isRefused) this.#find(`${id} was refused and is shown as ${state}`, nowMs);
-    if (state === 'failed') this.#find(`${id} is shown as failed`, nowMs);
+    if (record.isRefused) this.#addFinding(`${id} was refused and is shown as ${state}`, nowMs);
+    if (state === 'failed') this.#addFinding(`${id} is shown as failed`, nowMs);
     if (state === 'cancelled' && !record.isCancelSent) {
-      this.#find(`${id} is shown as cancelled, which nobody asked for`, nowMs);
+      this.#addFinding(`${id} is shown as cancelled, which nobody asked for`, nowMs);
     }
     if (state !== 'complete') return;
     record.completeAtMs ??= nowMs;
     const open = record.allTaskNames().filter((name) => !this.#ends.isDone(name));
-    if (open.length > 0) this.#find(`${id} is shown as complete without ${open[0]}`, nowMs);
+    if (open.length > 0) this.#addFinding(`${id} is shown as complete without ${open[0]}`, nowMs);
   }
 
-  noteStart({ lifeKey, taskName, run, fence }: StartNote, nowMs: number): void {
+  noteStart({ incarnationKey, taskName, run, fence }: StartEvent, nowMs: number): void {
     this.counts.starts += 1;
-    const name = `${taskName} run ${run} at ${lifeKey}`;
-    const record = this.submissions.get(toTaskPlace(taskName)?.submissionId ?? '');
+    const name = `${taskName} run ${run} at ${incarnationKey}`;
+    const record = this.submissions.get(parseTaskName(taskName)?.submissionId ?? '');
     const step = this.stepOf(taskName);
     if (record === undefined || step === undefined) {
-      this.#find(`${name}: nobody asked for it`, nowMs);
+      this.#addFinding(`${name}: nobody asked for it`, nowMs);
       return;
     }
     record.hasStarted = true;
-    if (record.isRefused) this.#find(`${name}: starts, and was refused`, nowMs);
-    const places = this.#workers.placesOf(taskName);
-    if (places.length > 0) this.#find(`${name}: runs at ${places.join(', ')} too`, nowMs);
-    this.#workers.start(lifeKey, taskName, step.size);
-    if (this.#workers.isOverCapacity(lifeKey)) this.#find(`${name}: is over capacity`, nowMs);
-    if (this.#ends.hasRecordedDone(taskName)) this.#find(`${name}: its end is recorded`, nowMs);
+    if (record.isRefused) this.#addFinding(`${name}: starts, and was refused`, nowMs);
+    const incarnations = this.#workers.incarnationsRunning(taskName);
+    if (incarnations.length > 0)
+      this.#addFinding(`${name}: runs at ${incarnations.join(', ')} too`, nowMs);
+    this.#workers.start(incarnationKey, taskName, step.size);
+    if (this.#workers.isOverCapacity(incarnationKey))
+      this.#addFinding(`${name}: is over capacity`, nowMs);
+    if (this.#ends.hasRecordedDone(taskName))
+      this.#addFinding(`${name}: its end is recorded`, nowMs);
     this.#lastStartsMs.set(taskName, nowMs);
-    this.lasting.noteStart(taskName, nowMs);
+    this.persistentTasks.noteStart(taskName, nowMs);
     this.#checkOrder(record.submission, step.after, name, nowMs);
-    this.#checkTimes(record, lifeKey, name, nowMs);
-    this.noteFence(lifeKey, fence, nowMs);
+    this.#checkTimes(record, incarnationKey, name, nowMs);
+    this.noteFence(incarnationKey, fence, nowMs);
   }
 
-  noteEnd(lifeKey: string, taskName: string, outcome: RunOutcome, nowMs: number): void {
+  noteEnd(incarnationKey: string, taskName: string, outcome: RunOutcome, nowMs: number): void {
     this.counts.ends += 1;
-    this.#workers.end(lifeKey, taskName);
-    if (outcome === RunOutcome.Done) this.#ends.noteDone(lifeKey, taskName, nowMs);
-    this.lasting.noteEnd(taskName, nowMs);
+    this.#workers.end(incarnationKey, taskName);
+    if (outcome === RunOutcome.Done) this.#ends.noteDone(incarnationKey, taskName, nowMs);
+    this.persistentTasks.noteEnd(taskName, nowMs);
   }
 
-  noteListed(lifeKey: string, sequence: number, taskName: string): void {
-    this.#ends.noteListed(lifeKey, sequence, taskName);
+  noteListed(incarnationKey: string, sequence: number, taskName: string): void {
+    this.#ends.noteListed(incarnationKey, sequence, taskName);
   }
 
   /** An end that a lapse of the worker's lease came before is not owed any more. */
-  noteLeaseLapsed(lifeKey: string): void {
-    this.#ends.noteLeaseLapsed(lifeKey);
+  noteLeaseLapsed(incarnationKey: string): void {
+    this.#ends.noteLeaseLapsed(incarnationKey);
   }
 
-  noteAcknowledged(lifeKey: string, sequence: number, nowMs: number): void {
-    this.#ends.acknowledge(lifeKey, sequence).forEach(({ taskName, endedAtMs }: EndRecord) => {
-      const startedAtMs = this.#lastStartsMs.get(taskName) ?? 0;
-      if (startedAtMs <= endedAtMs) return;
-      this.#find(`${taskName}: started after the end that is recorded now`, nowMs);
-    });
+  noteAcknowledged(incarnationKey: string, sequence: number, nowMs: number): void {
+    this.#ends
+      .acknowledge(incarnationKey, sequence)
+      .forEach(({ taskName, endedAtMs }: EndRecord) => {
+        const startedAtMs = this.#lastStartsMs.get(taskName) ?? 0;
+        if (startedAtMs <= endedAtMs) return;
+        this.#addFinding(`${taskName}: started after the end that is recorded now`, nowMs);
+      });
   }
 
   /** An order with this fence had effect. */
-  noteFence(lifeKey: string, fence: number, nowMs: number): void {
-    const fault = this.#workers.noteFence(lifeKey, fence, nowMs);
-    if (fault !== undefined) this.#find(`${lifeKey}: ${fault}`, nowMs);
+  noteFence(incarnationKey: string, fence: number, nowMs: number): void {
+    const fault = this.#workers.noteFence(incarnationKey, fence, nowMs);
+    if (fault !== undefined) this.#addFinding(`${incarnationKey}: ${fault}`, nowMs);
   }
 
   /** What only time shows; to be called several times a second. */
   advance(nowMs: number): void {
-    this.lasting.advance(nowMs).forEach((text) => this.#find(text, nowMs));
+    this.persistentTasks.advance(nowMs).forEach((text) => this.#addFinding(text, nowMs));
   }
 
   /** Accepted submissions that are owed and have not been shown in their last state. */
   unfinished(): readonly string[] {
     return [...this.submissions.values()]
-      .filter((record) => record.isOwed && !record.submission.steps[0]?.isPersistent)
+      .filter((record) => record.isExpectedToComplete && !record.submission.steps[0]?.isPersistent)
       .filter((record) => record.lastState !== 'complete')
       .map(({ submission }) => submission.id);
   }
 
   noteUnfinished(nowMs: number): void {
     this.unfinished().forEach((id) => {
-      this.#find(`${id} is ${this.submissions.get(id)?.lastState ?? 'unknown'} at the end`, nowMs);
+      this.#addFinding(
+        `${id} is ${this.submissions.get(id)?.lastState ?? 'unknown'} at the end`,
+        nowMs,
+      );
     });
-    this.lasting.waiting().forEach((name) => this.#find(`${name} waits at the end`, nowMs));
+    this.persistentTasks
+      .waiting()
+      .forEach((name) => this.#addFinding(`${name} waits at the end`, nowMs));
   }
 
   noteUnexpected(text: string, nowMs: number): void {
-    this.#find(text, nowMs);
+    this.#addFinding(text, nowMs);
   }
 
   #checkOrder(
@@ -219,26 +230,29 @@
     const open = after
       .flatMap((stepIndex) => taskNames(submission, stepIndex))
       .filter((earlier) => !this.#ends.isDone(earlier));
-    if (open.length > 0) this.#find(`${name}: starts before ${open[0]} is done`, nowMs);
+    if (open.length > 0) this.#addFinding(`${name}: starts before ${open[0]} is done`, nowMs);
   }
 
-  #checkTimes(record: SubmissionRecord, lifeKey: string, name: string, nowMs: number): void {
+  #checkTimes(record: SubmissionRecord, incarnationKey: string, name: string, nowMs: number): void {
     const isLate = (sinceMs: number | undefined, boundMs: number): boolean =>
       sinceMs !== undefined &&
       nowMs - sinceMs > boundMs &&
-      !this.#faults.isCoreDisturbed(sinceMs - STABLE_MS, nowMs);
-    if (isLate(record.cancelledAtMs, CANCEL_MS)) {
-      this.#find(`${name}: starts ${nowMs - (record.cancelledAtMs ?? 0)} ms after cancel`, nowMs);
+      !this.#faults.hasCoreFault(sinceMs - DISTURBANCE_MARGIN_MS, nowMs);
+    if (isLate(record.cancelledAtMs, CANCEL_BOUND_MS)) {
+      this.#addFinding(
+        `${name}: starts ${nowMs - (record.cancelledAtMs ?? 0)} ms after cancel`,
+        nowMs,
+      );
     }
-    if (isLate(record.completeAtMs, LATE_START_MS)) {
-      this.#find(`${name}: starts after complete was shown`, nowMs);
+    if (isLate(record.completeAtMs, LATE_START_BOUND_MS)) {
+      this.#addFinding(`${name}: starts after complete was shown`, nowMs);
     }
-    if (isLate(this.#drainingSinceMs.get(lifeKey), DRAIN_MS)) {
-      this.#find(`${name}: starts on a worker that drains`, nowMs);
+    if (isLate(this.#drainingSinceMs.get(incarnationKey), DRAIN_BOUND_MS)) {
+      this.#addFinding(`${name}: starts on a worker that drains`, nowMs);
     }
   }
 
-  #find(text: string, nowMs: number): void {
+  #addFinding(text: string, nowMs: number): void {
     this.findings.push(`${Math.round(nowMs)} ms: ${text}`);
   }
 }
--- a/soak/test/platform/platformRun.ts
+++ b/soak/test/platform/platformRun.ts
@@ -8,9 +8,9 @@
 import { type Row, StoreServer } from '../../../platform/test/storeServer.js';
 import { DaemonInstance } from './daemonInstance.js';
 import { drawPlan, type Scenario } from './faultPlan.js';
-import { FaultTimes } from './faultTimes.js';
+import { FaultWindows } from './faultWindows.js';
 import { FleetWorker } from './fleetWorker.js';
-import { SERVICE } from './fleetWorkerParts.js';
+import { SERVICE } from './fleetWorkerOptions.js';
 import { PlatformJudge } from './platformJudge.js';
 import { QUEUE_HOST, QUEUE_PREFIX, SoakClients } from './soakClients.js';
 import { SoakFaults } from './soakFaults.js';
@@ -30,10 +30,10 @@
 const zoneAt = (index: number): Zone => ZONES[index % ZONES.length] ?? 'zone-a';
 
 /** An entry of a worker with the address at which a zone's instances meet it. */
-const seenFrom = (zone: Zone, { Value = '', ...row }: Row): Row => {
+const toRowSeenFromZone = (zone: Zone, { Value = '', ...row }: Row): Row => {
   const text = Buffer.from(Value, 'base64').toString();
-  const shown = text.replace('127.0.0.1', ZONE_HOSTS[zone]);
-  return { ...row, Value: Buffer.from(shown).toString('base64') };
+  const zoneText = text.replace('127.0.0.1', ZONE_HOSTS[zone]);
+  return { ...row, Value: Buffer.from(zoneText).toString('base64') };
 };
 
 const CONFIGURATION = {
@@ -63,9 +63,9 @@
 
   readonly #store = new StoreServer();
 
-  readonly #times = new FaultTimes();
+  readonly #faultWindows = new FaultWindows();
 
-  readonly #judge = new PlatformJudge(this.#times);
+  readonly #judge = new PlatformJudge(this.#faultWindows);
 
   readonly #instances: DaemonInstance[] = [];
 
@@ -107,9 +107,9 @@
       await this.#close();
       process.removeListener('exit', killAll);
     }
-    const { lasting, counts, findings } = this.#judge;
+    const { persistentTasks, counts, findings } = this.#judge;
     const unanswered = this.#clients?.unansweredCount ?? 0;
-    const longestWaitMs = Math.round(lasting.longestWaitMs);
+    const longestWaitMs = Math.round(persistentTasks.longestWaitMs);
     return { findings, figures: { ...counts, unanswered, longestWaitMs, faults: plan.length } };
   }
 
@@ -125,8 +125,8 @@
       const zone = zoneAt(index);
       const onUnexpectedExit = (text: string): void => this.#noteUnexpected(text);
       const hosts = { storePort, relayHost: `127.0.1.${index + 1}` };
-      const parts = { id: `instance-${index}`, zone, folder, ...hosts, onUnexpectedExit };
-      this.#instances.push(new DaemonInstance(parts));
+      const options = { id: `instance-${index}`, zone, folder, ...hosts, onUnexpectedExit };
+      this.#instances.push(new DaemonInstance(options));
     }
     const random = new SeededRandom(seed + 1);
     const judge = this.#judge;
@@ -138,7 +138,7 @@
     this.#store.show = (row, host) => {
       const zone = zones.get(host);
       const isEntry = row.Table === 'servers' && row.Value !== undefined;
-      return isEntry && zone !== undefined ? seenFrom(zone, row) : row;
+      return isEntry && zone !== undefined ? toRowSeenFromZone(zone, row) : row;
     };
     await Promise.all(this.#instances.map((instance) => instance.start()));
     await delay(WARM_UP_MS);
@@ -155,7 +155,7 @@
       store: this.#store,
       nowMs: () => this.#nowMs(),
       taskOf: (taskName) => this.#clients?.taskOf(taskName) ?? { workMs: 0, end: 'done' },
-      isLasting: (taskName) => this.#judge.stepOf(taskName)?.isPersistent === true,
+      isPersistentTask: (taskName) => this.#judge.stepOf(taskName)?.isPersistent === true,
       advanceAll: () => this.#advanceWorkers(),
       log: this.#write,
     });
@@ -175,10 +175,10 @@
       workers: () => this.#workers,
       addWorker: () => this.#addWorker(),
       store: storeFaults,
-      times: this.#times,
+      faultWindows: this.#faultWindows,
       nowMs: () => this.#nowMs(),
       log: this.#write,
-      find: (text) => this.#noteUnexpected(text),
+      addFinding: (text) => this.#noteUnexpected(text),
     });
     await Promise.all([
       delay(this.#options.durationMs),
@@ -199,7 +199,7 @@
   async #settle(clients: SoakClients): Promise<void> {
     const endsAtMs = this.#nowMs() + SETTLE_MS;
     const isOpen = (): boolean =>
-      this.#judge.unfinished().length > 0 || this.#judge.lasting.waiting().length > 0;
+      this.#judge.unfinished().length > 0 || this.#judge.persistentTasks.waiting().length > 0;
     while (isOpen() && this.#nowMs() < endsAtMs) {
       // eslint-disable-next-line no-await-in-loop -- reads again until all have ended
       await Promise.all(this.#judge.unfinished().map((id) => clients.read(id)));
--- a/soak/test/platform/silentPort.ts
+++ b/soak/test/platform/silentPort.ts
@@ -5,22 +5,22 @@
 import { createConnection, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
 
-const GO = 0;
+const TAKE_OVER = 0;
 const LISTENING = 1;
 const LISTEN_TIMEOUT_MS = 2_000;
 /** What a queue of length one takes. */
 const QUEUED_CONNECTIONS = 2;
 
-const HOLDER = `
+const LISTENER_SOURCE = `
 const { workerData: { port, hosts, signal } } = require('node:worker_threads');
-Atomics.wait(signal, ${GO}, 0);
+Atomics.wait(signal, ${TAKE_OVER}, 0);
 let left = hosts.length;
 hosts.forEach((host) => require('node:net').createServer().listen({ port, host, backlog: 1 }, () => {
   left -= 1;
   if (left > 0) return;
   Atomics.store(signal, ${LISTENING}, 1);
   Atomics.notify(signal, ${LISTENING});
-  Atomics.wait(signal, ${GO}, 1);
+  Atomics.wait(signal, ${TAKE_OVER}, 1);
 }));`;
 
 export class SilentPort {
@@ -39,14 +39,14 @@
     this.#port = port;
     this.#hosts = hosts;
     const workerData = { port, hosts, signal: this.#signal };
-    this.#thread = new Worker(HOLDER, { eval: true, workerData });
+    this.#thread = new Worker(LISTENER_SOURCE, { eval: true, workerData });
     this.#thread.on('error', () => {});
   }
 
   /** Takes the port, which must be free; false when it could not. */
   takeOver(): boolean {
-    Atomics.store(this.#signal, GO, 1);
-    Atomics.notify(this.#signal, GO);
+    Atomics.store(this.#signal, TAKE_OVER, 1);
+    Atomics.notify(this.#signal, TAKE_OVER);
     const isTaken = Atomics.wait(this.#signal, LISTENING, 0, LISTEN_TIMEOUT_MS) !== 'timed-out';
     const hosts = isTaken ? this.#hosts : [];
     hosts
--- a/soak/test/platform/soakClients.ts
+++ b/soak/test/platform/soakClients.ts
@@ -18,19 +18,19 @@
 const CANCEL_ATTEMPTS = 10;
 const SUBMIT_INTERVAL_MS = 300;
 const READ_INTERVAL_MS = 40;
-const FIRST_LASTING = 8;
-const LASTING_LIMIT = 14;
-const LASTING_RATIO = 0.06;
+const INITIAL_PERSISTENT_COUNT = 8;
+const PERSISTENT_LIMIT = 14;
+const PERSISTENT_RATIO = 0.06;
 const REPEAT = { ratio: 0.15, withinMs: 4_000 };
 const CANCEL = { ratio: 0.12, withinMs: 2_500 };
-const CANCEL_LASTING = { ratio: 0.25, withinMs: 25_000 };
+const CANCEL_PERSISTENT = { ratio: 0.25, withinMs: 25_000 };
 /** Tasks that last and end by themselves do so within this time. */
 const FAILING = { ratio: 0.3, leastMs: 4_000, withinMs: 20_000 };
 const NEVER_MS = 2 ** 40;
 const OK = 200;
 const GONE = 410;
 const REFUSALS: readonly number[] = [429, 503];
-const UNSURE: readonly number[] = [502, 504];
+const UNCERTAIN: readonly number[] = [502, 504];
 
 interface Answer {
   readonly statusCode: number | undefined;
@@ -55,7 +55,7 @@
 
   #isReading = true;
 
-  #lastingCount = 0;
+  #persistentCount = 0;
 
   unansweredCount = 0;
 
@@ -83,17 +83,17 @@
   }
 
   async submitUntilStopped(): Promise<void> {
-    const lives: Promise<void>[] = [];
+    const lifecycles: Promise<void>[] = [];
     while (this.#isSubmitting) {
-      const isFirst = this.#lastingCount < FIRST_LASTING;
-      const isDrawn = this.#random.nextFraction() < LASTING_RATIO;
-      const isLasting = isFirst || (isDrawn && this.#lastingCount < LASTING_LIMIT);
-      if (isLasting) this.#lastingCount += 1;
-      lives.push(this.#live(drawSubmission(this.#random, isLasting), isLasting));
+      const isInitial = this.#persistentCount < INITIAL_PERSISTENT_COUNT;
+      const isDrawn = this.#random.nextFraction() < PERSISTENT_RATIO;
+      const isPersistent = isInitial || (isDrawn && this.#persistentCount < PERSISTENT_LIMIT);
+      if (isPersistent) this.#persistentCount += 1;
+      lifecycles.push(this.#runLifecycle(drawSubmission(this.#random, isPersistent), isPersistent));
       // eslint-disable-next-line no-await-in-loop -- one after the other
-      await delay(isFirst ? 1 : this.#random.nextIndex(SUBMIT_INTERVAL_MS));
+      await delay(isInitial ? 1 : this.#random.nextIndex(SUBMIT_INTERVAL_MS));
     }
-    await Promise.all(lives);
+    await Promise.all(lifecycles);
   }
 
   async readUntilStopped(): Promise<void> {
@@ -121,13 +121,13 @@
     }
   }
 
-  async #live(submission: SoakSubmission, isLasting: boolean): Promise<void> {
+  async #runLifecycle(submission: SoakSubmission, isPersistent: boolean): Promise<void> {
     const { id } = submission;
     this.#judge.noteSubmission(submission);
-    await this.#handIn(submission);
+    await this.#submit(submission);
     if (this.#judge.submissions.get(id)?.acceptedAtMs === undefined) return;
     this.#accepted.push(id);
-    const cancel = isLasting ? CANCEL_LASTING : CANCEL;
+    const cancel = isPersistent ? CANCEL_PERSISTENT : CANCEL;
     const isRepeated = this.#random.nextFraction() < REPEAT.ratio;
     const isCancelled = this.#random.nextFraction() < cancel.ratio;
     const repeatAfterMs = this.#random.nextIndex(REPEAT.withinMs);
@@ -138,7 +138,7 @@
     ]);
   }
 
-  async #handIn(submission: SoakSubmission): Promise<void> {
+  async #submit(submission: SoakSubmission): Promise<void> {
     const { id } = submission;
     const statuses: (number | undefined)[] = [];
     for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
@@ -149,7 +149,8 @@
         this.#judge.noteAccepted(id, this.#nowMs());
         return;
       }
-      const isExpected = statusCode === undefined || [...REFUSALS, ...UNSURE].includes(statusCode);
+      const isExpected =
+        statusCode === undefined || [...REFUSALS, ...UNCERTAIN].includes(statusCode);
       if (!isExpected) this.#judge.noteUnexpected(`${id} is answered ${statusCode}`, this.#nowMs());
       // eslint-disable-next-line no-await-in-loop
       await delay(RETRY_MS);
@@ -180,8 +181,8 @@
     submission?: SoakSubmission,
   ): Promise<Answer> {
     const sentAtMs = this.#nowMs();
-    const present = this.#instances.filter(({ pool }) => pool !== undefined);
-    const instance = present[this.#random.nextIndex(Math.max(1, present.length))];
+    const running = this.#instances.filter(({ pool }) => pool !== undefined);
+    const instance = running[this.#random.nextIndex(Math.max(1, running.length))];
     const pool = instance?.pool;
     if (pool === undefined) return { statusCode: undefined, state: undefined, sentAtMs };
     try {
--- a/soak/test/platform/soakParts.test.ts
+++ b/soak/test/platform/soakComponents.test.ts
@@ -9,9 +9,9 @@
 import { SilentRelay } from '../../../standIns/relay/silentRelay.js';
 import { RunEnd } from '../../../src/services/fleet/common/fleetWorker.js';
 import { StoreServer } from '../../../platform/test/storeServer.js';
-import { FaultTimes } from './faultTimes.js';
+import { FaultWindows } from './faultWindows.js';
 import { FleetWorker } from './fleetWorker.js';
-import { Absence } from './fleetWorkerParts.js';
+import { Absence } from './fleetWorkerOptions.js';
 import { PlatformJudge } from './platformJudge.js';
 import { ZONE_HOSTS, ZONES } from './soakTypes.js';
 import { drawPlan, FaultKind, Scenario } from './faultPlan.js';
@@ -57,22 +57,22 @@
     ['outside, is not reached from that zone, and is in the table', false],
   ])('%s', async (_, isInside) => {
     const store = new StoreServer();
-    const judge = new PlatformJudge(new FaultTimes());
+    const judge = new PlatformJudge(new FaultWindows());
     const taskOf = () => ({ workMs: 0, end: RunEnd.Done });
-    const calls = { nowMs: () => 0, taskOf, isLasting: () => false };
+    const calls = { nowMs: () => 0, taskOf, isPersistentTask: () => false };
     const told = { advanceAll: () => {}, log: () => {}, judge, store };
     const zone = 'zone-b';
     const worker = new FleetWorker({ id: 'w', zone, rack: '', clockRate: 1, ...calls, ...told });
     await worker.start();
-    const reached = () =>
+    const connectionOutcomes = () =>
       Promise.all(ZONES.map((from) => outcomeOf(worker.port, ZONE_HOSTS[from])));
     const cut = worker.cut(Absence.Refusing, 3_800, isInside ? zone : 'zone-a');
     const other = isInside ? 'refused' : 'connected';
-    expect(await reached()).toEqual(['refused', 'connected', other]);
+    expect(await connectionOutcomes()).toEqual(['refused', 'connected', other]);
     await delay(3_400);
     expect(store.keys('servers')).toEqual(isInside ? [] : ['w']);
     await cut;
-    expect(await reached()).toEqual(['connected', 'connected', 'connected']);
+    expect(await connectionOutcomes()).toEqual(['connected', 'connected', 'connected']);
     expect(store.keys('servers')).toEqual(['w']);
     await worker.close();
   });
--- a/soak/test/platform/soakFaults.ts
+++ b/soak/test/platform/soakFaults.ts
@@ -6,38 +6,38 @@
 import { Silence } from '../../../standIns/relay/silentRelay.js';
 import type { DaemonInstance } from './daemonInstance.js';
 import { FaultKind, type PlannedFault } from './faultPlan.js';
-import type { FaultTimes } from './faultTimes.js';
+import type { FaultWindows } from './faultWindows.js';
 import type { FleetWorker } from './fleetWorker.js';
-import { Absence } from './fleetWorkerParts.js';
+import { Absence } from './fleetWorkerOptions.js';
 import { FaultScope, type SoakLog, ZONES } from './soakTypes.js';
 import type { StoreFaults } from './storeFaults.js';
 
-const TURN_MS = 2_000;
+const STOP_INTERVAL_MS = 2_000;
 const RESTART_MS = 300;
 const LEAVE_INTERVAL_MS = 700;
 /** From a worker's word that it drains to its end. */
-const NOTICE_MS = 4_500;
+const DRAIN_MS = 4_500;
 /** How long it says that it stays at the least. */
-const TOLD_MS = 2_000;
+const ANNOUNCED_STAY_MS = 2_000;
 const LOST_ENTRY_MS = 3_300;
-const RESTARTS = 4;
+const RESTART_COUNT = 4;
 /** Both for the time that a process is away and for the time that it is back. */
 const RESTART_SPREAD_MS = 1_200;
 const SLOW_STORE_MS = 400;
 const LOST_ANSWER_RATIO = 0.3;
-const HIT_RATIO = 0.4;
-const ALL = 1;
-const TURNED_AWAY: readonly StoreOutcome[] = ['refuse', 'reset', 'ignore'];
+const AFFECTED_RATIO = 0.4;
+const ALL_CALLS_RATIO = 1;
+const REFUSAL_OUTCOMES: readonly StoreOutcome[] = ['refuse', 'reset', 'ignore'];
 
 export interface FaultTargets {
   readonly instances: readonly DaemonInstance[];
   readonly workers: () => readonly FleetWorker[];
   readonly addWorker: () => Promise<void>;
   readonly store: StoreFaults;
-  readonly times: FaultTimes;
+  readonly faultWindows: FaultWindows;
   readonly nowMs: () => number;
   readonly log: SoakLog;
-  readonly find: (text: string) => void;
+  readonly addFinding: (text: string) => void;
 }
 
 const shuffled = <T>(items: readonly T[], random: RandomSource): T[] =>
@@ -90,9 +90,9 @@
       }
       case FaultKind.ResetConnections:
       case FaultKind.SilenceConnections:
-        return this.#harmConnections(kind, random);
+        return this.#disturbConnections(kind, random);
       default:
-        return this.#harmStore(kind, durationMs, random);
+        return this.#disturbStore(kind, durationMs, random);
     }
   }
 
@@ -103,13 +103,13 @@
       const next = instance ?? this.#steadyInstances()[0];
       if (next !== undefined) stops.push(this.#stop(next));
       // eslint-disable-next-line no-await-in-loop -- one after the other
-      if (index + 1 < count) await delay(TURN_MS);
+      if (index + 1 < count) await delay(STOP_INTERVAL_MS);
     }
     await Promise.all(stops);
   }
 
   async #stop(instance: DaemonInstance): Promise<void> {
-    const { log, find, times, nowMs } = this.#targets;
+    const { log, addFinding: find, faultWindows: times, nowMs } = this.#targets;
     log('stop', { instance: instance.id });
     const askedAtMs = nowMs();
     times.add(FaultScope.Planned, askedAtMs, askedAtMs);
@@ -121,7 +121,7 @@
   }
 
   async #killInstances(instances: readonly DaemonInstance[]): Promise<void> {
-    this.#note(FaultScope.Unplanned, RESTART_MS);
+    this.#addFaultWindow(FaultScope.Unplanned, RESTART_MS);
     await Promise.all(
       instances.map(async (instance) => {
         this.#targets.log('kill', { instance: instance.id });
@@ -135,7 +135,7 @@
   async #freeze(instance: DaemonInstance | undefined, durationMs: number): Promise<void> {
     if (instance === undefined) return;
     this.#targets.log('freeze', { instance: instance.id });
-    this.#note(FaultScope.Core, durationMs);
+    this.#addFaultWindow(FaultScope.Core, durationMs);
     instance.freeze();
     await delay(durationMs);
     instance.resume();
@@ -154,22 +154,22 @@
 
   async #leave(worker: FleetWorker, absence: Absence): Promise<void> {
     if (!worker.isUp || worker.isDraining || worker.isCut) return;
-    this.#note(FaultScope.Planned, NOTICE_MS);
+    this.#addFaultWindow(FaultScope.Planned, DRAIN_MS);
     this.#targets.log('drain', { worker: worker.id });
-    worker.drain(TOLD_MS);
-    await delay(NOTICE_MS);
+    worker.drain(ANNOUNCED_STAY_MS);
+    await delay(DRAIN_MS);
     this.#targets.log('leave', { worker: worker.id, absence });
     worker.leave(absence);
     await this.#targets.addWorker();
   }
 
   async #addWorkers(count: number): Promise<void> {
-    this.#note(FaultScope.Planned, 0);
+    this.#addFaultWindow(FaultScope.Planned, 0);
     await Promise.all(Array.from({ length: count }, () => this.#targets.addWorker()));
   }
 
   async #crash(workers: readonly FleetWorker[], absence: Absence, backMs: number): Promise<void> {
-    this.#note(FaultScope.Unplanned, backMs);
+    this.#addFaultWindow(FaultScope.Unplanned, backMs);
     const ids = workers.map(({ id }) => id);
     this.#targets.log('crash', { workers: ids, absence, backMs });
     await Promise.all(workers.map((worker) => worker.crash(absence, backMs)));
@@ -181,7 +181,9 @@
     random: RandomSource,
   ): Promise<void> {
     const restarts = workers.map((worker) => {
-      const draws = Array.from({ length: 2 * RESTARTS }, () => random.nextIndex(RESTART_SPREAD_MS));
+      const draws = Array.from({ length: 2 * RESTART_COUNT }, () =>
+        random.nextIndex(RESTART_SPREAD_MS),
+      );
       return this.#restart(worker, absence, draws);
     });
     await Promise.all(restarts);
@@ -196,21 +198,21 @@
   }
 
   async #lose(workers: readonly FleetWorker[], absence: Absence): Promise<void> {
-    this.#note(FaultScope.Unplanned, LOST_ENTRY_MS);
+    this.#addFaultWindow(FaultScope.Unplanned, LOST_ENTRY_MS);
     this.#targets.log('lose', { workers: workers.map(({ id }) => id), absence });
     await Promise.all(workers.map((worker) => worker.crash(absence, undefined)));
     await this.#addWorkers(workers.length);
   }
 
   async #cut(workers: readonly FleetWorker[], absence: Absence, durationMs: number): Promise<void> {
-    this.#note(FaultScope.Unplanned, durationMs);
+    this.#addFaultWindow(FaultScope.Unplanned, durationMs);
     this.#targets.log('cut', { workers: workers.map(({ id }) => id), absence, durationMs });
     await Promise.all(workers.map((worker) => worker.cut(absence, durationMs)));
   }
 
   async #cutZone(random: RandomSource, absence: Absence, durationMs: number): Promise<void> {
     const zone = ZONES[random.nextIndex(ZONES.length)] ?? 'zone-a';
-    this.#note(FaultScope.Core, durationMs);
+    this.#addFaultWindow(FaultScope.Core, durationMs);
     this.#targets.log('cut-zone', { zone, absence, durationMs });
     const heals = this.#targets.instances
       .filter((instance) => instance.zone === zone)
@@ -222,14 +224,14 @@
     this.#targets.log('fault-ended', { kind: FaultKind.CutZone, zone });
   }
 
-  async #harmConnections(kind: FaultKind, random: RandomSource): Promise<void> {
-    this.#note(FaultScope.Core, 0);
+  async #disturbConnections(kind: FaultKind, random: RandomSource): Promise<void> {
+    this.#addFaultWindow(FaultScope.Core, 0);
     const directions = Object.values(Silence);
     const direction = directions[random.nextIndex(directions.length)] ?? Silence.Both;
     const isReset = kind === FaultKind.ResetConnections;
-    const isHit = (): boolean => random.nextFraction() < HIT_RATIO;
-    const instances = this.#targets.instances.filter(isHit);
-    const workers = this.#steadyWorkers().filter(isHit);
+    const isAffected = (): boolean => random.nextFraction() < AFFECTED_RATIO;
+    const instances = this.#targets.instances.filter(isAffected);
+    const workers = this.#steadyWorkers().filter(isAffected);
     const ids = [...instances, ...workers].map(({ id }) => id);
     this.#targets.log('connections', { kind, direction, ids });
     instances
@@ -240,8 +242,8 @@
     );
   }
 
-  async #harmStore(kind: FaultKind, durationMs: number, random: RandomSource): Promise<void> {
-    this.#note(FaultScope.Core, durationMs);
+  async #disturbStore(kind: FaultKind, durationMs: number, random: RandomSource): Promise<void> {
+    this.#addFaultWindow(FaultScope.Core, durationMs);
     const end = this.#targets.store.add(this.#storeRule(kind, random));
     await delay(durationMs);
     end();
@@ -250,26 +252,26 @@
 
   #storeRule(kind: FaultKind, random: RandomSource): Parameters<StoreFaults['add']>[0] {
     if (kind === FaultKind.StoreSlow) {
-      return { outcome: 'serve', ratio: ALL, delayMs: random.nextIndex(SLOW_STORE_MS) };
+      return { outcome: 'serve', ratio: ALL_CALLS_RATIO, delayMs: random.nextIndex(SLOW_STORE_MS) };
     }
     if (kind === FaultKind.StoreLosesAnswers) {
       return { outcome: 'lose-answer', ratio: LOST_ANSWER_RATIO, delayMs: 0 };
     }
-    const outcome = TURNED_AWAY[random.nextIndex(TURNED_AWAY.length)] ?? 'refuse';
+    const outcome = REFUSAL_OUTCOMES[random.nextIndex(REFUSAL_OUTCOMES.length)] ?? 'refuse';
     const isForSome = kind === FaultKind.StoreTurnsAway;
-    const hit = this.#targets.instances.filter(() => random.nextFraction() < HIT_RATIO);
+    const affected = this.#targets.instances.filter(() => random.nextFraction() < AFFECTED_RATIO);
     this.#targets.log('store', {
       kind,
       outcome,
-      ...(isForSome && { ids: hit.map(({ id }) => id) }),
+      ...(isForSome && { ids: affected.map(({ id }) => id) }),
     });
-    const hosts = isForSome ? { hosts: new Set(hit.map(({ storeHost }) => storeHost)) } : {};
-    return { outcome, ratio: ALL, delayMs: 0, ...hosts };
+    const hosts = isForSome ? { hosts: new Set(affected.map(({ storeHost }) => storeHost)) } : {};
+    return { outcome, ratio: ALL_CALLS_RATIO, delayMs: 0, ...hosts };
   }
 
-  #note(scope: FaultScope, durationMs: number): void {
+  #addFaultWindow(scope: FaultScope, durationMs: number): void {
     const nowMs = this.#targets.nowMs();
-    this.#targets.times.add(scope, nowMs, nowMs + durationMs);
+    this.#targets.faultWindows.add(scope, nowMs, nowMs + durationMs);
   }
 
   #steadyInstances(): readonly DaemonInstance[] {
--- a/soak/test/platform/soakSubmissions.ts
+++ b/soak/test/platform/soakSubmissions.ts
@@ -4,24 +4,26 @@
 
 const ID_DIGITS = 16;
 const SIZE = { processorMillis: 1_000, memoryMegabytes: 500 };
-const STEPS = 3;
-const TASKS = 5;
+const MAXIMUM_STEP_COUNT = 3;
+const MAXIMUM_TASK_COUNT = 5;
 const WORK_MS = { least: 200, spread: 1_500 };
 
 const drawId = (random: RandomSource): string =>
   Array.from({ length: ID_DIGITS }, () => random.nextIndex(16).toString(16)).join('');
 
 const drawStep = (random: RandomSource, index: number, isPersistent: boolean): SoakStep => ({
-  taskCount: 1 + random.nextIndex(TASKS),
+  taskCount: 1 + random.nextIndex(MAXIMUM_TASK_COUNT),
   size: SIZE,
   after: index === 0 ? [] : [index - 1],
   workMs: WORK_MS.least + random.nextIndex(WORK_MS.spread),
   isPersistent,
 });
 
-export const drawSubmission = (random: RandomSource, isLasting: boolean): SoakSubmission => {
-  const stepCount = isLasting ? 1 : 1 + random.nextIndex(STEPS);
-  const steps = Array.from({ length: stepCount }, (_, index) => drawStep(random, index, isLasting));
+export const drawSubmission = (random: RandomSource, isPersistent: boolean): SoakSubmission => {
+  const stepCount = isPersistent ? 1 : 1 + random.nextIndex(MAXIMUM_STEP_COUNT);
+  const steps = Array.from({ length: stepCount }, (_, index) =>
+    drawStep(random, index, isPersistent),
+  );
   return { id: drawId(random), steps };
 };
 
--- a/soak/test/platform/soakTypes.ts
+++ b/soak/test/platform/soakTypes.ts
@@ -25,7 +25,7 @@
 }
 
 /** One life of a worker; a restart under the same id is another life. */
-export interface WorkerLife {
+export interface WorkerIncarnation {
   readonly key: string;
   readonly workerId: string;
   readonly capacity: TaskSize;
@@ -44,13 +44,13 @@
 } as const;
 export type FaultScope = (typeof FaultScope)[keyof typeof FaultScope];
 
-export interface TaskPlace {
+export interface TaskPosition {
   readonly submissionId: string;
   readonly stepIndex: number;
 }
 
 /** Undefined for a name that is no task's. */
-export const toTaskPlace = (taskName: string): TaskPlace | undefined => {
+export const parseTaskName = (taskName: string): TaskPosition | undefined => {
   const [submissionId, occurrence, step, index] = taskName.split('.');
   if (submissionId === undefined || occurrence !== '0' || index === undefined) return undefined;
   return { submissionId, stepIndex: Number(step) };
--- a/soak/test/platform/storeFaults.ts
+++ b/soak/test/platform/storeFaults.ts
@@ -27,11 +27,11 @@
   }
 
   treat(host: string): StoreTreatment {
-    const met = [...this.#rules].filter(
+    const matching = [...this.#rules].filter(
       ({ hosts, ratio }) => hosts?.has(host) !== false && this.#random.nextFraction() < ratio,
     );
-    const worst = met.find(({ outcome }) => outcome !== 'serve');
-    const delayMs = Math.max(0, ...met.map((rule) => rule.delayMs));
+    const worst = matching.find(({ outcome }) => outcome !== 'serve');
+    const delayMs = Math.max(0, ...matching.map((rule) => rule.delayMs));
     return { delayMs, outcome: worst?.outcome ?? 'serve' };
   }
 }
--- a/soak/test/platform/submissionRecord.ts
+++ b/soak/test/platform/submissionRecord.ts
@@ -22,7 +22,7 @@
     this.submission = submission;
   }
 
-  get isOwed(): boolean {
+  get isExpectedToComplete(): boolean {
     return this.acceptedAtMs !== undefined && !this.isCancelSent;
   }
 
--- a/soak/test/found.test.ts
+++ b/soak/test/regressions.test.ts
@@ -3,7 +3,7 @@
 
 import { ledgerRowSchema } from '../../src/services/workload/common/workRows.js';
 import { expectSettled } from './soakCommands.js';
-import { SERVICE, TASK_SIZE } from './soakParts.js';
+import { SERVICE, TASK_SIZE } from './soakTypes.js';
 import { SoakWorld } from './soakWorld.js';
 
 const submit = (world: SoakWorld, taskCount: number, workMs: number): Promise<void> =>
@@ -92,7 +92,7 @@
     world.workers.forEach((worker) => Object.assign(worker, { isBad: true }));
     void submit(world, 1, 500);
     const attempts = new Map<number, { readonly workerId: string; readonly atMs: number }>();
-    const note = (): void =>
+    const recordAttempts = (): void =>
       world.table
         .read({ keys: [], prefixes: ['ledger/'] })
         .rows.flatMap(({ value }) => ledgerRowSchema.parse(value).assignments)
@@ -101,7 +101,7 @@
     while (attempts.size < 2 && world.nowMs < 30_000) {
       // eslint-disable-next-line no-await-in-loop -- time passes in steps
       await world.runFor(10);
-      note();
+      recordAttempts();
     }
     const [first, second] = [attempts.get(1), attempts.get(2)];
     expect((second?.atMs ?? 0) - (first?.atMs ?? 0)).toBeGreaterThanOrEqual(1_000);
--- a/soak/test/sabotage.ts
+++ b/soak/test/safeguardFaults.ts
@@ -12,17 +12,17 @@
 import type { WorkerCommand } from '../../src/services/worker/common/workerClient.js';
 import type { CellState } from '../../src/scheduler/common/cellState.js';
 
-export interface Sabotage {
+export interface SafeguardFaults {
   readonly alterTransaction?: (transaction: Transaction) => Transaction;
   readonly alterCommand?: (command: WorkerCommand) => WorkerCommand;
   /** Workers start an attempt that a former incarnation was given. */
-  readonly hasForgetfulWorkers?: boolean;
+  readonly hasWorkersWithoutIncarnationCheck?: boolean;
   /** Readers take whatever they read, the older too. */
   readonly hasRevertingReaders?: boolean;
   /** Entries that ignore the configuration and go on with the servers they have read. */
-  readonly hasDeafEntries?: boolean;
+  readonly hasStaleEntries?: boolean;
   /** Operators are told `not-run` whatever the failure. */
-  readonly isAlwaysDenied?: boolean;
+  readonly isAlwaysReportedNotRun?: boolean;
   /** What cells are told of the configuration. */
   readonly alterView?: (view: ConfigurationView) => ConfigurationView;
   readonly alterState?: (state: CellState) => CellState;
--- a/soak/test/soakCommands.ts
+++ b/soak/test/soakCommands.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 
 import { isEnded, workRowSchema } from '../../src/services/workload/common/workRows.js';
-import { FAILING_JOB_MARK, type SoakWorker } from './soakWorker.js';
+import { FAILING_JOB_PREFIX, type SoakWorker } from './soakWorker.js';
 import {
   CAPACITY,
   DAEMON_COUNT,
@@ -12,7 +12,7 @@
   WORKERS_PER_RACK,
   WORKERS_PER_ZONE,
   ZONES,
-} from './soakParts.js';
+} from './soakTypes.js';
 import type { SoakWorld } from './soakWorld.js';
 
 /** What the run has asked for; the rest of the truth is in the stand-ins. */
@@ -24,10 +24,10 @@
 type Action = (world: SoakWorld, model: SoakModel) => void;
 
 export const assertNothingFound = (world: SoakWorld): void => {
-  const broken = [...world.counters]
+  const violations = [...world.counters]
     .filter(([name, count]) => name.startsWith('invariant_') && count > 0)
     .map(([name, count]) => `${name} ${count}`);
-  const findings = [...world.judge.allFindings(), ...broken];
+  const findings = [...world.judge.allFindings(), ...violations];
   if (findings.length > 0) throw new Error(findings.join('\n'));
 };
 
@@ -116,7 +116,7 @@
 
 const submitStep = submitOf(9_000, 'usual', 'usual', 'usual', 'too-large', 'failing');
 
-const cancelWave = step(
+const cancelStep = step(
   'cancel',
   fc.tuple(fc.integer({ min: 1, max: 5 }), anyDaemon),
   (count, index) => (world, model) => {
@@ -169,7 +169,7 @@
     if (daemon === undefined) return;
     daemon.isCut = true;
     world.schedule(durationMs, () =>
-      Object.assign(daemon, { isCut: false, hinderedAtMs: world.nowMs }),
+      Object.assign(daemon, { isCut: false, faultedAtMs: world.nowMs }),
     );
   }),
 ];
@@ -186,7 +186,7 @@
       Object.assign(world[target], toFault(percent / 100));
       world.schedule(durationMs, () => {
         Object.assign(world[target], NO_FAULTS);
-        world.daemons.forEach((daemon) => Object.assign(daemon, { hinderedAtMs: world.nowMs }));
+        world.daemons.forEach((daemon) => Object.assign(daemon, { faultedAtMs: world.nowMs }));
       });
     },
   );
@@ -232,7 +232,7 @@
 };
 
 /** What takes many instances at once: a switch, a zone, a link between regions. */
-const losses = [
+const groupFaults = [
   step('rack-cut', fc.tuple(anyWorker), (index) => (world) => {
     const rack = rackOf(workerAt(world, index)?.id ?? '');
     cutWorkers(world, (worker) => rackOf(worker.id) === rack);
@@ -250,7 +250,7 @@
     if (daemon === undefined) return;
     daemon.isCut = true;
     world.schedule(LONG_CUT_MS, () =>
-      Object.assign(daemon, { isCut: false, hinderedAtMs: world.nowMs }),
+      Object.assign(daemon, { isCut: false, faultedAtMs: world.nowMs }),
     );
   }),
 ];
@@ -264,18 +264,25 @@
   }),
 ];
 
-const WORK = [submitOf(3_000, 'usual'), submitOf(3_000, 'accelerated')];
+const submitSteps = [submitOf(3_000, 'usual'), submitOf(3_000, 'accelerated')];
 
 /** Steps of a run by what they touch. */
 export const SCENARIOS = {
   badWorkers: [submitStep, submitStep, ...badWorkers],
-  losses: [...WORK, ...WORK, ...WORK, cancelWave, ...operatorSteps, ...losses],
+  losses: [
+    ...submitSteps,
+    ...submitSteps,
+    ...submitSteps,
+    cancelStep,
+    ...operatorSteps,
+    ...groupFaults,
+  ],
   scheduler: [submitStep, submitStep, ...daemonFaults, ...callFaults, ...workerFaults],
-  operator: [submitStep, cancelWave, ...operatorSteps, ...daemonFaults, ...callFaults],
+  operator: [submitStep, cancelStep, ...operatorSteps, ...daemonFaults, ...callFaults],
   all: [
     submitStep,
     submitStep,
-    cancelWave,
+    cancelStep,
     ...operatorSteps,
     ...daemonFaults,
     ...callFaults,
@@ -287,11 +294,11 @@
 const HEAL_MS = 10_000;
 /** Of a scenario whose faults last longer. */
 export const LONG_HEAL_MS = LONG_CUT_MS + HEAL_MS;
-const QUIET_STEP_MS = 5_000;
-const QUIET_LIMIT_MS = 180_000;
+const SETTLE_STEP_MS = 5_000;
+const SETTLE_LIMIT_MS = 180_000;
 
 /** What is not yet as it should be once faults have ended; empty when all is. */
-const unsettled = (world: SoakWorld): readonly string[] => {
+const listUnsettled = (world: SoakWorld): readonly string[] => {
   const rows = world.table
     .read({ keys: [], prefixes: ['work/', 'finished/'] })
     .rows.map((row) => workRowSchema.parse(row.value));
@@ -315,7 +322,7 @@
     if (open > 0 && canRun) problems.push(`${jobId} has ${open} open tasks`);
     const failed = tasks.filter((task) => task.state === 'failed').length;
     // What fits nowhere is refused in the end: seed 7, all, a job marked too-large.
-    if (failed > 0 && canRun && !jobId.startsWith(FAILING_JOB_MARK)) {
+    if (failed > 0 && canRun && !jobId.startsWith(FAILING_JOB_PREFIX)) {
       problems.push(`${jobId} was given up: ${failed} tasks`);
     }
   });
@@ -334,13 +341,13 @@
   world.daemons[0]?.reader.current?.workers.forEach(({ id, isDraining }) => {
     if (isDraining) void world.operate(0, { intent: 'return-worker', workerId: id });
   });
-  const limitMs = world.nowMs + QUIET_LIMIT_MS;
+  const limitMs = world.nowMs + SETTLE_LIMIT_MS;
   while (world.nowMs < limitMs) {
     // eslint-disable-next-line no-await-in-loop -- time passes in steps
-    await world.runFor(QUIET_STEP_MS);
+    await world.runFor(SETTLE_STEP_MS);
     assertNothingFound(world);
-    if (unsettled(world).length === 0) return;
+    if (listUnsettled(world).length === 0) return;
   }
   const open = world.table.read({ keys: [], prefixes: ['work/', 'configuration/document/zone'] });
-  throw new Error([...unsettled(world), JSON.stringify(open.rows)].join('\n'));
+  throw new Error([...listUnsettled(world), JSON.stringify(open.rows)].join('\n'));
 };
--- a/soak/test/soakJudge.ts
+++ b/soak/test/soakJudge.ts
@@ -48,9 +48,9 @@
 
   readonly #acceptedPlans = new Map<string, number>();
 
-  readonly #highestInForce = new Map<string, number>();
+  readonly #highestVersions = new Map<string, number>();
 
-  readonly #deniedPlans = new Set<string>();
+  readonly #notRunPlans = new Set<string>();
 
   constructor(zoneOf: ReadonlyMap<string, string>) {
     this.#workers = new Judge(zoneOf, WITHDRAWAL_BOUND_MS);
@@ -60,7 +60,7 @@
     return this.#workers.verdict();
   }
 
-  find(text: string, nowMs: number): void {
+  addFinding(text: string, nowMs: number): void {
     this.findings.push(`${Math.round(nowMs)} ms: ${text}`);
   }
 
@@ -73,8 +73,9 @@
     // A worker that lost its memory or its connections before it could tell has taken the only
     // record of the end along, for the platform keeps none: seed 1, scheduler, where a worker
     // restarts 0.6 s after the end and before its next report.
-    const isTold = first !== undefined && first.worker.faultedAtMs < first.endedAtMs;
-    if (isTold && !first.worker.isCut) this.find(`${event.taskId} was completed twice`, nowMs);
+    const isReported = first !== undefined && first.worker.faultedAtMs < first.endedAtMs;
+    if (isReported && !first.worker.isCut)
+      this.addFinding(`${event.taskId} was completed twice`, nowMs);
   }
 
   /** Takes in every start a worker carried out; `report` is its state after the message. */
@@ -98,20 +99,20 @@
   /** An attempt starts once; the one after an eviction goes on from the eviction's checkpoint. */
   #noteAttempt(worker: SoakWorker, start: StartRequest, nowMs: number): void {
     const key = `${start.taskId}#${start.attempt}`;
-    if (this.#attempts.has(key)) this.find(`attempt ${key} was started twice`, nowMs);
+    if (this.#attempts.has(key)) this.addFinding(`attempt ${key} was started twice`, nowMs);
     const startProgressMs = progressOf(start.checkpoint);
     const record = { worker, startedAtMs: nowMs, startProgressMs, evictedProgressMs: undefined };
     this.#attempts.set(key, record);
     const before = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
     if (before === undefined) return;
     if (startProgressMs < before.startProgressMs) {
-      this.find(`${key} lost the checkpoint its former attempt had`, nowMs);
+      this.addFinding(`${key} lost the checkpoint its former attempt had`, nowMs);
     }
     // A worker that was cut off or lost its memory could not hand its checkpoint over.
     const isHandedOver = before.worker.faultedAtMs < before.startedAtMs;
-    const isOther = startProgressMs !== before.evictedProgressMs;
-    if (before.evictedProgressMs !== undefined && isHandedOver && isOther) {
-      this.find(`${key} did not resume from the checkpoint of its eviction`, nowMs);
+    const isDifferent = startProgressMs !== before.evictedProgressMs;
+    if (before.evictedProgressMs !== undefined && isHandedOver && isDifferent) {
+      this.addFinding(`${key} did not resume from the checkpoint of its eviction`, nowMs);
     }
   }
 
@@ -132,38 +133,42 @@
   }
 
   /** An operator was told that the plan surely did not take effect. */
-  noteDenied(planId: string, nowMs: number): void {
-    this.#deniedPlans.add(planId);
-    if (this.#acceptedPlans.has(planId)) this.find('"not run", but the plan was accepted', nowMs);
+  noteNotRun(planId: string, nowMs: number): void {
+    this.#notRunPlans.add(planId);
+    if (this.#acceptedPlans.has(planId))
+      this.addFinding('"not run", but the plan was accepted', nowMs);
   }
 
   /** An operator was told that the plan is in force. */
   noteConfirmed(planId: string, nowMs: number): void {
-    if (!this.#acceptedPlans.has(planId)) this.find('confirmed, but nothing was accepted', nowMs);
+    if (!this.#acceptedPlans.has(planId))
+      this.addFinding('confirmed, but nothing was accepted', nowMs);
   }
 
   noteRouted(daemonId: string, zone: string, nowMs: number): void {
     const withdrawnAtMs = this.withdrawnAtMs.get(zone);
     if (withdrawnAtMs === undefined || nowMs - withdrawnAtMs <= WITHDRAWAL_BOUND_MS) return;
-    this.find(`${daemonId} sends new work to ${zone}, which was withdrawn`, nowMs);
+    this.addFinding(`${daemonId} sends new work to ${zone}, which was withdrawn`, nowMs);
   }
 
   noteInForce(daemonId: string, version: number, nowMs: number): void {
-    const highest = this.#highestInForce.get(daemonId) ?? 0;
-    if (version < highest) this.find(`${daemonId} went back from ${highest} to ${version}`, nowMs);
-    if (version > this.configurationVersion) this.find(`${daemonId} is ahead of the table`, nowMs);
-    this.#highestInForce.set(daemonId, Math.max(version, highest));
+    const highest = this.#highestVersions.get(daemonId) ?? 0;
+    if (version < highest)
+      this.addFinding(`${daemonId} went back from ${highest} to ${version}`, nowMs);
+    if (version > this.configurationVersion)
+      this.addFinding(`${daemonId} is ahead of the table`, nowMs);
+    this.#highestVersions.set(daemonId, Math.max(version, highest));
   }
 
   /** Everything found up to now, the workers' records included. */
   allFindings(): readonly string[] {
     const verdict = this.verdict();
-    const named = (label: string, items: readonly string[]): string[] =>
+    const toLines = (label: string, items: readonly string[]): string[] =>
       items.length === 0 ? [] : [`${label}: ${items.join(', ')}`];
     return [
       ...this.findings,
-      ...named('ran in two places', verdict.doubleRuns),
-      ...named('overcommitted', verdict.overcommittedWorkers),
+      ...toLines('ran in two places', verdict.doubleRuns),
+      ...toLines('overcommitted', verdict.overcommittedWorkers),
       ...(verdict.startsInWithdrawnZones > 0
         ? [`${verdict.startsInWithdrawnZones} starts in a withdrawn zone`]
         : []),
@@ -172,7 +177,7 @@
 
   #noteVersion(version: number, nowMs: number): void {
     if (version !== this.configurationVersion + 1) {
-      this.find(`version ${this.configurationVersion} was followed by ${version}`, nowMs);
+      this.addFinding(`version ${this.configurationVersion} was followed by ${version}`, nowMs);
     }
     this.configurationVersion = version;
   }
@@ -180,7 +185,8 @@
   #noteAccepted(planId: string, nowMs: number): void {
     const count = (this.#acceptedPlans.get(planId) ?? 0) + 1;
     this.#acceptedPlans.set(planId, count);
-    if (count > 1) this.find('a plan was accepted twice', nowMs);
-    if (this.#deniedPlans.has(planId)) this.find('"not run", but the plan took effect', nowMs);
+    if (count > 1) this.addFinding('a plan was accepted twice', nowMs);
+    if (this.#notRunPlans.has(planId))
+      this.addFinding('"not run", but the plan took effect', nowMs);
   }
 }
--- a/soak/test/soakPlans.ts
+++ b/soak/test/soakPlanService.ts
@@ -9,7 +9,7 @@
 const PLAN_LIFETIME_MS = 600_000;
 const CONFIRM_TIMEOUT_MS = 10_000;
 
-export interface SoakPlanParts {
+export interface PlanServiceOptions {
   readonly table: TableService;
   readonly time: SoakTime;
   readonly random: RandomSource;
@@ -19,11 +19,11 @@
 }
 
 /** Plans without the list of instances, so that jobs which can never run get in as well. */
-export const createPlans = (
-  parts: SoakPlanParts,
+export const createPlanService = (
+  options: PlanServiceOptions,
   configuration: ConfigurationService,
 ): PlanService => {
-  const { table, time, random, counters, id } = parts;
+  const { table, time, random, counters, id } = options;
   let idCount = 0;
   const nextId = (): string => {
     idCount += 1;
@@ -36,7 +36,7 @@
     new Promise((resolve) => {
       time.after(delayMs, () => {
         resolve();
-        time.noteSettled();
+        time.requestMicrotaskDrain();
       });
     });
   const services = {
--- a/soak/test/soakRun.ts
+++ b/soak/test/soakRun.ts
@@ -8,7 +8,7 @@
   SCENARIOS,
   type SoakModel,
 } from './soakCommands.js';
-import type { Sabotage } from './sabotage.js';
+import type { SafeguardFaults } from './safeguardFaults.js';
 import { SoakWorld } from './soakWorld.js';
 
 const SEED_LIMIT = 2 ** 31 - 1;
@@ -30,21 +30,21 @@
   readonly seed: number;
   readonly scenario: Scenario;
   readonly maximumStepCount: number;
-  readonly sabotage?: Sabotage;
+  readonly safeguardFaults?: SafeguardFaults;
 }
 
-const found = ({ errorInstance }: { readonly errorInstance: unknown }): string =>
+const toFailureText = ({ errorInstance }: { readonly errorInstance: unknown }): string =>
   errorInstance instanceof Error ? errorInstance.message : String(errorInstance);
 
 export const runSeed = async (options: SoakOptions): Promise<SoakResult> => {
   const totals = { stepCount: 0, virtualMs: 0, startCount: 0, evictionCount: 0 };
-  const ends = { conflictCount: 0, completedBatchCount: 0 };
+  const batchTotals = { conflictCount: 0, completedBatchCount: 0 };
   const commands = fc.commands([...SCENARIOS[options.scenario]], {
     maxCommands: options.maximumStepCount,
     size: 'max',
   });
   const property = fc.asyncProperty(commands, fc.nat({ max: SEED_LIMIT }), async (steps, seed) => {
-    const world = new SoakWorld(seed, options.sabotage);
+    const world = new SoakWorld(seed, options.safeguardFaults);
     const model: SoakModel = { jobCount: 0, stepCount: 0 };
     await world.start();
     await fc.asyncModelRun(() => ({ model, real: world }), steps);
@@ -54,8 +54,8 @@
     totals.virtualMs += world.nowMs;
     totals.startCount += verdict.startCount;
     totals.evictionCount += verdict.evictionCount;
-    ends.conflictCount += world.table.counts.conflictCount;
-    ends.completedBatchCount += verdict.completedBatchCount;
+    batchTotals.conflictCount += world.table.counts.conflictCount;
+    batchTotals.completedBatchCount += verdict.completedBatchCount;
   });
   const outcome = await fc.check(property, {
     seed: options.seed,
@@ -64,7 +64,9 @@
   });
   return {
     ...totals,
-    ...ends,
-    failure: outcome.failed ? `${fc.defaultReportMessage(outcome)}\n${found(outcome)}` : undefined,
+    ...batchTotals,
+    failure: outcome.failed
+      ? `${fc.defaultReportMessage(outcome)}\n${toFailureText(outcome)}`
+      : undefined,
   };
 };
--- a/soak/test/soakTime.ts
+++ b/soak/test/soakTime.ts
@@ -10,7 +10,7 @@
   #isDrainNeeded = false;
 
   /** To be called when an event settles a promise, whose continuations run before the next. */
-  noteSettled(): void {
+  requestMicrotaskDrain(): void {
     this.#isDrainNeeded = true;
   }
 
--- a/soak/test/soakParts.ts
+++ b/soak/test/soakTypes.ts
@@ -3,7 +3,7 @@
 import type { PlanService } from '../../src/operator/node/planService.js';
 import type { EndpointRow } from '../../src/services/workload/common/workRows.js';
 import type { CellState } from '../../src/scheduler/common/cellState.js';
-import type { SoakReader } from './sabotage.js';
+import type { SoakReader } from './safeguardFaults.js';
 
 export const ZONES = ['zone-a', 'zone-b'] as const;
 export const SERVICE = 'rounds';
@@ -29,7 +29,7 @@
   isPaused: boolean;
   isCut: boolean;
   /** When a fault last kept it from reading the configuration. */
-  hinderedAtMs: number;
+  faultedAtMs: number;
   readonly inbox: (() => void)[];
 }
 
--- a/soak/test/soakWorker.ts
+++ b/soak/test/soakWorker.ts
@@ -8,7 +8,7 @@
 import { type WorkerEvent, WorkerStandIn } from '../../standIns/workers/workerStandIn.js';
 
 /** Tasks of jobs whose key begins so fail wherever they start. */
-export const FAILING_JOB_MARK = 'kitchen.failing';
+export const FAILING_JOB_PREFIX = 'kitchen.failing';
 
 export class SoakWorker {
   readonly id: string;
@@ -21,7 +21,7 @@
   isCut = false;
 
   /** Test switch: a worker that starts an attempt again after it has forgotten it. */
-  isForgetful = false;
+  ignoresIncarnation = false;
 
   /** When a fault last kept messages or memory from this worker. */
   faultedAtMs = Number.NEGATIVE_INFINITY;
@@ -34,7 +34,7 @@
 
   readonly #failedAttempts = new Set<string>();
 
-  #inner: WorkerStandIn;
+  #standIn: WorkerStandIn;
 
   #incarnationCount = 0;
 
@@ -50,37 +50,39 @@
     this.#capacity = capacity;
     this.#clockOffsetMs = clockOffsetMs;
     this.#onEvent = onEvent;
-    this.#inner = this.#create();
+    this.#standIn = this.#create();
   }
 
   restart(): void {
-    this.#inner.advance(Number.POSITIVE_INFINITY);
-    this.#inner = this.#create();
+    this.#standIn.advance(Number.POSITIVE_INFINITY);
+    this.#standIn = this.#create();
   }
 
   advance(nowMs: number): void {
-    this.#inner.advance(nowMs + this.#clockOffsetMs);
+    this.#standIn.advance(nowMs + this.#clockOffsetMs);
   }
 
   hasService(serviceName: string): boolean {
-    return this.#inner.hasService(serviceName);
+    return this.#standIn.hasService(serviceName);
   }
 
   command(command: WorkerCommand, nowMs: number): WorkerReport {
     const workerNowMs = nowMs + this.#clockOffsetMs;
-    const known = this.isForgetful ? { ...command, incarnation: this.#inner.incarnation } : command;
-    const report = this.#inner.command(known, workerNowMs);
+    const received = this.ignoresIncarnation
+      ? { ...command, incarnation: this.#standIn.incarnation }
+      : command;
+    const report = this.#standIn.command(received, workerNowMs);
     const failing = report.tasks.filter(
       (task) =>
         task.state === WorkerTaskState.Running &&
-        (this.isBad || task.taskId.startsWith(FAILING_JOB_MARK)),
+        (this.isBad || task.taskId.startsWith(FAILING_JOB_PREFIX)),
     );
     if (failing.length === 0) return this.#withFailures(report);
     failing.forEach(({ taskId, attempt }) => this.#failedAttempts.add(`${taskId}#${attempt}`));
     const evictions = failing.map(({ taskId, attempt }) => ({ taskId, attempt }));
     const stop = { ...command, renewals: [], starts: [], evictions, acknowledgements: [] };
-    const current = { ...stop, incarnation: this.#inner.incarnation };
-    return this.#withFailures(this.#inner.command(current, workerNowMs));
+    const current = { ...stop, incarnation: this.#standIn.incarnation };
+    return this.#withFailures(this.#standIn.command(current, workerNowMs));
   }
 
   #withFailures(report: WorkerReport): WorkerReport {
--- a/soak/test/soakWorld.ts
+++ b/soak/test/soakWorld.ts
@@ -37,7 +37,7 @@
 import { TEST_TIMING } from '../../src/scheduler/test/virtualCell.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 import { SoakJudge } from './soakJudge.js';
-import { RevertingReader, type Sabotage, type SoakReader } from './sabotage.js';
+import { RevertingReader, type SafeguardFaults, type SoakReader } from './safeguardFaults.js';
 import { SoakWorker } from './soakWorker.js';
 import {
   CAPACITY,
@@ -50,8 +50,8 @@
   WORKERS_PER_ZONE,
   TASK_SIZE,
   ZONES,
-} from './soakParts.js';
-import { createPlans } from './soakPlans.js';
+} from './soakTypes.js';
+import { createPlanService } from './soakPlanService.js';
 import { SoakTime } from './soakTime.js';
 
 const TICK_MS = 200;
@@ -84,15 +84,15 @@
 
   readonly #random: SeededRandom;
 
-  readonly #sabotage: Sabotage;
+  readonly #safeguardFaults: SafeguardFaults;
 
-  readonly #startedNow = new Set<string>();
+  readonly #startedAttempts = new Set<string>();
 
   #daemonCount = 0;
 
-  constructor(seed: number, sabotage: Sabotage = {}) {
+  constructor(seed: number, safeguardFaults: SafeguardFaults = {}) {
     this.#random = new SeededRandom(seed);
-    this.#sabotage = sabotage;
+    this.#safeguardFaults = safeguardFaults;
     const zoneOf = new Map<string, string>();
     this.judge = new SoakJudge(zoneOf);
     ZONES.forEach((zone) => {
@@ -138,8 +138,9 @@
     const { planId, digest, steps } = planned.right;
     const result = await daemon.plans.confirm({ planId, digest, author: 'ann' });
     if (isLeft(result)) {
-      const isDenied = errorBody(result.left).workOutcome === WorkOutcome.NotRun;
-      if (isDenied || this.#sabotage.isAlwaysDenied) this.judge.noteDenied(planId, this.nowMs);
+      const isNotRun = errorBody(result.left).workOutcome === WorkOutcome.NotRun;
+      if (isNotRun || this.#safeguardFaults.isAlwaysReportedNotRun)
+        this.judge.noteNotRun(planId, this.nowMs);
       return;
     }
     if (steps.length > 0) this.judge.noteConfirmed(planId, this.nowMs);
@@ -151,22 +152,22 @@
     this.#daemonCount += 1;
     const id = `d${this.#daemonCount}`;
     const daemon = { id, cells: new Map<string, CellState>(), routes: new Map(), endpointRows: [] };
-    const state = { isAlive: true, isPaused: false, isCut: false, hinderedAtMs: this.nowMs };
-    const whole = { ...daemon, ...state, inbox: [] } as unknown as SoakDaemon;
-    const table = this.#tableOf(whole);
-    whole.reader = this.#createReader(table);
-    const parts = { table, id, time: this.time, random: this.#random, counters: this.counters };
-    whole.plans = createPlans(parts, whole.reader);
+    const state = { isAlive: true, isPaused: false, isCut: false, faultedAtMs: this.nowMs };
+    const soakDaemon = { ...daemon, ...state, inbox: [] } as unknown as SoakDaemon;
+    const table = this.#tableOf(soakDaemon);
+    soakDaemon.reader = this.#createReader(table);
+    const options = { table, id, time: this.time, random: this.#random, counters: this.counters };
+    soakDaemon.plans = createPlanService(options, soakDaemon.reader);
     ZONES.forEach((zone, index) => {
       const acquireDelayMs = (this.#daemonCount + index) % ZONES.length === 0 ? 0 : 400;
       const timing = { ...TEST_TIMING, acquireDelayMs };
-      whole.cells.set(zone, initialCellState(zone, id, timing, this.nowMs));
-      this.#handle(whole, zone, { kind: 'instances', workers: this.#instances });
+      soakDaemon.cells.set(zone, initialCellState(zone, id, timing, this.nowMs));
+      this.#handle(soakDaemon, zone, { kind: 'instances', workers: this.#instances });
     });
-    this.daemons.push(whole);
-    this.#every(TICK_MS, whole, () => this.#tick(whole));
-    this.#every(CONFIGURATION_INTERVAL_MS, whole, () => this.#readConfiguration(whole));
-    this.#every(CONFIGURATION_INTERVAL_MS, whole, () => this.#readRoutes(whole));
+    this.daemons.push(soakDaemon);
+    this.#every(TICK_MS, soakDaemon, () => this.#tick(soakDaemon));
+    this.#every(CONFIGURATION_INTERVAL_MS, soakDaemon, () => this.#readConfiguration(soakDaemon));
+    this.#every(CONFIGURATION_INTERVAL_MS, soakDaemon, () => this.#readRoutes(soakDaemon));
   }
 
   /** Ends a process at once; what it has sent still arrives. */
@@ -178,7 +179,7 @@
   }
 
   resume(daemon: SoakDaemon): void {
-    Object.assign(daemon, { isPaused: false, hinderedAtMs: this.nowMs });
+    Object.assign(daemon, { isPaused: false, faultedAtMs: this.nowMs });
     daemon.inbox.splice(0).forEach((run) => run());
   }
 
@@ -186,10 +187,10 @@
     const id = `${zone}-w${index}`;
     const clockOffsetMs = this.#random.nextIndex(1_000_000);
     const worker = new SoakWorker(id, zone, CAPACITY, clockOffsetMs, (event) => {
-      if (event.kind === 'started') this.#startedNow.add(`${event.taskId}#${event.attempt}`);
+      if (event.kind === 'started') this.#startedAttempts.add(`${event.taskId}#${event.attempt}`);
       this.judge.noteWorker(event, worker, this.nowMs);
     });
-    worker.isForgetful = this.#sabotage.hasForgetfulWorkers ?? false;
+    worker.ignoresIncarnation = this.#safeguardFaults.hasWorkersWithoutIncarnationCheck ?? false;
     this.workers.set(id, worker);
     const address = { host: '127.0.0.1', port: 1 };
     this.#instances.push({
@@ -207,7 +208,7 @@
   }
 
   #createReader(table: TableService): SoakReader {
-    if (this.#sabotage.hasRevertingReaders) return new RevertingReader(table);
+    if (this.#safeguardFaults.hasRevertingReaders) return new RevertingReader(table);
     const clock = { nowMs: () => this.nowMs };
     const reader = new ConfigurationReader(table, clock, silentLog, silentMetrics, NEVER_MS);
     // Its own timer runs on real time; here it is told when to read.
@@ -241,22 +242,27 @@
     const { current, confirmedAtMs } = daemon.reader;
     ZONES.forEach((zone) => {
       if (current !== undefined) {
-        const view = this.#sabotage.alterView?.(current) ?? current;
+        const view = this.#safeguardFaults.alterView?.(current) ?? current;
         const configuration = { view, confirmedAtMs };
         this.#handle(daemon, zone, { kind: 'configuration', configuration });
       }
       this.#handle(daemon, zone, { kind: 'tick' });
     });
     const hasServers = (daemon.routes.get(SERVICE)?.length ?? 0) > 0;
-    const isDeaf = this.#sabotage.hasDeafEntries === true && hasServers;
-    if (current !== undefined && !isDeaf) {
+    const isStale = this.#safeguardFaults.hasStaleEntries === true && hasServers;
+    if (current !== undefined && !isStale) {
       // eslint-disable-next-line no-param-reassign
       daemon.routes = toRoutingTable(current, daemon.endpointRows, this.#instances);
     }
     const servers = daemon.routes.get(SERVICE) ?? [];
-    const isHindered = this.nowMs - daemon.hinderedAtMs < 3_000;
+    const isRecentlyFaulted = this.nowMs - daemon.faultedAtMs < 3_000;
     // An entry that cannot read the table keeps its last configuration, by design.
-    if (daemon.isCut || this.tableFaults.isDown || this.tableFaults.lateRatio > 0 || isHindered) {
+    if (
+      daemon.isCut ||
+      this.tableFaults.isDown ||
+      this.tableFaults.lateRatio > 0 ||
+      isRecentlyFaulted
+    ) {
       return;
     }
     new Set(servers.map((server) => server.availabilityZone)).forEach((zone) =>
@@ -271,7 +277,7 @@
         const version = daemon.reader.current?.version ?? 0;
         this.judge.noteInForce(daemon.id, version, this.nowMs);
       });
-      this.time.noteSettled();
+      this.time.requestMicrotaskDrain();
     };
     refresh();
     this.schedule(this.#random.nextIndex(CONFIGURATION_INTERVAL_MS), () =>
@@ -291,8 +297,8 @@
   #handle(daemon: SoakDaemon, zone: string, event: CellEvent): void {
     const state = daemon.cells.get(zone);
     if (state === undefined) return;
-    const known = this.#sabotage.alterState?.(state) ?? state;
-    const decision = decide(known, event, new SpreadAndPackPolicy(), this.nowMs);
+    const observedState = this.#safeguardFaults.alterState?.(state) ?? state;
+    const decision = decide(observedState, event, new SpreadAndPackPolicy(), this.nowMs);
     daemon.cells.set(zone, decision.state);
     decision.effects.forEach((effect) => this.#perform(daemon, zone, effect));
   }
@@ -327,7 +333,7 @@
   }
 
   #transact(transaction: Transaction): TransactionResult {
-    const altered = this.#sabotage.alterTransaction?.(transaction) ?? transaction;
+    const altered = this.#safeguardFaults.alterTransaction?.(transaction) ?? transaction;
     const result = this.table.transact(altered);
     this.judge.noteTransaction(altered, result, this.nowMs);
     return result;
@@ -347,7 +353,7 @@
       isSettled = true;
       SoakWorld.#deliver(daemon, () => {
         settle(result);
-        this.time.noteSettled();
+        this.time.requestMicrotaskDrain();
       });
     };
     this.schedule(CALL_TIMEOUT_MS, () => settleOnce(left(failure(lost, 'no answer in time'))));
@@ -369,15 +375,15 @@
       this.schedule(1, () =>
         SoakWorld.#deliver(daemon, () => {
           settle(refused);
-          this.time.noteSettled();
+          this.time.requestMicrotaskDrain();
         }),
       );
       return;
     }
-    const reach = () => (daemon.isCut ? undefined : run());
+    const runIfReachable = () => (daemon.isCut ? undefined : run());
     // Only a transaction whose answer is lost leaves a doubt, so only those are lost.
     const lostRatio = lost === ErrorKind.StoreAnswerLost ? this.tableFaults.lostRatio : 0;
-    this.#call(daemon, { ...this.tableFaults, lostRatio }, reach, lost, settle);
+    this.#call(daemon, { ...this.tableFaults, lostRatio }, runIfReachable, lost, settle);
   }
 
   #tableOf(daemon: SoakDaemon): TableService {
@@ -401,16 +407,16 @@
     command: WorkerCommand,
     settle: (result: Either<Failure, WorkerReport>) => void,
   ): void {
-    const altered = this.#sabotage.alterCommand?.(command) ?? command;
+    const altered = this.#safeguardFaults.alterCommand?.(command) ?? command;
     const run = (): WorkerReport | undefined => {
       const worker = this.workers.get(workerId);
       if (worker === undefined || worker.isCut) return undefined;
-      this.#startedNow.clear();
+      this.#startedAttempts.clear();
       // All of them, so that a lease ends on time on a worker that nobody reaches.
       this.workers.forEach((other) => other.advance(this.nowMs));
       const report = worker.command(altered, this.nowMs);
       const started = altered.starts.filter(({ taskId, attempt }) =>
-        this.#startedNow.has(`${taskId}#${attempt}`),
+        this.#startedAttempts.has(`${taskId}#${attempt}`),
       );
       this.judge.noteStarted(worker, started, report, this.nowMs);
       return report;
