--- a/soak/test/brokenSafeguards.test.ts
+++ b/soak/test/brokenSafeguards.test.ts
@@ -1,6 +1,7 @@
 /**
- * The judge can fail: each test breaks one safeguard by a switch that only tests have, and the
- * judge must see what users would. Without the switch the same steps find nothing.
+ * Verifies that the judge detects failures. Each test breaks one safeguard through a test-only
+ * switch and expects the judge to report the effect on users. The same steps without the switch
+ * must find nothing.
  */
 import { describe, expect, it } from 'vitest';
 
@@ -16,7 +17,7 @@
 type Steps = (world: SoakWorld) => Promise<void>;
 
 interface Case {
-  /** The point of the brief. */
+  /** The guarantee to users that the broken safeguard protects. */
   readonly guarantee: string;
   readonly brokenSafeguard: string;
   readonly safeguardFaults: SafeguardFaults;
@@ -36,7 +37,7 @@
   workers: new Map([...state.workers].map(([id, view]) => [id, alter(view)])),
 });
 
-/** The view of a cell that goes on believing that all zones are in use. */
+/** Returns a configuration view in which every zone is in use, so that a cell misses withdrawals. */
 const ignoreWithdrawals = (view: ConfigurationView): ConfigurationView => ({
   ...view,
   zones: new Map(
@@ -47,7 +48,7 @@
 const CASES: readonly Case[] = [
   {
     guarantee: 'no instance is committed beyond its processors',
-    brokenSafeguard: 'the scheduler believes in twice the capacity',
+    brokenSafeguard: 'the scheduler assumes twice the capacity',
     safeguardFaults: {
       alterState: (state) =>
         mapWorkerViews(state, (view) => {
@@ -64,7 +65,7 @@
   },
   {
     guarantee: 'no task runs in two places at once',
-    brokenSafeguard: 'silence is taken for the end of the leases',
+    brokenSafeguard: 'the scheduler treats the leases of a silent worker as over',
     safeguardFaults: {
       alterState: (state) =>
         mapWorkerViews(state, (view) => ({
@@ -81,8 +82,8 @@
     finding: /ran in two places/u,
   },
   {
-    guarantee: 'evicted work resumes exactly once',
-    brokenSafeguard: 'the checkpoint is left out of the start',
+    guarantee: 'an evicted task resumes exactly once from its checkpoint',
+    brokenSafeguard: 'the start request omits the checkpoint',
     safeguardFaults: {
       alterCommand: (command) => ({
         ...command,
@@ -99,7 +100,7 @@
   },
   {
     guarantee: 'no task starts in a withdrawn zone',
-    brokenSafeguard: 'no condition on the zone, no look at the configuration',
+    brokenSafeguard: 'the transaction has no zone condition and the cell ignores withdrawals',
     safeguardFaults: {
       alterView: ignoreWithdrawals,
       alterTransaction: (transaction) => ({
@@ -116,8 +117,8 @@
     finding: /starts in a withdrawn zone/u,
   },
   {
-    guarantee: '"not run" is said only of what did not run',
-    brokenSafeguard: 'a lost answer is reported as not run',
+    guarantee: 'operators are told "not run" only for plans that did not run',
+    brokenSafeguard: 'a lost answer is reported as "not run"',
     safeguardFaults: { isAlwaysReportedNotRun: true },
     steps: async (world) => {
       const planCount = (): number =>
@@ -134,8 +135,8 @@
     finding: /"not run", but the plan was accepted/u,
   },
   {
-    guarantee: 'a server that is leaving receives no new work',
-    brokenSafeguard: 'the entry keeps the routes it has',
+    guarantee: 'a backend server in a withdrawn zone receives no new work',
+    brokenSafeguard: 'the entry keeps its old routes',
     safeguardFaults: { hasStaleEntries: true },
     steps: async (world) => {
       const [server] = world.daemons[0]?.routes.get(SERVICE) ?? [];
@@ -147,7 +148,7 @@
   },
   {
     guarantee: 'an accepted configuration never reverts',
-    brokenSafeguard: 'the reader takes older answers too',
+    brokenSafeguard: 'the reader accepts older answers',
     safeguardFaults: { hasRevertingReaders: true },
     steps: async (world) => {
       Object.assign(world.tableFaults, { lateRatio: 0.5, lateDelayMs: 700 });
@@ -180,9 +181,9 @@
   }
 };
 
-describe('the judge can fail', () => {
+describe('the judge', () => {
   CASES.forEach(({ guarantee, brokenSafeguard, safeguardFaults, steps, finding }) =>
-    it(`${guarantee}: ${brokenSafeguard}`, async () => {
+    it(`checks that ${guarantee} and fails if ${brokenSafeguard}`, async () => {
       expect(await runAndCollectFindings(steps, {})).toBe('');
       expect(await runAndCollectFindings(steps, safeguardFaults)).toMatch(finding);
     }),
--- a/soak/test/main.ts
+++ b/soak/test/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed N --steps M [--scenario NAME]`: seeds from N on until M steps ran. */
+/** `npm run soak -- --seed N --steps M [--scenario NAME]` runs seeds N, N+1, ... until M steps ran. */
 import { parseArgs } from 'node:util';
 
 import { type Scenario, SCENARIOS } from './soakCommands.js';
--- a/soak/test/platform/daemonInstance.ts
+++ b/soak/test/platform/daemonInstance.ts
@@ -1,4 +1,4 @@
-/** One instance of the platform's daemon: a process with its settings, store relay and log files. */
+/** An instance of the daemon: its process, settings file, store relay and log files. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { createWriteStream, type WriteStream } from 'node:fs';
@@ -24,7 +24,7 @@
   readonly zone: Zone;
   readonly folder: string;
   readonly storePort: number;
-  /** The address of its store relay, at which the store's port is free. */
+  /** The address of the instance's store relay. The store's port must be free at this address. */
   readonly relayHost: string;
   readonly onUnexpectedExit: (text: string) => void;
 }
@@ -45,13 +45,13 @@
 
   #startCount = 0;
 
-  /** Host and port at which the store sees this instance's calls. */
+  /** Host and port of the store relay, by which the store identifies this instance's calls. */
   storeHost = '';
 
-  /** The clients' connections, kept open until the process is gone. */
+  /** Client connections, which stay open until the process ends. Undefined if none runs. */
   pool: Pool | undefined;
 
-  /** In front of the present life, for its clients. */
+  /** The relay between the clients and the current process. */
   callerRelay: SilentRelay | undefined;
 
   isFrozen = false;
@@ -69,7 +69,7 @@
     return this.#options.zone;
   }
 
-  /** The process runs, and nothing has ended or frozen it. */
+  /** Whether the process runs, is not frozen and was not asked to end. */
   get isSteady(): boolean {
     return this.pool !== undefined && this.#process?.isEndRequested === false && !this.isFrozen;
   }
@@ -96,7 +96,7 @@
     await writeFile(this.#settingsPath, JSON.stringify(settings));
   }
 
-  /** Starts the process and resolves when it listens, or has ended before. */
+  /** Starts the process. Resolves when the process listens or has ended. */
   async start(): Promise<void> {
     this.#startCount += 1;
     this.isFrozen = false;
@@ -107,7 +107,7 @@
     });
     const exited = once(child, 'exit').then(([code, signal]) => {
       log.write(`${JSON.stringify({ event: 'process-ended', code, signal })}\n`);
-      this.#noteExit(`${this.id} ended by itself with ${code ?? signal}, see ${logPath}`);
+      this.#noteExit(`${this.id} ended unexpectedly with ${code ?? signal}, see ${logPath}`);
     });
     this.#process = { child, exited, log, isEndRequested: false };
     child.stderr.on('data', (chunk) => log.write(chunk));
@@ -124,7 +124,7 @@
     clearTimeout(timer);
   }
 
-  /** Asks the process to end and resolves when it has; false when it had to be killed. */
+  /** Asks the process to end and waits for it. Returns false if it had to be killed. */
   async stop(): Promise<boolean> {
     const daemonProcess = this.#requestEnd();
     if (daemonProcess === undefined) return true;
@@ -160,7 +160,7 @@
     this.#storeRelay.close();
   }
 
-  /** For the end of the soak's own process, where nothing can be waited for. */
+  /** Kills the process without waiting. For the exit handler of the soak process. */
   killNow(): void {
     this.#process?.child.kill('SIGKILL');
   }
@@ -169,7 +169,7 @@
     const relay = new SilentRelay(callersPort);
     this.callerRelay = relay;
     const origin = `http://127.0.0.1:${await relay.listen()}`;
-    // The process may have ended meanwhile.
+    // The process may have ended while the relay started to listen.
     if (this.callerRelay !== relay) return;
     this.pool = new Pool(origin, {
       connections: CLIENT_CONNECTIONS,
--- a/soak/test/platform/faultPlan.ts
+++ b/soak/test/platform/faultPlan.ts
@@ -1,4 +1,4 @@
-/** Draws which faults a run meets and when; the same seed gives the same plan. */
+/** Draws the faults of a run and their times. The same seed gives the same plan. */
 import type { RandomSource } from '../../../src/base/common/random.js';
 
 export const FaultKind = {
@@ -9,13 +9,13 @@
   WorkersLeave: 'workers-leave',
   AddWorkers: 'add-workers',
   CrashWorkers: 'crash-workers',
-  /** Processes of workers end and are back within a second or so, several times. */
+  /** Worker processes crash and restart several times, each time within about a second. */
   RestartWorkers: 'restart-workers',
   LoseWorkers: 'lose-workers',
   CutWorkers: 'cut-workers',
-  /** Workers that run on cannot be reached while all instances are killed. */
+  /** All instances are killed while some running workers are unreachable. */
   KillBesideCut: 'kill-beside-cut',
-  /** A zone and the rest, the store among it, do not reach one another. */
+  /** A zone is cut off from the other zones and the store. */
   CutZone: 'cut-zone',
   ResetConnections: 'reset-connections',
   SilenceConnections: 'silence-connections',
@@ -33,10 +33,10 @@
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Of instances or workers that it meets. */
+  /** The number of affected instances or workers. */
   readonly count: number;
   readonly isSilent: boolean;
-  /** Seeds what is chosen when it happens. */
+  /** The seed of the choices made when the fault is carried out. */
   readonly choiceSeed: number;
 }
 
@@ -44,7 +44,10 @@
 const INCIDENT_MS = 34_000;
 const STOPPED_INSTANCE_COUNT = 6;
 const LEAVING_WORKER_COUNT = 20;
-/** Most gaps are short, so that faults overlap; some leave room for the checks of calm times. */
+/**
+ * Most gaps between faults are short, so that faults overlap. Some gaps are long, because some
+ * checks apply only in calm periods.
+ */
 const MAXIMUM_CALM_RATIO = 0.3;
 const CALM_GAP_MS = 13_000;
 const MAXIMUM_GAP_MS = 3_500;
@@ -52,7 +55,7 @@
 const ZONE_CUT_MS = { least: 4_000, spread: 3_000 };
 const CHOICE_SEED_COUNT = 2 ** 30;
 
-/** Instances stop in turn while workers leave without refusing connections. */
+/** Instances stop one after the other while workers leave and their addresses become silent. */
 const incident = (random: RandomSource): readonly PlannedFault[] => {
   const choiceSeed = random.nextIndex(CHOICE_SEED_COUNT);
   const common = { durationMs: 0, isSilent: true, choiceSeed };
@@ -68,7 +71,7 @@
   ];
 };
 
-/** Long enough for entries to expire while leases last. */
+/** A zone cut that is long enough for worker entries to expire while leases still hold. */
 const zoneCut = (random: RandomSource, atMs: number): PlannedFault => ({
   kind: FaultKind.CutZone,
   atMs,
@@ -98,7 +101,7 @@
   return faults;
 };
 
-/** Faults of a run in the order of their times. */
+/** Draws the faults of a run: the incident, mixed faults, or both with a zone cut in between. */
 export const drawPlan = (
   scenario: Scenario,
   random: RandomSource,
--- a/soak/test/platform/faultWindows.ts
+++ b/soak/test/platform/faultWindows.ts
@@ -1,4 +1,4 @@
-/** When faults were in force, for the checks that hold only while none is near. */
+/** Records when faults were active, for checks that apply only without a fault nearby. */
 import { FaultScope } from './soakTypes.js';
 
 interface FaultWindow {
@@ -14,12 +14,12 @@
     this.#faults.push({ scope, fromMs, untilMs });
   }
 
-  /** Whether daemons may have been cut off from the store within this time. */
+  /** Whether daemons may have been cut off from the store during this period. */
   hasCoreFault(fromMs: number, untilMs: number): boolean {
     return this.#hasFault([FaultScope.Core], fromMs, untilMs);
   }
 
-  /** Whether anything but planned work happened within this time. */
+  /** Whether no fault other than planned work was active during this period. */
   isCalm(fromMs: number, untilMs: number): boolean {
     return !this.#hasFault([FaultScope.Core, FaultScope.Unplanned], fromMs, untilMs);
   }
--- a/soak/test/platform/fleetWorker.ts
+++ b/soak/test/platform/fleetWorker.ts
@@ -1,4 +1,4 @@
-/** A worker of the platform over HTTP, behind a relay; it may drain, leave, crash and come back. */
+/** A fleet worker that serves HTTP behind relays and can drain, leave, crash and restart. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
@@ -32,7 +32,7 @@
 
 const HOLD_POLL_MS = 20;
 const BYTES_PER_MEGABYTE = 1024 * 1024;
-/** The platform drops the entry of a worker that has been silent for so long. */
+/** The platform removes a worker's entry after this time without a write. */
 const ENTRY_EXPIRY_MS = 3_300;
 
 export class FleetWorker {
@@ -44,7 +44,7 @@
 
   readonly #running = new Map<string, ModelRun>();
 
-  /** By the zone whose instances call through them. */
+  /** One relay per zone, through which the instances of that zone call this worker. */
   #relays: readonly (readonly [Zone, SilentRelay])[] = [];
 
   #silentPort: SilentPort | undefined;
@@ -53,7 +53,7 @@
 
   #startFence = 0;
 
-  /** Cuts in force, which keep it from the store. */
+  /** The number of active cuts that keep the worker from the store. */
   #cutCount = 0;
 
   isUp = false;
@@ -110,13 +110,13 @@
 
   async start(): Promise<void> {
     await this.#server.listen({ host: '127.0.0.1', port: 0 });
-    // Its own listener keeps the port from other processes while doors are closed.
+    // The server's listener reserves the port on 127.0.0.1 while the relays are closed.
     this.#port = listeningPort(this.#server);
     this.#relays = ZONES.map((zone) => [zone, new SilentRelay(this.#port, ZONE_HOSTS[zone])]);
     await this.#open();
   }
 
-  /** Says that it leaves, and for how long it surely stays; it goes on working until `leave`. */
+  /** Announces that the worker drains and stays at least `remainingMs`. It works until `leave`. */
   drain(remainingMs: number): void {
     this.isDraining = true;
     this.#earliestEndMs = this.#options.nowMs() + remainingMs;
@@ -130,7 +130,7 @@
     this.#options.store.remove('servers', this.id);
   }
 
-  /** Ends without a word; its entry expires unless it is back by then. */
+  /** Ends without notice. The worker's entry expires unless the worker is back by then. */
   async crash(absence: Absence, backAfterMs: number | undefined): Promise<void> {
     this.#silentPort = new SilentPort(this.#port, Object.values(ZONE_HOSTS));
     this.#end(absence);
@@ -145,8 +145,9 @@
   }
 
   /**
-   * Nobody reaches it for a while, nor does it reach the store; what it runs runs on. With a zone,
-   * that zone is cut off from the others, which this worker is in or not.
+   * Cuts the worker off from all callers and the store for `durationMs`. Its tasks keep running.
+   * With `cutZone`, that zone is cut off from the others: a worker in that zone keeps only the
+   * callers of its zone, and any other worker loses only the callers of that zone.
    */
   async cut(absence: Absence, durationMs: number, cutZone?: Zone): Promise<void> {
     const isInside = cutZone === undefined || cutZone === this.#options.zone;
@@ -176,7 +177,7 @@
     this.#relays.forEach(([, relay]) => relay.silenceAll(silence));
   }
 
-  /** Lets what is due happen, and tells the judge of what has ended. */
+  /** Advances the worker's model to `nowMs` and reports ended runs and lapsed leases to the judge. */
   advance(nowMs: number): void {
     if (!this.isUp) return;
     this.#model.advance(nowMs);
@@ -276,10 +277,10 @@
       this.#options.nowMs() < endsAtMs &&
       !this.#hasNews(acknowledgedSequence)
     ) {
-      // eslint-disable-next-line no-await-in-loop -- waits for an end, at most as long as asked
+      // eslint-disable-next-line no-await-in-loop -- polls until there is news or the wait is over
       await delay(HOLD_POLL_MS);
     }
-    // Another life, or none, has nothing to say to this caller.
+    // A call to an earlier incarnation gets no answer, nor does a call to a worker that is down.
     if (this.incarnationKey !== incarnationKey || !this.isUp) return reply.hijack();
     this.advance(this.#options.nowMs());
     const held = this.#model.hold(request, this.#options.nowMs());
--- a/soak/test/platform/fleetWorkerOptions.ts
+++ b/soak/test/platform/fleetWorkerOptions.ts
@@ -1,4 +1,4 @@
-/** What the workers of the soak are made of. */
+/** Options and constants of the soak's fleet workers. */
 import type { StoreServer } from '../../../platform/test/storeServer.js';
 import type { ModelTask } from '../../../standIns/fleet/workerModel.js';
 import type { PlatformJudge } from './platformJudge.js';
@@ -7,12 +7,12 @@
 export const SERVICE = 'soak-service';
 export const CAPACITY: TaskSize = { processorMillis: 8_000, memoryMegabytes: 16_000 };
 export const MAXIMUM_LEASE_MS = 6_000;
-/** How long a worker takes to stop a task. */
+/** The time that a worker takes to stop a task. */
 export const STOP_MS = 400;
-/** How often workers of the platform write their entries; those of the soak write changes only. */
+/** The interval at which real workers write their entries. Soak workers write only changes. */
 export const REPORT_INTERVAL_MS = 1_100;
 
-/** What callers meet at the address of a worker that is gone. */
+/** How the address of an absent or cut-off worker behaves: no response, or refused connections. */
 export const Absence = { Silent: 'silent', Refusing: 'refusing' } as const;
 export type Absence = (typeof Absence)[keyof typeof Absence];
 
@@ -26,7 +26,7 @@
   readonly nowMs: () => number;
   readonly taskOf: (taskName: string) => ModelTask;
   readonly isPersistentTask: (taskName: string) => boolean;
-  /** Lets every worker's time pass, so that what has lapsed elsewhere is over. */
+  /** Advances all workers, so that runs whose leases have lapsed on other workers are ended. */
   readonly advanceAll: () => void;
   readonly log: SoakLog;
 }
--- a/soak/test/platform/main.ts
+++ b/soak/test/platform/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak:platform -- --seed N`: plays seeds from N on with real processes of the platform's
- * daemon, one after the other. The exit code is 1 when a check has failed.
+ * `npm run soak:platform -- --seed N` runs the seeds from N on, one after the other, against real
+ * processes of the daemon. The exit code is 1 if a check fails.
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -71,6 +71,6 @@
   },
 });
 
-// Processes that a run has started end with it.
+// Exits on a signal, so that the exit handler of the run kills the processes that it started.
 (['SIGINT', 'SIGTERM'] as const).forEach((signal) => process.once(signal, () => process.exit(1)));
 void runMain(main);
--- a/soak/test/platform/orderMessages.ts
+++ b/soak/test/platform/orderMessages.ts
@@ -1,4 +1,4 @@
-/** Orders to workers and their answers, as the platform writes them. */
+/** The JSON bodies of orders to workers and of their answers. */
 import type { FastifyReply } from 'fastify';
 
 import {
@@ -7,7 +7,7 @@
   StartOutcome,
 } from '../../../src/services/fleet/common/fleetWorker.js';
 
-/** Names the worker that an order is for. */
+/** The header that names the worker to which an order is addressed. */
 export const INSTANCE_HEADER = 'snipethread-target-instance';
 export const STATUS_OTHER_WORKER = 421;
 const STATUS_CONFLICT = 409;
@@ -35,7 +35,7 @@
   return Reason === undefined ? reply.send({}) : reply.code(STATUS_CONFLICT).send({ Reason });
 };
 
-/** A task that lasts is at work, at 100, after a short start. */
+/** A persistent task reports 100 per cent after a short start. */
 export const persistentPercent = (runsForMs: number): number =>
   Math.min(WHOLE_PERCENT, Math.floor((WHOLE_PERCENT * runsForMs) / PERSISTENT_START_MS));
 
--- a/soak/test/platform/persistentTasks.ts
+++ b/soak/test/platform/persistentTasks.ts
@@ -1,10 +1,10 @@
-/** How long tasks that last wait to be at work again. */
+/** Tracks how long persistent tasks wait to run again. */
 import type { FaultWindows } from './faultWindows.js';
 import { type SoakSubmission, type TaskSize, taskNames } from './soakTypes.js';
 import type { WorkerTracker } from './workerTracker.js';
 
 export const LONGEST_WAIT_MS = 9_000;
-/** No fault for so long, and calm for as long as the room must have lasted. */
+/** A wait is too long only if no fault occurred in the last `CALM_BEFORE_MS` + `ROOM_MS`. */
 const CALM_BEFORE_MS = 4_000;
 const ROOM_MS = 3_000;
 
@@ -24,7 +24,7 @@
 
   readonly #waits = new Map<string, Wait>();
 
-  /** The longest wait that ended or was found, whatever excuses it. */
+  /** The longest wait that ended with a start, including waits that a fault excuses. */
   longestWaitMs = 0;
 
   constructor(faults: FaultWindows, workers: WorkerTracker) {
@@ -68,14 +68,14 @@
     return [...this.#waits.keys()];
   }
 
-  /** Names the waits that are too long now, each once. */
+  /** Returns a finding for each wait that is now too long. Each wait is reported once. */
   advance(nowMs: number): readonly string[] {
     return [...this.#waits].flatMap(([name, wait]) => {
       const hasRoom = this.#workers.hasRoom(wait.size);
       Object.assign(wait, { roomSinceMs: hasRoom ? (wait.roomSinceMs ?? nowMs) : undefined });
       if (wait.isReported || !this.#isTooLong(wait, nowMs)) return [];
       Object.assign(wait, { isReported: true });
-      return [`${name} lasts and waits for ${Math.round(nowMs - wait.sinceMs)} ms`];
+      return [`${name} is persistent and waits for ${Math.round(nowMs - wait.sinceMs)} ms`];
     });
   }
 
--- a/soak/test/platform/platformJudge.test.ts
+++ b/soak/test/platform/platformJudge.test.ts
@@ -1,4 +1,4 @@
-/** That the judge of the platform's soak notices each broken promise, and no kept one. */
+/** Verifies that the judge of the platform soak reports each violation and nothing else. */
 import { beforeEach, describe, expect, it } from 'vitest';
 
 import { FaultWindows } from './faultWindows.js';
@@ -21,7 +21,7 @@
   isPersistent,
 });
 
-describe('the judge of the soak of the platform', () => {
+describe('the judge of the platform soak', () => {
   let faultWindows: FaultWindows;
   let judge: PlatformJudge;
 
@@ -56,7 +56,7 @@
     expect(judge.findings).toEqual([expect.stringContaining(text)]);
   };
 
-  it('finds nothing in a chain that runs as promised', () => {
+  it('finds nothing if a chain of steps runs as expected', () => {
     judge.noteAccepted(CHAIN, 0);
     runToEnd(FIRST_TASK, 'w1', 200);
     judge.noteListed('w1', 1, FIRST_TASK);
@@ -67,20 +67,20 @@
     expect(judge.findings).toEqual([]);
   });
 
-  it('notices a task that runs twice at the same time', () => {
+  it('reports a task that runs twice at the same time', () => {
     start(FIRST_TASK, 'w1', 100);
     start(FIRST_TASK, 'w2', 150, 2);
     expectFinding('runs at w1 too');
   });
 
-  it('takes what ran on a worker that is gone for over', () => {
+  it('treats the tasks of a worker that is gone as ended', () => {
     start(FIRST_TASK, 'w1', 100);
     judge.noteWorkerGone('w1');
     start(FIRST_TASK, 'w2', 150, 2);
     expect(judge.findings).toEqual([]);
   });
 
-  it('notices a start after a recorded end', () => {
+  it('reports a start after a recorded end', () => {
     runToEnd(FIRST_TASK, 'w1', 200);
     judge.noteListed('w1', 1, FIRST_TASK);
     judge.noteAcknowledged('w1', 1, 250);
@@ -88,7 +88,7 @@
     expectFinding('its end is recorded');
   });
 
-  it('notices an end that is recorded after the task was started again', () => {
+  it('reports an end that is recorded after the task was started again', () => {
     runToEnd(FIRST_TASK, 'w1', 200);
     judge.noteListed('w1', 1, FIRST_TASK);
     start(FIRST_TASK, 'w2', 300, 2);
@@ -96,7 +96,7 @@
     expectFinding('started after the end that is recorded now');
   });
 
-  it('lets a task run once more whose worker lost its lease before the end was recorded', () => {
+  it('allows a repeated run if the lease of the worker lapsed before the end was recorded', () => {
     runToEnd(FIRST_TASK, 'w1', 200);
     judge.noteListed('w1', 1, FIRST_TASK);
     judge.noteLeaseLapsed('w1');
@@ -105,20 +105,20 @@
     expect(judge.findings).toEqual([]);
   });
 
-  it('notices a worker over its capacity', () => {
+  it('reports a worker over its capacity', () => {
     const id = 'cccccccccccccccc';
     judge.noteSubmission({ id, steps: [{ ...step([], false), taskCount: 5 }] });
     [0, 1, 2, 3, 4].forEach((index) => start(`${id}.0.0.${index}`, 'w1', 100));
     expectFinding('over capacity');
   });
 
-  it('notices a fence that falls on one worker', () => {
+  it('reports a fence that is lower than an earlier one on the same worker', () => {
     judge.noteFence('w1', 2, 100);
     judge.noteFence('w1', 1, 200);
     expectFinding('fence 1 had effect after 2');
   });
 
-  it('notices an old fence on a later life of a worker, once its leases are over', () => {
+  it('reports an old fence on a later incarnation of a worker once the old leases are over', () => {
     judge.noteFence('w1', 2, 0);
     judge.noteWorkerGone('w1');
     judge.noteWorker({ key: 'w1 again', workerId: 'w1', capacity: ROOM_FOR_FOUR });
@@ -128,13 +128,13 @@
     expectFinding('fence 1 has effect long after 2');
   });
 
-  it('takes fences of different workers for unrelated, as the platform does', () => {
+  it('treats fences of different workers as unrelated', () => {
     judge.noteFence('w1', 2, 0);
     judge.noteFence('w2', 1, 13_000);
     expect(judge.findings).toEqual([]);
   });
 
-  it('notices an accepted submission that is answered 410', () => {
+  it('reports an accepted submission that is answered 410', () => {
     judge.noteAccepted(CHAIN, 0);
     judge.noteState(CHAIN, undefined, 2_900, 2_950);
     expect(judge.findings).toEqual([]);
@@ -142,7 +142,7 @@
     expectFinding('answered 410');
   });
 
-  it('notices a refused submission that starts, before or after the refusal', () => {
+  it('reports a refused submission that starts before or after the refusal', () => {
     start(FIRST_TASK, 'w1', 100);
     judge.noteRefused(CHAIN, 200);
     judge.noteRefused(PERSISTENT, 200);
@@ -153,24 +153,24 @@
     ]);
   });
 
-  it('notices a submission that is complete without all its tasks', () => {
+  it('reports a submission that is shown as complete before all its tasks are done', () => {
     judge.noteAccepted(CHAIN, 0);
     runToEnd(FIRST_TASK, 'w1', 200);
     judge.noteState(CHAIN, 'complete', 600, 610);
     expectFinding(`complete without ${SECOND_TASK}`);
   });
 
-  it('notices a step that starts before the one it follows', () => {
+  it('reports a step that starts before the step it follows is done', () => {
     start(SECOND_TASK, 'w1', 100);
     expectFinding(`before ${FIRST_TASK} is done`);
   });
 
-  it('notices a task that nobody asked for', () => {
+  it('reports a task of an unknown submission', () => {
     start('dddddddddddddddd.0.0.0', 'w1', 100);
     expectFinding('nobody asked for it');
   });
 
-  it.each(['failed', 'cancelled'])('notices a submission shown as %s without cause', (state) => {
+  it.each(['failed', 'cancelled'])('reports a submission shown as %s without cause', (state) => {
     judge.noteAccepted(CHAIN, 0);
     judge.noteState(CHAIN, state, 600, 610);
     expectFinding(`shown as ${state}`);
@@ -183,48 +183,48 @@
       judge.noteCancelled(CHAIN, 10_000);
     });
 
-    it('notices a late start', () => {
+    it('reports a late start', () => {
       start(FIRST_TASK, 'w1', 12_900);
       expect(judge.findings).toEqual([]);
       start(FIRST_TASK, 'w1', 13_100, 2);
       expect(judge.findings).toContainEqual(expect.stringContaining('3100 ms after cancel'));
     });
 
-    it('notices it beside planned work and killed processes', () => {
+    it('reports a late start during planned work and process kills', () => {
       faultWindows.add(FaultScope.Planned, 9_000, 12_000);
       faultWindows.add(FaultScope.Unplanned, 9_000, 12_000);
       start(FIRST_TASK, 'w1', 13_100);
       expectFinding('3100 ms after cancel');
     });
 
-    it('excuses it while daemons may have been cut off from the store', () => {
+    it('excuses a late start while daemons may have been cut off from the store', () => {
       faultWindows.add(FaultScope.Core, 11_000, 12_000);
       start(FIRST_TASK, 'w1', 13_100);
       expect(judge.findings).toEqual([]);
     });
   });
 
-  describe('for a task that lasts and has lost its worker', () => {
+  describe('for a persistent task that has lost its worker', () => {
     beforeEach(() => {
       judge.noteAccepted(PERSISTENT, 0);
       start(PERSISTENT_TASK, 'w1', 100);
       judge.noteEnd('w1', PERSISTENT_TASK, RunOutcome.Other, 10_000);
     });
 
-    it('notices a wait over nine seconds, once', () => {
+    it('reports a wait over nine seconds once', () => {
       advanceJudge(10_000, 19_000);
       expect(judge.findings).toEqual([]);
       advanceJudge(19_100, 25_000);
       expectFinding('waits for 9100 ms');
     });
 
-    it('notices it also while workers leave and instances stop', () => {
+    it('reports a long wait even during planned work', () => {
       faultWindows.add(FaultScope.Planned, 9_000, 25_000);
       advanceJudge(10_000, 19_100);
       expectFinding('waits for');
     });
 
-    it('notices it only once the time is calm again', () => {
+    it('reports a long wait only after a calm period', () => {
       faultWindows.add(FaultScope.Unplanned, 15_000, 15_000);
       advanceJudge(10_000, 22_000);
       expect(judge.findings).toEqual([]);
@@ -232,7 +232,7 @@
       expectFinding('waits for');
     });
 
-    it('notices it only once there has been room for three seconds', () => {
+    it('reports a long wait only after there has been room for three seconds', () => {
       ['w1', 'w2'].forEach((key) => judge.noteDraining(key, 10_000));
       advanceJudge(10_000, 20_000);
       judge.noteWorker({ key: 'w3', workerId: 'w3', capacity: ROOM_FOR_FOUR });
@@ -242,14 +242,14 @@
       expectFinding('waits for');
     });
 
-    it('owes nothing once it is cancelled', () => {
+    it('reports no wait after the task is cancelled', () => {
       judge.noteCancelSent(PERSISTENT);
       advanceJudge(10_000, 30_000);
       expect(judge.findings).toEqual([]);
     });
   });
 
-  it('notices what is not complete, or not at work, at the end', () => {
+  it('reports chains that are not complete and persistent tasks that wait at the end', () => {
     judge.noteAccepted(CHAIN, 0);
     judge.noteState(CHAIN, 'running', 600, 610);
     judge.noteAccepted(PERSISTENT, 0);
--- a/soak/test/platform/platformJudge.ts
+++ b/soak/test/platform/platformJudge.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a soak of the platform's daemon from what its clients and workers have seen. Each time is
- * an argument, so that tests replay any order of events.
+ * Checks a soak run of the daemon against the observations of its clients and workers. Every time
+ * is an argument, so that tests can replay any order of events.
  */
 import { type EndRecord, EndRecords } from '../../../standIns/fleet/endRecords.js';
 import type { FaultWindows } from './faultWindows.js';
@@ -18,10 +18,10 @@
 
 const CANCEL_BOUND_MS = 3_000;
 const VISIBLE_BOUND_MS = 3_000;
-/** After a submission is shown as complete, or an end is recorded. */
+/** The longest time in which a task may still start after its submission is shown as complete. */
 const LATE_START_BOUND_MS = 1_000;
 const DRAIN_BOUND_MS = 2_000;
-/** A disturbance of the core is near while it ended less than this before. */
+/** A core fault still excuses a late start if the fault ended less than this before the period. */
 const DISTURBANCE_MARGIN_MS = 3_000;
 
 export interface StartEvent {
@@ -55,7 +55,7 @@
     this.persistentTasks = new PersistentTasks(faults, this.#workers);
   }
 
-  /** The step of a task that somebody has asked for. */
+  /** Returns the step of a task; undefined if the task belongs to no known submission. */
   stepOf(taskName: string): SoakStep | undefined {
     const place = parseTaskName(taskName);
     if (place === undefined) return undefined;
@@ -71,7 +71,7 @@
     this.#drainingSinceMs.set(incarnationKey, nowMs);
   }
 
-  /** The process has ended, and all that ran on it. */
+  /** The worker process has ended together with all tasks that ran on it. */
   noteWorkerGone(incarnationKey: string): void {
     this.#workers.remove(incarnationKey);
   }
@@ -89,7 +89,7 @@
     this.persistentTasks.noteAccepted(record.submission, nowMs);
   }
 
-  /** Every attempt to hand it in was turned down. */
+  /** Records that every attempt to submit it was refused. */
   noteRefused(id: string, nowMs: number): void {
     const record = this.submissions.get(id);
     if (record === undefined) return;
@@ -111,7 +111,7 @@
     this.counts.cancelled += 1;
   }
 
-  /** A client was shown this state; undefined when it was told that nothing is known. */
+  /** Records the state that a client was shown; undefined if the submission was not found. */
   noteState(id: string, state: string | undefined, sentAtMs: number, nowMs: number): void {
     const record = this.submissions.get(id);
     if (record === undefined) return;
@@ -171,7 +171,7 @@
     this.#ends.noteListed(incarnationKey, sequence, taskName);
   }
 
-  /** An end that a lapse of the worker's lease came before is not owed any more. */
+  /** Ends that were not recorded before the worker's lease lapsed may be repeated. */
   noteLeaseLapsed(incarnationKey: string): void {
     this.#ends.noteLeaseLapsed(incarnationKey);
   }
@@ -186,18 +186,21 @@
       });
   }
 
-  /** An order with this fence had effect. */
+  /** Records that an order with this fence had effect. */
   noteFence(incarnationKey: string, fence: number, nowMs: number): void {
     const fault = this.#workers.noteFence(incarnationKey, fence, nowMs);
     if (fault !== undefined) this.#addFinding(`${incarnationKey}: ${fault}`, nowMs);
   }
 
-  /** What only time shows; to be called several times a second. */
+  /** Checks waits that are too long. Must be called several times a second. */
   advance(nowMs: number): void {
     this.persistentTasks.advance(nowMs).forEach((text) => this.#addFinding(text, nowMs));
   }
 
-  /** Accepted submissions that are owed and have not been shown in their last state. */
+  /**
+   * Ids of accepted submissions that have not been shown as complete, without cancelled and
+   * persistent ones.
+   */
   unfinished(): readonly string[] {
     return [...this.submissions.values()]
       .filter((record) => record.isExpectedToComplete && !record.submission.steps[0]?.isPersistent)
--- a/soak/test/platform/platformRun.ts
+++ b/soak/test/platform/platformRun.ts
@@ -1,4 +1,4 @@
-/** One seeded run: starts store, workers and instances, plays the faults and judges what is seen. */
+/** One seeded run: starts the store, workers and instances, and carries out the planned faults. */
 import { createWriteStream } from 'node:fs';
 import { mkdir } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -20,16 +20,16 @@
 const WORKERS_PER_RACK = 8;
 const TICK_MS = 20;
 const WARM_UP_MS = 2_000;
-/** Clients go on for so long after the last fault. */
+/** The time for which clients keep submitting after the last fault. */
 const AFTER_FAULTS_MS = 3_000;
 const SETTLE_MS = 30_000;
 const SETTLE_READ_MS = 500;
-/** A worker's clock may be two per cent slow. */
+/** A worker's clock may run up to two per cent slow. */
 const CLOCK_RATE_SPREAD = 0.02;
 
 const zoneAt = (index: number): Zone => ZONES[index % ZONES.length] ?? 'zone-a';
 
-/** An entry of a worker with the address at which a zone's instances meet it. */
+/** Replaces the address in a worker's entry by the one through which the zone's instances call it. */
 const toRowSeenFromZone = (zone: Zone, { Value = '', ...row }: Row): Row => {
   const text = Buffer.from(Value, 'base64').toString();
   const zoneText = text.replace('127.0.0.1', ZONE_HOSTS[zone]);
--- a/soak/test/platform/silentPort.ts
+++ b/soak/test/platform/silentPort.ts
@@ -1,6 +1,6 @@
 /**
- * A port that neither answers nor refuses, as the address of a machine that is gone: a thread
- * listens on it, at each of its addresses, and never accepts, and its queue is full.
+ * A port that neither answers nor refuses connections, like the address of a machine that is gone.
+ * A blocked thread listens on the port at each host and never accepts, with a full backlog.
  */
 import { createConnection, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
@@ -8,7 +8,7 @@
 const TAKE_OVER = 0;
 const LISTENING = 1;
 const LISTEN_TIMEOUT_MS = 2_000;
-/** What a queue of length one takes. */
+/** The number of connections that fill a backlog of one. */
 const QUEUED_CONNECTIONS = 2;
 
 const LISTENER_SOURCE = `
@@ -34,7 +34,7 @@
 
   readonly #queued: Socket[] = [];
 
-  /** Prepares the thread, so that the port refuses for an instant only when it is taken over. */
+  /** Starts the thread in advance, so that the port refuses only for an instant at the takeover. */
   constructor(port: number, hosts: readonly string[]) {
     this.#port = port;
     this.#hosts = hosts;
@@ -43,7 +43,7 @@
     this.#thread.on('error', () => {});
   }
 
-  /** Takes the port, which must be free; false when it could not. */
+  /** Listens on the port, which must be free. Returns false if that fails. */
   takeOver(): boolean {
     Atomics.store(this.#signal, TAKE_OVER, 1);
     Atomics.notify(this.#signal, TAKE_OVER);
--- a/soak/test/platform/soakClients.ts
+++ b/soak/test/platform/soakClients.ts
@@ -1,4 +1,4 @@
-/** Callers of the daemon: they hand in, repeat, read and cancel over connections that stay open. */
+/** Clients of the daemon that submit, repeat, read and cancel over persistent connections. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import type { RandomSource } from '../../../src/base/common/random.js';
@@ -24,7 +24,7 @@
 const REPEAT = { ratio: 0.15, withinMs: 4_000 };
 const CANCEL = { ratio: 0.12, withinMs: 2_500 };
 const CANCEL_PERSISTENT = { ratio: 0.25, withinMs: 25_000 };
-/** Tasks that last and end by themselves do so within this time. */
+/** The share of persistent tasks that fail by themselves, and the time after which they do. */
 const FAILING = { ratio: 0.3, leastMs: 4_000, withinMs: 20_000 };
 const NEVER_MS = 2 ** 40;
 const OK = 200;
@@ -73,7 +73,7 @@
     this.#log = log;
   }
 
-  /** What a task of the submissions does once it is started. */
+  /** Returns how a started task behaves: how long it works and how it ends. */
   taskOf(taskName: string): ModelTask {
     const step = this.#judge.stepOf(taskName);
     if (step?.isPersistent !== true) return { workMs: step?.workMs ?? 0, end: RunEnd.Done };
@@ -162,7 +162,7 @@
   async #cancel(id: string): Promise<void> {
     this.#judge.noteCancelSent(id);
     for (let attempt = 0; attempt < CANCEL_ATTEMPTS; attempt += 1) {
-      // eslint-disable-next-line no-await-in-loop -- again only when this one got no answer
+      // eslint-disable-next-line no-await-in-loop -- retries only if this attempt was not confirmed
       const { statusCode, sentAtMs } = await this.#call('DELETE', id);
       if (statusCode === OK) {
         this.#judge.noteCancelled(id, this.#nowMs());
@@ -174,7 +174,7 @@
     }
   }
 
-  /** Calls any instance whose process is there, also one that drains. */
+  /** Calls a random instance whose process runs, even if it drains. */
   async #call(
     method: 'GET' | 'POST' | 'DELETE',
     id: string,
@@ -201,7 +201,7 @@
       const body = (await response.body.json()) as { readonly State?: string };
       return { statusCode: response.statusCode, state: body.State, sentAtMs };
     } catch (error) {
-      // The process has ended, or answers too late: whether it acted is not known.
+      // The process has ended or timed out. Whether the request took effect is unknown.
       this.unansweredCount += 1;
       const { code, message } = error as { readonly code?: unknown; readonly message: string };
       this.#log('unanswered', { method, id, sentAtMs, instance: instance?.id, code, message });
--- a/soak/test/platform/soakComponents.test.ts
+++ b/soak/test/platform/soakComponents.test.ts
@@ -1,4 +1,4 @@
-/** Parts of the platform's soak that its checks rely on. */
+/** Tests the components of the platform soak on which its checks rely. */
 import { createConnection, createServer } from 'node:net';
 import { once } from 'node:events';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -31,30 +31,30 @@
     }, CONNECT_MS);
   });
 
-describe('the plan of faults', () => {
-  it('is the same for the same seed, and another for another', () => {
+describe('drawPlan', () => {
+  it('returns the same plan for the same seed and another plan for another seed', () => {
     const plan = (seed: number) => drawPlan(Scenario.Both, new SeededRandom(seed), 60_000);
     expect(plan(7)).toEqual(plan(7));
     expect(plan(7)).not.toEqual(plan(8));
   });
 
-  it('stops instances in turn while workers leave silently, in the incident', () => {
+  it('plans instance stops and silently leaving workers for the incident scenario', () => {
     const plan = drawPlan(Scenario.Incident, new SeededRandom(1), 30_000);
     expect(plan.map(({ kind }) => kind)).toEqual([FaultKind.StopInTurn, FaultKind.WorkersLeave]);
     expect(plan.every(({ isSilent }) => isSilent)).toBe(true);
   });
 
-  it('cuts a zone off by refused connections whatever the seed, where both parts are played', () => {
+  it('plans a zone cut with refused connections for the scenario of both parts', () => {
     const plan = drawPlan(Scenario.Both, new SeededRandom(1), 60_000);
     const cut = plan.find(({ kind }) => kind === FaultKind.CutZone);
     expect(cut).toMatchObject({ atMs: 34_000, isSilent: false });
   });
 });
 
-describe('a worker beside a zone that is cut off', () => {
+describe('a fleet worker during a zone cut', () => {
   it.each([
-    ['inside, is reached from its zone only, and is not in the table once its entry expired', true],
-    ['outside, is not reached from that zone, and is in the table', false],
+    ['is reachable only from its own zone and loses its entry if it is inside the zone', true],
+    ['is not reachable from the cut zone and keeps its entry if it is outside the zone', false],
   ])('%s', async (_, isInside) => {
     const store = new StoreServer();
     const judge = new PlatformJudge(new FaultWindows());
@@ -79,7 +79,7 @@
 });
 
 describe('a silent port', () => {
-  it('neither answers nor refuses, until it is closed', async () => {
+  it('neither answers nor refuses connections until it is closed', async () => {
     const server = createServer().listen(0, '127.0.0.1');
     await once(server, 'listening');
     const { port } = server.address() as { readonly port: number };
@@ -95,8 +95,8 @@
   });
 });
 
-describe('a relay that is cut', () => {
-  it('refuses until the last cut that refuses is healed, and is silent until none is left', async () => {
+describe('a relay with cuts', () => {
+  it('refuses until the last refusing cut is healed, then stays silent until all cuts are healed', async () => {
     const server = createServer((socket) => socket.end('passed')).listen(0, '127.0.0.1');
     await once(server, 'listening');
     const relay = new SilentRelay((server.address() as { readonly port: number }).port);
@@ -121,7 +121,7 @@
     server.close();
   });
 
-  it('does not listen again for a heal after it was closed', async () => {
+  it('does not listen again if a cut is healed after the relay was closed', async () => {
     const relay = new SilentRelay(1);
     const port = await relay.listen();
     const heal = relay.cut(true);
@@ -131,8 +131,8 @@
   });
 });
 
-describe('the faults of the store', () => {
-  it('meet the callers they name, while they are in force', () => {
+describe('store faults', () => {
+  it('affect only the named hosts, and only while they are active', () => {
     const faults = new StoreFaults(new SeededRandom(1));
     const hosts = new Set(['one']);
     const end = faults.add({ outcome: 'refuse', ratio: 1, delayMs: 0, hosts });
--- a/soak/test/platform/soakFaults.ts
+++ b/soak/test/platform/soakFaults.ts
@@ -1,4 +1,4 @@
-/** Carries out faults on instances, workers and the store, and tells the judge's fault times. */
+/** Carries out faults on instances, workers and the store, and records the fault windows. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { type RandomSource, SeededRandom } from '../../../src/base/common/random.js';
@@ -15,13 +15,13 @@
 const STOP_INTERVAL_MS = 2_000;
 const RESTART_MS = 300;
 const LEAVE_INTERVAL_MS = 700;
-/** From a worker's word that it drains to its end. */
+/** The time from the announcement that a worker drains to its end. */
 const DRAIN_MS = 4_500;
-/** How long it says that it stays at the least. */
+/** The minimum stay that a draining worker announces. */
 const ANNOUNCED_STAY_MS = 2_000;
 const LOST_ENTRY_MS = 3_300;
 const RESTART_COUNT = 4;
-/** Both for the time that a process is away and for the time that it is back. */
+/** The upper bound of both the downtime and the uptime in repeated restarts. */
 const RESTART_SPREAD_MS = 1_200;
 const SLOW_STORE_MS = 400;
 const LOST_ANSWER_RATIO = 0.3;
@@ -53,7 +53,7 @@
     this.#targets = targets;
   }
 
-  /** Resolves when the fault is over and what it ended runs again. */
+  /** Carries out a fault. Resolves when it is over and the processes that it ended run again. */
   async perform(fault: PlannedFault): Promise<void> {
     const { kind, count, durationMs, isSilent } = fault;
     const random = new SeededRandom(fault.choiceSeed);
--- a/soak/test/platform/soakSubmissions.ts
+++ b/soak/test/platform/soakSubmissions.ts
@@ -1,4 +1,4 @@
-/** Submissions of the soak: short chains of steps, and tasks that last. */
+/** Draws the submissions of the soak: short chains of steps, and persistent tasks. */
 import type { RandomSource } from '../../../src/base/common/random.js';
 import type { SoakStep, SoakSubmission } from './soakTypes.js';
 
@@ -27,7 +27,7 @@
   return { id: drawId(random), steps };
 };
 
-/** As the platform writes it. */
+/** Converts a submission to its JSON body. */
 export const toBody = ({ id, steps }: SoakSubmission): unknown => ({
   Spec: `spec of ${id}`,
   Steps: steps.map((step) => ({
--- a/soak/test/platform/soakTypes.ts
+++ b/soak/test/platform/soakTypes.ts
@@ -1,7 +1,10 @@
-/** What the soak of the platform's daemon knows of its submissions, workers and faults. */
+/** Types of the platform soak: submissions, workers and faults. */
 export type SoakLog = (event: string, fields: Readonly<Record<string, unknown>>) => void;
 
-/** Each zone, and the address at which its instances meet all workers; none is the workers' own. */
+/**
+ * The address at which the instances of each zone reach the workers. All differ from 127.0.0.1, on
+ * which the workers listen themselves.
+ */
 export const ZONE_HOSTS = { 'zone-a': '127.0.0.2', 'zone-b': '127.0.0.3', 'zone-c': '127.0.0.4' };
 export type Zone = keyof typeof ZONE_HOSTS;
 export const ZONES = Object.keys(ZONE_HOSTS) as readonly Zone[];
@@ -24,7 +27,7 @@
   readonly steps: readonly SoakStep[];
 }
 
-/** One life of a worker; a restart under the same id is another life. */
+/** One incarnation of a worker. A restart under the same id is another incarnation. */
 export interface WorkerIncarnation {
   readonly key: string;
   readonly workerId: string;
@@ -34,12 +37,13 @@
 export const RunOutcome = { Done: 'done', Failed: 'failed', Other: 'other' } as const;
 export type RunOutcome = (typeof RunOutcome)[keyof typeof RunOutcome];
 
-/** What a fault can excuse. Planned work excuses nothing. */
+/** The scope of a fault, which determines the checks that it excuses. */
 export const FaultScope = {
-  /** Daemons may be cut off from the store, or not run. */
+  /** Daemons may be cut off from the store or frozen. */
   Core: 'core',
-  /** Daemons or workers are killed, or their connections harmed. */
+  /** Daemons or workers are killed, or workers are cut off. */
   Unplanned: 'unplanned',
+  /** Planned work excuses nothing. */
   Planned: 'planned',
 } as const;
 export type FaultScope = (typeof FaultScope)[keyof typeof FaultScope];
@@ -49,14 +53,14 @@
   readonly stepIndex: number;
 }
 
-/** Undefined for a name that is no task's. */
+/** Parses a task name. Returns undefined if the name is not one of a task. */
 export const parseTaskName = (taskName: string): TaskPosition | undefined => {
   const [submissionId, occurrence, step, index] = taskName.split('.');
   if (submissionId === undefined || occurrence !== '0' || index === undefined) return undefined;
   return { submissionId, stepIndex: Number(step) };
 };
 
-/** The names of a step's tasks. */
+/** Returns the names of a step's tasks. */
 export const taskNames = ({ id, steps }: SoakSubmission, stepIndex: number): readonly string[] =>
   Array.from(
     { length: steps[stepIndex]?.taskCount ?? 0 },
--- a/soak/test/platform/storeFaults.ts
+++ b/soak/test/platform/storeFaults.ts
@@ -1,13 +1,13 @@
-/** Faults of the store that are in force, as the stand-in of the store asks for each call. */
+/** The active faults of the store. The store stand-in asks for the treatment of each call. */
 import type { RandomSource } from '../../../src/base/common/random.js';
 import type { StoreOutcome, StoreTreatment } from '../../../platform/test/storeServer.js';
 
 interface StoreFaultRule {
   readonly delayMs: number;
   readonly outcome: StoreOutcome;
-  /** The share of calls that it meets. */
+  /** The share of affected calls. */
   readonly ratio: number;
-  /** Whose calls it meets; all when absent. */
+  /** The hosts whose calls are affected; all hosts if absent. */
   readonly hosts?: ReadonlySet<string>;
 }
 
@@ -20,7 +20,7 @@
     this.#random = random;
   }
 
-  /** Puts a rule in force and returns what ends it. */
+  /** Activates a rule. Returns a function that deactivates it. */
   add(rule: StoreFaultRule): () => void {
     this.#rules.add(rule);
     return () => this.#rules.delete(rule);
--- a/soak/test/platform/submissionRecord.ts
+++ b/soak/test/platform/submissionRecord.ts
@@ -1,4 +1,4 @@
-/** What clients were told of one submission. */
+/** The answers that clients got about one submission, and whether its tasks have started. */
 import { type SoakSubmission, taskNames } from './soakTypes.js';
 
 export class SubmissionRecord {
--- a/soak/test/platform/workerTracker.ts
+++ b/soak/test/platform/workerTracker.ts
@@ -1,7 +1,7 @@
-/** What runs on which life of a worker, and which lives can take more. */
+/** Tracks the tasks and free capacity of each worker incarnation, and the fences it has seen. */
 import type { TaskSize, WorkerIncarnation } from './soakTypes.js';
 
-/** An owner without the store grants for five seconds, leases last six. */
+/** An owner without the store grants leases for five seconds, and a lease lasts six seconds. */
 const OLD_FENCE_MS = 12_000;
 
 interface IncarnationRecord {
@@ -19,7 +19,10 @@
 export class WorkerTracker {
   readonly #incarnations = new Map<string, IncarnationRecord>();
 
-  /** By worker, over all its lives; a new life has seen none, so an order may still come late. */
+  /**
+   * The highest fence by worker id, across incarnations. A new incarnation has seen no fence, so a
+   * late order with an old fence may still have effect for a while.
+   */
   readonly #fences = new Map<string, { readonly highest: number; readonly sinceMs: number }>();
 
   add(incarnation: WorkerIncarnation): void {
@@ -31,7 +34,7 @@
     });
   }
 
-  /** Nothing new is owed to it: it drains. */
+  /** Marks an incarnation as draining. It no longer counts as room for tasks. */
   markDraining(key: string): void {
     const record = this.#incarnations.get(key);
     if (record !== undefined) record.acceptsTasks = false;
@@ -49,7 +52,7 @@
     this.#incarnations.get(key)?.running.delete(taskName);
   }
 
-  /** Lives on which the task runs. */
+  /** Returns the keys of the incarnations on which the task runs. */
   incarnationsRunning(taskName: string): readonly string[] {
     return [...this.#incarnations.values()]
       .filter(({ running }) => running.has(taskName))
@@ -61,7 +64,7 @@
     return record !== undefined && !fits(record.incarnation.capacity, [...record.running.values()]);
   }
 
-  /** Whether a worker has room for it twice over. */
+  /** Whether a worker that does not drain has room for two tasks of this size. */
   hasRoom(size: TaskSize): boolean {
     return [...this.#incarnations.values()].some(
       ({ acceptsTasks, incarnation, running }) =>
@@ -69,7 +72,7 @@
     );
   }
 
-  /** What this fence falls below, if anything; it counts from now on. */
+  /** Records a fence. Returns a finding if it is lower than allowed, otherwise undefined. */
   noteFence(key: string, fence: number, nowMs: number): string | undefined {
     const record = this.#incarnations.get(key);
     if (record === undefined) return undefined;
--- a/soak/test/regressions.test.ts
+++ b/soak/test/regressions.test.ts
@@ -1,4 +1,4 @@
-/** What randomised runs have found, each as its shrunk trace with its seed unchanged. */
+/** Failures that randomised runs found. Each test replays the shrunk trace with its original seed. */
 import { describe, expect, it } from 'vitest';
 
 import { ledgerRowSchema } from '../../src/services/workload/common/workRows.js';
@@ -17,11 +17,11 @@
     workMs,
   });
 
-describe('found by randomised runs', () => {
-  // The operator sees a task of a job of 13 done twice, without any fault. A worker with nothing
-  // to do holds no lease, so an assignment just committed to it was taken for one whose leases
-  // are over: it was queued again in the same step in which its start went out.
-  it('seed 1, scheduler: a new assignment to an idle worker is not taken for lost', async () => {
+describe('regressions found by randomised runs', () => {
+  // Without any fault, one task of a job with 13 tasks ran twice. An idle worker holds no lease, so
+  // the scheduler treated an assignment that it had just committed as one with expired leases. It
+  // queued the task again in the same step that sent the start.
+  it('seed 1, scheduler: a new assignment to an idle worker is not treated as lost', async () => {
     const world = new SoakWorld(0);
     await world.start();
     void submit(world, 13, 10);
@@ -29,10 +29,10 @@
     await expectSettled(world);
   });
 
-  // The operator is told that a plan was not run, and finds it in force. The first transaction's
-  // answer is lost, the next try cannot read the table, and the failure of that read is passed
-  // on as the answer although the transaction may have taken effect.
-  it('seed 18, scheduler: "not run" is not said of a plan whose answer was lost', async () => {
+  // The operator was told that a plan did not run although the plan was in force. The answer of the
+  // first transaction was lost and the retry could not read the table. The failed read was returned
+  // as the answer, although the transaction might have taken effect.
+  it('seed 18, scheduler: a plan whose answer was lost is not reported as "not run"', async () => {
     const world = new SoakWorld(1_524_433_494);
     await world.start();
     const planCount = (): number => world.table.read({ keys: [], prefixes: ['plan/'] }).rows.length;
@@ -48,10 +48,10 @@
     await expectSettled(world);
   });
 
-  // A cancelled job never ends. Its task was assigned, the start arrived too late to be taken,
-  // and by then the job was cancelled: the owner neither starts the task any more nor takes the
-  // assignment back, which also holds its worker's capacity for ever.
-  it('seed 13, operator: a cancelled task whose start was refused is taken back', async () => {
+  // A cancelled job never ended. The worker refused the start of the assigned task because it
+  // arrived too late, and the job was cancelled by then. The owner neither started the task nor
+  // revoked the assignment, which kept the worker's capacity reserved for ever.
+  it('seed 13, operator: the assignment of a cancelled task whose start was refused is revoked', async () => {
     const world = new SoakWorld(1_247_878_356);
     await world.start();
     void submit(world, 1, 10);
@@ -66,10 +66,10 @@
     await expectSettled(world);
   });
 
-  // A finished task runs a second time after an outage of the table. Its worker tells of the end
-  // while the owner cannot record it; after the length of a lease the owner takes the assignment
-  // for lost, although it has the worker's word.
-  it('seeds 1209 (all), 1302, 1346 (operator): an end outlasts an outage of the table', async () => {
+  // A finished task ran a second time after a table outage. The worker reported the end while the
+  // owner could not record it. After the duration of a lease the owner treated the assignment as
+  // lost, although the worker had reported the end.
+  it('seeds 1209 (all), 1302, 1346 (operator): a reported end survives a table outage', async () => {
     const world = new SoakWorld(321_778_456);
     await world.start();
     void submit(world, 13, 1_500);
@@ -80,13 +80,13 @@
     await expectSettled(world);
   });
 
-  // An operator finds a job given up that would run: bad workers used its tries up two at a time.
-  // The round that records a failure also assigns, and did so before it had learnt of the failure:
-  // the next attempt followed at once, on the worker that had just failed the task.
-  it('seeds 40000, 41038, 80084 (badWorkers): a failed task waits, and goes elsewhere', async () => {
+  // A job that could have run was given up, because bad workers used up its attempts two at a time.
+  // The round that records a failure also assigns tasks, and it assigned before it processed the
+  // failure. The next attempt started at once, on the worker that had just failed the task.
+  it('seeds 40000, 41038, 80084 (badWorkers): a failed task is retried later on another worker', async () => {
     const world = new SoakWorld(1);
     await world.start();
-    // Replicas that failed beside it would make the worker doubtful, and the wait half as long.
+    // Failed service replicas on the same worker would make the worker suspect and halve the wait.
     void world.operate(0, { intent: 'remove-service', name: SERVICE });
     await world.runFor(10_000);
     world.workers.forEach((worker) => Object.assign(worker, { isBad: true }));
--- a/soak/test/safeguardFaults.ts
+++ b/soak/test/safeguardFaults.ts
@@ -1,4 +1,4 @@
-/** Switches of randomised runs that each break one safeguard, to show that the judge sees it. */
+/** Test switches that each break one safeguard, to show that the judge detects the failure. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import {
@@ -15,22 +15,22 @@
 export interface SafeguardFaults {
   readonly alterTransaction?: (transaction: Transaction) => Transaction;
   readonly alterCommand?: (command: WorkerCommand) => WorkerCommand;
-  /** Workers start an attempt that a former incarnation was given. */
+  /** Workers accept a start that was sent to their previous incarnation. */
   readonly hasWorkersWithoutIncarnationCheck?: boolean;
-  /** Readers take whatever they read, the older too. */
+  /** Configuration readers accept any answer, including older versions. */
   readonly hasRevertingReaders?: boolean;
-  /** Entries that ignore the configuration and go on with the servers they have read. */
+  /** Entries ignore configuration changes and keep their current backend servers. */
   readonly hasStaleEntries?: boolean;
-  /** Operators are told `not-run` whatever the failure. */
+  /** Every failure is treated as if the operator was told `not-run`. */
   readonly isAlwaysReportedNotRun?: boolean;
-  /** What cells are told of the configuration. */
+  /** Alters the configuration that cells receive. */
   readonly alterView?: (view: ConfigurationView) => ConfigurationView;
   readonly alterState?: (state: CellState) => CellState;
 }
 
 export type SoakReader = ConfigurationService;
 
-/** A reader without its safeguard: whatever answer comes last is in force. */
+/** A configuration reader without its version check: the most recent answer always wins. */
 export class RevertingReader implements SoakReader {
   current: ConfigurationView | undefined;
 
--- a/soak/test/soak.test.ts
+++ b/soak/test/soak.test.ts
@@ -1,4 +1,4 @@
-/** Fixed seeds of each scenario, the same verdict on each run. */
+/** Runs fixed seeds of each scenario. The result of a seed is the same on each run. */
 import { describe, expect, it } from 'vitest';
 
 import type { Scenario } from './soakCommands.js';
@@ -15,7 +15,7 @@
 describe('randomised runs', () => {
   CASES.flatMap(({ scenario, seeds }) => seeds.map((seed) => ({ scenario, seed }))).forEach(
     ({ scenario, seed }) =>
-      it(`${scenario}, seed ${seed}`, async () => {
+      it(`find no failure in scenario ${scenario} with seed ${seed}`, async () => {
         const result = await runSeed({ seed, scenario, maximumStepCount: 60 });
         expect(result.failure).toBeUndefined();
       }),
--- a/soak/test/soakCommands.ts
+++ b/soak/test/soakCommands.ts
@@ -1,4 +1,4 @@
-/** What happens in a randomised run: work, operators' changes and faults, as model commands. */
+/** The steps of a randomised run as model commands: submitted work, operator changes and faults. */
 import fc from 'fast-check';
 
 import { isEnded, workRowSchema } from '../../src/services/workload/common/workRows.js';
@@ -15,7 +15,7 @@
 } from './soakTypes.js';
 import type { SoakWorld } from './soakWorld.js';
 
-/** What the run has asked for; the rest of the truth is in the stand-ins. */
+/** Counts the jobs and steps of the run. All other state is in the stand-ins. */
 export interface SoakModel {
   jobCount: number;
   stepCount: number;
@@ -31,7 +31,7 @@
   if (findings.length > 0) throw new Error(findings.join('\n'));
 };
 
-/** One step: something happens, then time passes. */
+/** One step: performs an action, then advances the virtual time. */
 class Step implements fc.AsyncCommand<SoakModel, SoakWorld> {
   readonly #name: string;
 
@@ -50,7 +50,7 @@
   }
 
   async run(model: SoakModel, world: SoakWorld): Promise<void> {
-    // fast-check's model is changed in place.
+    // fast-check requires that the model is changed in place.
     // eslint-disable-next-line no-param-reassign
     model.stepCount += 1;
     this.#action(world, model);
@@ -220,7 +220,10 @@
   }),
 ];
 
-/** Longer than owners renew leases without the table, so what is cut off runs again elsewhere. */
+/**
+ * Longer than owners renew leases without the table, so tasks on workers that are cut off run again
+ * elsewhere.
+ */
 const LONG_CUT_MS = 100_000;
 
 const cutWorkers = (world: SoakWorld, isAffected: (worker: SoakWorker) => boolean): void => {
@@ -231,7 +234,7 @@
   );
 };
 
-/** What takes many instances at once: a switch, a zone, a link between regions. */
+/** Faults that affect many instances at once: the loss of a rack switch, a zone or a region link. */
 const groupFaults = [
   step('rack-cut', fc.tuple(anyWorker), (index) => (world) => {
     const rack = rackOf(workerAt(world, index)?.id ?? '');
@@ -266,7 +269,7 @@
 
 const submitSteps = [submitOf(3_000, 'usual'), submitOf(3_000, 'accelerated')];
 
-/** Steps of a run by what they touch. */
+/** Steps of each scenario. A step that is listed more than once is drawn more often. */
 export const SCENARIOS = {
   badWorkers: [submitStep, submitStep, ...badWorkers],
   losses: [
@@ -292,12 +295,12 @@
 export type Scenario = keyof typeof SCENARIOS;
 
 const HEAL_MS = 10_000;
-/** Of a scenario whose faults last longer. */
+/** Healing time of a scenario with faults that last for `LONG_CUT_MS`. */
 export const LONG_HEAL_MS = LONG_CUT_MS + HEAL_MS;
 const SETTLE_STEP_MS = 5_000;
 const SETTLE_LIMIT_MS = 180_000;
 
-/** What is not yet as it should be once faults have ended; empty when all is. */
+/** Lists what has not recovered after the faults ended. The list is empty if everything has. */
 const listUnsettled = (world: SoakWorld): readonly string[] => {
   const rows = world.table
     .read({ keys: [], prefixes: ['work/', 'finished/'] })
@@ -321,7 +324,7 @@
     const canRun = size.processorMillis <= CAPACITY.processorMillis;
     if (open > 0 && canRun) problems.push(`${jobId} has ${open} open tasks`);
     const failed = tasks.filter((task) => task.state === 'failed').length;
-    // What fits nowhere is refused in the end: seed 7, all, a job marked too-large.
+    // A job that fits on no worker is refused in the end: seed 7 of `all`, a too-large job.
     if (failed > 0 && canRun && !jobId.startsWith(FAILING_JOB_PREFIX)) {
       problems.push(`${jobId} was given up: ${failed} tasks`);
     }
@@ -333,11 +336,14 @@
   return problems;
 };
 
-/** Ends all faults, waits and expects everything to be as it was accepted. */
+/**
+ * Waits until the faults have ended, puts all zones and draining workers back into use and waits
+ * until all accepted work has ended. Throws if that takes too long or the judge has findings.
+ */
 export const expectSettled = async (world: SoakWorld, healMs = HEAL_MS): Promise<void> => {
   await world.runFor(healMs);
   ZONES.forEach((zone) => void world.operate(0, { intent: 'use-zone', zone, region: 'r' }));
-  // One worker that is left in a zone would need longer than the limit: seed 2577, all.
+  // If a zone had only one worker left, its work would exceed the limit: seed 2577 of `all`.
   world.daemons[0]?.reader.current?.workers.forEach(({ id, isDraining }) => {
     if (isDraining) void world.operate(0, { intent: 'return-worker', workerId: id });
   });
--- a/soak/test/soakJudge.ts
+++ b/soak/test/soakJudge.ts
@@ -1,4 +1,4 @@
-/** Judges a randomised run from the workers' own records and from what the table has committed. */
+/** Checks a randomised run against the workers' own records and the committed transactions. */
 import {
   CHANGE_PREFIX,
   changeRowSchema,
@@ -19,7 +19,7 @@
 import type { WorkerEvent } from '../../standIns/workers/workerStandIn.js';
 import type { SoakWorker } from './soakWorker.js';
 
-/** "A few seconds": no start in a zone, and no request to it, later than this. */
+/** The longest time after a withdrawal in which tasks may start in, or requests go to, the zone. */
 export const WITHDRAWAL_BOUND_MS = 3_000;
 
 interface AttemptRecord {
@@ -33,7 +33,7 @@
   checkpoint === null ? 0 : Number(checkpoint.split('@')[1]);
 
 export class SoakJudge {
-  /** What was found, one line each with its instant. */
+  /** One line per finding, with its time. */
   readonly findings: string[] = [];
 
   readonly withdrawnAtMs = new Map<string, number>();
@@ -70,15 +70,15 @@
     if (event.kind !== 'ended' || event.state !== WorkerTaskState.Finished || !isBatch) return;
     const first = this.#completions.get(event.taskId);
     this.#completions.set(event.taskId, first ?? { worker, endedAtMs: nowMs });
-    // A worker that lost its memory or its connections before it could tell has taken the only
-    // record of the end along, for the platform keeps none: seed 1, scheduler, where a worker
-    // restarts 0.6 s after the end and before its next report.
+    // The worker holds the only record of an end until it reports it. If the worker restarts or
+    // loses its connections before that, the task runs again: seed 1 of `scheduler`, in which a
+    // worker restarts 0.6 s after the end and before its next report.
     const isReported = first !== undefined && first.worker.faultedAtMs < first.endedAtMs;
     if (isReported && !first.worker.isCut)
       this.addFinding(`${event.taskId} was completed twice`, nowMs);
   }
 
-  /** Takes in every start a worker carried out; `report` is its state after the message. */
+  /** Records the starts that a worker carried out. `report` is its state after the command. */
   noteStarted(
     worker: SoakWorker,
     starts: readonly StartRequest[],
@@ -96,7 +96,10 @@
       });
   }
 
-  /** An attempt starts once; the one after an eviction goes on from the eviction's checkpoint. */
+  /**
+   * Checks that an attempt starts only once, and that an attempt after an eviction resumes from the
+   * checkpoint of that eviction.
+   */
   #noteAttempt(worker: SoakWorker, start: StartRequest, nowMs: number): void {
     const key = `${start.taskId}#${start.attempt}`;
     if (this.#attempts.has(key)) this.addFinding(`attempt ${key} was started twice`, nowMs);
@@ -106,9 +109,9 @@
     const before = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
     if (before === undefined) return;
     if (startProgressMs < before.startProgressMs) {
-      this.addFinding(`${key} lost the checkpoint its former attempt had`, nowMs);
+      this.addFinding(`${key} lost the checkpoint of the previous attempt`, nowMs);
     }
-    // A worker that was cut off or lost its memory could not hand its checkpoint over.
+    // A worker that was cut off or restarted could not report its checkpoint.
     const isHandedOver = before.worker.faultedAtMs < before.startedAtMs;
     const isDifferent = startProgressMs !== before.evictedProgressMs;
     if (before.evictedProgressMs !== undefined && isHandedOver && isDifferent) {
@@ -132,14 +135,14 @@
     });
   }
 
-  /** An operator was told that the plan surely did not take effect. */
+  /** Records that an operator was told that the plan did not take effect. */
   noteNotRun(planId: string, nowMs: number): void {
     this.#notRunPlans.add(planId);
     if (this.#acceptedPlans.has(planId))
       this.addFinding('"not run", but the plan was accepted', nowMs);
   }
 
-  /** An operator was told that the plan is in force. */
+  /** Records that an operator was told that the plan is in force. */
   noteConfirmed(planId: string, nowMs: number): void {
     if (!this.#acceptedPlans.has(planId))
       this.addFinding('confirmed, but nothing was accepted', nowMs);
@@ -160,7 +163,7 @@
     this.#highestVersions.set(daemonId, Math.max(version, highest));
   }
 
-  /** Everything found up to now, the workers' records included. */
+  /** Returns all findings so far, including those from the workers' records. */
   allFindings(): readonly string[] {
     const verdict = this.verdict();
     const toLines = (label: string, items: readonly string[]): string[] =>
--- a/soak/test/soakPlanService.ts
+++ b/soak/test/soakPlanService.ts
@@ -1,4 +1,4 @@
-/** The operators' side of one daemon in a randomised run. */
+/** Creates the plan service of one daemon in a randomised run. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import { PlanService } from '../../src/operator/node/planService.js';
 import type { ConfigurationService } from '../../src/services/configuration/common/configurationService.js';
@@ -14,11 +14,11 @@
   readonly time: SoakTime;
   readonly random: RandomSource;
   readonly counters: Map<string, number>;
-  /** Of the daemon; ids of plans and operations begin with it. */
+  /** The daemon's id, which prefixes the ids of its plans and operations. */
   readonly id: string;
 }
 
-/** Plans without the list of instances, so that jobs which can never run get in as well. */
+/** Creates a plan service with an empty instance list, so that it accepts jobs that can never run. */
 export const createPlanService = (
   options: PlanServiceOptions,
   configuration: ConfigurationService,
--- a/soak/test/soakRun.ts
+++ b/soak/test/soakRun.ts
@@ -1,4 +1,4 @@
-/** Runs one seed: fast-check draws the steps, and shrinks them when something is found. */
+/** Runs one seed. fast-check draws the steps and shrinks them after a failure. */
 import fc from 'fast-check';
 
 import {
@@ -12,7 +12,7 @@
 import { SoakWorld } from './soakWorld.js';
 
 const SEED_LIMIT = 2 ** 31 - 1;
-/** A failure is reported as far as it was shrunk by then. */
+/** When shrinking takes longer, the smallest trace so far is reported. */
 const SHRINKING_LIMIT_MS = 20_000;
 
 export interface SoakResult {
@@ -22,7 +22,7 @@
   readonly evictionCount: number;
   readonly conflictCount: number;
   readonly completedBatchCount: number;
-  /** The shrunk trace of a failure and what was found; undefined when nothing was. */
+  /** The shrunk trace and the findings; undefined if the run found nothing. */
   readonly failure: string | undefined;
 }
 
--- a/soak/test/soakTime.ts
+++ b/soak/test/soakTime.ts
@@ -1,4 +1,4 @@
-/** Virtual time in which promises settle: their continuations run before the next event. */
+/** Virtual time that runs the continuations of settled promises before the next event. */
 import { VirtualTime } from '../../bench/virtualTime.js';
 
 const drainMicrotasks = (): Promise<void> =>
@@ -9,7 +9,7 @@
 export class SoakTime extends VirtualTime {
   #isDrainNeeded = false;
 
-  /** To be called when an event settles a promise, whose continuations run before the next. */
+  /** Must be called when an event settles a promise, so that its continuations run next. */
   requestMicrotaskDrain(): void {
     this.#isDrainNeeded = true;
   }
@@ -19,7 +19,7 @@
     while (this.runNext(endMs)) {
       if (this.#isDrainNeeded) {
         this.#isDrainNeeded = false;
-        // Events are ordered by nature.
+        // Events must run one after the other.
         // eslint-disable-next-line no-await-in-loop
         await drainMicrotasks();
       }
--- a/soak/test/soakTypes.ts
+++ b/soak/test/soakTypes.ts
@@ -1,4 +1,4 @@
-/** Sizes of a randomised run, a daemon's state in it and the faults of calls. */
+/** Sizes of a randomised run, and the types of a simulated daemon and of call faults. */
 import type { RoutingTable } from '../../src/entry/common/routing.js';
 import type { PlanService } from '../../src/operator/node/planService.js';
 import type { EndpointRow } from '../../src/services/workload/common/workRows.js';
@@ -28,14 +28,14 @@
   isAlive: boolean;
   isPaused: boolean;
   isCut: boolean;
-  /** When a fault last kept it from reading the configuration. */
+  /** The last time at which a fault kept the daemon from reading the configuration. */
   faultedAtMs: number;
   readonly inbox: (() => void)[];
 }
 
 export interface CallFaults {
   isDown: boolean;
-  /** The share of messages that arrive seconds late, when the sender has given them up. */
+  /** The share of messages that may be delayed by up to `lateDelayMs`, past the sender's timeout. */
   lateRatio: number;
   lateDelayMs: number;
   /** The share of answers that are lost after the call took effect. */
--- a/soak/test/soakWorker.ts
+++ b/soak/test/soakWorker.ts
@@ -1,4 +1,4 @@
-/** A worker of a randomised run: its own clock, restarts, and tasks that fail at once. */
+/** A worker of a randomised run, with its own clock offset, restarts and failing tasks. */
 import type { Resources } from '../../src/services/worker/common/resources.js';
 import {
   type WorkerCommand,
@@ -7,7 +7,7 @@
 } from '../../src/services/worker/common/workerClient.js';
 import { type WorkerEvent, WorkerStandIn } from '../../standIns/workers/workerStandIn.js';
 
-/** Tasks of jobs whose key begins so fail wherever they start. */
+/** Tasks of jobs whose id starts with this prefix fail on every worker. */
 export const FAILING_JOB_PREFIX = 'kitchen.failing';
 
 export class SoakWorker {
@@ -15,15 +15,15 @@
 
   readonly zone: string;
 
-  /** Fails everything it starts. */
+  /** Whether the worker fails every task that it starts. */
   isBad = false;
 
   isCut = false;
 
-  /** Test switch: a worker that starts an attempt again after it has forgotten it. */
+  /** Test switch: the worker accepts commands for a previous incarnation. */
   ignoresIncarnation = false;
 
-  /** When a fault last kept messages or memory from this worker. */
+  /** The last time at which the worker was cut off or restarted. */
   faultedAtMs = Number.NEGATIVE_INFINITY;
 
   readonly #capacity: Resources;
--- a/soak/test/soakWorld.ts
+++ b/soak/test/soakWorld.ts
@@ -1,7 +1,8 @@
 /**
- * Randomised runs in virtual time: several daemons, each with the schedulers of two cells, a
- * configuration reader, routes and an operators' interface, over one table and stand-ins of
- * workers. Faults are fields that commands switch; the judge knows the truth.
+ * Simulates the system in virtual time for randomised runs. Several daemons, each with the
+ * schedulers of two cells, a configuration reader, routes and a plan service, share one table
+ * stand-in and the worker stand-ins. Commands set faults as fields. The judge sees the workers'
+ * events and the committed transactions.
  */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 
@@ -77,7 +78,7 @@
 
   readonly workerFaults: CallFaults = { ...NO_FAULTS };
 
-  /** Jobs that an operator was told are accepted. */
+  /** Ids of jobs whose acceptance was confirmed to an operator. */
   readonly acceptedJobIds = new Set<string>();
 
   readonly #instances: WorkerInstance[] = [];
@@ -117,7 +118,7 @@
     this.workers.forEach((worker) => worker.advance(this.nowMs));
   }
 
-  /** Brings the zones and a service into use, without faults. */
+  /** Puts the zones into use and creates a service, without faults. */
   async start(): Promise<void> {
     ZONES.forEach((zone) => void this.operate(0, { intent: 'use-zone', zone, region: 'r' }));
     await this.runFor(1_000);
@@ -129,7 +130,7 @@
     await this.runFor(4_000);
   }
 
-  /** Plans and confirms through the daemon at `index`, as an operator who asks once. */
+  /** Plans and confirms an intent through the daemon at `index`, without retries. */
   async operate(index: number, intent: Intent): Promise<void> {
     const daemon = this.daemons[index % this.daemons.length];
     if (daemon === undefined) return;
@@ -170,7 +171,7 @@
     this.#every(CONFIGURATION_INTERVAL_MS, soakDaemon, () => this.#readRoutes(soakDaemon));
   }
 
-  /** Ends a process at once; what it has sent still arrives. */
+  /** Ends a daemon at once. Messages that it has sent still arrive. */
   kill(index: number): void {
     const daemon = this.daemons[index % this.daemons.length];
     if (daemon === undefined) return;
@@ -211,7 +212,7 @@
     if (this.#safeguardFaults.hasRevertingReaders) return new RevertingReader(table);
     const clock = { nowMs: () => this.nowMs };
     const reader = new ConfigurationReader(table, clock, silentLog, silentMetrics, NEVER_MS);
-    // Its own timer runs on real time; here it is told when to read.
+    // The reader's own timer uses real time. The world triggers each read instead.
     reader.dispose();
     return reader;
   }
@@ -219,7 +220,7 @@
   #every(intervalMs: number, daemon: SoakDaemon, run: () => void): void {
     const step = (): void => {
       if (!daemon.isAlive) return;
-      // A paused process's timers do not fire.
+      // Timers of a paused daemon do not fire.
       if (!daemon.isPaused) run();
       this.schedule(intervalMs, step);
     };
@@ -231,7 +232,7 @@
     return 1 + this.#random.nextIndex(isLate ? faults.lateDelayMs : USUAL_DELAY_MS);
   }
 
-  /** Runs what arrives at a daemon: not at all once dead, after the pause while paused. */
+  /** Delivers a message to a daemon: drops it if the daemon has ended, queues it while paused. */
   static #deliver(daemon: SoakDaemon, run: () => void): void {
     if (!daemon.isAlive) return;
     if (daemon.isPaused) daemon.inbox.push(run);
@@ -256,7 +257,7 @@
     }
     const servers = daemon.routes.get(SERVICE) ?? [];
     const isRecentlyFaulted = this.nowMs - daemon.faultedAtMs < 3_000;
-    // An entry that cannot read the table keeps its last configuration, by design.
+    // By design, an entry that cannot read the table keeps its last configuration.
     if (
       daemon.isCut ||
       this.tableFaults.isDown ||
@@ -270,7 +271,10 @@
     );
   }
 
-  /** Reads at the usual time and once more in between, as when a peer tells of a newer version. */
+  /**
+   * Reads the configuration now and once more before the next interval, as after a peer's
+   * notification of a newer version.
+   */
   #readConfiguration(daemon: SoakDaemon): void {
     const refresh = (): void => {
       void daemon.reader.refresh().then(() => {
@@ -339,7 +343,10 @@
     return result;
   }
 
-  /** A call whose message and answer take time, come late, are lost or meet nobody. */
+  /**
+   * Simulates a call with delays of request and answer, a timeout, lost answers and a receiver that
+   * may be unreachable (`run` returns undefined).
+   */
   #call<Answer>(
     daemon: SoakDaemon,
     faults: CallFaults,
@@ -356,7 +363,7 @@
         this.time.requestMicrotaskDrain();
       });
     };
-    this.schedule(CALL_TIMEOUT_MS, () => settleOnce(left(failure(lost, 'no answer in time'))));
+    this.schedule(CALL_TIMEOUT_MS, () => settleOnce(left(failure(lost, 'the call timed out'))));
     this.schedule(this.#delayMs(faults), () => {
       const answer = run();
       if (answer === undefined || this.#random.nextFraction() < faults.lostRatio) return;
@@ -381,7 +388,7 @@
       return;
     }
     const runIfReachable = () => (daemon.isCut ? undefined : run());
-    // Only a transaction whose answer is lost leaves a doubt, so only those are lost.
+    // Only a transaction has an unknown outcome when its answer is lost, so only its answers are lost.
     const lostRatio = lost === ErrorKind.StoreAnswerLost ? this.tableFaults.lostRatio : 0;
     this.#call(daemon, { ...this.tableFaults, lostRatio }, runIfReachable, lost, settle);
   }
@@ -412,7 +419,7 @@
       const worker = this.workers.get(workerId);
       if (worker === undefined || worker.isCut) return undefined;
       this.#startedAttempts.clear();
-      // All of them, so that a lease ends on time on a worker that nobody reaches.
+      // Advances all workers, so that leases also expire on time on unreachable workers.
       this.workers.forEach((other) => other.advance(this.nowMs));
       const report = worker.command(altered, this.nowMs);
       const started = altered.starts.filter(({ taskId, attempt }) =>
