--- a/soak/test/platform/daemonInstance.ts
+++ b/soak/test/platform/daemonInstance.ts
@@ -12,7 +12,11 @@
 import { MAXIMUM_LEASE_MS, REPORT_INTERVAL_MS, STOP_MS } from './fleetWorkerOptions.js';
 import type { Zone } from './soakTypes.js';
 
-const PROGRAM = ['--max-old-space-size=160', '--max-semi-space-size=4', 'target/snipethread.cjs'];
+const PROGRAM_ARGUMENTS = [
+  '--max-old-space-size=160',
+  '--max-semi-space-size=4',
+  'target/snipethread.cjs',
+];
 const GRACE_SECONDS = 6;
 const CLIENT_CONNECTIONS = 4;
 const KEEP_ALIVE_MS = 60_000;
@@ -81,11 +85,11 @@
   async prepare(): Promise<void> {
     const { relayHost, storePort } = this.#options;
     this.storeHost = `${relayHost}:${await this.#storeRelay.listen(storePort)}`;
-    const free = '127.0.0.1:0';
+    const anyFreePort = '127.0.0.1:0';
     const settings = {
       instanceId: this.id,
       availabilityZone: this.#options.zone,
-      listen: { callers: free, readiness: free, metrics: free },
+      listen: { callers: anyFreePort, readiness: anyFreePort, metrics: anyFreePort },
       storeAddress: this.storeHost,
       maximumLeaseMs: MAXIMUM_LEASE_MS,
       workerReportIntervalMs: REPORT_INTERVAL_MS,
@@ -102,7 +106,7 @@
     this.isFrozen = false;
     const logPath = join(this.#options.folder, `${this.id}-${this.#startCount}.log`);
     const log = createWriteStream(logPath);
-    const child = spawn(process.execPath, [...PROGRAM, this.#settingsPath], {
+    const child = spawn(process.execPath, [...PROGRAM_ARGUMENTS, this.#settingsPath], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     const exited = once(child, 'exit').then(([code, signal]) => {
--- a/soak/test/platform/fleetWorker.ts
+++ b/soak/test/platform/fleetWorker.ts
@@ -262,8 +262,8 @@
     const { incarnationKey } = this;
     const acknowledgedSequence = order.AckedUpto ?? 0;
     const request = { ...this.#reference(order), acknowledgedSequence, waitMs: 0 };
-    const due = order.DueMs === undefined ? {} : { leaseEndWorkerMs: order.DueMs };
-    const first = this.#model.hold({ ...request, ...due }, this.#options.nowMs());
+    const leaseEnd = order.DueMs === undefined ? {} : { leaseEndWorkerMs: order.DueMs };
+    const first = this.#model.hold({ ...request, ...leaseEnd }, this.#options.nowMs());
     if (first.kind !== 'held') return answerOrder(reply, StartOutcome.Fenced);
     this.#noteFence(request.fence);
     this.#options.judge.noteAcknowledged(
--- a/soak/test/platform/fleetWorkerOptions.ts
+++ b/soak/test/platform/fleetWorkerOptions.ts
@@ -2,7 +2,7 @@
 import type { StoreServer } from '../../../platform/test/storeServer.js';
 import type { ModelTask } from '../../../standIns/fleet/workerModel.js';
 import type { PlatformJudge } from './platformJudge.js';
-import type { SoakLog, TaskSize, Zone } from './soakTypes.js';
+import type { WriteLog, TaskSize, Zone } from './soakTypes.js';
 
 export const SERVICE = 'soak-service';
 export const CAPACITY: TaskSize = { processorMillis: 8_000, memoryMegabytes: 16_000 };
@@ -28,5 +28,5 @@
   readonly isPersistentTask: (taskName: string) => boolean;
   /** Advances all workers, so that runs whose leases have lapsed on other workers are ended. */
   readonly advanceAll: () => void;
-  readonly log: SoakLog;
+  readonly log: WriteLog;
 }
--- a/soak/test/platform/platformJudge.ts
+++ b/soak/test/platform/platformJudge.ts
@@ -130,33 +130,34 @@
     }
     if (state !== 'complete') return;
     record.completeAtMs ??= nowMs;
-    const open = record.allTaskNames().filter((name) => !this.#ends.isDone(name));
-    if (open.length > 0) this.#addFinding(`${id} is shown as complete without ${open[0]}`, nowMs);
+    const openTasks = record.allTaskNames().filter((name) => !this.#ends.isDone(name));
+    if (openTasks.length > 0)
+      this.#addFinding(`${id} is shown as complete without ${openTasks[0]}`, nowMs);
   }
 
   noteStart({ incarnationKey, taskName, run, fence }: StartEvent, nowMs: number): void {
     this.counts.starts += 1;
-    const name = `${taskName} run ${run} at ${incarnationKey}`;
+    const label = `${taskName} run ${run} at ${incarnationKey}`;
     const record = this.submissions.get(parseTaskName(taskName)?.submissionId ?? '');
     const step = this.stepOf(taskName);
     if (record === undefined || step === undefined) {
-      this.#addFinding(`${name}: nobody asked for it`, nowMs);
+      this.#addFinding(`${label}: nobody asked for it`, nowMs);
       return;
     }
     record.hasStarted = true;
-    if (record.isRefused) this.#addFinding(`${name}: starts, and was refused`, nowMs);
+    if (record.isRefused) this.#addFinding(`${label}: starts, and was refused`, nowMs);
     const incarnations = this.#workers.incarnationsRunning(taskName);
     if (incarnations.length > 0)
-      this.#addFinding(`${name}: runs at ${incarnations.join(', ')} too`, nowMs);
+      this.#addFinding(`${label}: runs at ${incarnations.join(', ')} too`, nowMs);
     this.#workers.start(incarnationKey, taskName, step.size);
     if (this.#workers.isOverCapacity(incarnationKey))
-      this.#addFinding(`${name}: is over capacity`, nowMs);
+      this.#addFinding(`${label}: is over capacity`, nowMs);
     if (this.#ends.hasRecordedDone(taskName))
-      this.#addFinding(`${name}: its end is recorded`, nowMs);
+      this.#addFinding(`${label}: its end is recorded`, nowMs);
     this.#lastStartsMs.set(taskName, nowMs);
     this.persistentTasks.noteStart(taskName, nowMs);
-    this.#checkOrder(record.submission, step.after, name, nowMs);
-    this.#checkTimes(record, incarnationKey, name, nowMs);
+    this.#checkOrder(record.submission, step.after, label, nowMs);
+    this.#checkTimes(record, incarnationKey, label, nowMs);
     this.noteFence(incarnationKey, fence, nowMs);
   }
 
@@ -188,8 +189,8 @@
 
   /** Records that an order with this fence had effect. */
   noteFence(incarnationKey: string, fence: number, nowMs: number): void {
-    const fault = this.#workers.noteFence(incarnationKey, fence, nowMs);
-    if (fault !== undefined) this.#addFinding(`${incarnationKey}: ${fault}`, nowMs);
+    const violation = this.#workers.noteFence(incarnationKey, fence, nowMs);
+    if (violation !== undefined) this.#addFinding(`${incarnationKey}: ${violation}`, nowMs);
   }
 
   /** Checks waits that are too long. Must be called several times a second. */
@@ -230,10 +231,11 @@
     name: string,
     nowMs: number,
   ): void {
-    const open = after
+    const openTasks = after
       .flatMap((stepIndex) => taskNames(submission, stepIndex))
       .filter((earlier) => !this.#ends.isDone(earlier));
-    if (open.length > 0) this.#addFinding(`${name}: starts before ${open[0]} is done`, nowMs);
+    if (openTasks.length > 0)
+      this.#addFinding(`${name}: starts before ${openTasks[0]} is done`, nowMs);
   }
 
   #checkTimes(record: SubmissionRecord, incarnationKey: string, name: string, nowMs: number): void {
--- a/soak/test/platform/platformRun.ts
+++ b/soak/test/platform/platformRun.ts
@@ -14,7 +14,7 @@
 import { PlatformJudge } from './platformJudge.js';
 import { QUEUE_HOST, QUEUE_PREFIX, SoakClients } from './soakClients.js';
 import { SoakFaults } from './soakFaults.js';
-import { type SoakLog, type Zone, ZONE_HOSTS, ZONES } from './soakTypes.js';
+import { type WriteLog, type Zone, ZONE_HOSTS, ZONES } from './soakTypes.js';
 import { StoreFaults } from './storeFaults.js';
 
 const WORKERS_PER_RACK = 8;
@@ -79,7 +79,7 @@
 
   #loggedFindings = 0;
 
-  readonly #write: SoakLog = (event, fields) => {
+  readonly #writeLog: WriteLog = (event, fields) => {
     const time = new Date().toISOString();
     this.#log.write(`${JSON.stringify({ time, atMs: this.#nowMs(), event, ...fields })}\n`);
   };
@@ -131,7 +131,7 @@
     const random = new SeededRandom(seed + 1);
     const judge = this.#judge;
     const nowMs = (): number => this.#nowMs();
-    this.#clients = new SoakClients(random, this.#instances, judge, nowMs, this.#write);
+    this.#clients = new SoakClients(random, this.#instances, judge, nowMs, this.#writeLog);
     await Promise.all(Array.from({ length: workerCount }, () => this.#addWorker()));
     await Promise.all(this.#instances.map((instance) => instance.prepare()));
     const zones = new Map(this.#instances.map(({ storeHost, zone }) => [storeHost, zone]));
@@ -157,7 +157,7 @@
       taskOf: (taskName) => this.#clients?.taskOf(taskName) ?? { workMs: 0, end: 'done' },
       isPersistentTask: (taskName) => this.#judge.stepOf(taskName)?.isPersistent === true,
       advanceAll: () => this.#advanceWorkers(),
-      log: this.#write,
+      log: this.#writeLog,
     });
     this.#workers.push(worker);
     await worker.start();
@@ -177,7 +177,7 @@
       store: storeFaults,
       faultWindows: this.#faultWindows,
       nowMs: () => this.#nowMs(),
-      log: this.#write,
+      log: this.#writeLog,
       addFinding: (text) => this.#noteUnexpected(text),
     });
     await Promise.all([
@@ -187,7 +187,7 @@
         await faults.perform(fault);
       }),
     ]);
-    this.#write('faults-ended', {});
+    this.#writeLog('faults-ended', {});
     await delay(AFTER_FAULTS_MS);
     clients.stopSubmitting();
     await submitting;
@@ -212,7 +212,9 @@
     this.#advanceWorkers();
     this.#judge.advance(this.#nowMs());
     const { findings } = this.#judge;
-    findings.slice(this.#loggedFindings).forEach((finding) => this.#write('finding', { finding }));
+    findings
+      .slice(this.#loggedFindings)
+      .forEach((finding) => this.#writeLog('finding', { finding }));
     this.#loggedFindings = findings.length;
   }
 
--- a/soak/test/platform/soakClients.ts
+++ b/soak/test/platform/soakClients.ts
@@ -7,13 +7,13 @@
 import type { DaemonInstance } from './daemonInstance.js';
 import type { PlatformJudge } from './platformJudge.js';
 import { drawSubmission, toBody } from './soakSubmissions.js';
-import type { SoakLog, SoakSubmission } from './soakTypes.js';
+import type { WriteLog, SoakSubmission } from './soakTypes.js';
 
 export const QUEUE_HOST = 'soak.example';
 export const QUEUE_PREFIX = '/soak/';
 const TIMEOUT_MS = 3_000;
 const CLIENT_MARGIN_MS = 500;
-const ATTEMPTS = 4;
+const SUBMIT_ATTEMPTS = 4;
 const RETRY_MS = 300;
 const CANCEL_ATTEMPTS = 10;
 const SUBMIT_INTERVAL_MS = 300;
@@ -47,7 +47,7 @@
 
   readonly #nowMs: () => number;
 
-  readonly #log: SoakLog;
+  readonly #log: WriteLog;
 
   readonly #accepted: string[] = [];
 
@@ -64,7 +64,7 @@
     instances: readonly DaemonInstance[],
     judge: PlatformJudge,
     nowMs: () => number,
-    log: SoakLog,
+    log: WriteLog,
   ) {
     this.#random = random;
     this.#instances = instances;
@@ -141,7 +141,7 @@
   async #submit(submission: SoakSubmission): Promise<void> {
     const { id } = submission;
     const statuses: (number | undefined)[] = [];
-    for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < SUBMIT_ATTEMPTS; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- the next attempt depends on this one's answer
       const { statusCode } = await this.#call('POST', id, submission);
       statuses.push(statusCode);
--- a/soak/test/platform/soakComponents.test.ts
+++ b/soak/test/platform/soakComponents.test.ts
@@ -59,10 +59,17 @@
     const store = new StoreServer();
     const judge = new PlatformJudge(new FaultWindows());
     const taskOf = () => ({ workMs: 0, end: RunEnd.Done });
-    const calls = { nowMs: () => 0, taskOf, isPersistentTask: () => false };
-    const told = { advanceAll: () => {}, log: () => {}, judge, store };
+    const callbacks = { nowMs: () => 0, taskOf, isPersistentTask: () => false };
+    const collaborators = { advanceAll: () => {}, log: () => {}, judge, store };
     const zone = 'zone-b';
-    const worker = new FleetWorker({ id: 'w', zone, rack: '', clockRate: 1, ...calls, ...told });
+    const worker = new FleetWorker({
+      id: 'w',
+      zone,
+      rack: '',
+      clockRate: 1,
+      ...callbacks,
+      ...collaborators,
+    });
     await worker.start();
     const connectionOutcomes = () =>
       Promise.all(ZONES.map((from) => outcomeOf(worker.port, ZONE_HOSTS[from])));
@@ -103,9 +110,9 @@
     const port = await relay.listen();
     const answerOf = async (): Promise<string> => {
       const socket = createConnection(port, '127.0.0.1');
-      const heard = once(socket, 'data').then(([chunk]) => String(chunk));
+      const received = once(socket, 'data').then(([chunk]) => String(chunk));
       return Promise.race([
-        heard.catch(() => 'refused'),
+        received.catch(() => 'refused'),
         delay(CONNECT_MS).then(() => socket.destroy() && 'silent'),
       ]);
     };
--- a/soak/test/platform/soakFaults.ts
+++ b/soak/test/platform/soakFaults.ts
@@ -9,7 +9,7 @@
 import type { FaultWindows } from './faultWindows.js';
 import type { FleetWorker } from './fleetWorker.js';
 import { Absence } from './fleetWorkerOptions.js';
-import { FaultScope, type SoakLog, ZONES } from './soakTypes.js';
+import { FaultScope, type WriteLog, ZONES } from './soakTypes.js';
 import type { StoreFaults } from './storeFaults.js';
 
 const STOP_INTERVAL_MS = 2_000;
@@ -36,7 +36,7 @@
   readonly store: StoreFaults;
   readonly faultWindows: FaultWindows;
   readonly nowMs: () => number;
-  readonly log: SoakLog;
+  readonly log: WriteLog;
   readonly addFinding: (text: string) => void;
 }
 
--- a/soak/test/platform/soakTypes.ts
+++ b/soak/test/platform/soakTypes.ts
@@ -1,5 +1,5 @@
 /** Types of the platform soak: submissions, workers and faults. */
-export type SoakLog = (event: string, fields: Readonly<Record<string, unknown>>) => void;
+export type WriteLog = (event: string, fields: Readonly<Record<string, unknown>>) => void;
 
 /**
  * The address at which the instances of each zone reach the workers. All differ from 127.0.0.1, on
--- a/soak/test/platform/storeFaults.ts
+++ b/soak/test/platform/storeFaults.ts
@@ -30,8 +30,8 @@
     const matching = [...this.#rules].filter(
       ({ hosts, ratio }) => hosts?.has(host) !== false && this.#random.nextFraction() < ratio,
     );
-    const worst = matching.find(({ outcome }) => outcome !== 'serve');
+    const failing = matching.find(({ outcome }) => outcome !== 'serve');
     const delayMs = Math.max(0, ...matching.map((rule) => rule.delayMs));
-    return { delayMs, outcome: worst?.outcome ?? 'serve' };
+    return { delayMs, outcome: failing?.outcome ?? 'serve' };
   }
 }
--- a/soak/test/soakCommands.ts
+++ b/soak/test/soakCommands.ts
@@ -307,8 +307,8 @@
     .rows.map((row) => workRowSchema.parse(row.value));
   const jobs = world.table.read({ keys: [], prefixes: ['job/'] }).rows;
   const jobIds = new Set(jobs.map((row) => row.key.slice('job/'.length)));
-  const lost = [...world.acceptedJobIds].filter((jobId) => !jobIds.has(jobId));
-  const problems = lost.map((jobId) => `accepted job ${jobId} is gone`);
+  const missingJobIds = [...world.acceptedJobIds].filter((jobId) => !jobIds.has(jobId));
+  const problems = missingJobIds.map((jobId) => `accepted job ${jobId} is gone`);
   jobs.forEach(({ value }) => {
     const { jobId, taskCount, size } = value as {
       jobId: string;
@@ -320,13 +320,13 @@
     if (tasks.length !== taskCount || indexes.size !== taskCount) {
       problems.push(`${jobId} has ${tasks.length} tasks of ${taskCount}`);
     }
-    const open = tasks.filter((task) => !isEnded(task)).length;
+    const openCount = tasks.filter((task) => !isEnded(task)).length;
     const canRun = size.processorMillis <= CAPACITY.processorMillis;
-    if (open > 0 && canRun) problems.push(`${jobId} has ${open} open tasks`);
-    const failed = tasks.filter((task) => task.state === 'failed').length;
+    if (openCount > 0 && canRun) problems.push(`${jobId} has ${openCount} open tasks`);
+    const failedCount = tasks.filter((task) => task.state === 'failed').length;
     // A job that fits on no worker is refused in the end: seed 7 of `all`, a too-large job.
-    if (failed > 0 && canRun && !jobId.startsWith(FAILING_JOB_PREFIX)) {
-      problems.push(`${jobId} was given up: ${failed} tasks`);
+    if (failedCount > 0 && canRun && !jobId.startsWith(FAILING_JOB_PREFIX)) {
+      problems.push(`${jobId} was given up: ${failedCount} tasks`);
     }
   });
   const { configurationVersion } = world.judge;
@@ -354,6 +354,9 @@
     assertNothingFound(world);
     if (listUnsettled(world).length === 0) return;
   }
-  const open = world.table.read({ keys: [], prefixes: ['work/', 'configuration/document/zone'] });
-  throw new Error([...listUnsettled(world), JSON.stringify(open.rows)].join('\n'));
+  const openRows = world.table.read({
+    keys: [],
+    prefixes: ['work/', 'configuration/document/zone'],
+  });
+  throw new Error([...listUnsettled(world), JSON.stringify(openRows.rows)].join('\n'));
 };
--- a/soak/test/soakJudge.ts
+++ b/soak/test/soakJudge.ts
@@ -106,15 +106,15 @@
     const startProgressMs = progressOf(start.checkpoint);
     const record = { worker, startedAtMs: nowMs, startProgressMs, evictedProgressMs: undefined };
     this.#attempts.set(key, record);
-    const before = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
-    if (before === undefined) return;
-    if (startProgressMs < before.startProgressMs) {
+    const previous = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
+    if (previous === undefined) return;
+    if (startProgressMs < previous.startProgressMs) {
       this.addFinding(`${key} lost the checkpoint of the previous attempt`, nowMs);
     }
     // A worker that was cut off or restarted could not report its checkpoint.
-    const isHandedOver = before.worker.faultedAtMs < before.startedAtMs;
-    const isDifferent = startProgressMs !== before.evictedProgressMs;
-    if (before.evictedProgressMs !== undefined && isHandedOver && isDifferent) {
+    const isHandedOver = previous.worker.faultedAtMs < previous.startedAtMs;
+    const isDifferent = startProgressMs !== previous.evictedProgressMs;
+    if (previous.evictedProgressMs !== undefined && isHandedOver && isDifferent) {
       this.addFinding(`${key} did not resume from the checkpoint of its eviction`, nowMs);
     }
   }
--- a/soak/test/soakWorld.ts
+++ b/soak/test/soakWorld.ts
@@ -351,7 +351,7 @@
     daemon: SoakDaemon,
     faults: CallFaults,
     run: () => Answer | undefined,
-    lost: ErrorKind,
+    lostAnswerKind: ErrorKind,
     settle: (result: Either<Failure, Answer>) => void,
   ): void {
     let isSettled = false;
@@ -363,7 +363,9 @@
         this.time.requestMicrotaskDrain();
       });
     };
-    this.schedule(CALL_TIMEOUT_MS, () => settleOnce(left(failure(lost, 'the call timed out'))));
+    this.schedule(CALL_TIMEOUT_MS, () =>
+      settleOnce(left(failure(lostAnswerKind, 'the call timed out'))),
+    );
     this.schedule(this.#delayMs(faults), () => {
       const answer = run();
       if (answer === undefined || this.#random.nextFraction() < faults.lostRatio) return;
@@ -374,7 +376,7 @@
   #callTable<Answer>(
     daemon: SoakDaemon,
     run: () => Answer,
-    lost: ErrorKind,
+    lostAnswerKind: ErrorKind,
     settle: (result: Either<Failure, Answer>) => void,
   ): void {
     if (this.tableFaults.isDown) {
@@ -389,8 +391,8 @@
     }
     const runIfReachable = () => (daemon.isCut ? undefined : run());
     // Only a transaction has an unknown outcome when its answer is lost, so only its answers are lost.
-    const lostRatio = lost === ErrorKind.StoreAnswerLost ? this.tableFaults.lostRatio : 0;
-    this.#call(daemon, { ...this.tableFaults, lostRatio }, runIfReachable, lost, settle);
+    const lostRatio = lostAnswerKind === ErrorKind.StoreAnswerLost ? this.tableFaults.lostRatio : 0;
+    this.#call(daemon, { ...this.tableFaults, lostRatio }, runIfReachable, lostAnswerKind, settle);
   }
 
   #tableOf(daemon: SoakDaemon): TableService {
