--- a/soak/test/platform/persistentTasks.ts
+++ b/soak/test/platform/persistentTasks.ts
@@ -4,8 +4,9 @@
 import type { WorkerTracker } from './workerTracker.js';
 
 export const LONGEST_WAIT_MS = 9_000;
-/** A wait is too long only if no fault occurred in the last `CALM_BEFORE_MS` + `ROOM_MS`. */
+/** The calm period that is required before the period of `ROOM_MS`, which must be calm as well. */
 const CALM_BEFORE_MS = 4_000;
+/** A wait is too long only if a worker has had room for the task for this time. */
 const ROOM_MS = 3_000;
 
 interface Wait {
--- a/soak/test/platform/platformJudge.test.ts
+++ b/soak/test/platform/platformJudge.test.ts
@@ -128,7 +128,7 @@
     expectFinding('fence 1 has effect long after 2');
   });
 
-  it('treats fences of different workers as unrelated', () => {
+  it('treats fences of different workers as unrelated, as the platform does', () => {
     judge.noteFence('w1', 2, 0);
     judge.noteFence('w2', 1, 13_000);
     expect(judge.findings).toEqual([]);
--- a/soak/test/platform/soakTypes.ts
+++ b/soak/test/platform/soakTypes.ts
@@ -53,7 +53,7 @@
   readonly stepIndex: number;
 }
 
-/** Parses a task name. Returns undefined if the name is not one of a task. */
+/** Parses a task name. Returns undefined if the name has another form. */
 export const parseTaskName = (taskName: string): TaskPosition | undefined => {
   const [submissionId, occurrence, step, index] = taskName.split('.');
   if (submissionId === undefined || occurrence !== '0' || index === undefined) return undefined;
