--- a/bench/capacity/capacity.ts
+++ b/bench/capacity/capacity.ts
@@ -7,22 +7,22 @@
 import { measureEntry } from './entryCapacity.js';
 import { measureOperator } from './operatorCapacity.js';
 import { measureScheduler, type SchedulerFigures } from './schedulerCapacity.js';
-import { fieldLine, inTurn } from './slopes.js';
+import { fieldLine, runSequentially } from './slopes.js';
 
 const RESULTS_FOLDER = 'bench/results';
 /** Workers of a cell; the last is a seventh of 860. At least the first three are measured. */
 const CELL_SIZES = [8, 16, 24, 60, 123] as const;
 const MINIMUM_SIZE_COUNT = 3;
 /** A size is left out, and said so, when the one before took longer than this. */
-const SIZE_LIMIT_MS = 12_000;
+const SLOW_SIZE_MS = 12_000;
 const START_RATES = [0, 10, 22] as const;
 const DOCUMENT_COUNTS = [100, 400, 1_000] as const;
 
-const say = (label: string, value: unknown): void => {
+const printRow = (label: string, value: unknown): void => {
   process.stdout.write(`${label} ${JSON.stringify(value)}\n`);
 };
 
-const keep = async (name: string, value: unknown): Promise<void> => {
+const writeResults = async (name: string, value: unknown): Promise<void> => {
   await mkdir(RESULTS_FOLDER, { recursive: true });
   const text = JSON.stringify(value, undefined, 2);
   await writeFile(`${RESULTS_FOLDER}/capacity-${name}.json`, `${text}\n`);
@@ -30,16 +30,19 @@
 
 const measureSizes = (): readonly SchedulerFigures[] => {
   const rows: SchedulerFigures[] = [];
-  let tookMs = 0;
+  let durationMs = 0;
   CELL_SIZES.forEach((workerCount, index) => {
-    if (index >= MINIMUM_SIZE_COUNT && tookMs > SIZE_LIMIT_MS) {
-      say('scheduler', { workerCount, notRun: `the size before took ${Math.round(tookMs)} ms` });
+    if (index >= MINIMUM_SIZE_COUNT && durationMs > SLOW_SIZE_MS) {
+      printRow('scheduler', {
+        workerCount,
+        notRun: `the size before took ${Math.round(durationMs)} ms`,
+      });
       return;
     }
     const startedAtMs = performance.now();
     const row = measureScheduler(workerCount, 0);
-    tookMs = performance.now() - startedAtMs;
-    say('scheduler', row);
+    durationMs = performance.now() - startedAtMs;
+    printRow('scheduler', row);
     rows.push(row);
   });
   return rows;
@@ -49,7 +52,7 @@
   const bySize = measureSizes();
   const largest = bySize.at(-1)?.workerCount ?? 0;
   const byRate = START_RATES.map((rate) => measureScheduler(largest, rate));
-  byRate.forEach((row) => say('scheduler', row));
+  byRate.forEach((row) => printRow('scheduler', row));
   const lines = {
     decideCoreRatioByWorkers: fieldLine(
       bySize,
@@ -72,36 +75,36 @@
       (row) => row.writtenRowsPerSecond,
     ),
   };
-  say('scheduler slopes', lines);
-  await keep('scheduler', { bySize, byRate, lines });
+  printRow('scheduler slopes', lines);
+  await writeResults('scheduler', { bySize, byRate, lines });
 };
 
 const runOperator = async (): Promise<void> => {
-  const rows = await inTurn(DOCUMENT_COUNTS, measureOperator);
-  rows.forEach((row) => say('operator', row));
+  const rows = await runSequentially(DOCUMENT_COUNTS, measureOperator);
+  rows.forEach((row) => printRow('operator', row));
   const line = fieldLine(
     rows,
     (row) => row.documentCount,
     (row) => row.processorMsPerPlan,
   );
-  say('operator slopes', line);
-  await keep('operator', { rows, processorMsPerPlanByDocuments: line });
+  printRow('operator slopes', line);
+  await writeResults('operator', { rows, processorMsPerPlanByDocuments: line });
 };
 
 const run = async (): Promise<boolean> => {
   await runScheduler();
   await runOperator();
-  const entry = await measureEntry((row) => say('entry', row));
+  const entry = await measureEntry((row) => printRow('entry', row));
   const coreRatioByRequests = fieldLine(
     entry,
     (row) => row.requestsPerSecond,
     (row) => row.coreRatio,
   );
-  say('entry slopes', coreRatioByRequests);
-  await keep('entry', { rows: entry, coreRatioByRequests });
-  const daemons = await measureDaemons((row) => say('daemon', row));
-  say('daemon slopes', daemons.lines);
-  await keep('daemon', daemons);
+  printRow('entry slopes', coreRatioByRequests);
+  await writeResults('entry', { rows: entry, coreRatioByRequests });
+  const daemons = await measureDaemons((row) => printRow('daemon', row));
+  printRow('daemon slopes', daemons.lines);
+  await writeResults('daemon', daemons);
   return true;
 };
 
--- a/bench/capacity/daemonCapacity.ts
+++ b/bench/capacity/daemonCapacity.ts
@@ -21,12 +21,12 @@
 import { ChildProcesses } from '../../standIns/demo/childProcesses.js';
 import type { TableCounts } from '../../standIns/platform/tableStandIn.js';
 import { processorMs, residentMegabytes } from '../passThrough/processUsage.js';
-import { fieldLine, inTurn, type Line, toFigure } from './slopes.js';
+import { fieldLine, runSequentially, type Line, roundFigure } from './slopes.js';
 
 const HOST = '127.0.0.1';
 const WARM_UP_MS = 4_000;
 const MEASURED_MS = 6_000;
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 const KIBIBYTE = 1_024;
 const ZONE_COUNT = 7;
 const TASKS_PER_WORKER = 4;
@@ -68,14 +68,14 @@
   readonly #server: Server;
 
   constructor(targetPort: number) {
-    this.#server = createServer((near) => {
-      const far = connect(targetPort, HOST);
+    this.#server = createServer((client) => {
+      const upstream = connect(targetPort, HOST);
       const count = (chunk: Buffer): void => {
         this.byteCount += chunk.length;
       };
-      near.on('data', count).on('error', () => far.destroy());
-      far.on('data', count).on('error', () => near.destroy());
-      near.pipe(far).pipe(near);
+      client.on('data', count).on('error', () => upstream.destroy());
+      upstream.on('data', count).on('error', () => client.destroy());
+      client.pipe(upstream).pipe(client);
     });
   }
 
@@ -225,14 +225,14 @@
     };
     await delay(MEASURED_MS);
     const counts = await readCounts(origin);
-    const perSecond = (value: number): number => toFigure((value * SECOND_MS) / MEASURED_MS);
+    const perSecond = (value: number): number => roundFigure((value * MS_PER_SECOND) / MEASURED_MS);
     // Reads and transactions are those of all daemons, so they are shared out.
-    const perDaemon = (value: number): number => toFigure(perSecond(value) / daemonCount);
+    const perDaemon = (value: number): number => roundFigure(perSecond(value) / daemonCount);
     return {
       workerCount,
       daemonCount,
-      coreRatio: toFigure(((await processorMs(pid)) - before.usedMs) / MEASURED_MS),
-      residentMegabytes: toFigure(await residentMegabytes(pid)),
+      coreRatio: roundFigure(((await processorMs(pid)) - before.usedMs) / MEASURED_MS),
+      residentMegabytes: roundFigure(await residentMegabytes(pid)),
       platformBytesPerSecond: perSecond(relay.byteCount - before.bytes),
       readsPerSecond: perDaemon(counts.readCount - before.counts.readCount),
       readRowsPerSecond: perDaemon(counts.readRowCount - before.counts.readRowCount),
@@ -245,14 +245,18 @@
   }
 };
 
-export const measureDaemons = async (say: (row: DaemonFigures) => void): Promise<DaemonResults> => {
+export const measureDaemons = async (
+  onRow: (row: DaemonFigures) => void,
+): Promise<DaemonResults> => {
   const measured = async (workerCount: number, daemonCount: number): Promise<DaemonFigures> => {
     const row = await measure(workerCount, daemonCount);
-    say(row);
+    onRow(row);
     return row;
   };
-  const byWorkers = await inTurn(WORKER_COUNTS, (workerCount) => measured(workerCount, 1));
-  const byPeers = await inTurn(PEER_COUNTS, (count) => measured(WORKER_COUNTS[0], count + 1));
+  const byWorkers = await runSequentially(WORKER_COUNTS, (workerCount) => measured(workerCount, 1));
+  const byPeers = await runSequentially(PEER_COUNTS, (count) =>
+    measured(WORKER_COUNTS[0], count + 1),
+  );
   const lines = {
     coreRatioByWorkers: fieldLine(
       byWorkers,
--- a/bench/capacity/entryCapacity.ts
+++ b/bench/capacity/entryCapacity.ts
@@ -6,14 +6,14 @@
 import { ChildProcesses } from '../../standIns/demo/childProcesses.js';
 import { processorMs, residentMegabytes } from '../passThrough/processUsage.js';
 import { SERVICE_NAME, startSystem, WORKER_COUNT } from '../passThrough/system.js';
-import { inTurn, toFigure } from './slopes.js';
+import { runSequentially, roundFigure } from './slopes.js';
 
 const RATES = [100, 300, 600] as const;
 const WARM_UP_RATE = 600;
 const MEASURED_MS = 4_000;
 const SETTLING_MS = 3_000;
 const BATCH_INTERVAL_MS = 20;
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 const CONNECTION_COUNT = 32;
 
 export interface EntryFigures {
@@ -28,7 +28,7 @@
   rate: number,
 ): Promise<{ sent: number; failed: number }> => {
   const pool = new Pool(origin, { connections: CONNECTION_COUNT });
-  const perBatch = (rate * BATCH_INTERVAL_MS) / SECOND_MS;
+  const requestsPerBatch = (rate * BATCH_INTERVAL_MS) / MS_PER_SECOND;
   const counts = { sent: 0, failed: 0 };
   const send = async (): Promise<void> => {
     counts.sent += 1;
@@ -41,7 +41,7 @@
   await Promise.all(
     batches.map(async (index) => {
       await delay(index * BATCH_INTERVAL_MS);
-      await Promise.all(Array.from({ length: perBatch }, send));
+      await Promise.all(Array.from({ length: requestsPerBatch }, send));
     }),
   );
   await pool.close();
@@ -50,7 +50,7 @@
 
 /** One daemon with all roles, a service on each of six workers. */
 export const measureEntry = async (
-  say: (row: EntryFigures) => void,
+  onRow: (row: EntryFigures) => void,
 ): Promise<readonly EntryFigures[]> => {
   const children = new ChildProcesses();
   try {
@@ -63,16 +63,16 @@
     // Code that has just started is compiled meanwhile, which the slope must not count.
     await sendAtRate(daemon.callerOrigin, WARM_UP_RATE);
     await delay(SETTLING_MS);
-    return await inTurn([0, ...RATES], async (rate) => {
+    return await runSequentially([0, ...RATES], async (rate) => {
       const beforeMs = await processorMs(daemon.pid);
       const { sent, failed } = await sendAtRate(daemon.callerOrigin, rate);
       const row = {
-        requestsPerSecond: toFigure((sent * SECOND_MS) / MEASURED_MS),
-        coreRatio: toFigure(((await processorMs(daemon.pid)) - beforeMs) / MEASURED_MS),
-        residentMegabytes: toFigure(await residentMegabytes(daemon.pid)),
+        requestsPerSecond: roundFigure((sent * MS_PER_SECOND) / MEASURED_MS),
+        coreRatio: roundFigure(((await processorMs(daemon.pid)) - beforeMs) / MEASURED_MS),
+        residentMegabytes: roundFigure(await residentMegabytes(daemon.pid)),
         failureCount: failed,
       };
-      say(row);
+      onRow(row);
       return row;
     });
   } finally {
--- a/bench/capacity/operatorCapacity.ts
+++ b/bench/capacity/operatorCapacity.ts
@@ -19,7 +19,7 @@
 import { silentMetrics } from '../../src/services/metrics/common/metrics.js';
 import type { TableService } from '../../src/services/table/common/table.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
-import { toFigure } from './slopes.js';
+import { roundFigure } from './slopes.js';
 
 const PLAN_COUNT = 50;
 const PLAN_LIFETIME_MS = 600_000;
@@ -112,7 +112,7 @@
   }
   const usage = process.cpuUsage(usageBefore);
   const { counts } = table;
-  const perPlan = (value: number): number => toFigure(value / PLAN_COUNT);
+  const perPlan = (value: number): number => roundFigure(value / PLAN_COUNT);
   return {
     documentCount,
     processorMsPerPlan: perPlan((usage.user + usage.system) / MICROSECONDS_PER_MS),
--- a/bench/capacity/schedulerCapacity.ts
+++ b/bench/capacity/schedulerCapacity.ts
@@ -37,7 +37,7 @@
 import { SpreadAndPackPolicy } from '../../src/scheduler/common/placement.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 import { WorkerStandIn } from '../../standIns/workers/workerStandIn.js';
-import { toFigure } from './slopes.js';
+import { roundFigure } from './slopes.js';
 
 const CELL = 'zone-a';
 const GIBIBYTE = 1024 ** 3;
@@ -51,7 +51,7 @@
 const SHORT_WORK_MS = 500;
 const TICK_MS = 200;
 const CONFIGURATION_INTERVAL_MS = 700;
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 const WARM_UP_MS = 5_000;
 const MEASURED_MS = 5_000;
 const TIMING = {
@@ -158,14 +158,14 @@
     this.#tableBytes = 0;
     this.#advance(MEASURED_MS, startsPerSecond);
     const { counts } = this.#table;
-    const perSecond = (value: number): number => toFigure((value * SECOND_MS) / MEASURED_MS);
+    const perSecond = (value: number): number => roundFigure((value * MS_PER_SECOND) / MEASURED_MS);
     const tasks = [...this.#workers.values()].map((worker) => worker.report(this.#nowMs).tasks);
     return {
       workerCount: this.#workers.size,
       runningTaskCount: tasks.flat().filter(({ state }) => state === 'running').length,
       startsPerSecond: perSecond(this.#startCount),
-      decideCoreRatio: toFigure(this.#decideMs / MEASURED_MS),
-      codecCoreRatio: toFigure(this.#codecMs / MEASURED_MS),
+      decideCoreRatio: roundFigure(this.#decideMs / MEASURED_MS),
+      codecCoreRatio: roundFigure(this.#codecMs / MEASURED_MS),
       messagesPerSecond: perSecond(this.#messageCount),
       workerBytesPerSecond: perSecond(this.#workerBytes),
       tableBytesPerSecond: perSecond(this.#tableBytes),
@@ -180,10 +180,10 @@
 
   #addWorker(index: number): void {
     const id = `w${index}`;
-    const note = (event: { readonly kind: string }): void => {
+    const countStart = (event: { readonly kind: string }): void => {
       if (event.kind === 'started') this.#startCount += 1;
     };
-    const worker = new WorkerStandIn(id, `${id}@1`, CAPACITY, note);
+    const worker = new WorkerStandIn(id, `${id}@1`, CAPACITY, countStart);
     this.#workers.set(id, worker);
     this.#exchanges.set(id, {
       mirror: new ReportMirror(),
@@ -236,14 +236,14 @@
 
   #advance(durationMs: number, startsPerSecond: number): void {
     const endMs = this.#nowMs + durationMs;
-    let configuredAtMs = this.#nowMs - CONFIGURATION_INTERVAL_MS;
+    let lastConfigurationAtMs = this.#nowMs - CONFIGURATION_INTERVAL_MS;
     while (this.#nowMs < endMs) {
       this.#nowMs += TICK_MS;
-      if (startsPerSecond > 0 && this.#nowMs % SECOND_MS === 0) {
+      if (startsPerSecond > 0 && this.#nowMs % MS_PER_SECOND === 0) {
         this.#submit(startsPerSecond, SHORT_WORK_MS);
       }
-      if (this.#nowMs - configuredAtMs >= CONFIGURATION_INTERVAL_MS) {
-        configuredAtMs = this.#nowMs;
+      if (this.#nowMs - lastConfigurationAtMs >= CONFIGURATION_INTERVAL_MS) {
+        lastConfigurationAtMs = this.#nowMs;
         const configuration = { view: this.#view, confirmedAtMs: this.#nowMs };
         this.#handle({ kind: 'configuration', configuration });
       }
@@ -298,9 +298,9 @@
     const { workerId } = effect;
     const epoch = effect.command.cellEpoch;
     const exchange = this.#exchanges.get(workerId);
-    const unknown = left(failure(ErrorKind.WorkerUnavailable, 'unknown'));
+    const noAnswer = left(failure(ErrorKind.WorkerUnavailable, 'unknown'));
     if (exchange === undefined)
-      return { kind: 'worker-answered', workerId, epoch, result: unknown };
+      return { kind: 'worker-answered', workerId, epoch, result: noAnswer };
     const { mirror, revised } = exchange;
     const sentAtMs = performance.now();
     const sent = mirror.toMessage(effect.command);
@@ -316,7 +316,7 @@
       kind: 'worker-answered',
       workerId,
       epoch,
-      result: report === undefined ? unknown : right(report),
+      result: report === undefined ? noAnswer : right(report),
     };
   }
 }
--- a/bench/capacity/slopes.ts
+++ b/bench/capacity/slopes.ts
@@ -1,7 +1,7 @@
 /** Straight lines through measurements at several sizes. */
 
 /** One measurement: a size and what was measured at it. */
-export interface Measured {
+export interface DataPoint {
   readonly size: number;
   readonly value: number;
 }
@@ -17,7 +17,7 @@
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
 /** The least-squares line; it tells how badly the measurements miss it. */
-export const lineThrough = (points: readonly Measured[]): Line => {
+export const lineThrough = (points: readonly DataPoint[]): Line => {
   const meanSize = mean(points.map(({ size }) => size));
   const meanValue = mean(points.map(({ value }) => value));
   const spread = points.reduce((sum, { size }) => sum + (size - meanSize) ** 2, 0);
@@ -26,13 +26,13 @@
     spread;
   const atZero = meanValue - slope * meanSize;
   const largest = Math.max(...points.map(({ value }) => Math.abs(value)), Number.MIN_VALUE);
-  const misses = points.map(({ size, value }) => Math.abs(atZero + slope * size - value));
-  return { atZero, slope, worstMissRatio: Math.max(...misses) / largest };
+  const deviations = points.map(({ size, value }) => Math.abs(atZero + slope * size - value));
+  return { atZero, slope, worstMissRatio: Math.max(...deviations) / largest };
 };
 
 const FIGURE_DIGITS = 4;
 
-export const toFigure = (value: number): number => Number(value.toPrecision(FIGURE_DIGITS));
+export const roundFigure = (value: number): number => Number(value.toPrecision(FIGURE_DIGITS));
 
 /** A line through one field of rows, ready to be kept. */
 export const fieldLine = <Row>(
@@ -42,14 +42,14 @@
 ): Line => {
   const line = lineThrough(rows.map((row) => ({ size: toSize(row), value: toValue(row) })));
   return {
-    atZero: toFigure(line.atZero),
-    slope: toFigure(line.slope),
-    worstMissRatio: toFigure(line.worstMissRatio),
+    atZero: roundFigure(line.atZero),
+    slope: roundFigure(line.slope),
+    worstMissRatio: roundFigure(line.worstMissRatio),
   };
 };
 
 /** Runs one measurement after the other, so that none disturbs another. */
-export const inTurn = <Item, Result>(
+export const runSequentially = <Item, Result>(
   items: readonly Item[],
   run: (item: Item) => Promise<Result>,
 ): Promise<readonly Result[]> =>
--- a/bench/fleet/ablations.ts
+++ b/bench/fleet/ablations.ts
@@ -36,7 +36,7 @@
   }
 }
 
-class NoAvoidance implements FaultAvoidance {
+class NoFaultAvoidance implements FaultAvoidance {
   newRanking(): FaultRanking {
     return NO_FAULTS;
   }
@@ -49,26 +49,26 @@
   }
 }
 
-const without = (changed: Partial<FleetPolicy>): FleetPolicy => ({
+const policyWith = (overrides: Partial<FleetPolicy>): FleetPolicy => ({
   ...DEFAULT_FLEET_POLICY,
-  ...changed,
+  ...overrides,
 });
 
 export const ABLATIONS: Readonly<Record<string, FleetPolicy>> = {
-  'queue order': without({ order: new ArrivalOrder() }),
-  'interference control': without({
+  'queue order': policyWith({ order: new ArrivalOrder() }),
+  'interference control': policyWith({
     newInterferenceControl: () => new NoInterferenceControl(),
   }),
-  'filler pacing': without({ newInterferenceControl: () => new StoppingControl() }),
-  'filler stopping': without({ newInterferenceControl: () => new PacingControl() }),
-  'pair learning': without({
+  'filler pacing': policyWith({ newInterferenceControl: () => new StoppingControl() }),
+  'filler stopping': policyWith({ newInterferenceControl: () => new PacingControl() }),
+  'pair learning': policyWith({
     newInterferenceControl: () =>
       new LearningInterferenceControl({ ...DEFAULT_INTERFERENCE_OPTIONS, learnsPairs: false }),
   }),
-  'period learning': without({
+  'period learning': policyWith({
     newInterferenceControl: () =>
       new LearningInterferenceControl({ ...DEFAULT_INTERFERENCE_OPTIONS, learnsPeriod: false }),
   }),
-  'image affinity': without({ servingPlacement: new FullestPlacement() }),
-  'fault avoidance': without({ faultAvoidance: new NoAvoidance() }),
+  'image affinity': policyWith({ servingPlacement: new FullestPlacement() }),
+  'fault avoidance': policyWith({ faultAvoidance: new NoFaultAvoidance() }),
 };
--- a/bench/fleet/baselines.ts
+++ b/bench/fleet/baselines.ts
@@ -73,11 +73,11 @@
   admit(view: FleetWorkerView, filler: TaskRecord, nowMs: number): Admission | undefined {
     const runs = [...view.runs.values()];
     const added = this.#truthOf(filler.name);
-    let least = Number.POSITIVE_INFINITY;
+    let smallestMargin = Number.POSITIVE_INFINITY;
     ADMISSION_HORIZON_MS.forEach((aheadMs) => {
-      least = Math.min(least, this.#marginOf(view, runs, added, nowMs + aheadMs));
+      smallestMargin = Math.min(smallestMargin, this.#marginOf(view, runs, added, nowMs + aheadMs));
     });
-    return least >= 0 ? { percent: FULL_PERCENT, headroom: least } : undefined;
+    return smallestMargin >= 0 ? { percent: FULL_PERCENT, headroom: smallestMargin } : undefined;
   }
 
   decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
@@ -108,12 +108,12 @@
   }
 
   #worstCost(view: FleetWorkerView, { task }: TaskRun, nowMs: number): number {
-    let worst = 0;
+    let worstCost = 0;
     view.runs.forEach(({ task: other }) => {
       const cost = this.#truth.costAt(other.step.image, task.step.image, nowMs);
-      worst = Math.max(worst, cost);
+      worstCost = Math.max(worstCost, cost);
     });
-    return worst;
+    return worstCost;
   }
 
   /** The smallest margin below the latency target among serving tasks on the worker. */
@@ -125,36 +125,37 @@
     paces?: ReadonlyMap<TaskRun, number>,
   ): number {
     const { service } = this.#shape;
-    const capacity = view.entry.capacity.processorMillis;
-    let idle = capacity;
-    let wanted = added?.processorMillis ?? 0;
-    const fillers: { readonly image: string; readonly wanted: number }[] = [];
-    if (added !== undefined) fillers.push({ image: added.image, wanted });
+    const capacityMillis = view.entry.capacity.processorMillis;
+    let idleMillis = capacityMillis;
+    let requestedMillis = added?.processorMillis ?? 0;
+    const fillers: { readonly image: string; readonly requestedMillis: number }[] = [];
+    if (added !== undefined) fillers.push({ image: added.image, requestedMillis });
     const services: { readonly image: string; readonly load: number }[] = [];
     runs.forEach((run) => {
       const truth = this.#truthOf(run.task.name);
       if (truth.loadPhase !== undefined) {
         const load = this.#truth.loadAt(truth.loadPhase, atMs);
         services.push({ image: truth.image, load });
-        idle -= load * truth.processorMillis;
+        idleMillis -= load * truth.processorMillis;
       } else if (truth.isFiller) {
         const percent = paces?.get(run) ?? run.pacePercent;
-        const own = (truth.processorMillis * percent) / FULL_PERCENT;
-        wanted += own;
-        fillers.push({ image: truth.image, wanted: own });
-      } else idle -= truth.processorMillis;
+        const fillerMillis = (truth.processorMillis * percent) / FULL_PERCENT;
+        requestedMillis += fillerMillis;
+        fillers.push({ image: truth.image, requestedMillis: fillerMillis });
+      } else idleMillis -= truth.processorMillis;
     });
-    const part = wanted === 0 ? 0 : Math.min(1, Math.max(0, idle) / wanted);
+    const grantedShare =
+      requestedMillis === 0 ? 0 : Math.min(1, Math.max(0, idleMillis) / requestedMillis);
     const availableShare = USABLE_SHARE * (1 - service.unloadedTailMs / service.targetLatencyMs);
-    let least = Number.POSITIVE_INFINITY;
+    let smallestMargin = Number.POSITIVE_INFINITY;
     services.forEach(({ image, load }) => {
       let pressure = 0;
       fillers.forEach((filler) => {
         const cost = this.#truth.costAt(image, filler.image, atMs);
-        pressure += (cost * filler.wanted * part) / capacity;
+        pressure += (cost * filler.requestedMillis * grantedShare) / capacityMillis;
       });
-      least = Math.min(least, availableShare - load - pressure);
+      smallestMargin = Math.min(smallestMargin, availableShare - load - pressure);
     });
-    return least;
+    return smallestMargin;
   }
 }
--- a/bench/fleet/driverCounts.ts
+++ b/bench/fleet/driverCounts.ts
@@ -40,7 +40,7 @@
   counts.committedBytes += JSON.stringify(writes).length;
 };
 
-export const countNote = (
+export const countLoggedDecision = (
   counts: DriverCounts,
   { event, fields }: Extract<FleetEffect, { kind: 'log' }>,
 ): void => {
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -114,11 +114,11 @@
     outcomes,
     largeOutcomes.map(({ largest }) => largest),
     largeOutcomes.map(({ nextLargest }) => nextLargest),
-  ].map((those) => mean(those.map(shareServed)).toFixed(3));
+  ].map((outcomesOfSize) => mean(outcomesOfSize.map(shareServed)).toFixed(3));
   return `served ${served[0]}, largest tenth ${served[1]}, next fifth ${served[2]}`;
 };
 
-const line = (name: string, { share, results }: Summary): string => {
+const summaryLine = (name: string, { share, results }: Summary): string => {
   const meanOf = (of: (result: FleetResult) => number, digits = 0): string =>
     mean(results.map(of)).toFixed(digits);
   const startCount = mean(results.map(({ counts }) => counts.startCount));
@@ -164,12 +164,12 @@
   for (let index = 0; index < entries.length; index += 1) {
     const [name, policyOf] = entries[index] as [string, PolicyFactory];
     // eslint-disable-next-line no-await-in-loop -- runs one policy at a time
-    print(line(name, await runSeeds(shape, policyOf, seedCount, ownerCores)));
+    print(summaryLine(name, await runSeeds(shape, policyOf, seedCount, ownerCores)));
   }
 };
 
 /** The fleet with so many times the fillers for as long as any arrive. */
-const withBacklog = (shape: FleetShape, factor: number): FleetShape => {
+const withFillerBurst = (shape: FleetShape, factor: number): FleetShape => {
   const { trafficFromMs: fromMs, trafficUntilMs: untilMs } = shape;
   return { ...shape, burst: { fromMs, untilMs, factor } };
 };
@@ -183,29 +183,33 @@
 
 const checkBounds = async (shape: FleetShape): Promise<boolean> => {
   const bounds = await readBounds(NAME);
-  const own = await runSeeds(shape, DEFAULT, BOUNDS_SEEDS);
-  const known = await runSeeds(shape, ORACLE, BOUNDS_SEEDS);
+  const defaultPolicy = await runSeeds(shape, DEFAULT, BOUNDS_SEEDS);
+  const oracle = await runSeeds(shape, ORACLE, BOUNDS_SEEDS);
   const uncontrolled = await runSeeds(shape, UNCONTROLLED, BOUNDS_SEEDS);
   const firstCome = await runSeeds(shape, FIRST_COME, BOUNDS_SEEDS);
-  print(line('default policy', own));
-  print(line('known interference costs', known));
-  print(line('no interference control', uncontrolled));
-  print(line('first come, first served', firstCome));
-  const noticed = Math.max(...own.results.map(({ noticedCount }) => noticedCount));
+  print(summaryLine('default policy', defaultPolicy));
+  print(summaryLine('known interference costs', oracle));
+  print(summaryLine('no interference control', uncontrolled));
+  print(summaryLine('first come, first served', firstCome));
+  const mostNoticed = Math.max(...defaultPolicy.results.map(({ noticedCount }) => noticedCount));
   const checks: readonly (readonly [string, number, boolean])[] = [
-    ['minimumShareToKnown', own.share / known.share, true],
-    ['minimumShareToUncontrolled', own.share / uncontrolled.share, true],
-    ['minimumShareToFirstCome', own.share / firstCome.share, true],
-    ['minimumServiceShare', mean(own.results.map(({ service }) => shareEarned(service))), true],
-    ['maximumNoticedSpells', noticed, false],
+    ['minimumShareToKnown', defaultPolicy.share / oracle.share, true],
+    ['minimumShareToUncontrolled', defaultPolicy.share / uncontrolled.share, true],
+    ['minimumShareToFirstCome', defaultPolicy.share / firstCome.share, true],
+    [
+      'minimumServiceShare',
+      mean(defaultPolicy.results.map(({ service }) => shareEarned(service))),
+      true,
+    ],
+    ['maximumNoticedSpells', mostNoticed, false],
   ];
-  const areHeld = checks.map(([name, value, isMinimum]) => {
+  const checkResults = checks.map(([name, value, isMinimum]) => {
     const bound = bounds[name] ?? Number.NaN;
-    const isHeld = isMinimum ? value >= bound : value <= bound;
-    print(`${isHeld ? 'ok' : 'CROSSED'}  ${name} ${bound}, measured ${value.toFixed(3)}`);
-    return isHeld;
+    const isWithinBound = isMinimum ? value >= bound : value <= bound;
+    print(`${isWithinBound ? 'ok' : 'CROSSED'}  ${name} ${bound}, measured ${value.toFixed(3)}`);
+    return isWithinBound;
   });
-  return areHeld.every(Boolean);
+  return checkResults.every(Boolean);
 };
 
 export const fleet: Benchmark = {
@@ -213,21 +217,21 @@
   run: async (args) => {
     const parsed = parseArgs<typeof ARGUMENTS>([...args], ARGUMENTS);
     const workerCount = Number(parsed.workers);
-    const known = findShape(workerCount, parsed.cores);
-    if (known === undefined) {
+    const foundShape = findShape(workerCount, parsed.cores);
+    if (foundShape === undefined) {
       const cores = parsed.cores === undefined ? '' : ` of ${parsed.cores} cores`;
       print(`no fleet of ${parsed.workers} workers${cores}`);
       return false;
     }
-    if (parsed.mode === 'bounds') return checkBounds(known);
+    if (parsed.mode === 'bounds') return checkBounds(foundShape);
     const { seeds, from, seconds, stretch, rate, runs, backlog } = parsed;
-    const positive = { seeds, from, seconds, stretch, rate, runs, backlog: backlog ?? '1' };
-    const badOption = Object.entries(positive).find(([, value]) => !(Number(value) > 0));
-    if (badOption !== undefined) {
-      print(`--${badOption[0]} has to be a number above 0, not '${badOption[1]}'`);
+    const positiveOptions = { seeds, from, seconds, stretch, rate, runs, backlog: backlog ?? '1' };
+    const invalidOption = Object.entries(positiveOptions).find(([, value]) => !(Number(value) > 0));
+    if (invalidOption !== undefined) {
+      print(`--${invalidOption[0]} has to be a number above 0, not '${invalidOption[1]}'`);
       return false;
     }
-    const shape = backlog === undefined ? known : withBacklog(known, Number(backlog));
+    const shape = backlog === undefined ? foundShape : withFillerBurst(foundShape, Number(backlog));
     if (parsed.mode === 'profile') {
       const options = {
         seedCount: Number(seeds),
--- a/bench/fleet/fleetDriver.ts
+++ b/bench/fleet/fleetDriver.ts
@@ -24,12 +24,12 @@
 import type { Transaction, TransactionResult } from '../../src/services/table/common/table.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 import { VirtualTime } from '../virtualTime.js';
-import { countCommit, countHold, countNote, newDriverCounts } from './driverCounts.js';
+import { countCommit, countHold, countLoggedDecision, newDriverCounts } from './driverCounts.js';
 import { configurationOf } from './fleetConfiguration.js';
 import { CALL_COST_MS, OwnerProcessor } from './ownerProcessor.js';
 import type { FleetShape } from './fleetShape.js';
 import { SharedWorker, STOP_MS } from './sharedWorker.js';
-import { storedStateReader } from './storedState.js';
+import { newStoredStateReader } from './storedState.js';
 import type { FleetTruth } from './truth.js';
 import type { Arrival } from './workload.js';
 
@@ -118,7 +118,7 @@
     this.#scheduler = this.#newScheduler();
     this.#repeat(WORKER_TICK_MS, () => this.#tickWorkers());
     this.#repeat(TICK_MS, () => this.#scheduleStep());
-    this.#repeat(WORKERS_INTERVAL_MS, () => this.#listWorkers());
+    this.#repeat(WORKERS_INTERVAL_MS, () => this.#deliverWorkerList());
   }
 
   /** Schedules an arrival and its cancellation. */
@@ -221,12 +221,14 @@
     });
   }
 
-  #listWorkers(): void {
+  #deliverWorkerList(): void {
     const { nowMs } = this.time;
-    this.#deliver((epoch) => this.#scheduler.handleWorkers(epoch, this.#entries(), nowMs, nowMs));
+    this.#deliver((epoch) =>
+      this.#scheduler.handleWorkers(epoch, this.#listedWorkers(), nowMs, nowMs),
+    );
   }
 
-  #entries(): readonly FleetWorkerEntry[] {
+  #listedWorkers(): readonly FleetWorkerEntry[] {
     const { nowMs } = this.time;
     return [...this.workers.values()]
       .filter(({ model }) => nowMs < (this.#lostAtMs.get(model.id) ?? nowMs) + LISTING_RETENTION_MS)
@@ -239,8 +241,8 @@
 
   #capacityOf(index: number): FleetWorkerEntry['capacity'] {
     const { processorMillis, memoryBytes } = this.#shape;
-    const own = processorMillis[index % processorMillis.length] as number;
-    return { processorMillis: own, memoryBytes, acceleratorCount: 0 };
+    const workerMillis = processorMillis[index % processorMillis.length] as number;
+    return { processorMillis: workerMillis, memoryBytes, acceleratorCount: 0 };
   }
 
   #write(key: string, value: JsonValue): void {
@@ -249,29 +251,29 @@
 
   /** Delivers a change after the feed delay if the scheduler then owns the fleet. */
   #deliver(deliver: (epoch: number) => void): void {
-    const take = (): void => {
+    const handle = (): void => {
       const { epoch } = this.#scheduler;
       if (epoch !== undefined) deliver(epoch);
     };
-    this.#reply(FEED_DELAY_MS, take, CALL_COST_MS.feed);
+    this.#runOnOwnerAfter(FEED_DELAY_MS, handle, CALL_COST_MS.feed);
   }
 
   /** Runs the callback after a delay unless the calling daemon has been replaced. */
-  #reply(delayMs: number, run: () => void, costMs = 0): void {
+  #runOnOwnerAfter(delayMs: number, run: () => void, costMs = 0): void {
     const generation = this.#generation;
     this.time.after(delayMs, () =>
       this.#processor.run(costMs, () => {
         if (generation !== this.#generation) return;
-        this.#timed(run);
+        this.#runTimed(run);
         this.#scheduleStep();
       }),
     );
   }
 
-  #timed<Result>(run: () => Result): Result {
-    const beganAtMs = performance.now();
+  #runTimed<Result>(run: () => Result): Result {
+    const startedAtMs = performance.now();
     const result = run();
-    this.counts.schedulerMs += performance.now() - beganAtMs;
+    this.counts.schedulerMs += performance.now() - startedAtMs;
     return result;
   }
 
@@ -290,10 +292,10 @@
     const { epoch } = this.#scheduler;
     if (epoch !== undefined) this.#scheduler.handleCaughtUp(epoch, nowMs);
     this.counts.stepCount += 1;
-    const beganAtMs = performance.now();
-    const effects = this.#timed(() => this.#scheduler.step(nowMs, nowMs));
-    const tookMs = this.#processor.inVirtualMs(performance.now() - beganAtMs);
-    this.#scheduler.handleStepTaken(dueAtMs, nowMs, nowMs + tookMs);
+    const startedAtMs = performance.now();
+    const effects = this.#runTimed(() => this.#scheduler.step(nowMs, nowMs));
+    const durationMs = this.#processor.toVirtualMs(performance.now() - startedAtMs);
+    this.#scheduler.handleStepTaken(dueAtMs, nowMs, nowMs + durationMs);
     effects.forEach((effect) => this.#perform(effect));
   }
 
@@ -317,7 +319,7 @@
       case 'commit':
         countCommit(this.counts, effect.transaction);
         this.#transact(effect.transaction, (result) => {
-          this.#noteCompleted(effect.transaction);
+          this.#recordCompletions(effect.transaction);
           scheduler
             .handleCommitted(effect.epoch, result, this.time.nowMs)
             .forEach((next) => this.#perform(next));
@@ -354,12 +356,12 @@
         );
         break;
       default:
-        countNote(this.counts, effect);
-        this.#timed(() => this.log.info(effect.event, effect.fields));
+        countLoggedDecision(this.counts, effect);
+        this.#runTimed(() => this.log.info(effect.event, effect.fields));
     }
   }
 
-  #noteCompleted({ writes }: Transaction): void {
+  #recordCompletions({ writes }: Transaction): void {
     writes.forEach(({ key, value }) => {
       const id = key.slice(progressKey('').length);
       const isProgress = key === progressKey(id);
@@ -370,27 +372,27 @@
 
   #read(
     request: Parameters<TableStandIn['read']>[0],
-    take: (result: Either<Failure, ReturnType<TableStandIn['read']>>) => void,
+    handle: (result: Either<Failure, ReturnType<TableStandIn['read']>>) => void,
   ): void {
     const answer = this.table.read(request);
-    const answered = (): void => take(right({ ...answer, tableNowMs: this.time.nowMs }));
-    this.#reply(TABLE_DELAY_MS, answered, CALL_COST_MS.read);
+    const deliverAnswer = (): void => handle(right({ ...answer, tableNowMs: this.time.nowMs }));
+    this.#runOnOwnerAfter(TABLE_DELAY_MS, deliverAnswer, CALL_COST_MS.read);
   }
 
   #transact(
     transaction: Transaction,
-    take: (result: Either<Failure, TransactionResult>) => void,
+    handle: (result: Either<Failure, TransactionResult>) => void,
   ): void {
     const answer = this.table.transact(transaction);
-    const answered = (): void => take(right({ ...answer, tableNowMs: this.time.nowMs }));
-    this.#reply(TABLE_DELAY_MS, answered, CALL_COST_MS.commit);
+    const deliverAnswer = (): void => handle(right({ ...answer, tableNowMs: this.time.nowMs }));
+    this.#runOnOwnerAfter(TABLE_DELAY_MS, deliverAnswer, CALL_COST_MS.commit);
   }
 
   #load(epoch: number): void {
-    const reader = storedStateReader(this.table, () => this.#entries());
+    const reader = newStoredStateReader(this.table, () => this.#listedWorkers());
     this.#loading = reader.readAll().then((loaded) => {
       this.#loading = undefined;
-      this.#reply(TABLE_DELAY_MS, () =>
+      this.#runOnOwnerAfter(TABLE_DELAY_MS, () =>
         this.#scheduler.handleLoaded(epoch, loaded?.stored, this.time.nowMs),
       );
     });
@@ -402,14 +404,14 @@
     const answer = (): void => {
       const outcome = worker.model.hold(request, this.time.nowMs);
       countHold(this.counts, outcome);
-      const answered = (): void =>
+      const deliverAnswer = (): void =>
         this.#scheduler.handleHeld(epoch, workerId, right(outcome), sentAtMs, this.time.nowMs);
-      this.#reply(NETWORK_DELAY_MS, answered, CALL_COST_MS.hold);
+      this.#runOnOwnerAfter(NETWORK_DELAY_MS, deliverAnswer, CALL_COST_MS.hold);
     };
     this.time.after(NETWORK_DELAY_MS, () => {
       if (this.isLost(workerId)) {
         const noAnswer = left(failure(ErrorKind.AnswerLost, 'no answer'));
-        this.#reply(CALL_TIMEOUT_MS, () =>
+        this.#runOnOwnerAfter(CALL_TIMEOUT_MS, () =>
           this.#scheduler.handleHeld(epoch, workerId, noAnswer, sentAtMs, this.time.nowMs),
         );
         return;
@@ -432,7 +434,7 @@
       (worker) => {
         const { nowMs } = this.time;
         const outcome = worker.model.start(request, nowMs);
-        worker.noteStart(request.taskName, request.checkpoint, nowMs);
+        worker.trackStart(request.taskName, request.checkpoint, nowMs);
         this.counts.startCount += 1;
         return outcome;
       },
@@ -443,12 +445,12 @@
   #callWorker<Answer>(
     workerId: string,
     call: (worker: SharedWorker) => Answer,
-    take: (result: Either<Failure, Answer>) => void,
+    handle: (result: Either<Failure, Answer>) => void,
   ): void {
     this.time.after(NETWORK_DELAY_MS, () => {
       if (this.isLost(workerId)) return;
       const answer = call(this.workers.get(workerId) as SharedWorker);
-      this.#reply(NETWORK_DELAY_MS, () => take(right(answer)), CALL_COST_MS.order);
+      this.#runOnOwnerAfter(NETWORK_DELAY_MS, () => handle(right(answer)), CALL_COST_MS.order);
     });
   }
 }
--- a/bench/fleet/fleetRun.ts
+++ b/bench/fleet/fleetRun.ts
@@ -19,13 +19,13 @@
   readonly share: number;
 }
 
-const schedule = (driver: FleetDriver, shape: FleetShape, seed: number): void => {
+const scheduleFailures = (driver: FleetDriver, shape: FleetShape, seed: number): void => {
   const random = new SeededRandom(seed);
   const ids = [...driver.workers.keys()];
-  const takeOne = (): string => ids.splice(random.nextIndex(ids.length), 1)[0] as string;
+  const drawWorkerId = (): string => ids.splice(random.nextIndex(ids.length), 1)[0] as string;
   const { lostWorkerCount, lossAtMs, faultyWorkerCount, faultyFromMs, faultyUntilMs } = shape;
-  const lost = Array.from({ length: lostWorkerCount }, takeOne);
-  const faulty = Array.from({ length: faultyWorkerCount }, takeOne);
+  const lost = Array.from({ length: lostWorkerCount }, drawWorkerId);
+  const faulty = Array.from({ length: faultyWorkerCount }, drawWorkerId);
   const setFaulty = (isFaulty: boolean): void =>
     faulty.forEach((id) => {
       const worker = driver.workers.get(id);
@@ -52,7 +52,7 @@
   const driver = new FleetDriver(shape, truth, policy, seed + 2 * SEED_STRIDE, ownerCores);
   const meter = new OutcomeMeter(shape, driver, arrivals);
   arrivals.forEach((arrival) => driver.submit(arrival));
-  schedule(driver, shape, seed + 3 * SEED_STRIDE);
+  scheduleFailures(driver, shape, seed + 3 * SEED_STRIDE);
   await driver.runUntil(shape.endMs);
   const outcome = meter.finish();
   const { urgent, filler, service } = outcome;
--- a/bench/fleet/fleetShape.ts
+++ b/bench/fleet/fleetShape.ts
@@ -23,7 +23,7 @@
   /** The share of tasks whose first run fails. */
   readonly failureShare: number;
   /** The share of submissions whose tasks save checkpoints. */
-  readonly savingShare: number;
+  readonly checkpointingShare: number;
   readonly isFiller: boolean;
   /** The objective is this multiple of the critical path, plus `objectiveMs`. */
   readonly objectiveStretch: number;
@@ -47,7 +47,7 @@
   readonly targetLatencyMs: number;
   /** Mean use of a task's own processors, and its amplitude relative to the mean. */
   readonly load: number;
-  readonly loadSwing: number;
+  readonly loadAmplitude: number;
   readonly loadPeriodMs: number;
   /** Value of a submission per interval in which all its tasks meet their target. */
   readonly value: number;
@@ -59,9 +59,9 @@
   /** The share of image pairs with strong interference. */
   readonly strongShare: number;
   /** Bounds of the cost of a worker full of a filler, as a share of a service's processors. */
-  readonly strongFrom: number;
-  readonly strongTo: number;
-  readonly weakTo: number;
+  readonly minimumStrongCost: number;
+  readonly maximumStrongCost: number;
+  readonly maximumWeakCost: number;
 }
 
 export interface FleetShape {
@@ -114,7 +114,7 @@
       unloadedTailMs: 10,
       targetLatencyMs: 50,
       load: 0.45,
-      loadSwing: 0.5,
+      loadAmplitude: 0.5,
       loadPeriodMs: 14_000,
       value: 0.306,
       valueIntervalMs: 2_000,
@@ -130,7 +130,7 @@
       estimateSigma: 0.5,
       workVariation: 0.15,
       failureShare: 0.005,
-      savingShare: 0,
+      checkpointingShare: 0,
       isFiller: false,
       objectiveStretch: 1.5,
       objectiveMs: 250,
@@ -148,7 +148,7 @@
       estimateSigma: 0.35,
       workVariation: 0.15,
       failureShare: 0.02,
-      savingShare: 0.85,
+      checkpointingShare: 0.85,
       isFiller: true,
       objectiveStretch: 2,
       objectiveMs: 1_000,
@@ -158,9 +158,9 @@
     interference: {
       fillerImageCount: 9,
       strongShare: 0.4,
-      strongFrom: 1,
-      strongTo: 2.8,
-      weakTo: 0.3,
+      minimumStrongCost: 1,
+      maximumStrongCost: 2.8,
+      maximumWeakCost: 0.3,
     },
     trafficFromMs: 8_000,
     trafficUntilMs: 42_000,
--- a/bench/fleet/answeringWorkers.ts
+++ b/bench/fleet/loopbackServers.ts
@@ -8,7 +8,7 @@
 
 const HOST = '127.0.0.1';
 const HOLD_PATH = '/api/hold';
-const LONGEST_WAIT_MS = 200;
+const MAXIMUM_WAIT_MS = 200;
 /** Has no divisor in common with the longest wait. */
 const WAIT_STRIDE_MS = 37;
 
@@ -24,7 +24,7 @@
 
 const holdWaitMs = (): number => {
   holdCount += 1;
-  return (holdCount * WAIT_STRIDE_MS) % LONGEST_WAIT_MS;
+  return (holdCount * WAIT_STRIDE_MS) % MAXIMUM_WAIT_MS;
 };
 
 const listen = (answers: ReadonlyMap<string, string>): Promise<Server> => {
--- a/bench/fleet/outcome.ts
+++ b/bench/fleet/outcome.ts
@@ -15,7 +15,7 @@
 const FIXED_VALUE_SHARE = 0.3;
 const MAXIMUM_WEIGHT = 4;
 /** Where the fifth below the largest tenth and the largest tenth begin, by rank. */
-const LARGE_FROM = [0.7, 0.9] as const;
+const LARGE_RANKS = [0.7, 0.9] as const;
 /** Weight of time over target caused by fillers; that caused by the service's own load counts 1. */
 const INTERFERENCE_WEIGHT = 4;
 /** Services are not evaluated during this time after their arrival. */
@@ -93,19 +93,19 @@
   readonly #arrivals: readonly Arrival[];
 
   /** Since when each serving task has been over its target because of fillers. */
-  readonly #overSinceMs = new Map<string, number>();
+  readonly #slowedSinceMs = new Map<string, number>();
 
   constructor(shape: FleetShape, driver: FleetDriver, arrivals: readonly Arrival[]) {
     this.#shape = shape;
     this.#driver = driver;
     this.#arrivals = arrivals;
-    this.#sampleLater();
+    this.#scheduleSample();
   }
 
-  #sampleLater(): void {
+  #scheduleSample(): void {
     this.#driver.time.after(SAMPLE_MS, () => {
       this.#sample(this.#driver.time.nowMs);
-      this.#sampleLater();
+      this.#scheduleSample();
     });
   }
 
@@ -124,7 +124,7 @@
         const name = `${submission.id}.0.0.${index}`;
         const run = running.get(name);
         if (run !== undefined) serving += 1 - this.#lossOf(name, run, nowMs);
-        else this.#overSinceMs.delete(name);
+        else this.#slowedSinceMs.delete(name);
       }
       this.outcome.service.attainable += valuePerSample;
       this.outcome.service.earned += valuePerSample * Math.max(0, serving / taskCount);
@@ -147,14 +147,14 @@
     const { targetLatencyMs } = this.#shape.service;
     const isCausedByFillers = tailMs > targetLatencyMs && tailWithoutFillersMs <= targetLatencyMs;
     if (tailMs <= targetLatencyMs) {
-      this.#overSinceMs.delete(name);
+      this.#slowedSinceMs.delete(name);
       return 0;
     }
     this.outcome.overTargetS += SAMPLE_MS / MS_PER_S;
     if (!isCausedByFillers) return 1;
     this.outcome.causedByFillersS += SAMPLE_MS / MS_PER_S;
-    const sinceMs = this.#overSinceMs.get(name) ?? nowMs;
-    this.#overSinceMs.set(name, sinceMs);
+    const sinceMs = this.#slowedSinceMs.get(name) ?? nowMs;
+    this.#slowedSinceMs.set(name, sinceMs);
     const overMs = nowMs - sinceMs;
     if (overMs >= NOTICEABLE_MS && overMs < NOTICEABLE_MS + SAMPLE_MS)
       this.outcome.noticedCount += 1;
@@ -164,40 +164,43 @@
   /** Adds the outcome of all batch work; called at the end of the simulation. */
   finish(): SimulationOutcome {
     const { urgent, filler } = this.#shape;
-    [urgent, filler].forEach((kind) => this.#finishKind(kind));
+    [urgent, filler].forEach((kind) => this.#addOutcomesOf(kind));
     return this.outcome;
   }
 
-  #finishKind(kind: BatchKind): void {
+  #addOutcomesOf(kind: BatchKind): void {
     const ofKind = this.#arrivals.flatMap(({ atMs, batch, submission }) =>
       batch?.kind === kind ? [{ atMs, batch, id: submission.id }] : [],
     );
     const works = ofKind.map(({ batch }) => batch.processorSeconds);
     const meanWork = works.reduce((sum, work) => sum + work, 0) / Math.max(1, works.length);
     const sorted = [...works].sort((left, right) => left - right);
-    const [nextFrom, largestFrom] = LARGE_FROM.map(
+    const [nextLargestFrom, largestFrom] = LARGE_RANKS.map(
       (rank) => sorted[Math.floor(sorted.length * rank)] ?? Number.POSITIVE_INFINITY,
     ) as [number, number];
     const total = kind.isFiller ? this.outcome.filler : this.outcome.urgent;
     const large = kind.isFiller ? this.outcome.largeFiller : this.outcome.largeUrgent;
     ofKind.forEach(({ atMs, batch, id }) => {
       const tookMs = (this.#driver.completedAtMs.get(id) ?? Number.POSITIVE_INFINITY) - atMs;
-      const work = batch.processorSeconds / meanWork;
-      const weight = Math.min(MAXIMUM_WEIGHT, FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * work);
-      OutcomeMeter.#add(total, batch, weight, tookMs + NOTIFICATION_DELAY_MS);
-      if (batch.processorSeconds < nextFrom) return;
-      const ofSize = batch.processorSeconds < largestFrom ? large.nextLargest : large.largest;
-      OutcomeMeter.#add(ofSize, batch, weight, tookMs + NOTIFICATION_DELAY_MS);
+      const relativeWork = batch.processorSeconds / meanWork;
+      const weight = Math.min(
+        MAXIMUM_WEIGHT,
+        FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * relativeWork,
+      );
+      OutcomeMeter.#addOutcome(total, batch, weight, tookMs + NOTIFICATION_DELAY_MS);
+      if (batch.processorSeconds < nextLargestFrom) return;
+      const sizeTotal = batch.processorSeconds < largestFrom ? large.nextLargest : large.largest;
+      OutcomeMeter.#addOutcome(sizeTotal, batch, weight, tookMs + NOTIFICATION_DELAY_MS);
     });
   }
 
-  static #add(
+  static #addOutcome(
     total: BatchOutcome,
-    { kind, chainMs }: BatchObjective,
+    { kind, criticalPathMs }: BatchObjective,
     weight: number,
     tookMs: number,
   ): void {
-    const objectiveMs = kind.objectiveStretch * chainMs + kind.objectiveMs;
+    const objectiveMs = kind.objectiveStretch * criticalPathMs + kind.objectiveMs;
     total.attainable += kind.value * weight;
     if (tookMs <= objectiveMs) {
       total.inTime += 1;
--- a/bench/fleet/ownerCalls.ts
+++ b/bench/fleet/ownerCalls.ts
@@ -11,7 +11,7 @@
 import { mainThreadMs } from './ownerProfile.js';
 
 const MS_PER_S = 1_000;
-const TURN_MS = 10;
+const SEND_INTERVAL_MS = 10;
 const WARM_UP_MS = 1_500;
 const COMMITS_PER_S = 33;
 /** Rows of a commit at 46 and at 342 workers, as `fleet profile` counts them. */
@@ -84,41 +84,41 @@
 };
 
 /** Makes calls at an even rate, as far as the processor allows, and waits for their answers. */
-const play = async (
+const sendCalls = async (
   { call, callsPerSecond }: Phase,
   lengthMs: number,
 ): Promise<{ readonly callCount: number; readonly failureCount: number }> => {
-  const beganAtMs = performance.now();
-  const underWay = new Set<Promise<void>>();
+  const startedAtMs = performance.now();
+  const pending = new Set<Promise<void>>();
   let callCount = 0;
   let failureCount = 0;
-  const callOne = async (): Promise<void> => {
+  const sendOne = async (): Promise<void> => {
     const result = await call(callCount);
     if (result._tag === 'Left') failureCount += 1;
   };
   for (;;) {
-    const passedMs = performance.now() - beganAtMs;
+    const passedMs = performance.now() - startedAtMs;
     if (passedMs >= lengthMs) break;
     const dueCount = Math.floor((passedMs * callsPerSecond) / MS_PER_S);
     for (; callCount < dueCount; callCount += 1) {
-      const one = callOne();
-      underWay.add(one);
-      void one.finally(() => underWay.delete(one));
+      const promise = sendOne();
+      pending.add(promise);
+      void promise.finally(() => pending.delete(promise));
     }
     // eslint-disable-next-line no-await-in-loop -- the next calls are due later
     await new Promise((resolve) => {
-      setTimeout(resolve, TURN_MS);
+      setTimeout(resolve, SEND_INTERVAL_MS);
     });
   }
-  await Promise.all(underWay);
+  await Promise.all(pending);
   return { callCount, failureCount };
 };
 
 const measure = async (phase: Phase, lengthMs: number): Promise<PhaseFigures> => {
-  await play(phase, WARM_UP_MS);
-  const beganMs = await mainThreadMs();
-  const { callCount, failureCount } = await play(phase, lengthMs);
-  const usedMs = (await mainThreadMs()) - beganMs;
+  await sendCalls(phase, WARM_UP_MS);
+  const usedBeforeMs = await mainThreadMs();
+  const { callCount, failureCount } = await sendCalls(phase, lengthMs);
+  const usedMs = (await mainThreadMs()) - usedBeforeMs;
   return {
     msPerSecond: (usedMs * MS_PER_S) / lengthMs,
     callsPerSecond: (callCount * MS_PER_S) / lengthMs,
@@ -126,11 +126,11 @@
   };
 };
 
-const startAnswering = async ({
+const startServers = async ({
   workerCount,
   runCount,
 }: OwnerCallsOptions): Promise<{ readonly child: ChildProcess; readonly ports: number[] }> => {
-  const script = fileURLToPath(new URL('./answeringWorkers.js', import.meta.url));
+  const script = fileURLToPath(new URL('./loopbackServers.js', import.meta.url));
   const child = fork(script, [String(workerCount), String(runCount)]);
   const [ports] = (await once(child, 'message')) as [number[]];
   return { child, ports };
@@ -138,12 +138,12 @@
 
 const toText = (name: string, figures: readonly PhaseFigures[]): string => {
   const sorted = figures.map(({ msPerSecond }) => msPerSecond).sort((left, right) => left - right);
-  const [least, median, most] = [0, Math.floor(sorted.length / 2), sorted.length - 1].map((index) =>
-    (sorted[index] ?? Number.NaN).toFixed(1),
+  const [minimum, median, maximum] = [0, Math.floor(sorted.length / 2), sorted.length - 1].map(
+    (index) => (sorted[index] ?? Number.NaN).toFixed(1),
   );
   const rate = Math.min(...figures.map(({ callsPerSecond }) => callsPerSecond)).toFixed(0);
   const failures = figures.reduce((sum, { failureCount }) => sum + failureCount, 0);
-  return `${name.padEnd(14)} ${median} ms a second (${least} to ${most}), ${rate} calls a second, ${failures} failed`;
+  return `${name.padEnd(14)} ${median} ms a second (${minimum} to ${maximum}), ${rate} calls a second, ${failures} failed`;
 };
 
 /** Prints the median, least and most processor time with each kind of call, and without any. */
@@ -151,7 +151,7 @@
   options: OwnerCallsOptions,
   print: (text: string) => void,
 ): Promise<void> => {
-  const { child, ports } = await startAnswering(options);
+  const { child, ports } = await startServers(options);
   const workers = new WorkerCalls();
   const store = new StoreClient(`127.0.0.1:${ports[0]}`);
   const phases = phasesOf(ports, options, workers, store);
--- a/bench/fleet/ownerCost.ts
+++ b/bench/fleet/ownerCost.ts
@@ -17,7 +17,7 @@
 const WORK_WIDTH = 24;
 const FIGURE_WIDTH = 9;
 /** How many functions are named. */
-const PLACE_COUNT = 16;
+const FUNCTION_COUNT = 16;
 
 export interface OwnerCostOptions {
   readonly seedCount: number;
@@ -34,12 +34,12 @@
   readonly rates: DriverCounts;
 }
 
-const stretched = (kind: BatchKind, stretch: number): BatchKind => {
-  const longer = ({ mean, sigma, maximum }: LogNormal): LogNormal => ({
+const withLongerTasks = (kind: BatchKind, stretch: number): BatchKind => {
+  const stretchWork = ({ mean, sigma, maximum }: LogNormal): LogNormal => ({
     ...{ mean: mean * stretch, sigma, maximum: maximum * stretch },
   });
   const submissionsPerSecond = kind.submissionsPerSecond / stretch;
-  return { ...kind, submissionsPerSecond, workMs: longer(kind.workMs) };
+  return { ...kind, submissionsPerSecond, workMs: stretchWork(kind.workMs) };
 };
 
 const ratesSince = (before: DriverCounts, now: DriverCounts, lengthMs: number): DriverCounts =>
@@ -70,7 +70,7 @@
 const medianOf = (values: readonly number[]): number =>
   [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? Number.NaN;
 
-const figures = (values: readonly number[], digits: number): string =>
+const summaryOf = (values: readonly number[], digits: number): string =>
   [medianOf(values), Math.min(...values), Math.max(...values)]
     .map((value) => value.toFixed(digits).padStart(FIGURE_WIDTH))
     .join(' ');
@@ -83,49 +83,51 @@
 ): Promise<void> => {
   const { seedCount, lengthMs, stretch } = options;
   const { urgent, filler } = shape;
-  const measured = {
+  const measuredShape = {
     ...shape,
-    ...{ urgent: stretched(urgent, stretch), filler: stretched(filler, stretch) },
+    ...{ urgent: withLongerTasks(urgent, stretch), filler: withLongerTasks(filler, stretch) },
   };
-  const endProfiler = await keepProfilerOn();
+  const stopProfiler = await keepProfilerOn();
   const runs: OwnerRun[] = [];
   for (let seed = 1; seed <= seedCount; seed += 1) {
     // eslint-disable-next-line no-await-in-loop -- runs one seed at a time
-    runs.push(await runOnce(measured, options, seed));
+    runs.push(await runOnce(measuredShape, options, seed));
   }
-  endProfiler();
+  stopProfiler();
   const perSecond = (msOf: (times: OwnerTimes) => number): readonly number[] =>
     runs.map(({ times }) => (msOf(times) * MS_PER_S) / lengthMs);
-  const line = (name: string, msPerSecond: readonly number[]): void => {
+  const printLine = (name: string, msPerSecond: readonly number[]): void => {
     const perStart = msPerSecond.map((ms, index) => ms / (runs[index]?.rates.startCount ?? 0));
-    print(`${name.padEnd(WORK_WIDTH)} ${figures(msPerSecond, 2)}  ${figures(perStart, 4)}`);
+    print(`${name.padEnd(WORK_WIDTH)} ${summaryOf(msPerSecond, 2)}  ${summaryOf(perStart, 4)}`);
   };
   print(`${shape.name}: median, least and most ms a second, then ms a start`);
   Object.values(OwnerWork).forEach((work) =>
-    line(
+    printLine(
       work,
       perSecond(({ msByWork }) => msByWork.get(work) ?? 0),
     ),
   );
-  line(
+  printLine(
     'all',
     perSecond(({ msByWork }) => [...msByWork.values()].reduce((sum, ms) => sum + ms, 0)),
   );
-  const medianAt = (place: string): number =>
-    medianOf(perSecond(({ msByPlace }) => msByPlace.get(place) ?? 0));
-  const places = [...new Set(runs.flatMap(({ times }) => [...times.msByPlace.keys()]))];
+  const medianOfFunction = (functionName: string): number =>
+    medianOf(perSecond(({ msByFunction }) => msByFunction.get(functionName) ?? 0));
+  const functionNames = [...new Set(runs.flatMap(({ times }) => [...times.msByFunction.keys()]))];
   print('ms a second by function, without what it calls:');
-  places
-    .map((place) => [place, medianAt(place)] as const)
+  functionNames
+    .map((functionName) => [functionName, medianOfFunction(functionName)] as const)
     .sort(([, left], [, right]) => right - left)
-    .slice(0, PLACE_COUNT)
-    .forEach(([place, ms]) => print(`  ${ms.toFixed(2).padStart(FIGURE_WIDTH)} ${place}`));
+    .slice(0, FUNCTION_COUNT)
+    .forEach(([functionName, ms]) =>
+      print(`  ${ms.toFixed(2).padStart(FIGURE_WIDTH)} ${functionName}`),
+    );
   const rate = (name: keyof DriverCounts): string =>
     `${name} ${medianOf(runs.map(({ rates }) => rates[name])).toFixed(1)}`;
   const names = Object.keys(runs[0]?.rates ?? {}) as (keyof DriverCounts)[];
   print(`a second: ${names.map(rate).join(', ')}`);
   print(
-    `processor time per sampled time ${figures(
+    `processor time per sampled time ${summaryOf(
       runs.map(({ times }) => times.processorShare),
       2,
     )}`,
--- a/bench/fleet/ownerProcessor.ts
+++ b/bench/fleet/ownerProcessor.ts
@@ -10,9 +10,9 @@
   feed: 0.2,
 } as const;
 /** Collections beside the decisions that make the garbage, by `bench fleet profile`. */
-const COLLECTION_FACTOR = 1.1;
+const GARBAGE_COLLECTION_FACTOR = 1.1;
 
-interface Work {
+interface QueuedWork {
   readonly costMs: number;
   readonly run: () => void;
 }
@@ -23,11 +23,11 @@
   /** Undefined for a processor on which nothing takes time. */
   readonly #cores: number | undefined;
 
-  readonly #queue: Work[] = [];
+  readonly #queue: QueuedWork[] = [];
 
   #busyUntilMs = 0;
 
-  #isDue = false;
+  #isScheduled = false;
 
   /** For how long the processor has been busy. */
   busyMs = 0;
@@ -44,25 +44,25 @@
       return;
     }
     this.#queue.push({ costMs, run });
-    this.#runNextSoon();
+    this.#scheduleNext();
   }
 
   /** How long a decision that takes so long on this machine takes there. */
-  inVirtualMs(measuredMs: number): number {
-    return this.#cores === undefined ? 0 : (measuredMs * COLLECTION_FACTOR) / this.#cores;
+  toVirtualMs(measuredMs: number): number {
+    return this.#cores === undefined ? 0 : (measuredMs * GARBAGE_COLLECTION_FACTOR) / this.#cores;
   }
 
   #spend(costMs: number): void {
-    const takenMs = costMs / (this.#cores ?? 1);
-    this.busyMs += takenMs;
-    this.#busyUntilMs = Math.max(this.#busyUntilMs, this.#time.nowMs) + takenMs;
+    const durationMs = costMs / (this.#cores ?? 1);
+    this.busyMs += durationMs;
+    this.#busyUntilMs = Math.max(this.#busyUntilMs, this.#time.nowMs) + durationMs;
   }
 
-  #runNextSoon(): void {
-    if (this.#isDue || this.#queue.length === 0) return;
-    this.#isDue = true;
+  #scheduleNext(): void {
+    if (this.#isScheduled || this.#queue.length === 0) return;
+    this.#isScheduled = true;
     this.#time.after(Math.max(0, this.#busyUntilMs - this.#time.nowMs), () => {
-      this.#isDue = false;
+      this.#isScheduled = false;
       this.#runNext();
     });
   }
@@ -70,9 +70,9 @@
   #runNext(): void {
     const next = this.#queue.shift();
     if (next === undefined) return;
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     next.run();
-    this.#spend(next.costMs + (performance.now() - beganAtMs) * COLLECTION_FACTOR);
-    this.#runNextSoon();
+    this.#spend(next.costMs + (performance.now() - startedAtMs) * GARBAGE_COLLECTION_FACTOR);
+    this.#scheduleNext();
   }
 }
--- a/bench/fleet/ownerProfile.ts
+++ b/bench/fleet/ownerProfile.ts
@@ -4,7 +4,7 @@
 
 const SAMPLING_INTERVAL_US = 250;
 /** Outside what is measured. */
-const BETWEEN_INTERVAL_US = 100_000;
+const IDLE_SAMPLING_INTERVAL_US = 100_000;
 const US_PER_MS = 1_000;
 const NS_PER_MS = 1_000_000;
 /** Processor time of the main thread in nanoseconds comes first; Linux only. */
@@ -59,46 +59,55 @@
 };
 
 /** Only what the driver times is the owner's; the rest is the model of its surroundings. */
-const OWNER_ENTRY = 'fleetDriver.#timed';
+const OWNER_ENTRY = 'fleetDriver.#runTimed';
 /** What the driver does with the scheduler's effects, also where it is called within what it times. */
-const MODEL_ENTRIES: readonly string[] = ['fleetDriver.#perform', 'fleetDriver.#noteCompleted'];
+const MODEL_ENTRIES: readonly string[] = ['fleetDriver.#perform', 'fleetDriver.#recordCompletions'];
 
-interface Classified {
+interface FrameClass {
   readonly isOwner: boolean;
   readonly isCollection: boolean;
   readonly work: OwnerWork;
   /** The innermost function of the product that has a name, by its file. */
-  readonly place: string;
+  readonly functionPath: string;
 }
 
-const workOf = (file: string, functionName: string, above: OwnerWork): OwnerWork => {
-  const own = WORK_OF[`${file}.${functionName}`] ?? WORK_OF[file];
-  if (own === undefined) return above;
-  if (own !== OwnerWork.Interference) return own;
-  const isPlacing = above === OwnerWork.Placing || above === OwnerWork.PlacingInterference;
-  return isPlacing ? OwnerWork.PlacingInterference : own;
+const workOf = (file: string, functionName: string, callerWork: OwnerWork): OwnerWork => {
+  const ownWork = WORK_OF[`${file}.${functionName}`] ?? WORK_OF[file];
+  if (ownWork === undefined) return callerWork;
+  if (ownWork !== OwnerWork.Interference) return ownWork;
+  const isCallerPlacing =
+    callerWork === OwnerWork.Placing || callerWork === OwnerWork.PlacingInterference;
+  return isCallerPlacing ? OwnerWork.PlacingInterference : ownWork;
 };
 
-const classify = ({ nodes }: Profiler.Profile): ReadonlyMap<number, Classified> => {
-  const classified = new Map<number, Classified>();
+const classify = ({ nodes }: Profiler.Profile): ReadonlyMap<number, FrameClass> => {
+  const classified = new Map<number, FrameClass>();
   const byId = new Map(nodes.map((node) => [node.id, node]));
-  const visit = (id: number, { isOwner: isOwnerAbove, work: above, place }: Classified): void => {
+  const visit = (
+    id: number,
+    { isOwner: isCallerOwner, work: callerWork, functionPath: callerPath }: FrameClass,
+  ): void => {
     const node = byId.get(id);
     if (node === undefined) return;
     const { functionName, url } = node.callFrame;
     const file = url.slice(url.lastIndexOf('/') + 1).replace(/\.[jt]s$/, '');
     const name = `${file}.${functionName}`;
-    const isOwner = name === OWNER_ENTRY || (isOwnerAbove && !MODEL_ENTRIES.includes(name));
-    const work = isOwner ? workOf(file, functionName, above) : OwnerWork.Other;
+    const isOwner = name === OWNER_ENTRY || (isCallerOwner && !MODEL_ENTRIES.includes(name));
+    const work = isOwner ? workOf(file, functionName, callerWork) : OwnerWork.Other;
     const isCollection = functionName === '(garbage collector)';
     const isNamed = file !== '' && functionName !== '';
-    const own = { isOwner, isCollection, work, place: isNamed ? name : place };
-    classified.set(id, own);
-    node.children?.forEach((child) => visit(child, own));
+    const frame = { isOwner, isCollection, work, functionPath: isNamed ? name : callerPath };
+    classified.set(id, frame);
+    node.children?.forEach((child) => visit(child, frame));
   };
   const [root] = nodes;
-  const outside = { isOwner: false, isCollection: false, work: OwnerWork.Other, place: '' };
-  if (root !== undefined) visit(root.id, outside);
+  const outermost = {
+    isOwner: false,
+    isCollection: false,
+    work: OwnerWork.Other,
+    functionPath: '',
+  };
+  if (root !== undefined) visit(root.id, outermost);
   return classified;
 };
 
@@ -108,7 +117,7 @@
 export interface OwnerTimes {
   readonly msByWork: ReadonlyMap<OwnerWork, number>;
   /** Without collections; what a function calls within the language counts as its own. */
-  readonly msByPlace: ReadonlyMap<string, number>;
+  readonly msByFunction: ReadonlyMap<string, number>;
   /** Processor time of the main thread per sampled time; below 1 where the thread had to wait. */
   readonly processorShare: number;
 }
@@ -118,31 +127,33 @@
  * main thread, so that a busy machine stretches them less. Collections are the owner's when they
  * interrupt it. Other threads, which collect and compile, are not counted.
  */
-const divide = (profile: Profiler.Profile, processorMs: number): OwnerTimes => {
+const attributeSamples = (profile: Profiler.Profile, processorMs: number): OwnerTimes => {
   const classified = classify(profile);
   const sampledMs = new Map<OwnerWork, number>();
-  const placeMs = new Map<string, number>();
+  const functionMs = new Map<string, number>();
   let totalMs = 0;
-  let isOwnerBefore = false;
+  let isOwnerRunning = false;
   (profile.samples ?? []).forEach((id, index) => {
-    const passedMs = (profile.timeDeltas?.[index + 1] ?? 0) / US_PER_MS;
-    totalMs += passedMs;
+    const sampleMs = (profile.timeDeltas?.[index + 1] ?? 0) / US_PER_MS;
+    totalMs += sampleMs;
     const sample = classified.get(id);
     if (sample === undefined) return;
-    if (!sample.isCollection) isOwnerBefore = sample.isOwner;
-    if (!isOwnerBefore) return;
+    if (!sample.isCollection) isOwnerRunning = sample.isOwner;
+    if (!isOwnerRunning) return;
     const work = sample.isCollection ? OwnerWork.GarbageCollection : sample.work;
-    sampledMs.set(work, (sampledMs.get(work) ?? 0) + passedMs);
+    sampledMs.set(work, (sampledMs.get(work) ?? 0) + sampleMs);
     if (sample.isCollection) return;
-    const place = `${work}: ${sample.place}`;
-    placeMs.set(place, (placeMs.get(place) ?? 0) + passedMs);
+    const label = `${work}: ${sample.functionPath}`;
+    functionMs.set(label, (functionMs.get(label) ?? 0) + sampleMs);
   });
   const processorShare = processorMs / Math.max(1, totalMs);
-  const entries = Object.values(OwnerWork).map(
+  const workEntries = Object.values(OwnerWork).map(
     (work) => [work, (sampledMs.get(work) ?? 0) * processorShare] as const,
   );
-  const places = [...placeMs].map(([place, ms]) => [place, ms * processorShare] as const);
-  return { msByWork: new Map(entries), msByPlace: new Map(places), processorShare };
+  const functionEntries = [...functionMs].map(
+    ([label, ms]) => [label, ms * processorShare] as const,
+  );
+  return { msByWork: new Map(workEntries), msByFunction: new Map(functionEntries), processorShare };
 };
 
 const post = (session: Session, method: string, parameters: object = {}): Promise<unknown> =>
@@ -167,17 +178,17 @@
  * so that one has to be on before and between the measured parts too. Returns what ends it.
  */
 export const keepProfilerOn = async (): Promise<() => void> => {
-  const session = await startProfiler(BETWEEN_INTERVAL_US);
+  const session = await startProfiler(IDLE_SAMPLING_INTERVAL_US);
   return () => session.disconnect();
 };
 
 /** Samples this process while `run` runs. */
 export const profileOwner = async (run: () => Promise<void>): Promise<OwnerTimes> => {
   const session = await startProfiler(SAMPLING_INTERVAL_US);
-  const beganAtMs = await mainThreadMs();
+  const usedBeforeMs = await mainThreadMs();
   await run();
-  const processorMs = (await mainThreadMs()) - beganAtMs;
+  const processorMs = (await mainThreadMs()) - usedBeforeMs;
   const { profile } = (await post(session, 'Profiler.stop')) as Profiler.StopReturnType;
   session.disconnect();
-  return divide(profile, processorMs);
+  return attributeSamples(profile, processorMs);
 };
--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -18,11 +18,11 @@
 const RESTORE_MS = 600;
 const SAVE_INTERVAL_MS = 1_000;
 export const STOP_MS = 200;
-const LONGEST_LEASE_MS = 6_000;
+const MAXIMUM_LEASE_MS = 6_000;
 /** Averaging window and relative noise of the listed figures. */
 const FIGURE_WINDOW_MS = 500;
-const FIGURE_SCATTER = 0.05;
-const LEAST_SPARE_SHARE = 0.01;
+const FIGURE_NOISE = 0.05;
+const MINIMUM_SPARE_SHARE = 0.01;
 
 /** Simulated state of one run. */
 export interface SharedRun {
@@ -61,7 +61,7 @@
   return run.end === RunEnd.Stopped ? Math.max(savedMs, doneMs) : savedMs;
 };
 
-const measureFigure = (shared: SharedRun, passedMs: number): void => {
+const updateFigure = (shared: SharedRun, passedMs: number): void => {
   const isServing = shared.truth.loadPhase !== undefined;
   const now = isServing ? shared.tailMs : shared.usedMillis;
   const weight = shared.figure === 0 ? 1 : Math.min(1, (2 * passedMs) / FIGURE_WINDOW_MS);
@@ -91,7 +91,7 @@
       {
         id,
         capacity: { processorMillis, memoryBytes: shape.memoryBytes, acceleratorCount: 0 },
-        maximumLeaseMs: LONGEST_LEASE_MS,
+        maximumLeaseMs: MAXIMUM_LEASE_MS,
         stopMs: STOP_MS,
         clockRate: 1,
         taskOf: () => ({ workMs: Number.POSITIVE_INFINITY, end: RunEnd.Done }),
@@ -103,7 +103,7 @@
   }
 
   /** Tracks a run that was started from a checkpoint. */
-  noteStart(taskName: string, checkpoint: string, nowMs: number): void {
+  trackStart(taskName: string, checkpoint: string, nowMs: number): void {
     const run = this.model.runs.get(taskName);
     const truth = this.#options.truth.tasks.get(taskName);
     if (run === undefined || truth === undefined || this.shared.has(run)) return;
@@ -130,17 +130,17 @@
   tick(nowMs: number): void {
     const passedMs = nowMs - this.#tickedAtMs;
     this.#tickedAtMs = nowMs;
-    this.#dropEnded();
+    this.#removeEnded();
     const runs = [...this.shared.values()];
-    this.#share(runs, nowMs);
+    this.#shareProcessors(runs, nowMs);
     runs.forEach((shared) => this.#advance(shared, passedMs, nowMs));
     this.#measureTails(runs, nowMs);
-    runs.forEach((shared) => measureFigure(shared, passedMs));
+    runs.forEach((shared) => updateFigure(shared, passedMs));
     this.model.advance(nowMs);
-    this.#dropEnded();
+    this.#removeEnded();
   }
 
-  #dropEnded(): void {
+  #removeEnded(): void {
     this.shared.forEach((shared, run) => {
       if (this.model.runs.get(run.taskName) === run) return;
       this.shared.delete(run);
@@ -150,26 +150,28 @@
     });
   }
 
-  #share(runs: readonly SharedRun[], nowMs: number): void {
+  #shareProcessors(runs: readonly SharedRun[], nowMs: number): void {
     let idleMillis = this.#options.processorMillis;
-    let wantedMillis = 0;
+    let requestedMillis = 0;
     runs.forEach((shared) => {
       const { truth } = shared;
       if (nowMs >= shared.paceChangesAtMs) shared.pacePercent = shared.nextPacePercent;
-      const wanted = (truth.processorMillis * shared.pacePercent) / FULL_PERCENT;
+      const runMillis = (truth.processorMillis * shared.pacePercent) / FULL_PERCENT;
       if (truth.isFiller) {
-        wantedMillis += wanted;
+        requestedMillis += runMillis;
         return;
       }
       const load =
         truth.loadPhase === undefined ? 1 : this.#options.truth.loadAt(truth.loadPhase, nowMs);
-      shared.usedMillis = wanted * load;
+      shared.usedMillis = runMillis * load;
       idleMillis -= shared.usedMillis;
     });
-    const part = wantedMillis === 0 ? 0 : Math.min(1, Math.max(0, idleMillis) / wantedMillis);
+    const grantedShare =
+      requestedMillis === 0 ? 0 : Math.min(1, Math.max(0, idleMillis) / requestedMillis);
     runs.forEach((shared) => {
       if (!shared.truth.isFiller) return;
-      shared.usedMillis = (shared.truth.processorMillis * shared.pacePercent * part) / FULL_PERCENT;
+      shared.usedMillis =
+        (shared.truth.processorMillis * shared.pacePercent * grantedShare) / FULL_PERCENT;
     });
   }
 
@@ -201,8 +203,8 @@
         const cost = fleet.costAt(truth.image, other.truth.image, nowMs);
         pressure += (cost * other.usedMillis) / processorMillis;
       });
-      shared.tailWithoutFillersMs = unloadedTailMs / Math.max(LEAST_SPARE_SHARE, 1 - load);
-      shared.tailMs = unloadedTailMs / Math.max(LEAST_SPARE_SHARE, 1 - load - pressure);
+      shared.tailWithoutFillersMs = unloadedTailMs / Math.max(MINIMUM_SPARE_SHARE, 1 - load);
+      shared.tailMs = unloadedTailMs / Math.max(MINIMUM_SPARE_SHARE, 1 - load - pressure);
     });
   }
 
@@ -212,12 +214,12 @@
     const { truth, doneMs, figure } = shared;
     const isServing = truth.loadPhase !== undefined;
     const worked = isServing ? 1 : Math.max(0, doneMs) / truth.workMs;
-    const scatter = 1 + FIGURE_SCATTER * (2 * this.#options.random.nextFraction() - 1);
+    const noise = 1 + FIGURE_NOISE * (2 * this.#options.random.nextFraction() - 1);
     const savedMs = savedMsOf(shared);
     return {
       checkpoint: savedMs > 0 ? String(Math.round(savedMs)) : '',
       workedPercent: Math.min(FULL_PERCENT, Math.floor(worked * FULL_PERCENT)),
-      recentFigure: Math.round(figure * (isServing ? scatter : 1)),
+      recentFigure: Math.round(figure * (isServing ? noise : 1)),
     };
   }
 }
--- a/bench/fleet/storedState.ts
+++ b/bench/fleet/storedState.ts
@@ -6,7 +6,7 @@
 import { silentLog } from '../../src/services/log/common/log.js';
 import type { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 
-export const storedStateReader = (
+export const newStoredStateReader = (
   table: TableStandIn,
   entries: () => readonly FleetWorkerEntry[],
 ): StoredStateReader =>
--- a/bench/fleet/truth.ts
+++ b/bench/fleet/truth.ts
@@ -4,7 +4,7 @@
 
 const MS_PER_S = 1_000;
 /** Amplitude of interference costs relative to their mean; each cost has its own period. */
-const COST_SWING = 0.3;
+const COST_AMPLITUDE = 0.3;
 const SHORTEST_COST_PERIOD_MS = 3_000;
 const COST_PERIOD_RANGE_MS = 5_000;
 
@@ -60,10 +60,10 @@
     for (let serving = 0; serving < service.imageCount; serving += 1) {
       for (let filler = 0; filler < interference.fillerImageCount; filler += 1) {
         const isStrong = random.nextFraction() < interference.strongShare;
-        const { strongFrom, strongTo, weakTo } = interference;
+        const { minimumStrongCost, maximumStrongCost, maximumWeakCost } = interference;
         const mean = isStrong
-          ? strongFrom + (strongTo - strongFrom) * random.nextFraction()
-          : weakTo * random.nextFraction();
+          ? minimumStrongCost + (maximumStrongCost - minimumStrongCost) * random.nextFraction()
+          : maximumWeakCost * random.nextFraction();
         this.#costs.set(`${servingImage(serving)} ${fillerImage(filler)}`, {
           mean,
           periodMs: SHORTEST_COST_PERIOD_MS + COST_PERIOD_RANGE_MS * random.nextFraction(),
@@ -75,15 +75,15 @@
 
   /** The share of its own processors that a service's task uses. */
   loadAt(phase: number, nowMs: number): number {
-    const { load, loadSwing, loadPeriodMs } = this.#shape.service;
-    return load * (1 + loadSwing * Math.sin(TWO_PI * (nowMs / loadPeriodMs) + phase));
+    const { load, loadAmplitude, loadPeriodMs } = this.#shape.service;
+    return load * (1 + loadAmplitude * Math.sin(TWO_PI * (nowMs / loadPeriodMs) + phase));
   }
 
   /** Share of a serving task's processors that a worker full of the filler takes. */
   costAt(serving: string, filler: string, nowMs: number): number {
     const cost = this.#costs.get(`${serving} ${filler}`);
     if (cost === undefined) return 0;
-    const swing = Math.sin(TWO_PI * (nowMs / cost.periodMs) + cost.phase);
-    return cost.mean * (1 + COST_SWING * swing);
+    const oscillation = Math.sin(TWO_PI * (nowMs / cost.periodMs) + cost.phase);
+    return cost.mean * (1 + COST_AMPLITUDE * oscillation);
   }
 }
--- a/bench/fleet/workload.ts
+++ b/bench/fleet/workload.ts
@@ -21,7 +21,7 @@
   /** Work at full speed, in processor-seconds. */
   readonly processorSeconds: number;
   /** Critical path at full speed. */
-  readonly chainMs: number;
+  readonly criticalPathMs: number;
 }
 
 export interface Arrival {
@@ -145,7 +145,7 @@
   #newBatch(kind: BatchKind, atMs: number): Arrival {
     const random = this.#random;
     const stepCount = positiveInteger(sampleFrom(random, kind.stepCount));
-    const savesProgress = random.nextFraction() < kind.savingShare;
+    const savesProgress = random.nextFraction() < kind.checkpointingShare;
     const image = kind.isFiller
       ? fillerImage(random.nextIndex(this.#shape.interference.fillerImageCount))
       : '';
@@ -155,7 +155,7 @@
     const steps = generated.map(({ step }) => step);
     const submission = this.#newSubmission(kind.queueName, steps, atMs);
     let processorSeconds = 0;
-    let chainMs = 0;
+    let criticalPathMs = 0;
     generated.forEach(({ step, workMs, usedMillis }, stepIndex) => {
       let longestMs = 0;
       for (let index = 0; index < step.taskCount; index += 1) {
@@ -168,9 +168,9 @@
           failureCount: random.nextFraction() < kind.failureShare ? 1 : 0,
         });
       }
-      chainMs += longestMs;
+      criticalPathMs += longestMs;
     });
-    const batch = { kind, processorSeconds, chainMs };
+    const batch = { kind, processorSeconds, criticalPathMs };
     return { atMs, submission, batch, cancelledAtMs: undefined };
   }
 
