--- a/bench/capacity/capacity.ts
+++ b/bench/capacity/capacity.ts
@@ -14,7 +14,7 @@
 const CELL_SIZES = [8, 16, 24, 60, 123] as const;
 const MINIMUM_SIZE_COUNT = 3;
 /** A size is left out, and said so, when the one before took longer than this. */
-const SLOW_SIZE_MS = 12_000;
+const SIZE_DURATION_LIMIT_MS = 12_000;
 const START_RATES = [0, 10, 22] as const;
 const DOCUMENT_COUNTS = [100, 400, 1_000] as const;
 
@@ -30,18 +30,18 @@
 
 const measureSizes = (): readonly SchedulerFigures[] => {
   const rows: SchedulerFigures[] = [];
-  let durationMs = 0;
+  let previousDurationMs = 0;
   CELL_SIZES.forEach((workerCount, index) => {
-    if (index >= MINIMUM_SIZE_COUNT && durationMs > SLOW_SIZE_MS) {
+    if (index >= MINIMUM_SIZE_COUNT && previousDurationMs > SIZE_DURATION_LIMIT_MS) {
       printRow('scheduler', {
         workerCount,
-        notRun: `the size before took ${Math.round(durationMs)} ms`,
+        notRun: `the size before took ${Math.round(previousDurationMs)} ms`,
       });
       return;
     }
     const startedAtMs = performance.now();
     const row = measureScheduler(workerCount, 0);
-    durationMs = performance.now() - startedAtMs;
+    previousDurationMs = performance.now() - startedAtMs;
     printRow('scheduler', row);
     rows.push(row);
   });
--- a/bench/capacity/daemonCapacity.ts
+++ b/bench/capacity/daemonCapacity.ts
@@ -248,14 +248,19 @@
 export const measureDaemons = async (
   onRow: (row: DaemonFigures) => void,
 ): Promise<DaemonResults> => {
-  const measured = async (workerCount: number, daemonCount: number): Promise<DaemonFigures> => {
+  const measureAndReport = async (
+    workerCount: number,
+    daemonCount: number,
+  ): Promise<DaemonFigures> => {
     const row = await measure(workerCount, daemonCount);
     onRow(row);
     return row;
   };
-  const byWorkers = await runSequentially(WORKER_COUNTS, (workerCount) => measured(workerCount, 1));
+  const byWorkers = await runSequentially(WORKER_COUNTS, (workerCount) =>
+    measureAndReport(workerCount, 1),
+  );
   const byPeers = await runSequentially(PEER_COUNTS, (count) =>
-    measured(WORKER_COUNTS[0], count + 1),
+    measureAndReport(WORKER_COUNTS[0], count + 1),
   );
   const lines = {
     coreRatioByWorkers: fieldLine(
--- a/bench/capacity/operatorCapacity.ts
+++ b/bench/capacity/operatorCapacity.ts
@@ -39,7 +39,7 @@
   readonly readBytesPerPlan: number;
 }
 
-const fill = (table: TableStandIn, documentCount: number): void => {
+const fillTable = (table: TableStandIn, documentCount: number): void => {
   const zones = ZONES.map((name) => ({
     key: zoneKey(name),
     value: { name, region: 'r', state: 'in-use' },
@@ -57,7 +57,7 @@
 
 export const measureOperator = async (documentCount: number): Promise<OperatorFigures> => {
   const table = new TableStandIn();
-  fill(table, documentCount);
+  fillTable(table, documentCount);
   let readBytes = 0;
   const service: TableService = {
     read: (request) => {
