--- a/bench/capacity/capacity.ts
+++ b/bench/capacity/capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- capacity`: the slopes that docs/CAPACITY.md is worked out from. */
+/** `npm run bench -- capacity` measures the slopes that docs/CAPACITY.md is calculated from. */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { performance } from 'node:perf_hooks';
 
@@ -10,10 +10,10 @@
 import { fieldLine, runSequentially } from './slopes.js';
 
 const RESULTS_FOLDER = 'bench/results';
-/** Workers of a cell; the last is a seventh of 860. At least the first three are measured. */
+/** Workers of a cell. The last size is a seventh of 860. At least the first three are measured. */
 const CELL_SIZES = [8, 16, 24, 60, 123] as const;
 const MINIMUM_SIZE_COUNT = 3;
-/** A size is left out, and said so, when the one before took longer than this. */
+/** A size is skipped and reported as skipped if the size before it took longer than this. */
 const SIZE_DURATION_LIMIT_MS = 12_000;
 const START_RATES = [0, 10, 22] as const;
 const DOCUMENT_COUNTS = [100, 400, 1_000] as const;
--- a/bench/capacity/daemonCapacity.ts
+++ b/bench/capacity/daemonCapacity.ts
@@ -1,6 +1,6 @@
 /**
- * What a whole daemon costs as a process of its own: processor time and memory from the
- * operating system, bytes to and from the platform from a counting relay.
+ * Measures the cost of a daemon in its own process. The operating system gives its processor time
+ * and memory, and a counting relay the bytes to and from the platform.
  */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { type AddressInfo, connect, createServer, type Server } from 'node:net';
@@ -39,7 +39,7 @@
   readonly daemonCount: number;
   readonly coreRatio: number;
   readonly residentMegabytes: number;
-  /** Bytes to and from table and instance list together. */
+  /** Bytes to and from the table and the instance list. */
   readonly platformBytesPerSecond: number;
   readonly readsPerSecond: number;
   readonly readRowsPerSecond: number;
@@ -61,7 +61,7 @@
   await response.body.dump();
 };
 
-/** Passes connections on and counts the bytes both ways. */
+/** Forwards connections and counts the bytes in both directions. */
 class CountingRelay {
   byteCount = 0;
 
@@ -106,7 +106,7 @@
   connectionCount: 64,
 });
 
-/** Configuration and endpoints of a system with that many workers. */
+/** Writes the configuration and the endpoints of a system with `workerCount` workers. */
 const fillTable = async (origin: string, workerCount: number): Promise<void> => {
   const indexes = Array.from({ length: workerCount }, (_, index) => index);
   const zones = Array.from({ length: ZONE_COUNT }, (_, index) => zoneName(index));
@@ -190,7 +190,7 @@
 const readCounts = async (origin: string): Promise<TableCounts> =>
   (await (await request(`${origin}/control/counts`)).body.json()) as TableCounts;
 
-/** The first daemon is measured; the others are its peers and reach the platform directly. */
+/** Measures the first daemon. The others are its peers and reach the platform directly. */
 const measure = async (workerCount: number, daemonCount: number): Promise<DaemonFigures> => {
   const children = new ChildProcesses();
   const folder = await mkdtemp(join(tmpdir(), 'snipethread-capacity-'));
@@ -226,7 +226,7 @@
     await delay(MEASURED_MS);
     const counts = await readCounts(origin);
     const perSecond = (value: number): number => roundFigure((value * MS_PER_SECOND) / MEASURED_MS);
-    // Reads and transactions are those of all daemons, so they are shared out.
+    // The table counts the reads and transactions of all daemons, so this is the mean per daemon.
     const perDaemon = (value: number): number => roundFigure(perSecond(value) / daemonCount);
     return {
       workerCount,
--- a/bench/capacity/entryCapacity.ts
+++ b/bench/capacity/entryCapacity.ts
@@ -1,4 +1,4 @@
-/** What a request costs a daemon, from three rates of requests that are sent at a steady pace. */
+/** Measures the cost of a request in a daemon, with requests at three steady rates. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { Pool } from 'undici';
@@ -48,7 +48,7 @@
   return counts;
 };
 
-/** One daemon with all roles, a service on each of six workers. */
+/** Measures one daemon that has all roles, with a service on each of six workers. */
 export const measureEntry = async (
   onRow: (row: EntryFigures) => void,
 ): Promise<readonly EntryFigures[]> => {
@@ -60,7 +60,7 @@
       (line) => line.ports as readonly number[],
     );
     const daemon = await startSystem(children, backend.ready);
-    // Code that has just started is compiled meanwhile, which the slope must not count.
+    // Warms up the daemon, because the slope must not include the compilation of new code.
     await sendAtRate(daemon.callerOrigin, WARM_UP_RATE);
     await delay(SETTLING_MS);
     return await runSequentially([0, ...RATES], async (rate) => {
--- a/bench/capacity/operatorCapacity.ts
+++ b/bench/capacity/operatorCapacity.ts
@@ -1,4 +1,4 @@
-/** What one plan and its confirmation cost, by the number of documents in the configuration. */
+/** Measures the cost of a plan and its confirmation by the number of configuration documents. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { isLeft, right } from 'fp-ts/lib/Either.js';
@@ -30,7 +30,7 @@
 
 export interface OperatorFigures {
   readonly documentCount: number;
-  /** Processor time of planning and confirming, that of the table's stand-in included. */
+  /** Processor time to plan and confirm, including the time of the table's stand-in. */
   readonly processorMsPerPlan: number;
   readonly readsPerPlan: number;
   readonly readRowsPerPlan: number;
--- a/bench/capacity/schedulerCapacity.ts
+++ b/bench/capacity/schedulerCapacity.ts
@@ -1,6 +1,6 @@
 /**
- * What the owner of one cell costs, in virtual time over stand-ins: the processor time of the
- * decisions, messages with their bytes, and the table's reads and writes.
+ * Measures the cost of the owner of one cell, in virtual time with stand-ins: the processor time of
+ * its decisions, its messages and their bytes, and its reads and writes of the table.
  */
 import { performance } from 'node:perf_hooks';
 import { serialize } from 'node:v8';
@@ -76,9 +76,9 @@
   readonly workerCount: number;
   readonly runningTaskCount: number;
   readonly startsPerSecond: number;
-  /** Processor time of the deciding core, as a share of one core. */
+  /** Processor time of the decisions, as a share of one core. */
   readonly decideCoreRatio: number;
-  /** Processor time to write, read and check the messages to workers, as a share of a core. */
+  /** Processor time to write messages to workers and read their answers, as a share of one core. */
   readonly codecCoreRatio: number;
   readonly messagesPerSecond: number;
   readonly workerBytesPerSecond: number;
@@ -88,7 +88,7 @@
   readonly transactionsPerSecond: number;
   readonly writtenRowsPerSecond: number;
   readonly conflictCount: number;
-  /** Size of the rows and views that the owner holds, as one serialised value. */
+  /** Size of the rows and worker views that the owner keeps, serialised as one value. */
   readonly serialisedStateBytes: number;
 }
 
@@ -99,7 +99,7 @@
 
   readonly #workers = new Map<string, WorkerStandIn>();
 
-  /** Both ends of the exchange with each worker. */
+  /** Both ends of the message exchange with each worker, by worker id. */
   readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisedWorker }>();
 
   readonly #instances: WorkerInstance[] = [];
@@ -140,7 +140,7 @@
       { key: zoneKey(CELL), value: zone },
       ...services.map((service) => ({ key: serviceKey(service.name), value: service })),
     ]);
-    // The daemon's follower reads the configuration and counts with the entry, not here.
+    // The daemon's follower reads the configuration, and its cost counts with the entry, not here.
     const { rows } = this.#table.read({ keys: [VERSION_KEY], prefixes: [DOCUMENT_PREFIX] });
     this.#view = toConfigurationView(rows);
     this.#submit(workerCount * BATCH_PER_WORKER, LONG_WORK_MS);
@@ -251,7 +251,7 @@
     }
   }
 
-  /** Handles an event and, at the same instant, everything that follows from it. */
+  /** Handles an event and all events that result from it, at the same virtual time. */
   #handle(first: CellEvent): void {
     const events = [first];
     for (let event = events.shift(); event !== undefined; event = events.shift()) {
--- a/bench/capacity/slopes.ts
+++ b/bench/capacity/slopes.ts
@@ -1,22 +1,23 @@
-/** Straight lines through measurements at several sizes. */
+/** Fits straight lines to measurements at several sizes. */
 
-/** One measurement: a size and what was measured at it. */
+/** A size and the value measured at it. */
 export interface DataPoint {
   readonly size: number;
   readonly value: number;
 }
 
+/** A straight line: its value at size 0 and its slope. */
 export interface Line {
   readonly atZero: number;
   readonly slope: number;
-  /** The largest distance of a measurement from the line, as a share of the largest value. */
+  /** The largest deviation of a measurement from the line, as a share of the largest value. */
   readonly worstMissRatio: number;
 }
 
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** The least-squares line; it tells how badly the measurements miss it. */
+/** Fits a least-squares line and reports the largest deviation from it. */
 export const lineThrough = (points: readonly DataPoint[]): Line => {
   const meanSize = mean(points.map(({ size }) => size));
   const meanValue = mean(points.map(({ value }) => value));
@@ -32,9 +33,10 @@
 
 const FIGURE_DIGITS = 4;
 
+/** Rounds a value to the significant digits of the committed results. */
 export const roundFigure = (value: number): number => Number(value.toPrecision(FIGURE_DIGITS));
 
-/** A line through one field of rows, ready to be kept. */
+/** Fits a line to one field of the rows, with rounded values for the results. */
 export const fieldLine = <Row>(
   rows: readonly Row[],
   toSize: (row: Row) => number,
@@ -48,7 +50,7 @@
   };
 };
 
-/** Runs one measurement after the other, so that none disturbs another. */
+/** Runs measurements one after the other, so that they do not disturb each other. */
 export const runSequentially = <Item, Result>(
   items: readonly Item[],
   run: (item: Item) => Promise<Result>,
