--- a/bench/fleet/ablations.ts
+++ b/bench/fleet/ablations.ts
@@ -16,7 +16,7 @@
 import type { TaskRecord } from '../../src/scheduler/common/fleet/taskRecords.js';
 import { ArrivalOrder, NoInterferenceControl } from './baselines.js';
 
-/** Stops fillers that slow a service and never changes their pace. */
+/** Moves fillers that slow a service to another worker and never changes their pace. */
 class StoppingControl extends LearningInterferenceControl {
   override decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
     const { paces, moves } = super.decide(view, nowMs);
@@ -25,7 +25,7 @@
   }
 }
 
-/** Slows fillers and never stops one to restart it elsewhere. */
+/** Slows fillers and never moves one to another worker. */
 class PacingControl extends LearningInterferenceControl {
   override decide(view: FleetWorkerView, nowMs: number): InterferenceChanges {
     const { paces, moves } = super.decide(view, nowMs);
@@ -36,24 +36,27 @@
   }
 }
 
+/** Ranks all workers alike, regardless of the runs that failed on them. */
 class NoFaultAvoidance implements FaultAvoidance {
   newRanking(): FaultRanking {
     return NO_FAULTS;
   }
 }
 
-/** Places services on the fullest worker with room, regardless of the images there. */
+/** Places a service on the fullest worker that has room, regardless of the images running there. */
 class FullestPlacement implements ServingPlacement {
   costOf(_task: TaskRecord, view: FleetWorkerView): number {
     return view.free.processorMillis;
   }
 }
 
+/** The default policy with the given parts replaced. */
 const policyWith = (overrides: Partial<FleetPolicy>): FleetPolicy => ({
   ...DEFAULT_FLEET_POLICY,
   ...overrides,
 });
 
+/** One policy per disabled mechanism, by the mechanism's name. */
 export const ABLATIONS: Readonly<Record<string, FleetPolicy>> = {
   'queue order': policyWith({ order: new ArrivalOrder() }),
   'interference control': policyWith({
--- a/bench/fleet/baselines.ts
+++ b/bench/fleet/baselines.ts
@@ -16,7 +16,7 @@
 
 const FULL_PERCENT = 100;
 
-/** First come, first served. */
+/** Serves submissions first come, first served. */
 export class ArrivalOrder implements QueueOrder {
   sort(groups: readonly TaskGroup[]): readonly TaskGroup[] {
     const orderOf = ({ tasks: [first] }: { readonly tasks: readonly TaskRecord[] }): number =>
@@ -26,7 +26,7 @@
   }
 }
 
-/** Starts fillers wherever processors are idle and never slows one. */
+/** Starts fillers wherever processors are idle and never slows them. */
 export class NoInterferenceControl implements InterferenceControl {
   inherit(): void {}
 
@@ -55,8 +55,6 @@
 
   readonly #shape: FleetShape;
 
-  /** By filler image, the share of serving images that it hardly slows. */
-
   constructor(truth: FleetTruth, shape: FleetShape) {
     this.#truth = truth;
     this.#shape = shape;
@@ -116,7 +114,10 @@
     return worstCost;
   }
 
-  /** The smallest margin below the latency target among serving tasks on the worker. */
+  /**
+   * The smallest margin below the latency target among the serving tasks on the worker, as a share
+   * of their processors. It is negative if a task would exceed its target.
+   */
   #marginOf(
     view: FleetWorkerView,
     runs: readonly TaskRun[],
--- a/bench/fleet/driverCounts.ts
+++ b/bench/fleet/driverCounts.ts
@@ -1,4 +1,4 @@
-/** Counts of scheduler actions and their cost. */
+/** Counts the scheduler's actions and their cost in a simulation. */
 import type { FleetEffect } from '../../src/scheduler/common/fleet/fleetEffects.js';
 import type { HoldOutcome } from '../../src/services/fleet/common/fleetWorker.js';
 import type { Transaction } from '../../src/services/table/common/table.js';
@@ -6,7 +6,7 @@
 export interface DriverCounts {
   startCount: number;
   holdCount: number;
-  /** Entries of the lists that holds brought: runs, and ends. */
+  /** Total entries in the answers to hold requests: running tasks and finished runs. */
   listedRunCount: number;
   listedEndCount: number;
   commitCount: number;
@@ -40,6 +40,7 @@
   counts.committedBytes += JSON.stringify(writes).length;
 };
 
+/** Counts a logged decision, and the runs that it stopped because of interference. */
 export const countLoggedDecision = (
   counts: DriverCounts,
   { event, fields }: Extract<FleetEffect, { kind: 'log' }>,
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -1,12 +1,15 @@
 /**
- * Simulates a deployment under the fleet scheduler: services with periodic load beside batch work
- * that slows some of them, a burst, lost and faulty workers and a change of the owner.
+ * Simulates a deployment under the fleet scheduler. Services with periodic load run next to batch
+ * work that slows some of them. The simulation includes a burst of fillers, lost workers, faulty
+ * workers and a crash of the owner.
  *
  * `npm run bench -- fleet [--workers 46 [--cores C]] [--seeds 10] [--backlog F] [--ablate] [--baselines]
- * [--owner-cores C]`; `--owner-cores` charges the owner's decisions and calls to a processor of so
- * many cores. `bounds` runs the seeds of CI and checks the results against the committed bounds.
- * `profile` divides the owner's processor time by what it does; `calls` measures that of its calls
- * over loopback.
+ * [--owner-cores C]`
+ *
+ * - `--owner-cores` charges the owner's decisions and calls to a processor with that many cores.
+ * - `fleet bounds` runs the seeds of CI and checks the results against the committed bounds.
+ * - `fleet profile` breaks down the owner's processor time by activity.
+ * - `fleet calls` measures the processor time of the owner's calls over loopback.
  */
 import { type ArgsDef, parseArgs } from 'citty';
 
@@ -35,19 +38,44 @@
   workers: {
     type: 'string',
     default: '46',
-    description: 'size of the fleet: 46, 57, 342, 380 or 860',
+    description: 'number of workers: 46, 57, 342, 380 or 860',
+  },
+  cores: {
+    type: 'string',
+    description: 'cores of the smallest worker, to select between fleets of the same size',
+  },
+  backlog: {
+    type: 'string',
+    description: 'multiplies the arrival rate of fillers for all traffic',
   },
-  cores: { type: 'string', description: 'smallest worker, where fleets of one size differ' },
-  backlog: { type: 'string', description: 'how many times the fillers, for as long as any come' },
-  seeds: { type: 'string', default: '10', description: 'number of seeds, counted from 1' },
+  seeds: { type: 'string', default: '10', description: 'number of seeds, starting at 1' },
   ablate: { type: 'boolean', description: 'disable one mechanism at a time' },
   baselines: { type: 'boolean', description: 'also run the baselines' },
-  'owner-cores': { type: 'string', description: 'processor that the owner is charged on' },
-  from: { type: 'string', default: '12', description: 'profile: virtual second to measure from' },
-  seconds: { type: 'string', default: '8', description: 'profile, calls: how long to measure' },
-  rate: { type: 'string', default: '600', description: 'calls: holds or starts a second' },
-  runs: { type: 'string', default: '9', description: 'calls: runs that each hold lists' },
-  stretch: { type: 'string', default: '1', description: 'profile: fewer and longer batch tasks' },
+  'owner-cores': {
+    type: 'string',
+    description: 'cores of the processor that the owner is charged to',
+  },
+  from: {
+    type: 'string',
+    default: '12',
+    description: 'profile: virtual second at which the measurement starts',
+  },
+  seconds: {
+    type: 'string',
+    default: '8',
+    description: 'profile, calls: duration of the measurement',
+  },
+  rate: { type: 'string', default: '600', description: 'calls: hold or start requests per second' },
+  runs: {
+    type: 'string',
+    default: '9',
+    description: 'calls: runs listed in the answer to each hold request',
+  },
+  stretch: {
+    type: 'string',
+    default: '1',
+    description: 'profile: factor by which batch tasks are longer and arrive less often',
+  },
 } as const satisfies ArgsDef;
 
 type PolicyFactory = (truth: FleetTruth, shape: FleetShape) => FleetPolicy;
@@ -72,7 +100,7 @@
   'known interference costs': ORACLE,
 };
 
-/** Results of several seeds. */
+/** The results of a policy for several seeds, and the mean of their shares. */
 interface Summary {
   readonly share: number;
   readonly results: readonly FleetResult[];
@@ -168,7 +196,7 @@
   }
 };
 
-/** The fleet with so many times the fillers for as long as any arrive. */
+/** Multiplies the arrival rate of fillers by `factor` for the whole traffic period. */
 const withFillerBurst = (shape: FleetShape, factor: number): FleetShape => {
   const { trafficFromMs: fromMs, trafficUntilMs: untilMs } = shape;
   return { ...shape, burst: { fromMs, untilMs, factor } };
--- a/bench/fleet/fleetConfiguration.ts
+++ b/bench/fleet/fleetConfiguration.ts
@@ -1,4 +1,4 @@
-/** Operator configuration of a simulated fleet. */
+/** Builds the operator's configuration of a simulated fleet. */
 import type { FleetConfiguration } from '../../src/services/fleet/common/fleetConfiguration.js';
 import type { BatchKind, FleetShape, ServiceKind } from './fleetShape.js';
 
--- a/bench/fleet/fleetDriver.ts
+++ b/bench/fleet/fleetDriver.ts
@@ -1,4 +1,6 @@
-/** Drives the fleet scheduler with a model of the table and workers, in virtual time, without sockets. */
+/**
+ * Drives the fleet scheduler in virtual time with models of the table and workers, without sockets.
+ */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import type { JsonValue } from '../../src/base/common/json.js';
@@ -36,13 +38,13 @@
 const NETWORK_DELAY_MS = 3;
 const TABLE_DELAY_MS = 8;
 const FEED_DELAY_MS = 12;
-/** Minimum interval between two steps of a scheduler. */
+/** Minimum interval between two steps of the scheduler. */
 const STEP_INTERVAL_MS = 10;
 const TICK_MS = 50;
 const WORKER_TICK_MS = 20;
 const WORKERS_INTERVAL_MS = 1_000;
 const CALL_TIMEOUT_MS = 800;
-/** How long a lost worker remains listed. */
+/** How long a lost worker stays on the worker list. */
 const LISTING_RETENTION_MS = 3_000;
 const TIMING: FleetTiming = {
   ...FLEET_TIMING,
@@ -52,6 +54,7 @@
   workerStopMs: STOP_MS,
 };
 
+/** A hold request that the worker answers when it has news, or at `untilMs`. */
 interface WaitingHold {
   readonly request: HoldRequest;
   readonly untilMs: number;
@@ -69,7 +72,7 @@
 
   readonly #processor: OwnerProcessor;
 
-  /** When submissions were stored as complete, by id. */
+  /** The time at which each submission was stored as complete, by submission id. */
   readonly completedAtMs = new Map<string, number>();
 
   readonly #shape: FleetShape;
@@ -98,7 +101,7 @@
 
   #loading: Promise<void> | undefined;
 
-  /** Receives the scheduler's decision log. Writing it is part of the scheduler's cost. */
+  /** Receives the scheduler's decision log. The time to write it counts as the scheduler's cost. */
   log: Log = silentLog;
 
   constructor(
@@ -121,7 +124,7 @@
     this.#repeat(WORKERS_INTERVAL_MS, () => this.#deliverWorkerList());
   }
 
-  /** Schedules an arrival and its cancellation. */
+  /** Schedules the arrival of a submission, and its cancellation if it has one. */
   submit(arrival: Arrival): void {
     const { atMs, submission, cancelledAtMs } = arrival;
     const { id } = submission;
@@ -146,12 +149,13 @@
     this.#lostAtMs.set(id, this.time.nowMs);
   }
 
-  /** Crashes the owner; another daemon takes over the fleet. */
+  /** Crashes the owner. Another daemon takes over the fleet. */
   replaceOwner(): void {
     this.#generation += 1;
     this.#scheduler = this.#newScheduler();
   }
 
+  /** Virtual time during which the owner's processor was busy; 0 if it is not charged. */
   get ownerBusyMs(): number {
     return this.#processor.busyMs;
   }
@@ -249,7 +253,7 @@
     this.table.transact({ operationId: key, conditions: [], writes: [{ key, value }] });
   }
 
-  /** Delivers a change after the feed delay if the scheduler then owns the fleet. */
+  /** Delivers a change after the feed delay, if the scheduler owns the fleet at that time. */
   #deliver(deliver: (epoch: number) => void): void {
     const handle = (): void => {
       const { epoch } = this.#scheduler;
@@ -258,7 +262,7 @@
     this.#runOnOwnerAfter(FEED_DELAY_MS, handle, CALL_COST_MS.feed);
   }
 
-  /** Runs the callback after a delay unless the calling daemon has been replaced. */
+  /** Runs the callback on the owner's processor after a delay, unless the owner was replaced. */
   #runOnOwnerAfter(delayMs: number, run: () => void, costMs = 0): void {
     const generation = this.#generation;
     this.time.after(delayMs, () =>
@@ -270,6 +274,7 @@
     );
   }
 
+  /** Runs the callback and adds its duration to the scheduler's cost. */
   #runTimed<Result>(run: () => Result): Result {
     const startedAtMs = performance.now();
     const result = run();
@@ -420,7 +425,7 @@
         answer();
         return;
       }
-      // The lease and the acknowledgements of the call take effect on arrival.
+      // The lease and the acknowledgements in the request take effect when it arrives.
       worker.model.hold(request, this.time.nowMs);
       const holds = this.#holds.get(workerId) ?? [];
       const untilMs = this.time.nowMs + request.waitMs;
--- a/bench/fleet/fleetRun.ts
+++ b/bench/fleet/fleetRun.ts
@@ -8,17 +8,18 @@
 import { FleetTruth } from './truth.js';
 import { Workload } from './workload.js';
 
-/** Distance between the seeds of the parts of one simulation. */
+/** Difference between the seeds of the random sources of one simulation. */
 const SEED_STRIDE = 1_000_003;
 
 export interface FleetResult extends SimulationOutcome {
   readonly counts: DriverCounts;
-  /** Share of the time for which the owner's processor was busy, where it is charged. */
+  /** Share of the time during which the owner's processor was busy; 0 if it is not charged. */
   readonly ownerBusyShare: number;
-  /** The share of the attainable value that was earned. */
+  /** Earned value as a share of the attainable value. */
   readonly share: number;
 }
 
+/** Schedules the lost workers, the faulty workers and the crash of the owner. */
 const scheduleFailures = (driver: FleetDriver, shape: FleetShape, seed: number): void => {
   const random = new SeededRandom(seed);
   const ids = [...driver.workers.keys()];
@@ -39,7 +40,7 @@
   }
 };
 
-/** `policyOf` gets the ground truth, for oracle baselines. */
+/** Runs one simulation. `policyOf` receives the ground truth, which oracle baselines need. */
 export const simulateFleet = async (
   shape: FleetShape,
   policyOf: (truth: FleetTruth) => FleetPolicy,
--- a/bench/fleet/fleetShape.ts
+++ b/bench/fleet/fleetShape.ts
@@ -1,4 +1,4 @@
-/** Size and load parameters of a simulated fleet. */
+/** Size, load and fault parameters of the simulated fleets. */
 
 /** A log-normal distribution with the given mean, capped at a maximum. */
 export interface LogNormal {
@@ -16,26 +16,26 @@
   readonly workMs: LogNormal;
   readonly processorMillis: LogNormal;
   readonly memoryBytes: number;
-  /** Error of the callers' estimates, as the standard deviation of the logarithm. */
+  /** Error of the callers' duration estimates, as the standard deviation of the logarithm. */
   readonly estimateSigma: number;
-  /** Maximum relative deviation of the work of the tasks of one step. */
+  /** Maximum relative deviation of a task's work from the work of its step. */
   readonly workVariation: number;
   /** The share of tasks whose first run fails. */
   readonly failureShare: number;
   /** The share of submissions whose tasks save checkpoints. */
   readonly checkpointingShare: number;
   readonly isFiller: boolean;
-  /** The objective is this multiple of the critical path, plus `objectiveMs`. */
+  /** The completion objective is this multiple of the critical path, plus `objectiveMs`. */
   readonly objectiveStretch: number;
   readonly objectiveMs: number;
-  /** Mean value of a submission that ends in time, and of one that is late. */
+  /** Mean value of a submission that meets its objective, and of one that is late. */
   readonly value: number;
   readonly lateValue: number;
 }
 
 export interface ServiceKind {
   readonly queueName: string;
-  /** Submissions present at the start, and the rate of later ones. */
+  /** Number of submissions at the start, and the arrival rate of later ones. */
   readonly initialCount: number;
   readonly submissionsPerSecond: number;
   readonly taskCount: LogNormal;
@@ -45,11 +45,11 @@
   readonly imageCount: number;
   readonly unloadedTailMs: number;
   readonly targetLatencyMs: number;
-  /** Mean use of a task's own processors, and its amplitude relative to the mean. */
+  /** Mean share of its own processors that a task uses, and the amplitude relative to that mean. */
   readonly load: number;
   readonly loadAmplitude: number;
   readonly loadPeriodMs: number;
-  /** Value of a submission per interval in which all its tasks meet their target. */
+  /** Value of a submission per interval during which all its tasks meet the latency target. */
   readonly value: number;
   readonly valueIntervalMs: number;
 }
@@ -58,7 +58,10 @@
   readonly fillerImageCount: number;
   /** The share of image pairs with strong interference. */
   readonly strongShare: number;
-  /** Bounds of the cost of a worker full of a filler, as a share of a service's processors. */
+  /**
+   * Bounds of the interference cost: the share of a service's processors that a worker full of the
+   * filler takes away. Weak costs start at 0.
+   */
   readonly minimumStrongCost: number;
   readonly maximumStrongCost: number;
   readonly maximumWeakCost: number;
@@ -74,20 +77,20 @@
   readonly urgent: BatchKind;
   readonly filler: BatchKind;
   readonly interference: InterferenceShape;
-  /** Start and end of the arrivals of batch submissions; services arrive from 0. */
+  /** Period in which batch submissions arrive. Services arrive from 0 until its end. */
   readonly trafficFromMs: number;
   readonly trafficUntilMs: number;
   readonly endMs: number;
   /** A period with a higher arrival rate of fillers. */
   readonly burst: { readonly fromMs: number; readonly untilMs: number; readonly factor: number };
-  /** Number of workers lost for good without notice, and when. */
+  /** Number of workers that crash for good, and when. */
   readonly lostWorkerCount: number;
   readonly lossAtMs: number;
-  /** Number of workers that fail every batch run, and when. */
+  /** Number of workers on which every batch run fails, and when. */
   readonly faultyWorkerCount: number;
   readonly faultyFromMs: number;
   readonly faultyUntilMs: number;
-  /** When the owner of the fleet crashes; undefined for never. */
+  /** When the owner of the fleet crashes; undefined if it never does. */
   readonly ownerCrashesAtMs: number | undefined;
 }
 
@@ -175,7 +178,7 @@
   };
 };
 
-/** Larger steps on larger workers: some 1,000 tasks a second are asked for. */
+/** Larger steps on larger workers. About 1,000 tasks a second are submitted with 380 workers. */
 const wideShapeOf = (workerCount: number): FleetShape => {
   const shape = shapeOf(workerCount);
   const { service, urgent, filler } = shape;
@@ -205,7 +208,7 @@
   };
 };
 
-/** Steps of tens of large tasks, most of the room taken by services, and a heavy burst. */
+/** Steps of tens of large tasks, services that take up most of the capacity, and a large burst. */
 const crowdedShapeOf = (workerCount: number): FleetShape => {
   const shape = shapeOf(workerCount);
   const { service, urgent, filler, interference } = shape;
--- a/bench/fleet/loopbackServers.ts
+++ b/bench/fleet/loopbackServers.ts
@@ -1,7 +1,9 @@
 /**
- * A process that answers as workers and as the store do, with the same bytes each time:
- * `answeringWorkers WORKERS RUNS`. It sends its ports to its parent. Holds wait, so that their
- * answers come one by one as those of workers do; the rest is answered at once.
+ * A process that stands in for workers and for the store: `loopbackServers WORKERS RUNS`.
+ * It opens one server per worker, sends the ports to its parent process and answers each kind of
+ * request with the same bytes every time. Hold requests are answered after varying delays, so that
+ * their answers arrive one by one, as those of real workers do. Other requests get their answer at
+ * once.
  */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -9,7 +11,7 @@
 const HOST = '127.0.0.1';
 const HOLD_PATH = '/api/hold';
 const MAXIMUM_WAIT_MS = 200;
-/** Has no divisor in common with the longest wait. */
+/** Shares no divisor with the maximum wait, so that the waits cover the whole range. */
 const WAIT_STRIDE_MS = 37;
 
 const holdAnswer = (runCount: number): string => {
--- a/bench/fleet/outcome.ts
+++ b/bench/fleet/outcome.ts
@@ -1,4 +1,4 @@
-/** Measures the value that callers and users of services get in one simulation. */
+/** Measures the value that callers and service users receive in one simulation. */
 import type { BatchKind, FleetShape } from './fleetShape.js';
 import type { FleetDriver } from './fleetDriver.js';
 import type { SharedRun } from './sharedWorker.js';
@@ -6,17 +6,18 @@
 
 const SAMPLE_MS = 100;
 const MS_PER_S = 1_000;
+/** A submission is late up to this multiple of its objective, and missed after that. */
 const LATE_FACTOR = 3;
-/** Delay between storing progress and its caller seeing it. */
+/** Delay between storing progress and the caller seeing it. */
 const NOTIFICATION_DELAY_MS = 50;
-/** Users notice a tail latency that is over its target for this long. */
+/** Users notice a tail latency that exceeds its target for this long. */
 const NOTICEABLE_MS = 4_000;
 /** The share of a submission's value that is fixed; the rest is proportional to its work. */
 const FIXED_VALUE_SHARE = 0.3;
 const MAXIMUM_WEIGHT = 4;
-/** Where the fifth below the largest tenth and the largest tenth begin, by rank. */
+/** Ranks at which the next-largest fifth and the largest tenth of the submissions begin. */
 const LARGE_RANKS = [0.7, 0.9] as const;
-/** Weight of time over target caused by fillers; that caused by the service's own load counts 1. */
+/** Weight of time over the target caused by fillers; time caused by the service's load weighs 1. */
 const INTERFERENCE_WEIGHT = 4;
 /** Services are not evaluated during this time after their arrival. */
 const STARTUP_MS = 4_000;
@@ -29,11 +30,11 @@
   attainable: number;
 }
 
-/** What the large submissions of a kind got, by amount of work. */
+/** Outcomes of the large submissions of one kind, by their amount of work. */
 export interface LargeOutcomes {
-  /** The largest tenth. */
+  /** The largest tenth of the submissions. */
   readonly largest: BatchOutcome;
-  /** The fifth below it. */
+  /** The fifth of the submissions that ranks below the largest tenth. */
   readonly nextLargest: BatchOutcome;
 }
 
@@ -43,7 +44,10 @@
   readonly largeUrgent: LargeOutcomes;
   readonly largeFiller: LargeOutcomes;
   readonly service: { earned: number; attainable: number };
-  /** Task-seconds over the target, the part caused by fillers, and spells that users notice. */
+  /**
+   * Task-seconds over the latency target, the part of them caused by fillers, and the number of
+   * periods over the target that users notice.
+   */
   overTargetS: number;
   causedByFillersS: number;
   noticedCount: number;
@@ -62,10 +66,11 @@
   nextLargest: newBatchOutcome(),
 });
 
-/** The share of submissions whose callers had an answer while it was of use to them. */
+/** The share of submissions that ended in time or late, when their results were still useful. */
 export const shareServed = ({ inTime, late, missed }: BatchOutcome): number =>
   (inTime + late) / Math.max(1, inTime + late + missed);
 
+/** Earned value as a share of the attainable value; 1 if none is attainable. */
 export const shareEarned = ({
   earned,
   attainable,
@@ -92,7 +97,7 @@
 
   readonly #arrivals: readonly Arrival[];
 
-  /** Since when each serving task has been over its target because of fillers. */
+  /** The time since which each serving task has exceeded its target because of fillers. */
   readonly #slowedSinceMs = new Map<string, number>();
 
   constructor(shape: FleetShape, driver: FleetDriver, arrivals: readonly Arrival[]) {
@@ -142,7 +147,7 @@
     return running;
   }
 
-  /** The loss of the task's value at this sample. */
+  /** The task's lost value at this sample, as a multiple of its value; 0 if it meets the target. */
   #lossOf(name: string, { tailMs, tailWithoutFillersMs }: SharedRun, nowMs: number): number {
     const { targetLatencyMs } = this.#shape.service;
     const isCausedByFillers = tailMs > targetLatencyMs && tailWithoutFillersMs <= targetLatencyMs;
@@ -161,7 +166,7 @@
     return INTERFERENCE_WEIGHT;
   }
 
-  /** Adds the outcome of all batch work; called at the end of the simulation. */
+  /** Adds the outcome of all batch work. Called once, at the end of the simulation. */
   finish(): SimulationOutcome {
     const { urgent, filler } = this.#shape;
     [urgent, filler].forEach((kind) => this.#addOutcomesOf(kind));
--- a/bench/fleet/ownerCalls.ts
+++ b/bench/fleet/ownerCalls.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- fleet calls`: processor time of the owner's calls through the platform's adapter,
- * with connections, JSON and checks of the answers, against a process that answers over loopback.
+ * `npm run bench -- fleet calls` measures the processor time of the owner's calls through the
+ * platform's adapter, to a process that answers over loopback. The time includes connections, JSON
+ * and the validation of answers.
  */
 import { type ChildProcess, fork } from 'node:child_process';
 import { once } from 'node:events';
@@ -14,7 +15,7 @@
 const SEND_INTERVAL_MS = 10;
 const WARM_UP_MS = 1_500;
 const COMMITS_PER_S = 33;
-/** Rows of a commit at 46 and at 342 workers, as `fleet profile` counts them. */
+/** Rows per commit that `fleet profile` counts with 46 and with 342 workers. */
 const SMALL_ROWS = 5;
 const LARGE_ROWS = 25;
 const ROW_BYTES = 90;
@@ -24,10 +25,11 @@
   readonly repeatCount: number;
   readonly lengthMs: number;
   readonly callsPerSecond: number;
-  /** Runs that each hold lists. */
+  /** Number of runs in the answer to each hold request. */
   readonly runCount: number;
 }
 
+/** A measurement of one kind of call at a steady rate. */
 interface Phase {
   readonly name: string;
   readonly callsPerSecond: number;
@@ -83,7 +85,7 @@
   ];
 };
 
-/** Makes calls at an even rate, as far as the processor allows, and waits for their answers. */
+/** Sends calls at a steady rate, as far as the processor allows, and waits for all answers. */
 const sendCalls = async (
   { call, callsPerSecond }: Phase,
   lengthMs: number,
@@ -146,7 +148,7 @@
   return `${name.padEnd(14)} ${median} ms a second (${minimum} to ${maximum}), ${rate} calls a second, ${failures} failed`;
 };
 
-/** Prints the median, least and most processor time with each kind of call, and without any. */
+/** Prints median, minimum and maximum processor time for each kind of call, and without calls. */
 export const reportOwnerCalls = async (
   options: OwnerCallsOptions,
   print: (text: string) => void,
--- a/bench/fleet/ownerCost.ts
+++ b/bench/fleet/ownerCost.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- fleet profile`: processor time of the owner by what it does, without its calls.
- * Each seed is one run; the table has the medians.
+ * `npm run bench -- fleet profile` measures the owner's processor time by activity, without its
+ * network calls. Each seed is one run, and the table shows the median, minimum and maximum.
  */
 import { DEFAULT_FLEET_POLICY } from '../../src/scheduler/common/fleet/fleetPolicy.js';
 import { BoundedLog } from '../../src/services/log/common/boundedLog.js';
@@ -16,21 +16,24 @@
 const SEED_STRIDE = 1_000_003;
 const WORK_WIDTH = 24;
 const FIGURE_WIDTH = 9;
-/** How many functions are named. */
+/** Number of functions that the report names. */
 const FUNCTION_COUNT = 16;
 
 export interface OwnerCostOptions {
   readonly seedCount: number;
-  /** The part of virtual time that is measured. */
+  /** Start and length of the measured period, in virtual time. */
   readonly fromMs: number;
   readonly lengthMs: number;
-  /** Batch tasks are this many times fewer and longer, so that as much work runs. */
+  /**
+   * Batch tasks are longer by this factor, and their submissions arrive less often by the same
+   * factor, so that the amount of work stays the same.
+   */
   readonly stretch: number;
 }
 
 interface OwnerRun {
   readonly times: OwnerTimes;
-  /** Counts a second of virtual time. */
+  /** The driver's counts per second of virtual time. */
   readonly rates: DriverCounts;
 }
 
@@ -75,7 +78,7 @@
     .map((value) => value.toFixed(digits).padStart(FIGURE_WIDTH))
     .join(' ');
 
-/** Prints milliseconds of processor a second of virtual time, and a start. */
+/** Prints the owner's processor time per second of virtual time, and per started run. */
 export const reportOwnerCost = async (
   shape: FleetShape,
   options: OwnerCostOptions,
--- a/bench/fleet/ownerProcessor.ts
+++ b/bench/fleet/ownerProcessor.ts
@@ -1,7 +1,10 @@
-/** The owner's processor in virtual time: while it is busy, answers and steps wait. */
+/** Models the owner's processor in virtual time. Answers and steps wait while it is busy. */
 import type { VirtualTime } from '../virtualTime.js';
 
-/** Processor time of calls at some hundreds a second, by `bench fleet calls` (docs/CAPACITY.md). */
+/**
+ * Processor time per call at a few hundred calls a second, as `bench fleet calls` measures it (see
+ * docs/CAPACITY.md).
+ */
 export const CALL_COST_MS = {
   hold: 0.23,
   order: 0.13,
@@ -9,7 +12,10 @@
   read: 0.56,
   feed: 0.2,
 } as const;
-/** Collections beside the decisions that make the garbage, by `bench fleet profile`. */
+/**
+ * Adds the garbage collection that decisions cause to the time of the decisions, in the proportion
+ * that `bench fleet profile` shows.
+ */
 const GARBAGE_COLLECTION_FACTOR = 1.1;
 
 interface QueuedWork {
@@ -20,7 +26,7 @@
 export class OwnerProcessor {
   readonly #time: VirtualTime;
 
-  /** Undefined for a processor on which nothing takes time. */
+  /** Number of cores; undefined if work takes no virtual time. */
   readonly #cores: number | undefined;
 
   readonly #queue: QueuedWork[] = [];
@@ -29,7 +35,7 @@
 
   #isScheduled = false;
 
-  /** For how long the processor has been busy. */
+  /** Total virtual time during which the processor was busy. */
   busyMs = 0;
 
   constructor(time: VirtualTime, cores: number | undefined) {
@@ -37,7 +43,10 @@
     this.#cores = cores;
   }
 
-  /** Runs the work in its turn; it takes its own time on this machine, and `costMs` more. */
+  /**
+   * Queues the work and runs it when the processor is free. The work occupies the processor for the
+   * time measured on this machine plus `costMs`.
+   */
   run(costMs: number, run: () => void): void {
     if (this.#cores === undefined) {
       run();
@@ -47,7 +56,7 @@
     this.#scheduleNext();
   }
 
-  /** How long a decision that takes so long on this machine takes there. */
+  /** Converts a decision's measured duration on this machine into its duration in virtual time. */
   toVirtualMs(measuredMs: number): number {
     return this.#cores === undefined ? 0 : (measuredMs * GARBAGE_COLLECTION_FACTOR) / this.#cores;
   }
--- a/bench/fleet/ownerProfile.ts
+++ b/bench/fleet/ownerProfile.ts
@@ -1,13 +1,13 @@
-/** Samples this process while it simulates a fleet and divides the owner's time by what it does. */
+/** Samples this process while it simulates a fleet and breaks down the owner's time by activity. */
 import { readFile } from 'node:fs/promises';
 import { type Profiler, Session } from 'node:inspector';
 
 const SAMPLING_INTERVAL_US = 250;
-/** Outside what is measured. */
+/** Sampling interval outside the measured periods. */
 const IDLE_SAMPLING_INTERVAL_US = 100_000;
 const US_PER_MS = 1_000;
 const NS_PER_MS = 1_000_000;
-/** Processor time of the main thread in nanoseconds comes first; Linux only. */
+/** The first field is the processor time of the main thread in nanoseconds. Linux only. */
 const SCHEDULER_STATISTICS = '/proc/self/schedstat';
 
 export const OwnerWork = {
@@ -27,7 +27,7 @@
 } as const;
 export type OwnerWork = (typeof OwnerWork)[keyof typeof OwnerWork];
 
-/** Work by the file of a function, or by its file and name; the innermost match counts. */
+/** Kinds of work by a function's file, or by its file and name. The innermost match applies. */
 const WORK_OF: Readonly<Record<string, OwnerWork>> = {
   'fleetCalls.holdEffects': OwnerWork.HoldCalls,
   holdTiming: OwnerWork.HoldCalls,
@@ -58,16 +58,20 @@
   serviceLoad: OwnerWork.Interference,
 };
 
-/** Only what the driver times is the owner's; the rest is the model of its surroundings. */
+/** Only time within this function is the owner's. The rest simulates the owner's environment. */
 const OWNER_ENTRY = 'fleetDriver.#runTimed';
-/** What the driver does with the scheduler's effects, also where it is called within what it times. */
+/**
+ * Driver functions that handle the scheduler's effects. They belong to the simulation even if the
+ * owner's entry function calls them.
+ */
 const MODEL_ENTRIES: readonly string[] = ['fleetDriver.#perform', 'fleetDriver.#recordCompletions'];
 
+/** How the samples of one stack frame are attributed. */
 interface FrameClass {
   readonly isOwner: boolean;
   readonly isCollection: boolean;
   readonly work: OwnerWork;
-  /** The innermost function of the product that has a name, by its file. */
+  /** File and name of the innermost named function that has a source file. */
   readonly functionPath: string;
 }
 
@@ -111,21 +115,27 @@
   return classified;
 };
 
+/** Processor time that the main thread has used so far. */
 export const mainThreadMs = async (): Promise<number> =>
   Number((await readFile(SCHEDULER_STATISTICS, 'utf8')).split(' ')[0]) / NS_PER_MS;
 
 export interface OwnerTimes {
   readonly msByWork: ReadonlyMap<OwnerWork, number>;
-  /** Without collections; what a function calls within the language counts as its own. */
+  /**
+   * Time by kind of work and function, without garbage collection. Built-in functions count towards
+   * their caller.
+   */
   readonly msByFunction: ReadonlyMap<string, number>;
-  /** Processor time of the main thread per sampled time; below 1 where the thread had to wait. */
+  /** Processor time of the main thread per sampled time; below 1 if it waited for a processor. */
   readonly processorShare: number;
 }
 
 /**
- * Sampled times include waiting for a processor. They are reduced to the processor time of the
- * main thread, so that a busy machine stretches them less. Collections are the owner's when they
- * interrupt it. Other threads, which collect and compile, are not counted.
+ * Attributes the samples to the owner's kinds of work and functions.
+ *
+ * Sampled times include waiting for a processor. They are scaled down to the processor time of the
+ * main thread, so that a busy machine distorts them less. Garbage collection that interrupts the
+ * owner counts as the owner's. Other threads, which collect garbage and compile, are not counted.
  */
 const attributeSamples = (profile: Profiler.Profile, processorMs: number): OwnerTimes => {
   const classified = classify(profile);
@@ -174,15 +184,16 @@
 };
 
 /**
- * Functions that are optimised while no profiler is on do not tell what has been inlined into them,
- * so that one has to be on before and between the measured parts too. Returns what ends it.
+ * Keeps a profiler running outside the measured periods. Functions that are optimised while no
+ * profiler runs lose the information about which functions are inlined into them. Returns a
+ * function that stops the profiler.
  */
 export const keepProfilerOn = async (): Promise<() => void> => {
   const session = await startProfiler(IDLE_SAMPLING_INTERVAL_US);
   return () => session.disconnect();
 };
 
-/** Samples this process while `run` runs. */
+/** Samples this process during `run` and returns the owner's times. */
 export const profileOwner = async (run: () => Promise<void>): Promise<OwnerTimes> => {
   const session = await startProfiler(SAMPLING_INTERVAL_US);
   const usedBeforeMs = await mainThreadMs();
--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -1,6 +1,7 @@
 /**
- * Models a worker whose tasks share its processors: services use a periodic share, fillers get the
- * remainder, and a service's tail latency is inversely proportional to its spare capacity.
+ * Models a worker whose tasks share its processors. Services use a share that varies periodically,
+ * and fillers share the processors that the other tasks leave idle. A service's tail latency is
+ * inversely proportional to its spare capacity.
  */
 import type { RandomSource } from '../../src/base/common/random.js';
 import {
@@ -13,13 +14,13 @@
 import type { FleetTruth, TaskTruth } from './truth.js';
 
 const FULL_PERCENT = 100;
-/** Time for a change of pace, and for a run to restore its checkpoint. */
+/** Time until a change of pace takes effect, and time for a run to restore its checkpoint. */
 const PACE_DELAY_MS = 100;
 const RESTORE_MS = 600;
 const SAVE_INTERVAL_MS = 1_000;
 export const STOP_MS = 200;
 const MAXIMUM_LEASE_MS = 6_000;
-/** Averaging window and relative noise of the listed figures. */
+/** Averaging window and relative noise of the figures that the worker reports. */
 const FIGURE_WINDOW_MS = 500;
 const FIGURE_NOISE = 0.05;
 const MINIMUM_SPARE_SHARE = 0.01;
@@ -28,18 +29,21 @@
 export interface SharedRun {
   readonly run: ModelRun;
   readonly truth: TaskTruth;
-  /** Completed work, in milliseconds at full speed; may be negative during a restore. */
+  /** Completed work, in milliseconds at full speed; can be negative during a restore. */
   doneMs: number;
   savedMs: number;
   pacePercent: number;
   nextPacePercent: number;
   paceChangesAtMs: number;
-  /** Processors in use now. */
+  /** Processors currently in use. */
   usedMillis: number;
-  /** For a service: its tail latency now, and without fillers. */
+  /**
+   * For a service: its current tail latency, and the tail latency that it would have if no fillers
+   * ran.
+   */
   tailMs: number;
   tailWithoutFillersMs: number;
-  /** The listed figure: smoothed tail latency, or processors in use. */
+  /** The reported figure: a service's smoothed tail latency, or a batch task's smoothed usage. */
   figure: number;
 }
 
@@ -49,13 +53,13 @@
   readonly shape: FleetShape;
   readonly truth: FleetTruth;
   readonly random: RandomSource;
-  /** Called with discarded work, in processor-seconds. */
+  /** Called with the work that is lost when a run ends, in processor-seconds. */
   readonly onWasted: (processorSeconds: number) => void;
 }
 
 const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentFigure: 0 };
 
-/** The progress from which the next run of the task would start. */
+/** The progress that the task's next run starts from. */
 const savedMsOf = ({ truth, savedMs, doneMs, run }: SharedRun): number => {
   if (!truth.savesProgress) return 0;
   return run.end === RunEnd.Stopped ? Math.max(savedMs, doneMs) : savedMs;
@@ -73,7 +77,7 @@
 
   readonly shared = new Map<ModelRun, SharedRun>();
 
-  /** While set, every batch run fails at its next tick. */
+  /** While this is set, every batch run fails at its next tick. */
   isFaulty = false;
 
   readonly #options: SharedWorkerOptions;
@@ -102,7 +106,7 @@
     );
   }
 
-  /** Tracks a run that was started from a checkpoint. */
+  /** Tracks a new run, which starts from the checkpoint unless that is empty. */
   trackStart(taskName: string, checkpoint: string, nowMs: number): void {
     const run = this.model.runs.get(taskName);
     const truth = this.#options.truth.tasks.get(taskName);
--- a/bench/fleet/storedState.ts
+++ b/bench/fleet/storedState.ts
@@ -1,4 +1,4 @@
-/** Reads what the table of a simulation holds, as a new owner does. */
+/** Lets a new owner read its stored state from the table of a simulation. */
 import { right } from 'fp-ts/lib/Either.js';
 
 import { StoredStateReader } from '../../src/scheduler/node/storedStateReader.js';
--- a/bench/fleet/truth.ts
+++ b/bench/fleet/truth.ts
@@ -1,9 +1,9 @@
-/** Ground truth of a simulated fleet: loads, interference costs between images, and work. */
+/** Ground truth of a simulated fleet: loads, interference costs between images, and task work. */
 import { type RandomSource, SeededRandom } from '../../src/base/common/random.js';
 import type { FleetShape, LogNormal } from './fleetShape.js';
 
 const MS_PER_S = 1_000;
-/** Amplitude of interference costs relative to their mean; each cost has its own period. */
+/** Amplitude of interference costs relative to their mean. Each cost has its own period. */
 const COST_AMPLITUDE = 0.3;
 const SHORTEST_COST_PERIOD_MS = 3_000;
 const COST_PERIOD_RANGE_MS = 5_000;
@@ -14,9 +14,11 @@
 const normalFrom = (random: RandomSource): number =>
   Math.sqrt(-2 * Math.log(1 - random.nextFraction())) * Math.cos(TWO_PI * random.nextFraction());
 
+/** Samples a capped log-normal distribution. */
 export const sampleFrom = (random: RandomSource, { mean, sigma, maximum }: LogNormal): number =>
   Math.min(maximum, mean * Math.exp(sigma * normalFrom(random) - (sigma * sigma) / 2));
 
+/** Samples a log-normal factor whose median is 1. */
 export const factorFrom = (random: RandomSource, sigma: number): number =>
   Math.exp(sigma * normalFrom(random));
 
@@ -24,6 +26,7 @@
 export const interarrivalMsFrom = (random: RandomSource, perSecond: number): number =>
   (-Math.log(1 - random.nextFraction()) / perSecond) * MS_PER_S;
 
+/** Interference cost of a filler image on a serving image, as a sine over time. */
 interface PairCost {
   readonly mean: number;
   readonly periodMs: number;
@@ -33,13 +36,13 @@
 export interface TaskTruth {
   readonly image: string;
   readonly processorMillis: number;
-  /** Work at full speed; unused for a service. */
+  /** Duration of the work at full speed; infinite for a service. */
   readonly workMs: number;
   readonly isFiller: boolean;
-  /** Undefined for batch work. */
+  /** Phase of a service's periodic load; undefined for batch work. */
   readonly loadPhase: number | undefined;
   readonly savesProgress: boolean;
-  /** Number of runs that fail before one succeeds. */
+  /** Number of runs that fail before a run succeeds. */
   readonly failureCount: number;
 }
 
@@ -73,13 +76,13 @@
     }
   }
 
-  /** The share of its own processors that a service's task uses. */
+  /** The share of its own processors that a service's task uses at `nowMs`. */
   loadAt(phase: number, nowMs: number): number {
     const { load, loadAmplitude, loadPeriodMs } = this.#shape.service;
     return load * (1 + loadAmplitude * Math.sin(TWO_PI * (nowMs / loadPeriodMs) + phase));
   }
 
-  /** Share of a serving task's processors that a worker full of the filler takes. */
+  /** The share of a serving task's processors that a worker full of the filler takes away. */
   costAt(serving: string, filler: string, nowMs: number): number {
     const cost = this.#costs.get(`${serving} ${filler}`);
     if (cost === undefined) return 0;
--- a/bench/fleet/workload.ts
+++ b/bench/fleet/workload.ts
@@ -12,15 +12,16 @@
 } from './truth.js';
 
 const TWO_PI = 2 * Math.PI;
-/** Lower bound of the share of its requested processors that a task uses. */
+/** Minimum share of its requested processors that a batch task uses. */
 const MINIMUM_USE_SHARE = 0.7;
 const ID_DIGITS = 16;
 
+/** Size of a batch submission, from which its objective and value follow. */
 export interface BatchObjective {
   readonly kind: BatchKind;
   /** Work at full speed, in processor-seconds. */
   readonly processorSeconds: number;
-  /** Critical path at full speed. */
+  /** Duration of the critical path at full speed. */
   readonly criticalPathMs: number;
 }
 
@@ -69,7 +70,7 @@
     this.#random = new SeededRandom(seed);
   }
 
-  /** All submissions in order of arrival. */
+  /** Generates all submissions in order of arrival. */
   generate(): readonly Arrival[] {
     const { service, urgent, filler, burst, trafficFromMs, trafficUntilMs } = this.#shape;
     const arrivals: Arrival[] = [];
