--- a/bench/capacity/capacity.ts
+++ b/bench/capacity/capacity.ts
@@ -7,7 +7,7 @@
 import { measureEntry } from './entryCapacity.js';
 import { measureOperator } from './operatorCapacity.js';
 import { measureScheduler, type SchedulerFigures } from './schedulerCapacity.js';
-import { fieldLine, runSequentially } from './slopes.js';
+import { fitRows, runSequentially } from './slopes.js';
 
 const RESULTS_FOLDER = 'bench/results';
 /** Workers of a cell. The last size is a seventh of 860. At least the first three are measured. */
@@ -54,22 +54,22 @@
   const byRate = START_RATES.map((rate) => measureScheduler(largest, rate));
   byRate.forEach((row) => printRow('scheduler', row));
   const lines = {
-    decideCoreRatioByWorkers: fieldLine(
+    decideCoreRatioByWorkers: fitRows(
       bySize,
       (row) => row.workerCount,
       (row) => row.decideCoreRatio,
     ),
-    workerBytesByWorkers: fieldLine(
+    workerBytesByWorkers: fitRows(
       bySize,
       (row) => row.workerCount,
       (row) => row.workerBytesPerSecond,
     ),
-    decideCoreRatioByStarts: fieldLine(
+    decideCoreRatioByStarts: fitRows(
       byRate,
       (row) => row.startsPerSecond,
       (row) => row.decideCoreRatio,
     ),
-    writtenRowsByStarts: fieldLine(
+    writtenRowsByStarts: fitRows(
       byRate,
       (row) => row.startsPerSecond,
       (row) => row.writtenRowsPerSecond,
@@ -82,7 +82,7 @@
 const runOperator = async (): Promise<void> => {
   const rows = await runSequentially(DOCUMENT_COUNTS, measureOperator);
   rows.forEach((row) => printRow('operator', row));
-  const line = fieldLine(
+  const line = fitRows(
     rows,
     (row) => row.documentCount,
     (row) => row.processorMsPerPlan,
@@ -95,7 +95,7 @@
   await runScheduler();
   await runOperator();
   const entry = await measureEntry((row) => printRow('entry', row));
-  const coreRatioByRequests = fieldLine(
+  const coreRatioByRequests = fitRows(
     entry,
     (row) => row.requestsPerSecond,
     (row) => row.coreRatio,
--- a/bench/capacity/daemonCapacity.ts
+++ b/bench/capacity/daemonCapacity.ts
@@ -21,7 +21,7 @@
 import { ChildProcesses } from '../../standIns/demo/childProcesses.js';
 import type { TableCounts } from '../../standIns/platform/tableStandIn.js';
 import { processorMs, residentMegabytes } from '../passThrough/processUsage.js';
-import { fieldLine, runSequentially, type Line, roundFigure } from './slopes.js';
+import { fitRows, runSequentially, type Line, roundFigure } from './slopes.js';
 
 const HOST = '127.0.0.1';
 const WARM_UP_MS = 4_000;
@@ -263,22 +263,22 @@
     measureAndReport(WORKER_COUNTS[0], count + 1),
   );
   const lines = {
-    coreRatioByWorkers: fieldLine(
+    coreRatioByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.coreRatio,
     ),
-    megabytesByWorkers: fieldLine(
+    megabytesByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.residentMegabytes,
     ),
-    bytesByWorkers: fieldLine(
+    bytesByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.platformBytesPerSecond,
     ),
-    coreRatioByPeers: fieldLine(
+    coreRatioByPeers: fitRows(
       byPeers,
       (row) => row.daemonCount - 1,
       (row) => row.coreRatio,
--- a/bench/capacity/schedulerCapacity.ts
+++ b/bench/capacity/schedulerCapacity.ts
@@ -252,8 +252,8 @@
   }
 
   /** Handles an event and all events that result from it, at the same virtual time. */
-  #handle(first: CellEvent): void {
-    const events = [first];
+  #handle(firstEvent: CellEvent): void {
+    const events = [firstEvent];
     for (let event = events.shift(); event !== undefined; event = events.shift()) {
       const startedAtMs = performance.now();
       const decision = decide(this.#state, event, new SpreadAndPackPolicy(), this.#nowMs);
--- a/bench/capacity/slopes.ts
+++ b/bench/capacity/slopes.ts
@@ -18,7 +18,7 @@
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
 /** Fits a least-squares line and reports the largest deviation from it. */
-export const lineThrough = (points: readonly DataPoint[]): Line => {
+export const fitLine = (points: readonly DataPoint[]): Line => {
   const meanSize = mean(points.map(({ size }) => size));
   const meanValue = mean(points.map(({ value }) => value));
   const spread = points.reduce((sum, { size }) => sum + (size - meanSize) ** 2, 0);
@@ -37,12 +37,12 @@
 export const roundFigure = (value: number): number => Number(value.toPrecision(FIGURE_DIGITS));
 
 /** Fits a line to one field of the rows, with rounded values for the results. */
-export const fieldLine = <Row>(
+export const fitRows = <Row>(
   rows: readonly Row[],
   toSize: (row: Row) => number,
   toValue: (row: Row) => number,
 ): Line => {
-  const line = lineThrough(rows.map((row) => ({ size: toSize(row), value: toValue(row) })));
+  const line = fitLine(rows.map((row) => ({ size: toSize(row), value: toValue(row) })));
   return {
     atZero: roundFigure(line.atZero),
     slope: roundFigure(line.slope),
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -124,8 +124,8 @@
 };
 
 const batchText = (name: string, outcomes: readonly BatchOutcome[]): string => {
-  const count = (of: (outcome: BatchOutcome) => number): string =>
-    mean(outcomes.map(of)).toFixed(0);
+  const count = (toValue: (outcome: BatchOutcome) => number): string =>
+    mean(outcomes.map(toValue)).toFixed(0);
   const counts = [
     count(({ inTime }) => inTime),
     count(({ late }) => late),
@@ -147,8 +147,8 @@
 };
 
 const summaryLine = (name: string, { share, results }: Summary): string => {
-  const meanOf = (of: (result: FleetResult) => number, digits = 0): string =>
-    mean(results.map(of)).toFixed(digits);
+  const meanOf = (toValue: (result: FleetResult) => number, digits = 0): string =>
+    mean(results.map(toValue)).toFixed(digits);
   const startCount = mean(results.map(({ counts }) => counts.startCount));
   const schedulerMs = mean(results.map(({ counts }) => counts.schedulerMs));
   return [
@@ -205,8 +205,8 @@
 const findShape = (workerCount: number, cores: string | undefined): FleetShape | undefined =>
   FLEET_SHAPES.find((shape) => {
     const [smallest] = shape.processorMillis;
-    const isOfCores = cores === undefined || smallest === Number(cores) * MILLIS_PER_CORE;
-    return shape.workerCount === workerCount && isOfCores;
+    const hasCores = cores === undefined || smallest === Number(cores) * MILLIS_PER_CORE;
+    return shape.workerCount === workerCount && hasCores;
   });
 
 const checkBounds = async (shape: FleetShape): Promise<boolean> => {
--- a/bench/fleet/fleetRun.ts
+++ b/bench/fleet/fleetRun.ts
@@ -57,10 +57,10 @@
   await driver.runUntil(shape.endMs);
   const outcome = meter.finish();
   const { urgent, filler, service } = outcome;
-  const parts = [urgent, filler, service];
+  const kindOutcomes = [urgent, filler, service];
   const share = shareEarned({
-    earned: parts.reduce((sum, { earned }) => sum + earned, 0),
-    attainable: parts.reduce((sum, { attainable }) => sum + attainable, 0),
+    earned: kindOutcomes.reduce((sum, { earned }) => sum + earned, 0),
+    attainable: kindOutcomes.reduce((sum, { attainable }) => sum + attainable, 0),
   });
   const ownerBusyShare = driver.ownerBusyMs / shape.endMs;
   return { ...outcome, counts: driver.counts, ownerBusyShare, share };
--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -195,16 +195,16 @@
   }
 
   #measureTails(runs: readonly SharedRun[], nowMs: number): void {
-    const { truth: fleet, shape, processorMillis } = this.#options;
+    const { truth: fleetTruth, shape, processorMillis } = this.#options;
     const { unloadedTailMs } = shape.service;
     runs.forEach((shared) => {
       const { truth } = shared;
       if (truth.loadPhase === undefined) return;
-      const load = fleet.loadAt(truth.loadPhase, nowMs);
+      const load = fleetTruth.loadAt(truth.loadPhase, nowMs);
       let pressure = 0;
       runs.forEach((other) => {
         if (!other.truth.isFiller) return;
-        const cost = fleet.costAt(truth.image, other.truth.image, nowMs);
+        const cost = fleetTruth.costAt(truth.image, other.truth.image, nowMs);
         pressure += (cost * other.usedMillis) / processorMillis;
       });
       shared.tailWithoutFillersMs = unloadedTailMs / Math.max(MINIMUM_SPARE_SHARE, 1 - load);
