--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,6 +1,6 @@
-/** Time as an argument: deciding code receives `nowMs`, only outer code reads a clock. */
+/** The clock interface. Decision code takes `nowMs` as an argument and never reads a clock. */
 
-/** A monotonic clock. Its instants mean nothing in another process. */
+/** A monotonic clock. Its values are not comparable with those of another process. */
 export interface Clock {
   nowMs(): number;
 }
--- a/src/base/common/event.ts
+++ b/src/base/common/event.ts
@@ -4,7 +4,7 @@
 /** Subscribes a listener; disposing the result ends the subscription. */
 export type Event<T> = (listener: (value: T) => void) => Disposable;
 
-/** The firing side of an event; its owner exposes `event` as `onDidX`. */
+/** Fires an event to its listeners. The owner exposes `event` as `onDidX`. */
 export class Emitter<T> implements Disposable {
   readonly #listeners = new Set<(value: T) => void>();
 
--- a/src/base/common/hash.ts
+++ b/src/base/common/hash.ts
@@ -1,4 +1,4 @@
-/** Hashes that spread work evenly and are the same in every process. */
+/** Hash functions that distribute work evenly and give the same result in every process. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -8,7 +8,7 @@
 
 /* eslint-disable no-bitwise -- hashes mix bits */
 
-/** FNV-1a: a whole number in [0, 2^32). */
+/** Returns the FNV-1a hash of a text: a whole number in [0, 2^32). */
 export const hashOf = (text: string): number => {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -18,8 +18,9 @@
 };
 
 /**
- * A fraction in [0, 1) from a text. Texts that differ in their last character only, as the ids of
- * successive jobs do, differ little in the high bits of FNV-1a, so these are mixed once more.
+ * Maps a text to a fraction in [0, 1). The high bits of FNV-1a hardly differ between texts that
+ * differ only in their last character, such as the ids of successive jobs. A second mixing step
+ * spreads them.
  */
 export const fractionOf = (text: string): number => {
   let hash = hashOf(text);
--- a/src/base/common/json.ts
+++ b/src/base/common/json.ts
@@ -1,4 +1,4 @@
-/** JSON values with one spelling for each, so that equal values have equal digests. */
+/** Canonical JSON, so that equal values have equal digests, and JSON serialised in pieces. */
 
 export type JsonValue =
   | null
@@ -22,15 +22,16 @@
 };
 
 /**
- * Serialises with sorted keys; members that are undefined are left out. Plans of 10,000 tasks
- * pass through here: a replacer, which is called back for every member, takes three times as long.
+ * Serialises a value with sorted keys and omits undefined members. It sorts a copy instead of
+ * passing a replacer to `JSON.stringify`: the replacer is called for every member and takes three
+ * times as long, which matters for plans of 10,000 tasks.
  */
 export const canonicalJson = (value: unknown): string => JSON.stringify(withSortedKeys(value));
 
 export const JsonForm = { Plain: 'plain', Canonical: 'canonical' } as const;
 export type JsonForm = (typeof JsonForm)[keyof typeof JsonForm];
 
-/** Array items that are written in one go: of tasks, some 50 KB and a millisecond. */
+/** Array items serialised in one piece. For tasks, this is about 50 KB and takes a millisecond. */
 const CHUNK_LENGTH = 500;
 
 const isLong = (value: unknown): boolean => {
@@ -39,7 +40,7 @@
   return Object.values(value).some(isLong);
 };
 
-/** The JSON of a value in pieces of bounded length, which are to be joined. */
+/** Yields the JSON of a value in pieces of bounded length; the caller joins them. */
 export function* jsonPieces(value: unknown, form: JsonForm = JsonForm.Plain): Generator<string> {
   const toText = form === JsonForm.Canonical ? canonicalJson : JSON.stringify;
   if (!isLong(value)) {
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -1,6 +1,6 @@
-/** Ownership of things that must be released: sockets, timers, listeners. */
+/** Ownership and release of resources such as sockets, timers and listeners. */
 
-/** Something that holds a resource; its owner disposes it, once or more often. */
+/** Holds a resource until its owner disposes it. `dispose` may be called more than once. */
 export interface Disposable {
   dispose(): void;
 }
@@ -17,7 +17,7 @@
   };
 };
 
-/** Holds disposables and releases them in the reverse order of their registration. */
+/** Owns disposables and disposes them in the reverse order of their registration. */
 export class DisposableStore implements Disposable {
   readonly #items: Disposable[] = [];
 
@@ -27,7 +27,7 @@
     return this.#isDisposed;
   }
 
-  /** Takes ownership; an item added after disposal is released at once. */
+  /** Takes ownership of an item. An item added after disposal is disposed immediately. */
   add<T extends Disposable>(item: T): T {
     if (this.#isDisposed) item.dispose();
     else this.#items.push(item);
--- a/src/base/common/mailbox.ts
+++ b/src/base/common/mailbox.ts
@@ -1,7 +1,7 @@
 /**
  * Handles the messages of one task in order, one at a time, so that the task's state has a
- * single writer. The mailbox is bounded: under overload a sender is told at once instead of
- * memory growing until the process dies.
+ * single writer. The mailbox is bounded: under overload it rejects messages immediately, so that
+ * memory use does not grow until the process dies.
  */
 export class Mailbox<Message> {
   readonly #handle: (message: Message) => Promise<void> | void;
@@ -17,7 +17,7 @@
     this.#handle = handle;
   }
 
-  /** Returns false, and keeps nothing, when the mailbox is full. */
+  /** Queues a message; returns false and drops the message when the mailbox is full. */
   post(message: Message): boolean {
     if (this.#waiting.length >= this.#capacity) return false;
     this.#waiting.push(message);
@@ -29,7 +29,7 @@
     this.#isRunning = true;
     try {
       for (let next = this.#waiting.shift(); next !== undefined; next = this.#waiting.shift()) {
-        // Messages are handled strictly one after the other.
+        // The task's state has a single writer, so messages must not be handled concurrently.
         // eslint-disable-next-line no-await-in-loop
         await this.#handle(next);
       }
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,4 +1,4 @@
-/** Randomness as an argument, so that a seed replays every decision. */
+/** Random sources. Code takes one as an argument, so that a seed reproduces every decision. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
--- a/src/base/node/jsonText.ts
+++ b/src/base/node/jsonText.ts
@@ -1,15 +1,15 @@
-/** Writes large JSON without holding the event loop. */
+/** Serialises large values to JSON without blocking the event loop. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
 import { JsonForm, jsonPieces } from '../common/json.js';
 
-/** What is written between two turns: a fraction of a millisecond of work. */
+/** Characters serialised per turn of the event loop: a fraction of a millisecond of work. */
 const TURN_LENGTH = 20_000;
 
 /**
- * The JSON of a value. A plan for a job of 10,000 tasks is a megabyte of it; written in one go
- * it would hold up every request of the daemon for ten milliseconds and more, so requests get
- * their turn between its parts. What is short is written at once.
+ * Serialises a value to JSON. The plan for a job of 10,000 tasks is a megabyte of JSON, and
+ * serialising it in one step would block every request of the daemon for ten milliseconds or
+ * more. A long value therefore yields to the event loop between its pieces; a short one does not.
  */
 export const jsonText = async (
   value: unknown,
@@ -17,13 +17,13 @@
 ): Promise<string> => {
   const written: string[] = [];
   let lengthSinceTurn = 0;
-  // eslint-disable-next-line no-restricted-syntax -- the pieces are made one by one, on demand
+  // eslint-disable-next-line no-restricted-syntax -- the generator creates the pieces on demand
   for (const piece of jsonPieces(value, form)) {
     written.push(piece);
     lengthSinceTurn += piece.length;
     if (lengthSinceTurn > TURN_LENGTH) {
       lengthSinceTurn = 0;
-      // eslint-disable-next-line no-await-in-loop -- one part a turn is the purpose
+      // eslint-disable-next-line no-await-in-loop -- yields to the event loop
       await nextTurn();
     }
   }
--- a/src/base/node/periodicTimer.ts
+++ b/src/base/node/periodicTimer.ts
@@ -1,10 +1,10 @@
-/** A repeating step that never overlaps itself. */
+/** A timer whose runs never overlap. */
 import type { Disposable } from '../common/lifecycle.js';
 
 /**
- * Runs `step` every `intervalMs`, counted from the end of the last run, so that a slow step
- * delays the next one instead of piling up behind it. Disposal aborts the signal given to a
- * running step and starts no further one.
+ * Runs `step` immediately and then again `intervalMs` after the end of each run, so that a slow
+ * run delays the next one and runs never pile up. Disposal aborts the signal passed to the
+ * running step and starts no further run.
  */
 export class PeriodicTimer implements Disposable {
   readonly #intervalMs: number;
--- a/src/base/node/systemClock.ts
+++ b/src/base/node/systemClock.ts
@@ -1,4 +1,4 @@
-/** The process's monotonic clock; it goes on while the process is stopped by a signal. */
+/** The monotonic clock of the process. It keeps running while a signal stops the process. */
 import { performance } from 'node:perf_hooks';
 
 import type { Clock } from '../common/clock.js';
