--- a/src/intake/common/storeReach.ts
+++ b/src/intake/common/storeReach.ts
@@ -1,24 +1,25 @@
-/** Whether calls to the store are worth a try, by how the last ones ended. */
+/** The circuit breaker for calls to the store. */
 
-/** Between two tries while the store does not answer; a caller's patience holds several. */
+/** Interval between probes of a silent store; several probes fit into a caller's timeout. */
 const TRY_INTERVAL_MS = 400;
 
 /**
- * Made for a store that has gone silent under a stream of callers. Each call would otherwise be
- * held for the whole time limit of the store's client before its caller learns that it has to come
- * back. One call in each interval tries whether the store is there again; the others are refused
- * at once, which is true to say, since nothing of them was sent.
+ * Refuses calls while the store does not answer. Without the breaker, each caller would wait for
+ * the full timeout of the store's client before it learns that it has to retry. While the breaker
+ * is open, one call per interval goes through as a probe and the others are refused immediately.
+ * A refused call certainly has no effect, because nothing of it is sent.
  */
 export class StoreReach {
   #isSilent = false;
 
   #nextTryAtMs = 0;
 
+  /** Whether the latest call to the store got no answer. */
   get isSilent(): boolean {
     return this.#isSilent;
   }
 
-  /** Whether to call the store now; while it is silent only one caller in each interval may. */
+  /** Whether to call the store now. While the store is silent, true once per probe interval. */
   mayTry(nowMs: number): boolean {
     if (!this.#isSilent) return true;
     if (nowMs < this.#nextTryAtMs) return false;
--- a/src/intake/node/submissionIntake.ts
+++ b/src/intake/node/submissionIntake.ts
@@ -1,4 +1,4 @@
-/** Takes submissions in at an entry instance: they are stored before they are acknowledged. */
+/** Accepts submissions at an entry instance. A submission is stored before it is acknowledged. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
@@ -29,11 +29,11 @@
 import { StoreReach } from '../common/storeReach.js';
 import { acceptTransaction, cancelTransaction } from '../common/submissionTransactions.js';
 
-/** Between two tries to learn what became of a write; several fit into a caller's patience. */
+/** Delay between attempts to resolve a write; several fit into a caller's timeout. */
 const RESOLVE_RETRY_MS = 150;
 /**
- * The share of the caller's time after which an unresolved write is given up on: with the rest the
- * caller can send the same id to another instance, which finds or stores it.
+ * Share of the caller's timeout after which the intake stops resolving a write. The caller uses
+ * the rest to send the same id to another instance, which finds or stores the submission.
  */
 const RESOLVE_SHARE = 0.45;
 
@@ -43,7 +43,7 @@
   readonly log: Log;
   readonly metrics: Metrics;
   readonly newOperationId: () => string;
-  /** The epoch of the scheduler whose heartbeat moves, as seen here; undefined without one. */
+  /** The epoch of the scheduler whose heartbeat advances; undefined if none is seen here. */
   readonly liveEpoch: () => number | undefined;
 }
 
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Stores a submission; the right side means that it is stored, now or by an earlier try. A
-   * failure says `not-run` only when no write of it can have landed or can still land.
+   * Stores a submission. A right result means that the submission is stored, by this call or an
+   * earlier one. A failure has the work outcome `not-run` only when no write of the submission
+   * has committed or can still commit.
    */
   async accept(submission: Submission, timeoutMs: number): Promise<Either<Failure, undefined>> {
     const { clock, metrics } = this.#services;
@@ -82,7 +83,7 @@
     const transaction = acceptTransaction(submission, newOperationId());
     let mayLand = false;
     do {
-      // Each try needs to know how the one before it ended.
+      // Each attempt depends on the result of the previous one.
       // eslint-disable-next-line no-await-in-loop
       const result = await table.transact(transaction)();
       this.#noteReach(result);
@@ -107,12 +108,12 @@
     });
   }
 
-  /** False while the store does not answer. */
+  /** Whether the store answered the latest attempt to store a submission. */
   get isStoreReached(): boolean {
     return !this.#reach.isSilent;
   }
 
-  /** The state, or the kind `unknown-object` for an id that nobody has submitted. */
+  /** Reads the state of a submission; fails with `unknown-object` if the id was never submitted. */
   async state(id: string): Promise<Either<Failure, SubmissionState>> {
     const { table } = this.#services;
     const progress = await table.read({ keys: [progressKey(id)], prefixes: [] })();
@@ -129,7 +130,7 @@
     return right(rows.has(cancelKey(id)) ? SubmissionState.Cancelled : SubmissionState.Queued);
   }
 
-  /** Cancels; the right side tells whether anything is stored under the id. */
+  /** Cancels a submission; a right result says whether a submission is stored under the id. */
   async cancel(id: string): Promise<Either<Failure, boolean>> {
     const { table, log, newOperationId } = this.#services;
     const written = await table.transact(cancelTransaction(id, newOperationId()))();
@@ -141,8 +142,8 @@
   }
 
   /**
-   * How many submissions of the queue wait for their first start. Counts that a former scheduler
-   * left behind are not shown: they would stand still while submissions go on coming.
+   * Reads how many submissions of the queue wait for their first start. Counts written by a former
+   * scheduler are treated as unavailable, since they no longer change while submissions arrive.
    */
   async waitingCount(queueName: string): Promise<Either<Failure, number>> {
     const { table, liveEpoch } = this.#services;
@@ -172,7 +173,10 @@
     return left({ ...cause, workOutcome: WorkOutcome.NotRun });
   }
 
-  /** A refused condition: the submission is there already, or was cancelled before it came. */
+  /**
+   * Finds out why a condition failed: the submission is stored already, or it was cancelled before
+   * it arrived. Undefined when the read fails or finds neither row.
+   */
   async #resolve(submission: Submission): Promise<Either<Failure, undefined> | undefined> {
     const { id } = submission;
     const keys = [specKey(id), cancelKey(id)];
--- a/src/intake/test/storeReach.test.ts
+++ b/src/intake/test/storeReach.test.ts
@@ -2,13 +2,13 @@
 
 import { StoreReach } from '../common/storeReach.js';
 
-describe('the reach of the store', () => {
-  it('lets every call through while the store answers', () => {
+describe('the circuit breaker of the store', () => {
+  it('allows every call while the store answers', () => {
     const reach = new StoreReach();
     expect([0, 1, 2].every((nowMs) => reach.mayTry(nowMs))).toBe(true);
   });
 
-  it('lets one call in 400 ms through while the store is silent, and all once it answers', () => {
+  it('allows one call per 400 ms while the store is silent, and every call once it answers', () => {
     const reach = new StoreReach();
     reach.noteSilence(1_000);
     const tried = Array.from({ length: 200 }, (_, index) => 1_000 + index * 10).filter((nowMs) =>
--- a/src/peers/common/peerMessages.ts
+++ b/src/peers/common/peerMessages.ts
@@ -1,18 +1,18 @@
-/** Messages between daemons. They are hints: losing any of them costs time and nothing else. */
+/** Messages between daemons. They are hints: losing one costs time but does no other harm. */
 import { z } from 'zod';
 
 export const HEARTBEAT_METHOD = 'heartbeat';
 
-/** A heartbeat is a short line; a longer one is not from a peer. */
+/** Limit of a line. A heartbeat is short, so a longer line does not come from a peer. */
 export const MAXIMUM_LINE_BYTES = 65_536;
 
 export const heartbeatSchema = z.strictObject({
   instanceId: z.string(),
-  /** The newest configuration that the sender has in force. */
+  /** The newest configuration version in force at the sender. */
   configurationVersion: z.number().int().nonnegative(),
-  /** The sender is shutting down; the platform's list will tell so only later. */
+  /** The sender is shutting down. The platform's instance list shows this only later. */
   isLeaving: z.boolean().default(false),
-  /** Names the sender's span; only sampled heartbeats carry it. */
+  /** Identifies the sender's span; present only on sampled heartbeats. */
   traceparent: z.string().optional(),
 });
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
--- a/src/peers/common/peerTable.ts
+++ b/src/peers/common/peerTable.ts
@@ -1,24 +1,25 @@
-/** Which peers a daemon links to, and which daemons there are as far as it can tell. */
+/** Selects the peers that a daemon links to and derives the states of all known daemons. */
 import {
   type DaemonInstance,
   InstanceState,
 } from '../../services/instanceList/common/instanceList.js';
 
-/** Ids to connect to and to disconnect from, after the instance list has changed. */
+/** The links to open and to close after the selected peers have changed. */
 export interface PeerChanges {
   readonly added: readonly DaemonInstance[];
   readonly removedIds: readonly string[];
 }
 
 /**
- * The peers that a daemon sends heartbeats to: those 1, 2, 4, 8 … places after it in the order
- * of ids. With links from each to all, 70 daemons would cost each of them 40 KB/s of the 22 KB/s
- * that control may take; with these the number grows by one as the daemons double. A hint still
- * reaches everybody, in as many steps as a daemon has links.
+ * Selects the peers that a daemon sends heartbeats to: those 1, 2, 4, 8 … places after it in the
+ * order of ids. If each of 70 daemons linked to all others, control traffic would cost each
+ * 40 KB/s, and the limit is 22 KB/s. With this selection the number of links grows by one when
+ * the number of daemons doubles. A hint still reaches every daemon, in as many steps as a daemon
+ * has links.
  *
- * The list lags, so some of these are gone and pass nothing on. Each of them stays linked, or it
- * would not be noticed when it is back, and the next one after it that is heard of, or that
- * nobody here knows to be gone, is linked in its stead.
+ * The instance list lags, so some selected peers may be gone and pass no hints on. A gone peer
+ * stays linked, because otherwise its return would go unnoticed. In addition, the next daemon
+ * after it that is not known to be gone is linked as its replacement.
  */
 export const chosenPeers = (
   listed: readonly DaemonInstance[],
@@ -42,8 +43,9 @@
 };
 
 /**
- * Compares the links there are with those that should be. An address that has changed under the
- * same id is a restarted process, to which the old link would knock for ever.
+ * Compares the current links with the wanted ones. A changed address under the same id means that
+ * the process has restarted. Its link is replaced, since the old one would retry the old address
+ * forever.
  */
 export const peerChanges = (
   linked: ReadonlyMap<string, DaemonInstance>,
@@ -61,13 +63,14 @@
 };
 
 /**
- * A link is silent when nothing was heard over it for the timeout. A connection that something
- * in between has lost track of neither closes nor delivers, so only silence can tell.
+ * Whether nothing was received over a link for longer than the timeout. When a device between two
+ * daemons loses track of their connection, the connection neither closes nor delivers, so silence
+ * is the only sign of it.
  */
 export const isSilent = (heardAtMs: number, silenceTimeoutMs: number, nowMs: number): boolean =>
   nowMs - heardAtMs > silenceTimeoutMs;
 
-/** What was seen of one daemon, by its answers or by its own heartbeats. */
+/** The latest observation of a daemon, from its heartbeat or its answer to one. */
 export interface PeerObservation {
   readonly heardAtMs: number;
   readonly isLeaving: boolean;
@@ -76,18 +79,18 @@
 export const MemberState = {
   Live: 'live',
   Leaving: 'leaving',
-  /** Listed and expected to be heard of, but was not for the timeout. */
+  /** Listed and linked, but nothing was received from it for longer than the timeout. */
   Silent: 'silent',
-  /** Listed, and nobody here has to hear of it. */
+  /** Listed, but not linked, so no heartbeat from it is expected here. */
   Unobserved: 'unobserved',
 } as const;
 export type MemberState = (typeof MemberState)[keyof typeof MemberState];
 
 /**
- * The daemons there are: the platform's list, which lags, corrected by what is seen here. A
- * daemon that says it is leaving is so before the list tells; one that is listed as live but
- * silent is told apart; one that was heard of lately counts before it is listed. Nothing that
- * must be agreed upon rests on this.
+ * Derives the states of all known daemons. The platform's instance list lags, so observations
+ * correct it: a daemon that announces its shutdown is leaving before the list says so, a daemon
+ * that is listed as live may be silent, and a daemon that was heard recently counts before it is
+ * listed. Daemons may derive different states, so nothing that needs agreement may depend on them.
  */
 export const members = (
   listed: readonly DaemonInstance[],
@@ -111,6 +114,6 @@
   return new Map(states.filter((entry): entry is [string, MemberState] => entry[1] !== undefined));
 };
 
-/** Members that take requests, as far as can be told; one that is silent here may still do so. */
+/** Counts the daemons assumed to take requests; a daemon that is silent here may still do so. */
 export const servingCount = (states: ReadonlyMap<string, MemberState>): number =>
   [...states.values()].filter((state) => state !== MemberState.Leaving).length;
--- a/src/peers/node/peerLines.ts
+++ b/src/peers/node/peerLines.ts
@@ -1,4 +1,4 @@
-/** Lines of JSON on a connection between daemons, with their bytes counted. */
+/** Reads and writes JSON lines on a connection between daemons and counts their bytes. */
 import type { Socket } from 'node:net';
 
 import split from 'split2';
@@ -6,7 +6,7 @@
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import { MAXIMUM_LINE_BYTES } from '../common/peerMessages.js';
 
-/** Calls `handle` for each line; a line that is too long or no JSON ends the connection. */
+/** Calls `handle` for each line. A line that is too long or not JSON closes the connection. */
 export const readLines = <Message>(
   socket: Socket,
   metrics: Metrics,
--- a/src/peers/node/peerLink.ts
+++ b/src/peers/node/peerLink.ts
@@ -1,4 +1,4 @@
-/** The connection to one peer: sends heartbeats, replaces itself when the peer goes silent. */
+/** The link to one peer: sends heartbeats and replaces its connection when the peer is silent. */
 import { connect, type Socket } from 'node:net';
 
 import { JSONRPCClient, type JSONRPCResponse } from 'json-rpc-2.0';
@@ -12,7 +12,7 @@
 import { isSilent } from '../common/peerTable.js';
 import { readLines, writeLine } from './peerLines.js';
 
-/** One connection at a time to one peer; its owner calls `beat` at the heartbeat interval. */
+/** Has at most one connection to its peer. The owner calls `beat` at the heartbeat interval. */
 export class PeerLink implements Disposable {
   readonly #address: InstanceAddress;
 
@@ -45,7 +45,7 @@
     this.#heardAtMs = clock.nowMs();
   }
 
-  /** Sends a heartbeat and gives the peer's answer, or undefined when none came. */
+  /** Sends a heartbeat and returns the peer's answer; undefined if no valid answer arrives. */
   async beat(heartbeat: Heartbeat): Promise<Heartbeat | undefined> {
     if (isSilent(this.#heardAtMs, this.#silenceTimeoutMs, this.#clock.nowMs())) this.#reset();
     const client = this.#client ?? this.#open();
--- a/src/peers/node/peerService.ts
+++ b/src/peers/node/peerService.ts
@@ -1,4 +1,4 @@
-/** Listens for peers, keeps a link to each of them and exchanges heartbeats. */
+/** Accepts connections of peers, links to selected peers and exchanges heartbeats with them. */
 import { createServer, type Server, type Socket } from 'node:net';
 
 import { type JSONRPCRequest, JSONRPCServer } from 'json-rpc-2.0';
@@ -28,7 +28,7 @@
 const isGone = (state: MemberState | undefined): boolean =>
   state === MemberState.Silent || state === MemberState.Leaving;
 
-/** A change is told on at once, but in a burst of changes not more often than this. */
+/** A configuration change is announced immediately, but in a burst at most once per interval. */
 const MINIMUM_BEAT_SPACING_MS = 200;
 
 export class PeerService implements Disposable {
@@ -93,7 +93,7 @@
     this.#subscription = configuration.onDidChange(() => this.#tellOn());
   }
 
-  /** Starts to listen and to beat; returns the port, which the system may have chosen. */
+  /** Starts to listen and to send heartbeats; returns the port, which the system chooses for 0. */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.#server.once('error', reject);
@@ -104,7 +104,7 @@
     return address === null || typeof address === 'string' ? port : address.port;
   }
 
-  /** The daemons there are, as far as this one can tell. */
+  /** The states of all daemons that this daemon knows, itself included, by id. */
   get members(): ReadonlyMap<string, MemberState> {
     const listed = this.#directory.instances.filter(isDaemon);
     const linkedIds = new Set(this.#linked.keys());
@@ -115,17 +115,17 @@
     return new Map([...others, [this.#settings.instanceId, own]]);
   }
 
-  /** How many daemons take requests, this one included. */
+  /** The number of daemons assumed to take requests, this one included. */
   get servingCount(): number {
     return servingCount(this.members);
   }
 
-  /** Fires when a daemon has come, gone, or changed its state. */
+  /** Fires when a daemon appears, disappears or changes its state. */
   get onDidChangeMembers(): Emitter<void>['event'] {
     return this.#didChangeMembers.event;
   }
 
-  /** Tells the peers at once that this daemon is leaving, before the platform's list does. */
+  /** Announces to the peers that this daemon is leaving, before the platform's list shows it. */
   announceLeaving(): void {
     this.#isLeaving = true;
     this.#links.forEach((link) => void this.#beatOne(link));
@@ -178,7 +178,7 @@
     this.#didChangeMembers.fire();
   }
 
-  /** Daemons come and go all day; what was seen of those long gone would pile up. */
+  /** Removes observations of daemons that are gone; they would pile up, as daemons often change. */
   #forgetGone(): void {
     const live = this.members;
     [...this.#observed.keys()]
@@ -207,7 +207,7 @@
     };
   }
 
-  /** The second half of a sampled call; what is not sampled by its sender starts no trace here. */
+  /** Starts the answering span of a sampled call; undefined if the sender did not sample it. */
   #answerSpan({ traceparent, instanceId }: Heartbeat): TraceSpan | undefined {
     if (traceparent === undefined) return undefined;
     const fields = { call: HEARTBEAT_METHOD, from: instanceId };
--- a/src/peers/test/peerService.test.ts
+++ b/src/peers/test/peerService.test.ts
@@ -21,7 +21,7 @@
   refresh: () => Promise.resolve(),
 };
 
-/** Daemons that beat over loopback; all read the same list, which a test may change. */
+/** Daemons that exchange heartbeats over loopback and share an instance list that tests change. */
 class Fleet {
   instances: readonly Instance[] = [];
 
@@ -73,7 +73,7 @@
   }
 }
 
-/** The test's own timeout bounds the wait. */
+/** Polls until the condition holds; the timeout of the test bounds the wait. */
 const until = async (isReached: () => boolean): Promise<void> => {
   while (!isReached()) {
     // eslint-disable-next-line no-await-in-loop
@@ -91,10 +91,10 @@
 };
 afterEach(() => fleets.splice(0).forEach((fleet) => fleet.dispose()));
 
-describe('daemons that see one another', () => {
-  // An entry is replaced. The platform's list goes on naming it for a while, and the others would
-  // go on leaving it a share of the workers' slots that it does not use any more.
-  it('count one that leaves out before the list does', async () => {
+describe('the serving count of a daemon', () => {
+  // When an entry instance is replaced, the platform's list names it for a while longer. The other
+  // instances would go on reserving a share of the workers' slots for it that it no longer uses.
+  it('excludes a leaving daemon before the instance list does', async () => {
     const fleet = createFleet();
     const [one, two] = [await fleet.add('one'), await fleet.add('two')];
     await until(() => one.members.get('two') === MemberState.Live);
@@ -110,13 +110,13 @@
     await until(() => changeCount > 0);
   });
 
-  // An entry has started and takes requests, and the list does not name it yet.
-  it('count one in that the list does not name yet', async () => {
+  // An entry instance has started and takes requests, but the instance list does not name it yet.
+  it('includes a new daemon before the instance list does', async () => {
     const fleet = createFleet();
     const one = await fleet.add('one');
     await fleet.add('two');
     const [listedOne] = fleet.instances;
-    // The new one is told of the others by its own list; the old one's lags.
+    // The new daemon finds the other one in the list. Then the list stops naming the new daemon.
     const listed = fleet.instances;
     await until(() => one.members.get('two') === MemberState.Live);
     fleet.instances = [listedOne as Instance];
@@ -126,10 +126,10 @@
   });
 });
 
-describe('a heartbeat', () => {
-  // The span of the answering daemon is a child of the asking one's, so that an operator sees
-  // where the time of a peer call went.
-  it('that is sampled is one trace on both sides', async () => {
+describe('a sampled heartbeat', () => {
+  // The answering daemon's span is a child of the sending daemon's span, so that an operator sees
+  // where the time of a peer call is spent.
+  it('belongs to one trace on both daemons', async () => {
     const fleet = createFleet();
     await fleet.add('one', 1);
     await fleet.add('two');
--- a/src/peers/test/peers.test.ts
+++ b/src/peers/test/peers.test.ts
@@ -11,7 +11,7 @@
 import { PeerLink } from '../node/peerLink.js';
 
 const SILENCE_MS = 100;
-/** An answer must not take so long, however busy the machine. */
+/** Longer than an answer takes even on a busy machine. */
 const LINK_SILENCE_MS = 1_000;
 const address = (port: number) => ({ host: '127.0.0.1', port });
 
@@ -27,14 +27,14 @@
 const daemons = (count: number): readonly DaemonInstance[] =>
   Array.from({ length: count }, (_, index) => daemon(`d${String(index).padStart(3, '0')}`));
 
-describe('links between daemons', () => {
-  // Each daemon beats to few; a hint that each passes on to those few must reach all.
+describe('the links between daemons', () => {
+  // Each daemon sends heartbeats to a few peers only; a hint passed on that way must reach all.
   it.each([
     [1, 0],
     [2, 1],
     [7, 3],
     [70, 7],
-  ])('of %i daemons are %i for each and reach everybody', (count, linkCount) => {
+  ])('connect all of %i daemons with %i links each', (count, linkCount) => {
     const all = daemons(count);
     const links = new Map(all.map(({ id }) => [id, chosenPeers(all, id).map((peer) => peer.id)]));
     links.forEach((ids) => expect(new Set(ids).size).toBe(linkCount));
@@ -45,9 +45,9 @@
     expect(reached.size).toBe(count);
   });
 
-  // A third of the daemons has gone and the list still names them: a hint that is passed to them
-  // goes no further. Without links in their stead some daemons hear of it only by their own look.
-  it.each([7, 70])('reach all that are left of %i when a third is gone', (count) => {
+  // A third of the daemons is gone, but the instance list still names them, and they pass no hints
+  // on. Without replacement links, some daemons learn of a change only when they poll for it.
+  it.each([7, 70])('connect the remaining daemons when a third of %i is gone', (count) => {
     const all = daemons(count);
     const gone = new Set(all.filter((_, index) => index % 3 === 1).map(({ id }) => id));
     const left = all.filter(({ id }) => !gone.has(id));
@@ -60,14 +60,15 @@
       reached = new Set([...reached, ...next.filter((id) => !gone.has(id))]);
     }
     expect(reached.size).toBe(left.length);
-    // What is gone stays linked, or nobody would notice that it is back.
+    // A gone daemon stays linked, because otherwise its return would go unnoticed.
     const all0 = chosenPeers(all, 'd000').map(({ id }) => id);
     expect(links.get('d000')?.map(({ id }) => id)).toEqual(expect.arrayContaining(all0));
     links.forEach((peers) => expect(peers.length).toBeLessThanOrEqual(linkCount * 2));
   });
 
-  // A daemon was replaced under its id at another port; the old link would knock there for ever.
-  it('are made anew when an address has changed', () => {
+  // When a daemon restarts under its id at another port, the old link would retry the old port
+  // forever.
+  it('are replaced when the address of a daemon changes', () => {
     const linked = new Map([['d1', daemon('d1')]]);
     const moved = { ...daemon('d1'), peerAddress: address(9) };
     expect(peerChanges(linked, [moved])).toEqual({ added: [moved], removedIds: ['d1'] });
@@ -75,8 +76,8 @@
   });
 });
 
-describe('the daemons there are', () => {
-  it('are the listed ones, corrected by what was seen', () => {
+describe('the member states', () => {
+  it('follow the instance list, corrected by observations', () => {
     const listed = [
       daemon('heard'),
       daemon('silent'),
@@ -107,9 +108,9 @@
   const cleanups: Disposable[] = [];
   afterEach(() => cleanups.splice(0).forEach((item) => item.dispose()));
 
-  // Something between two daemons has lost track of their connection: it stays open, takes what
-  // is written and delivers nothing, while a new connection works. Without being replaced the
-  // peer would look dead until one of the two restarts.
+  // A device between two daemons has lost track of their connection: the connection stays open,
+  // accepts writes and delivers nothing, while a new connection works. If the connection were not
+  // replaced, the peer would look dead until one of the daemons restarts.
   it('is replaced by a new one', async () => {
     const sockets: Socket[] = [];
     const server = createServer((socket) => {
--- a/src/peers/test/silentPeers.test.ts
+++ b/src/peers/test/silentPeers.test.ts
@@ -10,7 +10,7 @@
 import { PeerService } from '../node/peerService.js';
 
 const HOST = '127.0.0.1';
-/** Waits for a state; the test's own timeout bounds it. */
+/** Options for polling a state; the timeout of the test bounds the wait, too. */
 const PATIENT = { timeout: 20_000 };
 const never = (): Disposable => toDisposable(() => {});
 const cleanups: (() => unknown)[] = [];
@@ -39,7 +39,7 @@
   operatorAddress: { host: HOST, port: 1 },
 });
 
-/** A daemon's peer link whose instance list names these others. */
+/** Starts the peer service of a daemon whose instance list names the daemon and the others. */
 const startPeer = async (
   id: string,
   others: readonly DaemonInstance[],
@@ -65,13 +65,13 @@
 };
 
 describe('the connection between two daemons', () => {
-  // Something between the daemons forgets their connection in one direction or in both: what is
-  // written vanishes and nothing closes, while new connections work. Each must take the other for
-  // silent, close the connection, hear it again over a new one, and the accepting side must not
-  // keep the old one either. By the settings' defaults that takes 3 s + 1 s at most, and 6 s for
-  // the accepting side.
+  // A device between the daemons loses track of their connection in one direction or both: written
+  // data vanishes and nothing closes, while new connections work. The linking daemon must detect
+  // the silence, close the connection and hear its peer over a new one. The accepting daemon must
+  // close the old connection as well. With the default settings this takes at most 3 s + 1 s, and
+  // 6 s for the accepting daemon.
   it.each([Silence.ToServer, Silence.ToClient, Silence.Both])(
-    'is told as silent, closed and replaced: %s',
+    'is detected as silent, closed and replaced (lost direction: %s)',
     async (way) => {
       const counters = new Map<string, number>();
       const count = (name: string): unknown => counters.set(name, (counters.get(name) ?? 0) + 1);
@@ -91,7 +91,7 @@
       await expect.poll(() => accepting.service.members.get('d1'), PATIENT).toBe('live');
       await expect.poll(() => relay.openSilentCount, PATIENT).toBe(0);
       expect(counters.get('peer_link_replaced')).toBeGreaterThan(0);
-      // Both sides have closed it: what the relay held to the accepting daemon is closed, too.
+      // Both daemons have closed the old connection, so one from the relay to the server remains.
       await expect.poll(() => relay.openToServerCount, PATIENT).toBe(1);
     },
     30_000,
