--- a/src/base/node/jsonText.ts
+++ b/src/base/node/jsonText.ts
@@ -4,7 +4,7 @@
 import { JsonForm, jsonPieces } from '../common/json.js';
 
 /** Characters serialised per turn of the event loop: a fraction of a millisecond of work. */
-const TURN_LENGTH = 20_000;
+const TURN_CHARACTERS = 20_000;
 
 /**
  * Serialises a value to JSON. The plan for a job of 10,000 tasks is a megabyte of JSON, and
@@ -16,13 +16,13 @@
   form: JsonForm = JsonForm.Plain,
 ): Promise<string> => {
   const written: string[] = [];
-  let lengthSinceTurn = 0;
+  let charactersSinceTurn = 0;
   // eslint-disable-next-line no-restricted-syntax -- the generator creates the pieces on demand
   for (const piece of jsonPieces(value, form)) {
     written.push(piece);
-    lengthSinceTurn += piece.length;
-    if (lengthSinceTurn > TURN_LENGTH) {
-      lengthSinceTurn = 0;
+    charactersSinceTurn += piece.length;
+    if (charactersSinceTurn > TURN_CHARACTERS) {
+      charactersSinceTurn = 0;
       // eslint-disable-next-line no-await-in-loop -- yields to the event loop
       await nextTurn();
     }
--- a/src/intake/node/submissionIntake.ts
+++ b/src/intake/node/submissionIntake.ts
@@ -26,7 +26,7 @@
   type TableService,
   TransactionOutcome,
 } from '../../services/table/common/table.js';
-import { StoreReach } from '../common/storeReach.js';
+import { StoreCircuitBreaker } from '../common/storeCircuitBreaker.js';
 import { acceptTransaction, cancelTransaction } from '../common/submissionTransactions.js';
 
 /** Delay between attempts to resolve a write; several fit into a caller's timeout. */
@@ -35,7 +35,7 @@
  * Share of the caller's timeout after which the intake stops resolving a write. The caller uses
  * the rest to send the same id to another instance, which finds or stores the submission.
  */
-const RESOLVE_SHARE = 0.45;
+const RESOLVE_TIMEOUT_SHARE = 0.45;
 
 export interface SubmissionIntakeServices {
   readonly table: TableService;
@@ -50,7 +50,7 @@
 export class SubmissionIntake {
   readonly #services: SubmissionIntakeServices;
 
-  readonly #reach = new StoreReach();
+  readonly #circuitBreaker = new StoreCircuitBreaker();
 
   constructor(services: SubmissionIntakeServices) {
     this.#services = services;
@@ -68,39 +68,39 @@
     const isAccepted = !isLeft(result);
     const isRefused = isLeft(result) && result.left.workOutcome === WorkOutcome.NotRun;
     if (isAccepted) metrics.recordMs('submission_store_duration', clock.nowMs() - arrivedAtMs);
-    const failed = isRefused ? 'refused' : 'unresolved';
-    metrics.count('submissions', { outcome: isAccepted ? 'accepted' : failed });
+    const failureOutcome = isRefused ? 'refused' : 'unresolved';
+    metrics.count('submissions', { outcome: isAccepted ? 'accepted' : failureOutcome });
     return result;
   }
 
   async #store(submission: Submission, timeoutMs: number): Promise<Either<Failure, undefined>> {
     const { table, clock, newOperationId } = this.#services;
-    const endsAtMs = clock.nowMs() + timeoutMs * RESOLVE_SHARE;
-    if (!this.#reach.mayTry(clock.nowMs())) {
+    const resolveUntilMs = clock.nowMs() + timeoutMs * RESOLVE_TIMEOUT_SHARE;
+    if (!this.#circuitBreaker.allowCall(clock.nowMs())) {
       const cause = failure(ErrorKind.StoreUnavailable, 'the store does not answer');
       return this.#refused(submission, cause);
     }
     const transaction = acceptTransaction(submission, newOperationId());
-    let mayLand = false;
+    let mayBeStored = false;
     do {
       // Each attempt depends on the result of the previous one.
       // eslint-disable-next-line no-await-in-loop
       const result = await table.transact(transaction)();
-      this.#noteReach(result);
+      this.#recordCallResult(result);
       if (isLeft(result)) {
-        mayLand ||= result.left.kind !== ErrorKind.StoreUnavailable;
-        if (!mayLand) return this.#refused(submission, result.left);
+        mayBeStored ||= result.left.kind !== ErrorKind.StoreUnavailable;
+        if (!mayBeStored) return this.#refused(submission, result.left);
         // eslint-disable-next-line no-await-in-loop
         await delay(RESOLVE_RETRY_MS);
       } else if (result.right.outcome === TransactionOutcome.Committed) {
         return this.#accepted(submission);
       } else {
         // eslint-disable-next-line no-await-in-loop
-        const known = await this.#resolve(submission);
-        if (known !== undefined) return known;
-        mayLand = true;
+        const resolved = await this.#resolveConflict(submission);
+        if (resolved !== undefined) return resolved;
+        mayBeStored = true;
       }
-    } while (clock.nowMs() < endsAtMs);
+    } while (clock.nowMs() < resolveUntilMs);
     this.#services.log.warn('submission-unresolved', { id: submission.id });
     return left({
       ...failure(ErrorKind.StoreAnswerLost, 'whether the submission is stored is not known'),
@@ -109,8 +109,8 @@
   }
 
   /** Whether the store answered the latest attempt to store a submission. */
-  get isStoreReached(): boolean {
-    return !this.#reach.isSilent;
+  get isStoreReachable(): boolean {
+    return !this.#circuitBreaker.isOpen;
   }
 
   /** Reads the state of a submission; fails with `unknown-object` if the id was never submitted. */
@@ -156,10 +156,10 @@
     return right(counts.data.byQueue[queueName] ?? 0);
   }
 
-  #noteReach(result: Either<Failure, unknown>): void {
-    const isSilent = isLeft(result) && result.left.kind === ErrorKind.StoreAnswerLost;
-    if (isSilent) this.#reach.noteSilence(this.#services.clock.nowMs());
-    else this.#reach.noteAnswer();
+  #recordCallResult(result: Either<Failure, unknown>): void {
+    const isUnanswered = isLeft(result) && result.left.kind === ErrorKind.StoreAnswerLost;
+    if (isUnanswered) this.#circuitBreaker.recordSilence(this.#services.clock.nowMs());
+    else this.#circuitBreaker.recordAnswer();
   }
 
   #accepted(submission: Submission): Either<Failure, undefined> {
@@ -177,7 +177,7 @@
    * Finds out why a condition failed: the submission is stored already, or it was cancelled before
    * it arrived. Undefined when the read fails or finds neither row.
    */
-  async #resolve(submission: Submission): Promise<Either<Failure, undefined> | undefined> {
+  async #resolveConflict(submission: Submission): Promise<Either<Failure, undefined> | undefined> {
     const { id } = submission;
     const keys = [specKey(id), cancelKey(id)];
     const result = await this.#services.table.read({ keys, prefixes: [] })();
--- a/src/peers/common/peerTable.ts
+++ b/src/peers/common/peerTable.ts
@@ -5,7 +5,7 @@
 } from '../../services/instanceList/common/instanceList.js';
 
 /** The links to open and to close after the selected peers have changed. */
-export interface PeerChanges {
+export interface LinkChanges {
   readonly added: readonly DaemonInstance[];
   readonly removedIds: readonly string[];
 }
@@ -27,19 +27,21 @@
   isGone: (id: string) => boolean = () => false,
 ): readonly DaemonInstance[] => {
   const others = listed.filter(({ id }) => id !== ownId).sort((a, b) => (a.id < b.id ? -1 : 1));
-  const ownPlace = others.filter(({ id }) => id < ownId).length;
-  const at = (offset: number): DaemonInstance =>
-    others[(ownPlace + offset - 1) % others.length] as DaemonInstance;
-  const chosen = new Set<DaemonInstance>();
+  const ownIndex = others.filter(({ id }) => id < ownId).length;
+  const peerAt = (offset: number): DaemonInstance =>
+    others[(ownIndex + offset - 1) % others.length] as DaemonInstance;
+  const selected = new Set<DaemonInstance>();
   for (let offset = 1; offset <= others.length; offset *= 2) {
-    chosen.add(at(offset));
-    if (isGone(at(offset).id)) {
+    selected.add(peerAt(offset));
+    if (isGone(peerAt(offset).id)) {
       const offsets = Array.from({ length: others.length }, (_, step) => offset + step + 1);
-      const standIn = offsets.map(at).find((peer) => !isGone(peer.id) && !chosen.has(peer));
-      if (standIn !== undefined) chosen.add(standIn);
+      const replacement = offsets
+        .map(peerAt)
+        .find((peer) => !isGone(peer.id) && !selected.has(peer));
+      if (replacement !== undefined) selected.add(replacement);
     }
   }
-  return [...chosen];
+  return [...selected];
 };
 
 /**
@@ -47,15 +49,15 @@
  * the process has restarted. Its link is replaced, since the old one would retry the old address
  * forever.
  */
-export const peerChanges = (
+export const linkChanges = (
   linked: ReadonlyMap<string, DaemonInstance>,
   wanted: readonly DaemonInstance[],
-): PeerChanges => {
-  const isSame = ({ id, peerAddress }: DaemonInstance): boolean => {
-    const known = linked.get(id)?.peerAddress;
-    return known?.host === peerAddress.host && known.port === peerAddress.port;
+): LinkChanges => {
+  const isUnchanged = ({ id, peerAddress }: DaemonInstance): boolean => {
+    const linkedAddress = linked.get(id)?.peerAddress;
+    return linkedAddress?.host === peerAddress.host && linkedAddress.port === peerAddress.port;
   };
-  const keptIds = new Set(wanted.filter(isSame).map(({ id }) => id));
+  const keptIds = new Set(wanted.filter(isUnchanged).map(({ id }) => id));
   return {
     added: wanted.filter(({ id }) => !keptIds.has(id)),
     removedIds: [...linked.keys()].filter((id) => !keptIds.has(id)),
@@ -92,7 +94,7 @@
  * that is listed as live may be silent, and a daemon that was heard recently counts before it is
  * listed. Daemons may derive different states, so nothing that needs agreement may depend on them.
  */
-export const members = (
+export const memberStates = (
   listed: readonly DaemonInstance[],
   linkedIds: ReadonlySet<string>,
   observed: ReadonlyMap<string, PeerObservation>,
@@ -102,12 +104,13 @@
   const listedStates = new Map(listed.map(({ id, state }) => [id, state]));
   const ids = new Set([...listedStates.keys(), ...observed.keys()]);
   const stateOf = (id: string): MemberState | undefined => {
-    const seen = observed.get(id);
-    const isHeard = seen !== undefined && !isSilent(seen.heardAtMs, silenceTimeoutMs, nowMs);
+    const observation = observed.get(id);
+    const isHeardRecently =
+      observation !== undefined && !isSilent(observation.heardAtMs, silenceTimeoutMs, nowMs);
     if (listedStates.get(id) === InstanceState.Leaving) return MemberState.Leaving;
-    if (isHeard) return seen.isLeaving ? MemberState.Leaving : MemberState.Live;
+    if (isHeardRecently) return observation.isLeaving ? MemberState.Leaving : MemberState.Live;
     if (!listedStates.has(id)) return undefined;
-    if (seen?.isLeaving === true) return MemberState.Leaving;
+    if (observation?.isLeaving === true) return MemberState.Leaving;
     return linkedIds.has(id) ? MemberState.Silent : MemberState.Unobserved;
   };
   const states = [...ids].map((id): [string, MemberState | undefined] => [id, stateOf(id)]);
--- a/src/peers/node/peerLink.ts
+++ b/src/peers/node/peerLink.ts
@@ -10,9 +10,12 @@
 import { Hop, type Tracing } from '../../services/tracing/common/tracing.js';
 import { type Heartbeat, HEARTBEAT_METHOD, heartbeatSchema } from '../common/peerMessages.js';
 import { isSilent } from '../common/peerTable.js';
-import { readLines, writeLine } from './peerLines.js';
+import { readLines, writeLine } from './jsonLines.js';
 
-/** Has at most one connection to its peer. The owner calls `beat` at the heartbeat interval. */
+/**
+ * Has at most one connection to its peer. The owner calls `sendHeartbeat` at the heartbeat
+ * interval.
+ */
 export class PeerLink implements Disposable {
   readonly #address: InstanceAddress;
 
@@ -46,9 +49,10 @@
   }
 
   /** Sends a heartbeat and returns the peer's answer; undefined if no valid answer arrives. */
-  async beat(heartbeat: Heartbeat): Promise<Heartbeat | undefined> {
-    if (isSilent(this.#heardAtMs, this.#silenceTimeoutMs, this.#clock.nowMs())) this.#reset();
-    const client = this.#client ?? this.#open();
+  async sendHeartbeat(heartbeat: Heartbeat): Promise<Heartbeat | undefined> {
+    if (isSilent(this.#heardAtMs, this.#silenceTimeoutMs, this.#clock.nowMs()))
+      this.#closeConnection();
+    const client = this.#client ?? this.#connect();
     const span = this.#tracing.startTrace(Hop.PeerCall, undefined, { call: HEARTBEAT_METHOD });
     try {
       const answer: unknown = await client
@@ -71,13 +75,13 @@
     this.#socket?.destroy();
   }
 
-  #open(): JSONRPCClient {
+  #connect(): JSONRPCClient {
     const socket = connect(this.#address.port, this.#address.host);
     const client = new JSONRPCClient((payload) => writeLine(socket, this.#metrics, payload));
     socket.on('error', () => {});
     socket.on('close', () => {
       client.rejectAllPendingRequests('the connection closed');
-      if (this.#socket === socket) this.#forget();
+      if (this.#socket === socket) this.#clearConnection();
     });
     readLines<JSONRPCResponse>(socket, this.#metrics, (line) => client.receive(line));
     this.#socket = socket;
@@ -86,13 +90,13 @@
     return client;
   }
 
-  #reset(): void {
+  #closeConnection(): void {
     this.#metrics.count('peer_link_replaced');
     this.#socket?.destroy();
-    this.#forget();
+    this.#clearConnection();
   }
 
-  #forget(): void {
+  #clearConnection(): void {
     this.#socket = undefined;
     this.#client = undefined;
   }
--- a/src/peers/node/peerService.ts
+++ b/src/peers/node/peerService.ts
@@ -16,20 +16,20 @@
 import { type Heartbeat, HEARTBEAT_METHOD, heartbeatSchema } from '../common/peerMessages.js';
 import {
   chosenPeers,
-  members,
+  memberStates,
   MemberState,
-  peerChanges,
+  linkChanges,
   type PeerObservation,
   servingCount,
 } from '../common/peerTable.js';
-import { readLines, writeLine } from './peerLines.js';
+import { readLines, writeLine } from './jsonLines.js';
 import { PeerLink } from './peerLink.js';
 
 const isGone = (state: MemberState | undefined): boolean =>
   state === MemberState.Silent || state === MemberState.Leaving;
 
 /** A configuration change is announced immediately, but in a burst at most once per interval. */
-const MINIMUM_BEAT_SPACING_MS = 200;
+const MINIMUM_HEARTBEAT_SPACING_MS = 200;
 
 export class PeerService implements Disposable {
   readonly #settings: Settings;
@@ -52,17 +52,17 @@
 
   readonly #links = new Map<string, PeerLink>();
 
-  readonly #linked = new Map<string, DaemonInstance>();
+  readonly #linkedPeers = new Map<string, DaemonInstance>();
 
-  readonly #observed = new Map<string, PeerObservation>();
+  readonly #observations = new Map<string, PeerObservation>();
 
   readonly #subscription: Disposable;
 
   readonly #didChangeMembers = new Emitter<void>();
 
-  #membersText = '';
+  #lastMembersText = '';
 
-  #beatAtMs = Number.NEGATIVE_INFINITY;
+  #lastHeartbeatAtMs = Number.NEGATIVE_INFINITY;
 
   #isLeaving = false;
 
@@ -84,13 +84,13 @@
     this.#tracing = tracing;
     this.#rpc.addMethod(HEARTBEAT_METHOD, (parameters: unknown) => {
       const heartbeat = heartbeatSchema.parse(parameters);
-      const span = this.#answerSpan(heartbeat);
+      const span = this.#startAnswerSpan(heartbeat);
       this.#handleHeartbeat(heartbeat);
       span?.end({ outcome: 'answered' });
       return this.#ownHeartbeat();
     });
     this.#server = createServer((socket) => this.#handleConnection(socket));
-    this.#subscription = configuration.onDidChange(() => this.#tellOn());
+    this.#subscription = configuration.onDidChange(() => this.#announceConfiguration());
   }
 
   /** Starts to listen and to send heartbeats; returns the port, which the system chooses for 0. */
@@ -99,7 +99,9 @@
       this.#server.once('error', reject);
       this.#server.listen(port, host, resolve);
     });
-    this.#timer = new PeriodicTimer(this.#settings.peers.heartbeatIntervalMs, () => this.#beat());
+    this.#timer = new PeriodicTimer(this.#settings.peers.heartbeatIntervalMs, () =>
+      this.#runHeartbeatRound(),
+    );
     const address = this.#server.address();
     return address === null || typeof address === 'string' ? port : address.port;
   }
@@ -107,10 +109,10 @@
   /** The states of all daemons that this daemon knows, itself included, by id. */
   get members(): ReadonlyMap<string, MemberState> {
     const listed = this.#directory.instances.filter(isDaemon);
-    const linkedIds = new Set(this.#linked.keys());
+    const linkedIds = new Set(this.#linkedPeers.keys());
     const { silenceTimeoutMs } = this.#settings.peers;
     const nowMs = this.#clock.nowMs();
-    const others = members(listed, linkedIds, this.#observed, silenceTimeoutMs, nowMs);
+    const others = memberStates(listed, linkedIds, this.#observations, silenceTimeoutMs, nowMs);
     const own = this.#isLeaving ? MemberState.Leaving : MemberState.Live;
     return new Map([...others, [this.#settings.instanceId, own]]);
   }
@@ -128,7 +130,7 @@
   /** Announces to the peers that this daemon is leaving, before the platform's list shows it. */
   announceLeaving(): void {
     this.#isLeaving = true;
-    this.#links.forEach((link) => void this.#beatOne(link));
+    this.#links.forEach((link) => void this.#exchangeHeartbeat(link));
   }
 
   dispose(): void {
@@ -140,16 +142,16 @@
     this.#server.close();
   }
 
-  #beat(): void {
-    this.#beatAtMs = this.#clock.nowMs();
+  #runHeartbeatRound(): void {
+    this.#lastHeartbeatAtMs = this.#clock.nowMs();
     const listed = this.#directory.instances.filter(isDaemon);
-    const known = this.members;
-    const wanted = chosenPeers(listed, this.#settings.instanceId, (id) => isGone(known.get(id)));
-    const changes = peerChanges(this.#linked, wanted);
+    const states = this.members;
+    const wanted = chosenPeers(listed, this.#settings.instanceId, (id) => isGone(states.get(id)));
+    const changes = linkChanges(this.#linkedPeers, wanted);
     changes.removedIds.forEach((id) => {
       this.#links.get(id)?.dispose();
       this.#links.delete(id);
-      this.#linked.delete(id);
+      this.#linkedPeers.delete(id);
     });
     changes.added.forEach((peer) => {
       const { silenceTimeoutMs } = this.#settings.peers;
@@ -161,41 +163,41 @@
         silenceTimeoutMs,
       );
       this.#links.set(peer.id, link);
-      this.#linked.set(peer.id, peer);
+      this.#linkedPeers.set(peer.id, peer);
     });
-    this.#forgetGone();
-    this.#links.forEach((link) => void this.#beatOne(link));
-    this.#noteMembers();
+    this.#removeGoneObservations();
+    this.#links.forEach((link) => void this.#exchangeHeartbeat(link));
+    this.#updateMembers();
   }
 
-  #noteMembers(): void {
-    const known = this.members;
-    const silent = [...known.values()].filter((state) => state === MemberState.Silent);
+  #updateMembers(): void {
+    const states = this.members;
+    const silent = [...states.values()].filter((state) => state === MemberState.Silent);
     this.#metrics.gauge('peers_silent', silent.length);
-    const text = [...known].map((entry) => entry.join()).join(';');
-    if (text === this.#membersText) return;
-    this.#membersText = text;
+    const text = [...states].map((entry) => entry.join()).join(';');
+    if (text === this.#lastMembersText) return;
+    this.#lastMembersText = text;
     this.#didChangeMembers.fire();
   }
 
   /** Removes observations of daemons that are gone; they would pile up, as daemons often change. */
-  #forgetGone(): void {
-    const live = this.members;
-    [...this.#observed.keys()]
-      .filter((id) => !live.has(id))
+  #removeGoneObservations(): void {
+    const states = this.members;
+    [...this.#observations.keys()]
+      .filter((id) => !states.has(id))
       .forEach((id) => {
-        this.#observed.delete(id);
+        this.#observations.delete(id);
       });
   }
 
-  #tellOn(): void {
-    if (this.#clock.nowMs() - this.#beatAtMs < MINIMUM_BEAT_SPACING_MS) return;
-    this.#beatAtMs = this.#clock.nowMs();
-    this.#links.forEach((link) => void this.#beatOne(link));
+  #announceConfiguration(): void {
+    if (this.#clock.nowMs() - this.#lastHeartbeatAtMs < MINIMUM_HEARTBEAT_SPACING_MS) return;
+    this.#lastHeartbeatAtMs = this.#clock.nowMs();
+    this.#links.forEach((link) => void this.#exchangeHeartbeat(link));
   }
 
-  async #beatOne(link: PeerLink): Promise<void> {
-    const answer = await link.beat(this.#ownHeartbeat());
+  async #exchangeHeartbeat(link: PeerLink): Promise<void> {
+    const answer = await link.sendHeartbeat(this.#ownHeartbeat());
     if (answer !== undefined) this.#handleHeartbeat(answer);
   }
 
@@ -208,7 +210,7 @@
   }
 
   /** Starts the answering span of a sampled call; undefined if the sender did not sample it. */
-  #answerSpan({ traceparent, instanceId }: Heartbeat): TraceSpan | undefined {
+  #startAnswerSpan({ traceparent, instanceId }: Heartbeat): TraceSpan | undefined {
     if (traceparent === undefined) return undefined;
     const fields = { call: HEARTBEAT_METHOD, from: instanceId };
     return this.#tracing.startTrace(Hop.PeerCall, traceparent, fields);
@@ -216,9 +218,9 @@
 
   #handleHeartbeat(heartbeat: Heartbeat): void {
     const { instanceId, isLeaving } = heartbeat;
-    const hasLeft = isLeaving && this.#observed.get(instanceId)?.isLeaving !== true;
-    this.#observed.set(instanceId, { heardAtMs: this.#clock.nowMs(), isLeaving });
-    if (hasLeft) this.#noteMembers();
+    const isNewlyLeaving = isLeaving && this.#observations.get(instanceId)?.isLeaving !== true;
+    this.#observations.set(instanceId, { heardAtMs: this.#clock.nowMs(), isLeaving });
+    if (isNewlyLeaving) this.#updateMembers();
     const ownVersion = this.#configuration.current?.version ?? 0;
     const { configurationVersion } = heartbeat;
     if (configurationVersion > ownVersion) void this.#configuration.refresh(configurationVersion);
--- a/src/peers/test/peerService.test.ts
+++ b/src/peers/test/peerService.test.ts
@@ -74,7 +74,7 @@
 }
 
 /** Polls until the condition holds; the timeout of the test bounds the wait. */
-const until = async (isReached: () => boolean): Promise<void> => {
+const waitUntil = async (isReached: () => boolean): Promise<void> => {
   while (!isReached()) {
     // eslint-disable-next-line no-await-in-loop
     await new Promise((resolve) => {
@@ -97,17 +97,17 @@
   it('excludes a leaving daemon before the instance list does', async () => {
     const fleet = createFleet();
     const [one, two] = [await fleet.add('one'), await fleet.add('two')];
-    await until(() => one.members.get('two') === MemberState.Live);
+    await waitUntil(() => one.members.get('two') === MemberState.Live);
     expect(one.servingCount).toBe(2);
     let changeCount = 0;
     one.onDidChangeMembers(() => {
       changeCount += 1;
     });
     two.announceLeaving();
-    await until(() => one.members.get('two') === MemberState.Leaving);
+    await waitUntil(() => one.members.get('two') === MemberState.Leaving);
     expect(one.servingCount).toBe(1);
     expect(two.members.get('two')).toBe(MemberState.Leaving);
-    await until(() => changeCount > 0);
+    await waitUntil(() => changeCount > 0);
   });
 
   // An entry instance has started and takes requests, but the instance list does not name it yet.
@@ -118,7 +118,7 @@
     const [listedOne] = fleet.instances;
     // The new daemon finds the other one in the list. Then the list stops naming the new daemon.
     const listed = fleet.instances;
-    await until(() => one.members.get('two') === MemberState.Live);
+    await waitUntil(() => one.members.get('two') === MemberState.Live);
     fleet.instances = [listedOne as Instance];
     expect(one.members.get('two')).toBe(MemberState.Live);
     expect(one.servingCount).toBe(2);
@@ -133,15 +133,15 @@
     const fleet = createFleet();
     await fleet.add('one', 1);
     await fleet.add('two');
-    const spansOfTwo = () => {
+    const answerSpans = () => {
       const ring = fleet.tracings.get('two')?.ring;
       return ring?.traceIds().flatMap((id) => ring.find(id)) ?? [];
     };
-    await until(() => spansOfTwo().length > 0);
-    const [answer] = spansOfTwo();
-    const asked = () => fleet.tracings.get('one')?.ring.find(answer?.traceId ?? '') ?? [];
-    await until(() => asked().length > 0);
-    expect(asked().map(({ spanId }) => spanId)).toContain(answer?.parentSpanId);
+    await waitUntil(() => answerSpans().length > 0);
+    const [answer] = answerSpans();
+    const requestSpans = () => fleet.tracings.get('one')?.ring.find(answer?.traceId ?? '') ?? [];
+    await waitUntil(() => requestSpans().length > 0);
+    expect(requestSpans().map(({ spanId }) => spanId)).toContain(answer?.parentSpanId);
     expect(answer?.fields).toMatchObject({ call: 'heartbeat', from: 'one' });
   });
 });
--- a/src/peers/test/peers.test.ts
+++ b/src/peers/test/peers.test.ts
@@ -7,7 +7,7 @@
 import type { DaemonInstance } from '../../services/instanceList/common/instanceList.js';
 import { silentMetrics } from '../../services/metrics/common/metrics.js';
 import { silentTracing } from '../../services/tracing/common/tracing.js';
-import { chosenPeers, members, MemberState, peerChanges } from '../common/peerTable.js';
+import { chosenPeers, memberStates, MemberState, linkChanges } from '../common/peerTable.js';
 import { PeerLink } from '../node/peerLink.js';
 
 const SILENCE_MS = 100;
@@ -50,19 +50,19 @@
   it.each([7, 70])('connect the remaining daemons when a third of %i is gone', (count) => {
     const all = daemons(count);
     const gone = new Set(all.filter((_, index) => index % 3 === 1).map(({ id }) => id));
-    const left = all.filter(({ id }) => !gone.has(id));
+    const remaining = all.filter(({ id }) => !gone.has(id));
     const isGone = (id: string): boolean => gone.has(id);
-    const links = new Map(left.map(({ id }) => [id, chosenPeers(all, id, isGone)]));
+    const links = new Map(remaining.map(({ id }) => [id, chosenPeers(all, id, isGone)]));
     const linkCount = chosenPeers(all, 'd000').length;
     let reached = new Set(['d000']);
     for (let step = 0; step < linkCount; step += 1) {
       const next = [...reached].flatMap((id) => links.get(id)?.map((peer) => peer.id) ?? []);
       reached = new Set([...reached, ...next.filter((id) => !gone.has(id))]);
     }
-    expect(reached.size).toBe(left.length);
+    expect(reached.size).toBe(remaining.length);
     // A gone daemon stays linked, because otherwise its return would go unnoticed.
-    const all0 = chosenPeers(all, 'd000').map(({ id }) => id);
-    expect(links.get('d000')?.map(({ id }) => id)).toEqual(expect.arrayContaining(all0));
+    const selectedIds = chosenPeers(all, 'd000').map(({ id }) => id);
+    expect(links.get('d000')?.map(({ id }) => id)).toEqual(expect.arrayContaining(selectedIds));
     links.forEach((peers) => expect(peers.length).toBeLessThanOrEqual(linkCount * 2));
   });
 
@@ -71,8 +71,8 @@
   it('are replaced when the address of a daemon changes', () => {
     const linked = new Map([['d1', daemon('d1')]]);
     const moved = { ...daemon('d1'), peerAddress: address(9) };
-    expect(peerChanges(linked, [moved])).toEqual({ added: [moved], removedIds: ['d1'] });
-    expect(peerChanges(linked, [daemon('d1')])).toEqual({ added: [], removedIds: [] });
+    expect(linkChanges(linked, [moved])).toEqual({ added: [moved], removedIds: ['d1'] });
+    expect(linkChanges(linked, [daemon('d1')])).toEqual({ added: [], removedIds: [] });
   });
 });
 
@@ -92,7 +92,7 @@
       ['new', { heardAtMs: 990, isLeaving: false }],
       ['gone', { heardAtMs: 100, isLeaving: false }],
     ]);
-    const states = members(listed, new Set(['heard', 'silent']), observed, SILENCE_MS, 1_000);
+    const states = memberStates(listed, new Set(['heard', 'silent']), observed, SILENCE_MS, 1_000);
     expect(Object.fromEntries(states)).toEqual({
       heard: MemberState.Live,
       silent: MemberState.Silent,
@@ -141,7 +141,11 @@
       },
     });
     const own = { instanceId: 'own', configurationVersion: 1, isLeaving: false };
-    const answers = [await link.beat(own), await link.beat(own), await link.beat(own)];
+    const answers = [
+      await link.sendHeartbeat(own),
+      await link.sendHeartbeat(own),
+      await link.sendHeartbeat(own),
+    ];
     expect(answers[0]).toBeUndefined();
     expect(answers[2]).toEqual({ instanceId: 'peer', configurationVersion: 7, isLeaving: false });
     expect(sockets).toHaveLength(2);
--- a/src/peers/test/silentPeers.test.ts
+++ b/src/peers/test/silentPeers.test.ts
@@ -11,8 +11,8 @@
 
 const HOST = '127.0.0.1';
 /** Options for polling a state; the timeout of the test bounds the wait, too. */
-const PATIENT = { timeout: 20_000 };
-const never = (): Disposable => toDisposable(() => {});
+const POLL_OPTIONS = { timeout: 20_000 };
+const noEvent = (): Disposable => toDisposable(() => {});
 const cleanups: (() => unknown)[] = [];
 afterEach(async () => {
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
@@ -48,10 +48,10 @@
   const configuration = {
     current: undefined,
     confirmedAtMs: 0,
-    onDidChange: never,
+    onDidChange: noEvent,
     refresh: () => Promise.resolve(),
   };
-  const directory = { instances: [daemon(id, 1), ...others], onDidChange: never };
+  const directory = { instances: [daemon(id, 1), ...others], onDidChange: noEvent };
   const service = new PeerService(
     settingsOf(id),
     configuration,
@@ -72,7 +72,7 @@
   // 6 s for the accepting daemon.
   it.each([Silence.ToServer, Silence.ToClient, Silence.Both])(
     'is detected as silent, closed and replaced (lost direction: %s)',
-    async (way) => {
+    async (direction) => {
       const counters = new Map<string, number>();
       const count = (name: string): unknown => counters.set(name, (counters.get(name) ?? 0) + 1);
       const accepting = await startPeer('d2', []);
@@ -85,14 +85,14 @@
       });
       await expect.poll(() => service.members.get('d2')).toBe('live');
       const countBefore = relay.connectionCount;
-      relay.silenceAll(way);
-      await expect.poll(() => relay.connectionCount, PATIENT).toBeGreaterThan(countBefore);
-      await expect.poll(() => service.members.get('d2'), PATIENT).toBe('live');
-      await expect.poll(() => accepting.service.members.get('d1'), PATIENT).toBe('live');
-      await expect.poll(() => relay.openSilentCount, PATIENT).toBe(0);
+      relay.silenceAll(direction);
+      await expect.poll(() => relay.connectionCount, POLL_OPTIONS).toBeGreaterThan(countBefore);
+      await expect.poll(() => service.members.get('d2'), POLL_OPTIONS).toBe('live');
+      await expect.poll(() => accepting.service.members.get('d1'), POLL_OPTIONS).toBe('live');
+      await expect.poll(() => relay.openSilentCount, POLL_OPTIONS).toBe(0);
       expect(counters.get('peer_link_replaced')).toBeGreaterThan(0);
       // Both daemons have closed the old connection, so one from the relay to the server remains.
-      await expect.poll(() => relay.openToServerCount, PATIENT).toBe(1);
+      await expect.poll(() => relay.openToServerCount, POLL_OPTIONS).toBe(1);
     },
     30_000,
   );
