--- a/src/peers/node/peerService.ts
+++ b/src/peers/node/peerService.ts
@@ -93,7 +93,10 @@
     this.#subscription = configuration.onDidChange(() => this.#announceConfiguration());
   }
 
-  /** Starts to listen and to send heartbeats; returns the port, which the system chooses for 0. */
+  /**
+   * Starts to listen and to send heartbeats; returns the port. For a given port of 0, the system
+   * chooses one.
+   */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.#server.once('error', reject);
