--- a/src/operator/common/confirmation.ts
+++ b/src/operator/common/confirmation.ts
@@ -1,4 +1,4 @@
-/** Decides what confirming a plan means against the rows as they stand now. */
+/** Decides whether a plan can be confirmed against the current rows, and what to write. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import { canonicalJson } from '../../base/common/json.js';
@@ -28,22 +28,23 @@
 export interface ConfirmationRequest {
   readonly planId: string;
   readonly digest: string;
-  /** Who confirms. */
+  /** Name of the operator who confirms. */
   readonly author: string;
 }
 
-/** What an attempt to confirm does next. */
+/** The next step of an attempt to confirm a plan. */
 export type ConfirmationStep =
   | { readonly kind: 'accepted'; readonly plan: Plan }
   | {
       readonly kind: 'write';
-      /** The plan as read, and as it is once the transaction has committed. */
+      /** The plan as read. */
       readonly pending: Plan;
+      /** The plan once the transaction has committed. */
       readonly plan: Plan;
       readonly transaction: Transaction;
     };
 
-/** Keys to read for a decision, once the plan itself is known. */
+/** Keys of the rows that `decideConfirmation` needs for a plan. */
 export const confirmationKeys = (plan: Plan): readonly string[] => [
   planKey(plan.planId),
   VERSION_KEY,
@@ -52,7 +53,7 @@
   ...plan.notifiedCells.map(cellInboxKey),
 ];
 
-/** What the plan lost to: the first key that has changed since the plan was made. */
+/** The first key that has changed since the plan was made; undefined if none has. */
 export const staleKey = (plan: Plan, rows: ReadonlyMap<string, TableRow>): string | undefined =>
   [...plan.steps, ...plan.guards].find(
     ({ key, baseRowVersion }) => (rows.get(key)?.version ?? ABSENT_VERSION) !== baseRowVersion,
@@ -76,7 +77,7 @@
       .map(({ key, before, after }) => ({ key, before, after })),
   });
 
-/** The rows of a plan that the owner of a cell has to read. */
+/** Keys of the rows written by a plan that the owner of a cell has to read. */
 const arrivingKeys = (plan: Plan, cell: string): readonly string[] =>
   plan.steps
     .map(({ key }) => key)
@@ -85,10 +86,10 @@
     );
 
 /**
- * The transaction that accepts a plan: the version row moves by one, the change row tells what
- * was changed, and every row that the plan shows or relies on must still be as it was. The
- * plan's own row is a condition too, so a plan is accepted at most once, however often it is
- * confirmed, and the change row must not exist, so history has one entry for each version.
+ * Builds the transaction that accepts a plan. It increments the version row, writes a change row
+ * that lists what was changed, and requires every row that the plan shows or relies on to be
+ * unchanged. The plan's own row is a condition too, so a plan is accepted at most once, however
+ * often it is confirmed. The change row must not exist, so history has one entry per version.
  */
 const toTransaction = (
   plan: Plan,
@@ -125,7 +126,10 @@
   return { plan: accepted, transaction };
 };
 
-/** What to do about a confirmation; `rows` is one snapshot of `confirmationKeys`. */
+/**
+ * Decides the next step of a confirmation. `rows` is one snapshot of `confirmationKeys`, `nowAt`
+ * an ISO 8601 time. Fails if the plan does not exist, has another digest, has expired or is stale.
+ */
 export const decideConfirmation = (
   request: ConfirmationRequest,
   rows: ReadonlyMap<string, TableRow>,
@@ -160,7 +164,7 @@
   });
 };
 
-/** Invariants on what the operators' side writes; the values name the counters. */
+/** Invariants on the transactions of the operators' interface; the values name the counters. */
 export const WriteInvariant = {
   OnlyPlansBeforeConfirmation: 'invariant_nothing_changes_before_confirmation',
   OnlyWhatWasShown: 'invariant_only_what_was_shown',
@@ -168,16 +172,17 @@
 } as const;
 export type WriteInvariant = (typeof WriteInvariant)[keyof typeof WriteInvariant];
 
-/** Invariant: making or removing plans touches rows of plans and no other. */
+/** Checks the invariant that making or removing plans writes no rows other than plans. */
 export const planningFault = (transaction: Transaction): WriteInvariant | undefined =>
   transaction.writes.every(({ key }) => key.startsWith(PLAN_PREFIX))
     ? undefined
     : WriteInvariant.OnlyPlansBeforeConfirmation;
 
 /**
- * Invariant: a confirmation writes what the plan showed, each row on the condition that it is as
- * shown, and makes the version that follows the one it was decided from. It is checked on what
- * is about to be sent, whatever the code before it came to.
+ * Checks two invariants of a confirmation: it writes exactly the steps that the plan showed, each
+ * on the condition that the row is unchanged, and it creates the version that follows the one in
+ * `rows`. The check looks only at the transaction that is about to be sent, so it is independent
+ * of the code that built it.
  */
 export const confirmationFault = (
   plan: Plan,
@@ -203,8 +208,8 @@
 };
 
 /**
- * Transactions of one confirmation whose answers were lost. Each may have taken effect, or may
- * still do so as long as the rows that it names stand as it found them.
+ * Tracks the transactions of one confirmation whose answers were lost. Each may have taken effect,
+ * or may still take effect while the rows in its conditions are unchanged.
  */
 export class OpenAttempts {
   readonly #versionRowVersions = new Set<number>();
@@ -219,9 +224,10 @@
   }
 
   /**
-   * Takes in a snapshot in which the plan is pending. An attempt that named an older version row
-   * did not take effect and cannot any more. One that names a newer row was made after the
-   * snapshot, which then is an old read and tells nothing of it.
+   * Updates the attempts from a snapshot in which the plan is still pending. An attempt that
+   * requires an older version row did not take effect and no longer can, so it is dropped. An
+   * attempt that requires a newer version row was made after the snapshot. The snapshot is then
+   * out of date and says nothing about that attempt.
    */
   noteStillPending(rows: ReadonlyMap<string, TableRow>): void {
     const current = rows.get(VERSION_KEY)?.version ?? ABSENT_VERSION;
--- a/src/operator/common/dealing.ts
+++ b/src/operator/common/dealing.ts
@@ -1,4 +1,4 @@
-/** Deals a job's tasks out to the availability zones in use. */
+/** Distributes a job's tasks over the availability zones in use. */
 import { fractionOf } from '../../base/common/hash.js';
 import {
   InstanceState,
@@ -7,7 +7,7 @@
 import type { Resources } from '../../services/worker/common/resources.js';
 import type { FreshTasks } from './freshTasks.js';
 
-/** How many tasks of a size an empty worker takes. */
+/** How many tasks of a size fit on an empty worker. */
 const taskCountOn = ({ capacity }: WorkerInstance, size: Resources): number => {
   const limits = [
     size.processorMillis === 0 ? Infinity : capacity.processorMillis / size.processorMillis,
@@ -17,7 +17,10 @@
   return limits.length === 0 ? 1 : Math.floor(Math.min(...limits));
 };
 
-/** How many tasks of the size each zone's workers take; all alike when none is known to. */
+/**
+ * How many tasks of the size fit on each zone's empty workers. Counts live workers; if none of
+ * them has room, all workers; if still none has room, all zones get equal weights.
+ */
 const zoneWeights = (
   workers: readonly WorkerInstance[],
   zones: readonly string[],
@@ -34,20 +37,23 @@
   return candidates.find((weights) => weights.some((weight) => weight > 0)) ?? zones.map(() => 1);
 };
 
-/** Tasks of a job that are dealt to one zone; their indexes follow one another. */
+/** The tasks of a job that go to one zone. Their indexes are consecutive. */
 export interface ZoneShare extends FreshTasks {
   readonly zone: string;
 }
 
 /**
- * The zones that a job's tasks are dealt to, and which tasks each gets. Made for 10,000 jobs a day, most of few
- * tasks: dealt from the first zone on, all one-task jobs came to one cell, which filled up while
- * the others idled. Each job starts at a point of its own, drawn from its id, and its tasks stand
- * at even distances from there on a line of which each zone holds a stretch as long as its share
- * of the capacity. A zone thus gets its share of each job to within one task, also of many small
- * jobs together, and nothing has to be read for it: reading what is free would cost each
- * submission the whole ledger. What that leaves uneven, the cells hand on to each other later.
- * A zone in which no worker is large enough for the task gets none.
+ * Distributes a job's tasks over the zones in proportion to the zones' capacity.
+ *
+ * Each zone covers an interval whose length is its share of the total capacity. The tasks are
+ * spaced evenly over these intervals, from an offset that is a hash of the job's id. Each zone
+ * therefore gets its share of every job to within one task, and its share of many small jobs
+ * together. Most of the 10,000 jobs a day have few tasks: without the offset, every one-task job
+ * went to the first zone's cell, which filled up while the others were idle.
+ *
+ * Free capacity is not considered, because every submission would have to read the whole ledger
+ * for it. Cells hand over tasks to each other later to correct an uneven load. A zone without a
+ * worker that is large enough for the task gets no tasks.
  */
 export const dealTasks = (
   jobId: string,
@@ -59,7 +65,7 @@
   const weights = zoneWeights(workers, zones, size);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   const offset = fractionOf(jobId);
-  // Rounding may carry the last task past the end of the line.
+  // A rounding error can place the last task beyond the last interval.
   const lastUsedIndex = weights.findLastIndex((weight) => weight > 0);
   const zoneIndexOf = (taskIndex: number): number => {
     let left = ((taskIndex + offset) / taskCount) * total;
--- a/src/operator/common/freshTasks.ts
+++ b/src/operator/common/freshTasks.ts
@@ -1,9 +1,9 @@
 /**
- * Tasks of a new shard in short: they differ in nothing but the index, so the first index and
- * their number tell all. A plan's row keeps them so: written out, those of a job of 10,000 tasks
- * are a megabyte of JSON, which whoever reads the row has to parse in one go while requests wait.
- * Everything else (the digest, what operators see, the rows that a confirmation writes) has the
- * tasks written out.
+ * The compact form of a new shard's tasks. New tasks differ only in their index, so the first
+ * index and the count describe all of them. A plan's row stores this form, because the full tasks
+ * of a job of 10,000 tasks are a megabyte of JSON, and every reader of the row would block the
+ * event loop while parsing it. The digest, the plans shown to operators and the rows written by a
+ * confirmation use the full tasks.
  */
 import { z } from 'zod';
 
@@ -24,10 +24,10 @@
   failureWeight: 0,
 });
 
-/** Tasks that are written out between two turns of the event loop. */
+/** Tasks that are created between two turns of the event loop. */
 const TASKS_PER_PIECE = 1_000;
 
-/** The tasks written out, in pieces between which the caller may let others have their turn. */
+/** Creates the full tasks in chunks. The caller can yield to the event loop between chunks. */
 export function* freshTaskPieces({ firstIndex, count }: FreshTasks): Generator<BatchTask[]> {
   for (let from = 0; from < count; from += TASKS_PER_PIECE) {
     const length = Math.min(TASKS_PER_PIECE, count - from);
--- a/src/operator/common/intent.ts
+++ b/src/operator/common/intent.ts
@@ -1,4 +1,4 @@
-/** What operators can ask for. An intent changes nothing; it is answered with a plan. */
+/** The requests that operators can make. An intent changes nothing; the answer to it is a plan. */
 import { z } from 'zod';
 
 import {
@@ -27,20 +27,20 @@
 export type IntentKind = (typeof IntentKind)[keyof typeof IntentKind];
 
 const MAXIMUM_TASK_COUNT = 10_000;
-/** A cancellation is written for every cell; this many ids keep its transaction under 1 MB. */
+/** A cancellation is written for every cell; this limit keeps its transaction under 1 MB. */
 const MAXIMUM_CANCELLED_JOBS = 1_000;
-/** Each writes a row for itself and one for each zone. */
+/** Each job writes a row for itself and one for each zone. */
 const MAXIMUM_SUBMITTED_JOBS = 100;
 const MAXIMUM_JOB_ID_LENGTH = 127;
 
 const jobTermsSchema = z.strictObject({
   team: nameSchema,
-  /** Repeating a submission under the same key submits nothing more. */
+  /** Idempotency key: repeating a submission with the same key submits nothing more. */
   submissionKey: nameSchema,
   taskCount: z.number().int().min(1).max(MAXIMUM_TASK_COUNT),
   size: resourcesSchema,
   urgency: urgencySchema.default('normal'),
-  /** How long one task runs, as far as the submitter knows. */
+  /** The submitter's estimate of one task's run time. */
   workMs: z.number().nonnegative(),
 });
 export type JobTerms = z.infer<typeof jobTermsSchema>;
@@ -51,7 +51,7 @@
 });
 export type SubmitJobIntent = z.infer<typeof submitJobSchema>;
 
-/** Jobs that are submitted together, all or none; bounded so that one transaction carries them. */
+/** Jobs that are submitted together, all or none. The limits make them fit in one transaction. */
 const submitJobsSchema = z.strictObject({
   intent: z.literal(IntentKind.SubmitJobs),
   jobs: z
@@ -109,11 +109,11 @@
     }),
     z.strictObject({
       intent: z.literal(IntentKind.SetPolicy),
-      /** Members that are left out stay as they are. */
+      /** Fields that are left out keep their values. */
       policy: policyDocumentSchema.partial(),
     }),
     z.strictObject({
-      /** Undoes what one version changed; the version itself only grows. */
+      /** Undoes the changes of one version. The undo creates a new version. */
       intent: z.literal(IntentKind.Revert),
       version: z.number().int().positive(),
     }),
--- a/src/operator/common/jobChanges.ts
+++ b/src/operator/common/jobChanges.ts
@@ -1,4 +1,4 @@
-/** What a plan changes about jobs: tasks that it starts, gives to zones, or ends. */
+/** Collects the tasks of jobs that a plan starts, assigns to zones, or ends. */
 import type { PlanStep } from './plan.js';
 import {
   jobKey,
@@ -27,7 +27,7 @@
   return [...jobs.values()];
 };
 
-/** A shard that is written under a zone's prefix is given to that zone. */
+/** Tasks of the shards that the steps write for each zone. */
 const zoneTasks = (steps: readonly PlanStep[], zones: readonly string[]): readonly ZoneTasks[] =>
   steps.flatMap(({ key, after, freshTasks }) => {
     const zone = zones.find((name) => key.startsWith(workPrefix(name)));
@@ -40,7 +40,7 @@
   intent: Intent,
   steps: readonly PlanStep[],
   zones: readonly string[],
-  /** Shards of jobs that would be cancelled, with just the tasks that are left. */
+  /** Shards of the jobs to cancel, with only the tasks that have not ended. */
   ending: readonly WorkRow[],
 ): JobChanges => {
   const writtenKeys = new Set(steps.map(({ key }) => key));
--- a/src/operator/common/jobPlanning.ts
+++ b/src/operator/common/jobPlanning.ts
@@ -27,9 +27,10 @@
 } from './planningBasis.js';
 import { checkPlaceable, sizeText } from './sizeChecks.js';
 
+/** How many missing jobs an error message names. */
 const NAMED_JOB_COUNT = 5;
 
-/** A shard of the job for each zone that its tasks are dealt out to. */
+/** Steps that create one shard of the job for each zone that gets tasks. */
 const shardSteps = (
   basis: PlanningBasis,
   intent: SubmitJobIntent,
@@ -58,7 +59,7 @@
   workMs: intent.workMs,
 });
 
-/** Why a job can never run, or may not be submitted; undefined when there is no reason. */
+/** Why a job cannot run or must not be submitted; undefined if it can be planned. */
 const refusalOf = (basis: PlanningBasis, intent: SubmitJobIntent): string | undefined => {
   const { policy, quotas } = basis.view;
   if (!policy.isSubmissionOpen) return 'the policy takes no new jobs at present';
@@ -80,9 +81,10 @@
 };
 
 /**
- * A job is dealt out to the zones that are in use when it is planned. Were one of them withdrawn
- * before the confirmation, its shard would be written to a cell that starts nothing, so the plan
- * relies on the zones' rows, and on the quota and policy that it was checked against.
+ * Plans the submission of a job. Its tasks are distributed over the zones that are in use now. If
+ * one of them were withdrawn before the confirmation, its shard would be written to a cell that
+ * starts no tasks. The plan is therefore guarded by the zones' rows, and also by the quota and
+ * the policy that the job was checked against.
  */
 export const planJob = (basis: PlanningBasis, intent: SubmitJobIntent): Planned => {
   const jobId = toJobId(intent.team, intent.submissionKey);
@@ -120,7 +122,7 @@
   if (missing.length > 0) {
     return impossible(`no such jobs: ${missing.slice(0, NAMED_JOB_COUNT).join(', ')}`);
   }
-  // Every cell gets the same row, for shards may move between cells.
+  // Every cell gets the same row, because shards may move between cells.
   const zones = [...basis.view.zones.keys()];
   const uniqueIds = [...new Set(jobIds)];
   const steps = zones.flatMap((zone) =>
--- a/src/operator/common/plan.ts
+++ b/src/operator/common/plan.ts
@@ -1,4 +1,4 @@
-/** Plans: what an intent would change, shown before anything changes. */
+/** A plan lists the changes of an intent and shows them to the operator before they are made. */
 import { z } from 'zod';
 
 import type { JsonValue } from '../../base/common/json.js';
@@ -11,17 +11,20 @@
 /** One row that the plan would write. */
 export const planStepSchema = z.strictObject({
   key: z.string().min(1),
-  /** Null when the row does not exist or is to be removed. */
+  /** Null if the row does not exist. */
   before: jsonValue,
-  /** Equal to `before` for a row that is written only so that plans on it exclude each other. */
+  /**
+   * Null if the row is to be removed. Equal to `before` for a row that is rewritten unchanged, so
+   * that of several plans that write it only one is accepted.
+   */
   after: jsonValue,
   /** The version the row must still have when the plan is confirmed. */
   baseRowVersion: z.number().int().nonnegative(),
 });
 
-/** A step as the plan's row holds it. */
+/** A step as stored in the plan's row. */
 const keptStepSchema = planStepSchema.extend({
-  /** Present where `after` is a shard whose tasks are left out; see `freshTasks.ts`. */
+  /** Present if `after` is a shard whose tasks are left out; see `freshTasks.ts`. */
   freshTasks: freshTasksSchema.optional(),
 });
 export type PlanStep = z.infer<typeof keptStepSchema>;
@@ -36,20 +39,20 @@
 const affectedTaskSchema = z.strictObject({ taskId: z.string(), size: resourcesSchema });
 export type AffectedTask = z.infer<typeof affectedTaskSchema>;
 
-/** Tasks that something happens to: how many, and the largest few. */
+/** Tasks with the same effect: their number and the largest few. */
 const taskGroupSchema = z.strictObject({
   count: z.number().int().nonnegative(),
   largest: z.array(affectedTaskSchema),
 });
 export type TaskGroup = z.infer<typeof taskGroupSchema>;
 
-/** What would follow from the steps, as far as it can be told beforehand. */
+/** The predicted effects of a plan's steps. */
 export const planEffectsSchema = z.strictObject({
   starting: taskGroupSchema,
   moving: taskGroupSchema,
   evicted: taskGroupSchema,
   ending: taskGroupSchema,
-  /** What teams that are touched take up, as far as services and named jobs tell. */
+  /** Resource use of the affected teams. Counts services and the jobs that the plan names. */
   quotas: z.array(
     z.strictObject({
       team: z.string(),
@@ -58,7 +61,7 @@
       after: resourcesSchema,
     }),
   ),
-  /** What services reserve in zones where that or the capacity changes. */
+  /** Zones whose capacity changes, or the part of it that is reserved for services. */
   capacity: z.array(
     z.strictObject({
       zone: z.string(),
@@ -66,11 +69,11 @@
       totalAfter: resourcesSchema,
       reservedBefore: resourcesSchema,
       reservedAfter: resourcesSchema,
-      /** Replicas that find no room; there may be more when free room is scattered. */
+      /** Lower bound of the replicas without room. Fragmented free capacity can add more. */
       missingTaskCount: z.number().int().nonnegative(),
     }),
   ),
-  /** What the plan cannot do, and why. */
+  /** The parts of the intent that the plan cannot carry out, with the reasons. */
   notDone: z.array(z.string()),
 });
 export type PlanEffects = z.infer<typeof planEffectsSchema>;
@@ -82,42 +85,42 @@
   planId: z.string().min(1),
   intent: intentSchema,
   author: z.string(),
-  /** The configuration's version that the plan was made from. */
+  /** The configuration version that the plan was made from. */
   baseVersion: z.number().int().nonnegative(),
-  /** One line for people. */
+  /** One line of text for operators. */
   summary: z.string(),
   steps: z.array(planStepSchema),
   guards: z.array(planGuardSchema),
-  /** Cells whose owners look again once the plan is confirmed. */
+  /** Cells whose owners are notified through their inboxes when the plan is confirmed. */
   notifiedCells: z.array(z.string()),
   effects: planEffectsSchema,
   warnings: z.array(z.string()),
   createdAt: z.string(),
   expiresAt: z.string(),
-  /** SHA-256 of everything the plan would do; confirming names it. */
+  /** SHA-256 over everything the plan would change. A confirmation must name it. */
   digest: z.string(),
   state: z.enum([PlanState.Pending, PlanState.Confirmed]),
-  /** The configuration's version that the plan made; zero while it is pending. */
+  /** The configuration version that the confirmation created; zero while the plan is pending. */
   acceptedVersion: z.number().int().nonnegative(),
 });
 
-/** A plan as its row holds it; operators never see tasks in short. */
+/** A plan as stored in its row, with new tasks in compact form. Operators see the full tasks. */
 export const keptPlanSchema = planSchema.extend({ steps: z.array(keptStepSchema) });
 export type Plan = z.infer<typeof keptPlanSchema>;
 
 export const PLAN_PREFIX = 'plan/';
 export const planKey = (planId: string): string => `${PLAN_PREFIX}${planId}`;
 
-/** True when confirming the plan would change nothing. */
+/** True if confirming the plan would change nothing. */
 export const isEmptyPlan = (plan: Pick<Plan, 'steps'>): boolean => plan.steps.length === 0;
 
-/** Parts of a plan that its digest is taken of: all that confirming it writes or relies on. */
+/** The fields that a plan's digest covers: all that a confirmation writes or relies on. */
 export type DigestedPlan = Pick<
   Plan,
   'planId' | 'intent' | 'baseVersion' | 'steps' | 'guards' | 'notifiedCells'
 >;
 
-/** The contents of a plan in the order in which they are digested, a step at a time. */
+/** The digested contents of a plan in order. Each step is a part of its own. */
 export const digestParts = (plan: DigestedPlan): readonly unknown[] => {
   const { planId, intent, baseVersion, steps, guards, notifiedCells } = plan;
   return [
@@ -132,10 +135,10 @@
 const hourText = (wallMs: number): string =>
   new Date(wallMs).toISOString().slice(0, HOUR_TEXT_LENGTH).replace(/[-T]/gu, '');
 
-/** Ids begin with the hour, so that old plans are found without reading all of them. */
+/** Plan ids begin with the hour, so that old plans are found without reading all plans. */
 export const toPlanId = (wallMs: number, suffix: string): string => `${hourText(wallMs)}-${suffix}`;
 
-/** Prefixes of the plans that were made in the hours before an instant. */
+/** Key prefixes of the plans made in the `hourCount` hours before the hour of `wallMs`. */
 export const planPrefixesBefore = (wallMs: number, hourCount: number): readonly string[] =>
   Array.from({ length: hourCount }, (_, index) =>
     planKey(`${hourText(wallMs - (index + 1) * HOUR_MS)}-`),
--- a/src/operator/common/planEffects.ts
+++ b/src/operator/common/planEffects.ts
@@ -1,4 +1,4 @@
-/** Works out what would follow from a plan's steps by comparing the views before and after. */
+/** Predicts the effects of a plan's steps by comparing the configuration before and after. */
 import {
   type ConfigurationView,
   isZoneInUse,
@@ -15,7 +15,7 @@
 import { ServiceTotals } from './replicas.js';
 import { capacityOfZone, missingTasks, roomFor } from './zoneRoom.js';
 
-/** How many of a group's tasks a plan names. */
+/** How many tasks of a group a plan lists by name. */
 const NAMED_TASK_COUNT = 5;
 
 const isLarger = (one: Resources, other: Resources): number =>
@@ -26,7 +26,7 @@
 const isSame = (one: unknown, other: unknown): boolean =>
   one === other || JSON.stringify(one) === JSON.stringify(other);
 
-/** Tasks of one kind, of which a service or job has several of the same size. */
+/** Several tasks of one service or job, all of the same size. */
 export interface CountedTasks extends AffectedTask {
   readonly count: number;
 }
@@ -50,7 +50,7 @@
   readonly ending: number;
 }
 
-/** The views that a plan leads from and to, with their sums. */
+/** The configuration before and after a plan, with the sums over its services. */
 interface Comparison {
   readonly basis: PlanningBasis;
   readonly before: ConfigurationView;
@@ -59,7 +59,7 @@
   readonly totalsAfter: ServiceTotals;
 }
 
-/** How many replicas of a service come, go, or go from one zone to another. */
+/** How many replicas of a service start, end, or move from one zone to another. */
 const serviceShift = (
   comparison: Comparison,
   zones: ReadonlySet<string>,
@@ -78,7 +78,7 @@
   return { service, moving, starting: coming - moving, ending: going - moving };
 };
 
-/** Shifts of the services that can have any: all when zones change, else those that changed. */
+/** Replica changes of the affected services: all services if zones change, else changed ones. */
 const serviceShifts = (comparison: Comparison): readonly ServiceShift[] => {
   const { before, after, totalsBefore, totalsAfter } = comparison;
   const zones = new Set([...totalsBefore.zones, ...totalsAfter.zones]);
@@ -103,7 +103,7 @@
   };
 };
 
-/** Maps that no step has touched are the same objects in both views. */
+/** Views share the maps that no step has changed, so comparing references is enough. */
 const isCapacityTouched = ({ before, after }: Comparison): boolean =>
   before.zones !== after.zones ||
   before.services !== after.services ||
@@ -121,7 +121,10 @@
     );
 };
 
-/** What a team's jobs run, as far as it was read for the plan: always for a change of its quota. */
+/**
+ * Resources of the team's running jobs, as far as they were read for the plan. They are always
+ * read for a change of the team's quota.
+ */
 const runningJobsOf = ({ running }: PlanningBasis, team: string): Resources =>
   sumResources(running.filter(({ jobId }) => jobId.startsWith(`${team}.`)).map(({ size }) => size));
 
@@ -142,7 +145,7 @@
   return [...teams].flatMap((team) => {
     const limitBefore = before.quotas.get(team)?.limit ?? null;
     const limit = after.quotas.get(team)?.limit ?? null;
-    // Most teams are not touched; their documents are the same objects in both views.
+    // Most teams are not affected; both views hold the same objects as their documents.
     if (limitBefore === limit && !changedTeams.has(team)) return [];
     const jobs = runningJobsOf(comparison.basis, team);
     const usedBefore = addResources(totalsBefore.ofTeam(team), jobs);
@@ -152,12 +155,12 @@
   });
 };
 
-/** Whether tasks of jobs have to leave a worker: it drains, or its zone is out. */
+/** Whether tasks of jobs have to leave a worker: it is draining or its zone is not in use. */
 const mustLeave = (view: ConfigurationView, workerId: string, zone: string | undefined): boolean =>
   view.workers.get(workerId)?.isDraining === true ||
   (zone !== undefined && !isZoneInUse(view, zone));
 
-/** Tasks of jobs that would have to leave, those aside that are leaving without the plan. */
+/** Tasks of jobs that the plan evicts. Excludes tasks that already have to leave without it. */
 const evictedTasks = (basis: PlanningBasis, after: ConfigurationView): readonly CountedTasks[] => {
   const zoneOf = new Map(basis.workers.map(({ id, availabilityZone }) => [id, availabilityZone]));
   return basis.running
@@ -169,7 +172,7 @@
     .map(({ taskId, size }) => ({ taskId, size, count: 1 }));
 };
 
-/** Tasks of services that leave a worker without leaving its zone. */
+/** Tasks of services that the plan moves off drained workers; they can stay in their zone. */
 const drainedTasks = (basis: PlanningBasis, after: ConfigurationView): readonly CountedTasks[] =>
   basis.running
     .filter(({ serviceName }) => serviceName !== '')
@@ -187,12 +190,12 @@
     count: shift[member],
   }));
 
-/** Tasks of one job that a plan starts or ends, which the configuration does not tell of. */
+/** Tasks of one job that a plan starts or ends. The configuration does not contain jobs. */
 export interface JobTasks extends CountedTasks {
   readonly team: string;
 }
 
-/** Tasks of a job that a plan gives to a zone. */
+/** Tasks of a job that a plan assigns to a zone. */
 export interface ZoneTasks {
   readonly zone: string;
   readonly jobId: string;
@@ -206,7 +209,7 @@
   readonly inZones: readonly ZoneTasks[];
 }
 
-/** What the teams of jobs take up, services and the jobs that the plan names together. */
+/** Resource use of the jobs' teams: their services and the jobs that the plan names. */
 const jobQuotas = ({ after, totalsAfter }: Comparison, jobs: JobChanges): PlanEffects['quotas'] => {
   const teams = new Set([...jobs.starting, ...jobs.ending].map(({ team }) => team));
   const sizeOf = (tasks: readonly JobTasks[], team: string): Resources =>
@@ -223,7 +226,7 @@
   }));
 };
 
-/** Which of a job's tasks have to wait for others to end, however empty the zone is. */
+/** Messages for jobs with more tasks in a zone than fit at a time, even without other jobs. */
 const waitingTasks = (
   { basis, after, totalsAfter }: Comparison,
   { inZones }: JobChanges,
@@ -235,7 +238,7 @@
     return [`${zone} has room for ${room} of the ${count} tasks of ${jobId} at a time`];
   });
 
-/** The effects of going from the basis's view to another one. */
+/** The effects of a plan that changes the configuration from the basis's view to `after`. */
 export const planEffects = (
   basis: PlanningBasis,
   after: ConfigurationView,
--- a/src/operator/common/planRows.ts
+++ b/src/operator/common/planRows.ts
@@ -1,4 +1,4 @@
-/** The rows of the table that planning an intent needs. */
+/** Lists the rows of the table that planning an intent needs. */
 import {
   changeKey,
   changeRowSchema,
@@ -13,7 +13,7 @@
 import { type Intent, IntentKind } from './intent.js';
 import { jobIdOfTerms, submittedJobs } from './jobChanges.js';
 
-/** The rows that planning an intent has to read besides the view. */
+/** Keys of the rows that planning an intent reads in addition to the configuration view. */
 export const rowsToRead = (intent: Intent): readonly string[] => {
   switch (intent.intent) {
     case IntentKind.CreateService:
@@ -41,7 +41,7 @@
   }
 };
 
-/** Rows that are known to matter only once others were read: those that a version changed. */
+/** Keys that are known only after reading other rows: the documents that a version changed. */
 export const furtherRowsToRead = (
   intent: Intent,
   rows: ReadonlyMap<string, TableRow>,
--- a/src/operator/common/planner.ts
+++ b/src/operator/common/planner.ts
@@ -1,4 +1,4 @@
-/** Works out a plan from an intent and what is in force. Nothing here writes. */
+/** Derives a plan from an intent and the current configuration. Nothing here writes. */
 import { type Either, isLeft, right } from 'fp-ts/lib/Either.js';
 
 import { canonicalJson } from '../../base/common/json.js';
@@ -40,9 +40,9 @@
 import { ServiceTotals } from './replicas.js';
 import { checkPlaceable, sizeText } from './sizeChecks.js';
 
-/** The deciding part of a plan. */
+/** The steps of a plan and the configuration that results from them. */
 export interface PlannedChange extends PlannedSteps {
-  /** The configuration that confirming it would lead to. */
+  /** The configuration after the plan has been confirmed. */
   readonly after: ConfigurationView;
 }
 
@@ -90,8 +90,9 @@
     remaining.length === 0 && isZoneInUse(basis.view, zone)
       ? [`${zone} is the last availability zone in use; every service loses its last zone`]
       : [];
-  // Two operators who each take one of the last two zones out would leave none, and neither
-  // plan would have warned. With more zones left, withdrawals do not hinder one another.
+  // If two operators each withdraw one of the last two zones, no zone is left, although neither
+  // plan contained a warning. A guard on the other zone makes the second plan stale. With more
+  // zones left there is no guard, so that withdrawals do not conflict.
   const guards = remaining.length === 1 ? remaining.map((name) => zoneKey(name)) : [];
   const document = { ...existing, state: ZoneState.Withdrawn };
   return planned(`withdraw availability zone ${zone}`, setRow(basis, zoneKey(zone), document), {
@@ -136,7 +137,7 @@
   return planned(`set the quota of ${team}`, setRow(basis, quotaKey(team), { team, limit }));
 };
 
-/** Jobs that are submitted together are planned one by one and accepted or refused as a whole. */
+/** Plans jobs that are submitted together. If one of them is refused, all are. */
 const planJobs = (basis: PlanningBasis, jobs: readonly JobTerms[]): Planned => {
   const plans = jobs.map((terms) => planJob(basis, { intent: IntentKind.SubmitJob, ...terms }));
   const refusedIndex = plans.findIndex(isLeft);
@@ -212,7 +213,7 @@
   }
 };
 
-/** The view after some steps; the very same one when they are of jobs alone. */
+/** The view after some steps. Returns the same object if the steps change only jobs. */
 const withSteps = (basis: PlanningBasis, steps: readonly PlanStep[]): ConfigurationView => {
   const documents = steps
     .filter(({ key }) => key.startsWith(DOCUMENT_PREFIX))
@@ -221,7 +222,7 @@
   return withDocuments(basis.view, basis.view.version + 1, documents);
 };
 
-/** The plan for an intent from where things stand, or why it cannot be. */
+/** Plans an intent. Fails with `IntentImpossible` and the reason if it cannot be carried out. */
 export const planIntent = (
   basis: PlanningBasis,
   intent: Intent,
@@ -242,14 +243,14 @@
 };
 
 /**
- * What would follow from a plan. It is worked out apart from the plan, for each of the two takes
- * milliseconds at 500 services, and requests wait meanwhile.
+ * The effects of a plan. They are computed separately from the plan, because each computation
+ * blocks the event loop for milliseconds at 500 services, and the caller can yield in between.
  */
 export const effectsOfPlan = (
   basis: PlanningBasis,
   intent: Intent,
   { steps, after }: PlannedChange,
-  /** Shards of jobs that would be cancelled, with just the tasks that are left. */
+  /** Shards of the jobs to cancel, with only the tasks that have not ended. */
   ending: readonly WorkRow[],
 ): PlanEffects => {
   const zones = [...after.zones.keys()];
--- a/src/operator/common/planningBasis.ts
+++ b/src/operator/common/planningBasis.ts
@@ -1,4 +1,4 @@
-/** What plans are made from, and the parts that they are made of. */
+/** The input that plans are made from, and helpers that build the parts of a plan. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import { canonicalJson, type JsonValue } from '../../base/common/json.js';
@@ -9,7 +9,7 @@
 import type { Resources } from '../../services/worker/common/resources.js';
 import type { PlanGuard, PlanStep } from './plan.js';
 
-/** A task that runs or is about to, as the ledger has it. */
+/** A task that is assigned to a worker, according to the ledger. */
 export interface RunningTask {
   readonly taskId: string;
   readonly workerId: string;
@@ -22,20 +22,20 @@
 
 export interface PlanningBasis {
   readonly view: ConfigurationView;
-  /** The rows that the intent names, by key, as far as they exist, at the view's version. */
+  /** The existing rows that the intent names, by key. They are consistent with the view. */
   readonly rows: ReadonlyMap<string, TableRow>;
-  /** Workers as the platform's list has them; none when it has not been read. */
+  /** Workers in the platform's instance list; empty if the list has not been read. */
   readonly workers: readonly WorkerInstance[];
   /**
-   * Tasks in the part of the ledger that the intent needs. They were read beside the rows, not
-   * in one snapshot with them: they tell what would follow, and nothing is decided by them but
-   * a quota's lower limit.
+   * Tasks in the part of the ledger that the intent needs. They are not from the same snapshot as
+   * the rows. They are used to predict effects; the only decision based on them is whether a new
+   * quota is too low.
    */
   readonly running: readonly RunningTask[];
   readonly planId: string;
 }
 
-/** The steps of a plan, before their effects are worked out. */
+/** The steps of a plan, before their effects are computed. */
 export interface PlannedSteps {
   readonly summary: string;
   readonly steps: readonly PlanStep[];
@@ -55,7 +55,7 @@
   more: Partial<Omit<PlannedSteps, 'summary' | 'steps'>> = {},
 ): Planned => right({ summary, steps, guards: [], notifiedCells: [], warnings: [], ...more });
 
-/** A step that sets a row, or none when the row already has that value. */
+/** A step that sets a row; no step if the row already has that value. */
 export const setRow = (
   basis: PlanningBasis,
   key: string,
@@ -63,13 +63,13 @@
 ): readonly PlanStep[] => {
   const row = basis.rows.get(key);
   const before = row?.value ?? null;
-  // A new row differs without being looked through; a job's may hold thousands of tasks.
+  // A new row always differs, so it is not compared: a job's row may hold thousands of tasks.
   const isNew = before === null && after !== null;
   if (!isNew && canonicalJson(before) === canonicalJson(after)) return [];
   return [{ key, before, after, baseRowVersion: row?.version ?? ABSENT_VERSION }];
 };
 
-/** The condition that a document of the view is still as the plan was made from it. */
+/** A guard that a document has not changed since the view that the plan is made from. */
 export const guardDocument = (basis: PlanningBasis, key: string): PlanGuard => ({
   key,
   baseRowVersion: basis.view.rowVersions.get(key) ?? ABSENT_VERSION,
--- a/src/operator/common/quotaSteps.ts
+++ b/src/operator/common/quotaSteps.ts
@@ -1,4 +1,4 @@
-/** Keeps teams within their quotas. */
+/** Checks that a plan keeps the teams' services within their quotas. */
 import { type Either, right } from 'fp-ts/lib/Either.js';
 
 import type { ConfigurationView } from '../../services/configuration/common/configurationView.js';
@@ -11,9 +11,10 @@
 import { sizeText } from './sizeChecks.js';
 
 /**
- * Two plans that each fit may not fit together, so a plan that
- * makes a team's services larger also rewrites the team's quota row as it is: of two such plans
- * only one is accepted, and the other is made anew.
+ * Fails if the services of a team would exceed its quota. Otherwise returns the steps and guards
+ * on quota rows to add to the plan. Two plans that each keep a quota may exceed it together, so a
+ * plan that adds to a team's services also rewrites the team's quota row unchanged. Of two such
+ * plans only one is accepted, and the other has to be planned again.
  */
 export const withQuotaSteps = (
   basis: PlanningBasis,
--- a/src/operator/common/replicas.ts
+++ b/src/operator/common/replicas.ts
@@ -1,4 +1,4 @@
-/** How services' replicas are dealt out to zones, and what that adds up to. */
+/** Sums up the resources of services by team and by zone. */
 import {
   type ConfigurationView,
   zonesInUse,
@@ -17,11 +17,11 @@
 
 const CACHE = new WeakMap<ConfigurationView, ServiceTotals>();
 
-/** The sums over one view, worked out once: a plan asks for them per zone, team and service. */
+/** Sums over the services of one view, computed once because a plan needs them many times. */
 export class ServiceTotals {
   readonly zones: readonly string[];
 
-  /** The sizes that services' tasks have, each once; they are few. */
+  /** The distinct sizes of the services' tasks; there are few. */
   readonly sizes: readonly Resources[];
 
   readonly #view: ConfigurationView;
@@ -34,7 +34,7 @@
 
   #byUrgency: readonly ServiceDocument[] | undefined;
 
-  /** The sums of a view, which never changes; all plans of a version share them. */
+  /** The sums of a view. A view never changes, so all plans of a version share its sums. */
   static of(view: ConfigurationView): ServiceTotals {
     const known = CACHE.get(view);
     if (known !== undefined) return known;
@@ -55,7 +55,7 @@
       this.#byTeam.set(team, addResources(sum, multipliedResources(size, replicaCount)));
       const inLast = evenShare(replicaCount, this.zones.length - 1, this.zones.length);
       inEveryZone = addResources(inEveryZone, multipliedResources(size, inLast));
-      // The first zones get one more each.
+      // The first zones get the remainder, one replica each.
       for (let index = 0; index < replicaCount - inLast * this.zones.length; index += 1) {
         const more = moreInZone[index];
         if (more === undefined) break;
@@ -67,7 +67,7 @@
     this.sizes = [...sizes.values()];
   }
 
-  /** Services in the order in which they are given room. */
+  /** Services in the order in which they get capacity: by urgency. */
   get byUrgency(): readonly ServiceDocument[] {
     this.#byUrgency ??= [...this.#view.services.values()].sort(
       (one, other) => URGENCY_ORDER[one.urgency] - URGENCY_ORDER[other.urgency],
@@ -75,13 +75,13 @@
     return this.#byUrgency;
   }
 
-  /** A service's share in a zone, as the cells' owners work it out. */
+  /** A service's replica count in a zone. The cells' owners use the same calculation. */
   replicas(serviceName: string, zone: string): number {
     const count = this.#view.services.get(serviceName)?.replicaCount ?? 0;
     return evenShare(count, this.#zoneIndexes.get(zone) ?? -1, this.zones.length);
   }
 
-  /** What a team's services ask for, whether or not all their replicas have found room. */
+  /** Resources that a team's services request, including replicas that have not been placed. */
   ofTeam(team: string): Resources {
     return this.#byTeam.get(team) ?? NO_RESOURCES;
   }
@@ -90,7 +90,7 @@
     return [...this.#byTeam.keys()];
   }
 
-  /** What services reserve in a zone. */
+  /** Resources that services reserve in a zone. */
   inZone(zone: string): Resources {
     return this.#byZone[this.#zoneIndexes.get(zone) ?? -1] ?? NO_RESOURCES;
   }
--- a/src/operator/common/sizeChecks.ts
+++ b/src/operator/common/sizeChecks.ts
@@ -1,4 +1,4 @@
-/** Sizes that no worker could ever take are refused when they are planned. */
+/** Checks task sizes against the capacity of the workers. */
 import { type Either, right } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../services/errors/common/errorKinds.js';
@@ -9,7 +9,7 @@
 const MEBIBYTE = 1_048_576;
 const MILLIS_PER_PROCESSOR = 1_000;
 
-/** A size for people. */
+/** Formats a size for operators. */
 export const sizeText = ({ processorMillis, memoryBytes, acceleratorCount }: Resources): string => {
   const processors = `${processorMillis / MILLIS_PER_PROCESSOR} processors`;
   const memory = `${Math.round(memoryBytes / MEBIBYTE)} MiB`;
@@ -18,9 +18,10 @@
 };
 
 /**
- * A task that fits into no worker would wait for ever, and its job never end. Workers that are
- * draining or leaving count, for they or their like may return. While the platform's list has
- * not been read nothing is refused; the plan then carries a warning.
+ * Refuses a size that does not fit on any worker: such a task would wait forever, and its job
+ * would never end. Workers that are draining or leaving count too, because they or similar ones
+ * may return. If the platform's instance list has not been read, nothing is refused and the plan
+ * gets a warning instead. Returns the warnings.
  */
 export const checkPlaceable = (
   basis: PlanningBasis,
--- a/src/operator/common/zoneRoom.ts
+++ b/src/operator/common/zoneRoom.ts
@@ -1,4 +1,4 @@
-/** How many tasks find room in an availability zone. */
+/** Computes how many tasks fit into an availability zone. */
 import {
   type ConfigurationView,
   isZoneInUse,
@@ -14,7 +14,7 @@
 import type { PlanningBasis } from './planningBasis.js';
 import type { ServiceTotals } from './replicas.js';
 
-/** What the workers of a zone have that may take tasks. */
+/** Capacity of each worker of a zone that may start tasks; empty if the zone is not in use. */
 export const capacityOfZone = (
   basis: PlanningBasis,
   view: ConfigurationView,
@@ -37,9 +37,10 @@
 };
 
 /**
- * Replicas that find no room in a zone, urgent services first, batch work given up for them.
- * Free room is added up over the zone's workers, so this is the least number that is missing;
- * a size that no single worker has room for is missing whole.
+ * Number of service replicas that have no room in a zone. Urgent services come first, and batch
+ * tasks make room for services. Free capacity is summed over the zone's workers and fragmentation
+ * is ignored, so the result is a lower bound. A service whose task size exceeds every single
+ * worker counts with all its replicas.
  */
 export const missingTasks = (
   totals: ServiceTotals,
@@ -50,7 +51,7 @@
   const isPlaceableEach = totals.sizes.every((size) =>
     workers.some((capacity) => fitsInto(size, capacity)),
   );
-  // Where all fits together every service finds its room; there is no need to deal it out.
+  // If the sum fits, every service has room, and the services need not be checked one by one.
   if (isPlaceableEach && fitsInto(totals.inZone(zone), free)) return 0;
   return totals.byUrgency.reduce((missing, { name, size }) => {
     const wanted = totals.replicas(name, zone);
@@ -62,7 +63,7 @@
   }, 0);
 };
 
-/** How many tasks of a size a zone has room for beside its services, at most. */
+/** Upper bound of the tasks of a size that a zone has room for in addition to its services. */
 export const roomFor = (
   size: Resources,
   totals: ServiceTotals,
