--- a/src/operator/node/ledgerSurvey.ts
+++ b/src/operator/node/ledgerSurvey.ts
@@ -1,4 +1,4 @@
-/** Reads running tasks out of the ledger, a few racks at a time. */
+/** Reads the assignments of running tasks from the ledger, a few racks at a time. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
@@ -19,12 +19,12 @@
 }
 
 /**
- * A rack of 8 workers has some 160 tasks. Reading all 17,500 at once would hold up requests for
- * tens of milliseconds while the answer is parsed; two racks take about two.
+ * A rack of 8 workers has about 160 tasks. Parsing all 17,500 tasks in one go would block the
+ * event loop for tens of milliseconds; parsing two racks takes about two milliseconds.
  */
 const RACKS_PER_READ = 2;
 
-/** The job that an assignment is of; empty for tasks of services. */
+/** Id of the job that an assignment belongs to; empty for tasks of services. */
 const jobIdOf = ({ shardId }: Assignment): string => shardId.split('~')[0] ?? '';
 
 export const toRunningTask = (assignment: Assignment): RunningTask => ({
@@ -35,7 +35,7 @@
   size: assignment.size,
 });
 
-/** The racks of those workers that are wanted, each once. */
+/** The distinct racks of the workers for which `isWanted` is true. */
 export const racksOf = (
   workers: readonly WorkerInstance[],
   isWanted: (worker: WorkerInstance) => boolean = () => true,
@@ -46,7 +46,7 @@
   return [...new Map(racks.map((rack) => [ledgerKey(rack.cell, rack.rack), rack])).values()];
 };
 
-/** Reads under way at a time: the next answers travel while one is parsed. */
+/** Number of concurrent reads: the next answers arrive while one is being parsed. */
 const LANE_COUNT = 3;
 
 const readRacks = async (
@@ -60,7 +60,10 @@
   return right(read.right.rows.flatMap(({ value }) => ledgerRowSchema.parse(value).assignments));
 };
 
-/** Assignments of the racks for which `isWanted`; requests get their turn between reads. */
+/**
+ * Reads the assignments of the racks for which `isWanted` is true, sorted by task id. Yields to
+ * the event loop between reads. Fails with the first failure of the store.
+ */
 export const surveyLedger = async (
   table: TableService,
   racks: readonly LedgerRack[],
@@ -73,7 +76,7 @@
     while (nextIndex < racks.length && fault === undefined) {
       const part = racks.slice(nextIndex, nextIndex + RACKS_PER_READ);
       nextIndex += RACKS_PER_READ;
-      // A lane reads one part at a time, which keeps each pause of the event loop short.
+      // Each reader parses one part at a time, so that it blocks the event loop only briefly.
       // eslint-disable-next-line no-await-in-loop
       const read = await readRacks(table, part);
       if (isLeft(read)) fault = read.left;
@@ -84,6 +87,6 @@
   };
   await Promise.all(Array.from({ length: LANE_COUNT }, runLane));
   if (fault !== undefined) return left(fault);
-  // Lanes end in any order; a plan of the same state reads the same.
+  // The readers finish in any order. Sorting makes plans of the same state equal.
   return right(found.sort((one, other) => (one.taskId < other.taskId ? -1 : 1)));
 };
--- a/src/operator/node/operatorAccess.ts
+++ b/src/operator/node/operatorAccess.ts
@@ -1,4 +1,4 @@
-/** Who may do what on the operators' interface. */
+/** Authenticates operators by bearer token and checks their roles. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
@@ -21,11 +21,11 @@
     this.#tokens = tokens;
   }
 
-  /** The operator's name when the token is known and its role suffices. */
+  /** Returns the operator's name. Fails if the token is unknown or its role is not sufficient. */
   check(authorization: string | undefined, needed: OperatorRole): Either<Failure, string> {
     const [, token = ''] = BEARER.exec(authorization ?? '') ?? [];
     const hash = createHash('sha256').update(token).digest();
-    // All are compared, so the time taken tells nothing about which one matched.
+    // All hashes are compared, so that the response time does not reveal which one matched.
     const [known] = this.#tokens.filter(({ sha256 }) =>
       timingSafeEqual(Buffer.from(sha256, 'hex'), hash),
     );
--- a/src/operator/node/operatorQueries.ts
+++ b/src/operator/node/operatorQueries.ts
@@ -1,4 +1,4 @@
-/** Reads what operators ask to see. */
+/** Answers the read requests of operators. */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 
 import type { ConfigurationService } from '../../services/configuration/common/configurationService.js';
@@ -30,11 +30,11 @@
   readonly taskCounts: Readonly<Record<BatchTaskState, number>>;
   readonly evictionCount: number;
   readonly isEnded: boolean;
-  /** Why tasks that can never run were given up. */
+  /** Why the scheduler gave up tasks that can never run. */
   readonly refusals: readonly string[];
 }
 
-/** Kinds of objects that can be listed and described. */
+/** Kinds of objects that operators can list and describe. */
 export const ObjectKind = {
   Services: 'services',
   Jobs: 'jobs',
@@ -47,16 +47,16 @@
 } as const;
 export type ObjectKind = (typeof ObjectKind)[keyof typeof ObjectKind];
 
-/** The daemons there are as this one sees them, by id. */
+/** The states of the daemons as observed by this daemon, by id. */
 export interface SeenMembers {
   readonly members: ReadonlyMap<string, string>;
 }
 
 type Listed = Either<Failure, readonly Readonly<Record<string, unknown>>[]>;
 
-/** Versions that `history` goes back by. */
+/** The maximum number of versions that `history` returns. */
 const HISTORY_LENGTH = 200;
-/** Hours that `get plans` goes back by; a pending plan lives for minutes. */
+/** `get plans` lists the plans of this many hours. A pending plan expires after minutes. */
 const PLAN_HOURS = 2;
 const HOUR_MS = 3_600_000;
 
@@ -121,8 +121,9 @@
   }
 
   /**
-   * The configuration in force here, looked up once more, so that operators see what they have
-   * confirmed through another daemon. While the store is out they see the last version.
+   * Returns the current configuration. It is refreshed first, so that operators see changes that
+   * they confirmed through another daemon. While the store is unavailable this is the last known
+   * version. Fails with `ConfigurationUnknown` if no version has been read yet.
    */
   async view(): Promise<Either<Failure, ConfigurationView>> {
     await this.#configuration.refresh();
@@ -131,7 +132,7 @@
     return left(failure(ErrorKind.ConfigurationUnknown, 'no configuration has been read yet'));
   }
 
-  /** The last accepted changes, the newest last. */
+  /** Returns the latest accepted changes, oldest first. */
   async history(): Promise<Either<Failure, readonly ChangeRow[]>> {
     const view = await this.view();
     if (isLeft(view)) return view;
@@ -157,7 +158,7 @@
     return right(toJobStatus(jobRowSchema.parse(jobRow.value), shards));
   }
 
-  /** All objects of a kind, one flat record each. */
+  /** Lists all objects of a kind as flat records. */
   async list(kind: ObjectKind): Promise<Listed> {
     switch (kind) {
       case ObjectKind.Instances:
@@ -175,7 +176,7 @@
     }
   }
 
-  /** One object with what belongs to it. */
+  /** Returns one object; workers and services come with their tasks. */
   async describe(kind: ObjectKind, id: string): Promise<Either<Failure, unknown>> {
     if (kind === ObjectKind.Jobs) return this.job(id);
     const listed = await this.list(kind);
@@ -190,7 +191,10 @@
     return right(tasks.right === undefined ? found : { ...found, tasks: tasks.right });
   }
 
-  /** What the platform's list says, and beside it what this daemon sees of the others. */
+  /**
+   * The instances in the platform's list, where each daemon has its state as observed by this
+   * daemon, followed by the observed daemons that are not on the list.
+   */
   #instances(): readonly Readonly<Record<string, unknown>>[] {
     const { members } = this.#peers;
     const { instances } = this.#directory;
@@ -251,7 +255,7 @@
     return surveyLedger(this.#table, racks, isWanted);
   }
 
-  /** Plans of the last hours, without their steps. */
+  /** Plans of the last `PLAN_HOURS` hours, without their steps and guards. */
   async #plans(): Promise<Listed> {
     const prefixes = planPrefixesBefore(this.#wallNowMs() + HOUR_MS, PLAN_HOURS);
     return this.#rows(prefixes, (value) => {
--- a/src/operator/node/operatorServer.ts
+++ b/src/operator/node/operatorServer.ts
@@ -30,7 +30,7 @@
   readonly configuration: ConfigurationService & { readonly health: ConfigurationHealth };
   readonly metrics: PrometheusMetrics;
   readonly spans: SpanRing;
-  /** Whether the daemon wants traffic from the balancer. */
+  /** Whether the daemon is ready for traffic from the load balancer. */
   readonly isReady: () => boolean;
 }
 
@@ -68,7 +68,7 @@
 
   readonly #server: FastifyInstance;
 
-  /** Routes are added to `server`; the generator of the OpenAPI description gives its own. */
+  /** Adds the routes to `server`; the generator of the OpenAPI description passes its own. */
   constructor(
     services: OperatorServerServices,
     settings: Settings['operator'],
@@ -88,7 +88,7 @@
     this.#addQueryRoutes();
   }
 
-  /** Starts to listen and returns the port, which the system may have chosen. */
+  /** Starts to listen and returns the port. For port 0 the operating system chooses one. */
   async listen(host: string, port: number): Promise<number> {
     await this.#server.listen({ host, port });
     return listeningPort(this.#server);
@@ -138,7 +138,7 @@
     const found = (value: unknown): Either<Failure, unknown> => ({ _tag: 'Right', right: value });
     Object.values(ObjectKind).forEach((kind) => {
       this.#route('GET', `/v1/${kind}`, OperatorRole.View, () => queries.list(kind));
-      // A plan is found by its own route, with its steps.
+      // Single plans have their own route, which returns them with their steps.
       if (kind === ObjectKind.Plans) return;
       this.#route('GET', `/v1/${kind}/:id`, OperatorRole.View, (request) =>
         queries.describe(kind, idParamsSchema.parse(request.params).id),
--- a/src/operator/node/planMaker.ts
+++ b/src/operator/node/planMaker.ts
@@ -1,4 +1,4 @@
-/** Makes plans: reads what an intent needs, works the plan out and keeps it. */
+/** Makes plans: reads the rows that an intent needs, computes the plan and stores it. */
 import { createHash } from 'node:crypto';
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
@@ -50,18 +50,18 @@
   readonly configuration: ConfigurationService;
   readonly directory: Pick<InstanceDirectory, 'instances'>;
   readonly metrics: Metrics;
-  /** The wall clock, in milliseconds since 1970; only expiry and history are told by it. */
+  /** The wall clock, in milliseconds since 1970. Only used for plan ids, expiry and history. */
   readonly wallNowMs: () => number;
-  /** A short text that no two calls share. */
+  /** Returns a short text that is unique for each call. */
   readonly newSuffix: () => string;
 }
 
-/** Tries at catching a moment in which the view and the rows agree. */
+/** How often the view and the rows are read until they are consistent. */
 const MAXIMUM_READ_TRIES = 5;
-/** Jobs whose shards are looked up to tell what a cancellation would end. */
+/** How many jobs of a cancellation have their shards read to predict which tasks end. */
 const MAXIMUM_SURVEYED_JOBS = 20;
 
-/** A view and rows that agree with it. */
+/** A configuration view and rows that are consistent with it. */
 interface Reading {
   readonly view: ConfigurationView;
   readonly rows: ReadonlyMap<string, TableRow>;
@@ -76,7 +76,7 @@
     .filter((key) => key.startsWith(DOCUMENT_PREFIX))
     .every((key) => rows.get(key)?.version === view.rowVersions.get(key));
 
-/** A digest of all that a plan would do; equal plans have equal ones, in whatever order kept. */
+/** Digest of everything that a plan would change. It does not depend on the order of JSON keys. */
 export const planDigest = async (plan: DigestedPlan): Promise<string> => {
   const hash = createHash('sha256');
   await digestParts(plan).reduce(async (before, part) => {
@@ -97,7 +97,7 @@
     this.#planLifetimeMs = planLifetimeMs;
   }
 
-  /** Makes a plan and keeps it; nothing else changes. */
+  /** Makes a plan and stores it; nothing else is written. */
   async plan(intent: Intent, author: string): Promise<Either<Failure, Plan>> {
     const reading = await this.#readBasis(intent);
     if (isLeft(reading)) return reading;
@@ -109,7 +109,7 @@
     if (isLeft(ending)) return ending;
     const planId = toPlanId(this.#services.wallNowMs(), this.#services.newSuffix());
     const basis = { view, rows, workers, running: running.right, planId };
-    // The sums over all services take milliseconds; requests get their turn in between.
+    // The sums over all services take milliseconds each, so other requests run in between.
     await nextTurn();
     const planned = planIntent(basis, intent);
     if (isLeft(planned)) return planned;
@@ -122,17 +122,17 @@
   }
 
   /**
-   * The view is the one in force here, brought up to date; only the rows that the intent names
-   * are read. Reading every document for each of 11,000 plans a day would cost more than all
-   * daemons together spend on following the configuration. View and rows need not be of one
-   * version, which in a burst of confirmations they hardly ever are, but must agree on the
-   * documents that both hold; all else that the plan relies on is a condition of its confirmation.
+   * Refreshes this daemon's configuration view and reads only the rows that the intent names.
+   * Reading every document for each of 11,000 plans a day would cost more than all daemons
+   * together spend on following the configuration. The view and the rows need not have the same
+   * version, which is rare during a burst of confirmations, but the documents that are in both
+   * must be equal. Everything else that the plan relies on is a condition of its confirmation.
    */
   async #readBasis(intent: Intent): Promise<Either<Failure, Reading>> {
     const { configuration, table } = this.#services;
     const keys = new Set(rowsToRead(intent));
     for (let tryCount = 0; tryCount < MAXIMUM_READ_TRIES; tryCount += 1) {
-      // Each try depends on what the one before has found.
+      // Each try depends on the keys that the previous one found.
       // eslint-disable-next-line no-await-in-loop
       await configuration.refresh();
       // eslint-disable-next-line no-await-in-loop
@@ -162,7 +162,7 @@
     return isLeft(survey) ? survey : right(survey.right.map(toRunningTask));
   }
 
-  /** The part of the ledger that an intent needs; most need none. */
+  /** Reads the part of the ledger that an intent needs; most intents need none. */
   async #survey(
     intent: Intent,
     workers: readonly WorkerInstance[],
@@ -182,7 +182,7 @@
     }
   }
 
-  /** What is left of the jobs that a cancellation names, or of the first of them. */
+  /** Open shards of the jobs that a cancellation names; only the first of many jobs are read. */
   async #ending(
     view: ConfigurationView,
     intent: Intent,
@@ -198,8 +198,8 @@
   }
 
   /**
-   * Keeps a plan, its new tasks in short. The plan's row is written under a fresh id, so after a lost answer writing it
-   * once more is idempotent: the second try finds the row there, or writes it.
+   * Stores a plan in compact form. The plan's id is new, so writing the row a second time after a
+   * lost answer is idempotent: the second try either finds the row or writes it.
    */
   async #keep(inShort: Plan, plan: Plan): Promise<Either<Failure, Plan>> {
     const { table, metrics } = this.#services;
--- a/src/operator/node/planProgress.ts
+++ b/src/operator/node/planProgress.ts
@@ -1,4 +1,4 @@
-/** How far what a plan asked for has come about. */
+/** Reports the progress of carrying out a confirmed plan. */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 
 import type { ConfigurationService } from '../../services/configuration/common/configurationService.js';
@@ -16,12 +16,12 @@
 export interface PlanProgress {
   readonly state: PlanState;
   readonly acceptedVersion: number;
-  /** Tasks that are still to start, to move or to end before the plan has come about. */
+  /** Tasks that still have to start, move or end until the plan is carried out. */
   readonly remainingTaskCount: number;
   readonly isDone: boolean;
 }
 
-/** Jobs whose rows are read at a time. */
+/** How many jobs' rows are read at a time. */
 const JOBS_PER_READ = 20;
 
 type Remaining = Promise<Either<Failure, number>>;
@@ -47,7 +47,7 @@
     this.#wallNowMs = wallNowMs;
   }
 
-  /** A plan that can never come about is a failure, so that nobody waits for it. */
+  /** Returns a plan's progress. Fails if the plan has expired, so that no caller waits for it. */
   async of(plan: Plan): Promise<Either<Failure, PlanProgress>> {
     const { state, acceptedVersion } = plan;
     if (state === PlanState.Pending) {
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Tasks on workers that are to have none. */
+  /** Number of tasks that are still assigned to the workers that have to become empty. */
   async #assignedOn(isWanted: (worker: WorkerInstance) => boolean): Remaining {
     const wanted = this.#directory.instances.filter(isWorker).filter(isWanted);
     const ids = new Set(wanted.map(({ id }) => id));
@@ -96,8 +96,8 @@
   }
 
   /**
-   * How far the number of a service's tasks is from what is in force, which a later plan may have
-   * changed; zero for a service that is no more and has none.
+   * Difference between a service's task count and its replica count in the current configuration,
+   * which a later plan may have changed. Zero for a removed service that has no tasks left.
    */
   async #missingOf(serviceName: string): Remaining {
     await this.#configuration.refresh();
@@ -115,7 +115,7 @@
     return surveyLedger(this.#table, racksOf(workers), isWanted);
   }
 
-  /** Tasks of jobs that have not ended. Shards that have ended are kept elsewhere. */
+  /** Number of the jobs' tasks that have not ended. Ended shards have another key prefix. */
   async #openTasksOf(jobIds: readonly string[]): Remaining {
     const zones = [...(this.#configuration.current?.zones.keys() ?? [])];
     let count = 0;
--- a/src/operator/node/planService.ts
+++ b/src/operator/node/planService.ts
@@ -38,32 +38,34 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly delay: (delayMs: number) => Promise<void>;
-  /** A text that no two calls share. */
+  /** Returns a text that is unique for each call. */
   readonly newOperationId: () => string;
 }
 
 export interface PlanLimits {
   readonly planLifetimeMs: number;
-  /** How long a confirmation goes on before it answers that the outcome is not known. */
+  /** Time after which a confirmation stops retrying and reports an unknown outcome. */
   readonly confirmTimeoutMs: number;
 }
 
-/** Why a plan was not accepted; a stale one comes with a plan made anew. */
+/** Why a plan was not accepted. */
 export interface ConfirmationRefusal extends Failure {
+  /** For a stale plan, a new plan for the same intent, if it can still be carried out. */
   readonly newPlan?: Plan;
 }
 
 type ConfirmationResult = Either<ConfirmationRefusal, Plan>;
 
 /**
- * Plans on different things conflict only on the version row, and each round lets one through.
- * With twenty operators at once, waits that grow to 200 ms spread the rest over a second or
- * two; without the random part all would come back at the same moment and conflict again.
+ * Retry backoff. Plans for different objects conflict only on the version row, and one of the
+ * concurrent confirmations succeeds in each round. With twenty operators at once, delays that
+ * grow to 200 ms spread the others over a second or two. Without random jitter all of them would
+ * retry at the same moment and conflict again.
  */
 const FIRST_WAIT_MS = 5;
 const LONGEST_WAIT_MS = 200;
 
-/** How far back it is looked up who changed what a stale plan was made from. */
+/** How many versions are searched for the change that made a plan stale. */
 const MAXIMUM_CHANGES_SEARCHED = 100;
 
 const isStoreFault = ({ kind }: Failure): boolean =>
@@ -74,7 +76,7 @@
   'it is not known whether the plan was accepted; confirm it again to find out',
 );
 
-/** A transaction whose rows of the steps have the tasks written out. */
+/** The transaction with the values of the steps, which have the full tasks of new shards. */
 const withValuesOf = (transaction: Transaction, steps: readonly PlanStep[]): Transaction => {
   const values = new Map(steps.map(({ key, after }) => [key, after]));
   const writes = transaction.writes.map(({ key, value }) => ({
@@ -99,7 +101,7 @@
     this.#maker = new PlanMaker(services, limits.planLifetimeMs);
   }
 
-  /** Fires for each plan that was found accepted here. */
+  /** Fires for each confirmation through this daemon that finds the plan accepted. */
   get onDidAccept(): Emitter<Plan>['event'] {
     return this.#didAccept.event;
   }
@@ -108,17 +110,18 @@
     this.#didAccept.dispose();
   }
 
-  /** Makes a plan and keeps it; nothing else changes. */
+  /** Makes a plan and stores it; nothing else is written. */
   plan(intent: Intent, author: string): Promise<Either<Failure, Plan>> {
     return this.#maker.plan(intent, author);
   }
 
+  /** Returns a plan with its full tasks. Fails with `UnknownObject` if there is no such plan. */
   async find(planId: string): Promise<Either<Failure, Plan>> {
     const plan = await this.#findInShort(planId);
     return isLeft(plan) ? plan : right(await withTasksWrittenOut(plan.right));
   }
 
-  /** The plan as it is kept, its new tasks in short. */
+  /** The plan as stored, with new tasks in compact form. */
   async #findInShort(planId: string): Promise<Either<Failure, Plan>> {
     const read = await this.#services.table.read({ keys: [planKey(planId)], prefixes: [] })();
     if (isLeft(read)) return read;
@@ -128,15 +131,15 @@
   }
 
   /**
-   * Confirms a plan. It is tried again after conflicts with other plans and after lost answers,
-   * until the plan's row tells what has become of it or the time is up.
+   * Confirms a plan. Retries after conflicts with other plans and after lost answers, until the
+   * plan's row shows the outcome or the timeout has passed.
    */
   async confirm(request: ConfirmationRequest): Promise<ConfirmationResult> {
     const { clock, delay, random } = this.#services;
     const giveUpAtMs = clock.nowMs() + this.#limits.confirmTimeoutMs;
     const attempts = new OpenAttempts();
     for (let waitMs = FIRST_WAIT_MS; ; waitMs = Math.min(waitMs * 2, LONGEST_WAIT_MS)) {
-      // Each try depends on what the one before has found.
+      // Each try depends on the outcome of the previous one.
       // eslint-disable-next-line no-await-in-loop
       const result = await this.#tryConfirm(request, attempts);
       if (result !== undefined) {
@@ -149,7 +152,7 @@
     }
   }
 
-  /** Undefined when the plan should be tried again. */
+  /** Tries to confirm a plan once. Returns undefined if the confirmation should be retried. */
   async #tryConfirm(
     request: ConfirmationRequest,
     attempts: OpenAttempts,
@@ -166,8 +169,8 @@
     const accepted = await withTasksWrittenOut(step.right.plan);
     if (step.right.kind === 'accepted') return right(accepted);
     attempts.noteStillPending(rows);
-    // What is written is what is digested, the same objects: nothing is looked through twice.
-    // The digest tells whether they are as shown.
+    // The written steps are the same objects as the digested ones, so comparing them is cheap.
+    // The digest shows whether they are the steps that the operator saw.
     const shown = { ...step.right.pending, steps: accepted.steps };
     const transaction = withValuesOf(step.right.transaction, accepted.steps);
     return this.#write(shown, accepted, transaction, rows, attempts);
@@ -196,16 +199,17 @@
     }
     if (written.left.kind === ErrorKind.StoreAnswerLost) attempts.addLost(transaction);
     if (!isStoreFault(written.left)) return written;
-    // A store that is out cannot tell what became of an earlier attempt; it may come back.
+    // The store is unavailable, so the outcome of an earlier attempt is unknown. Retry if there
+    // was such an attempt, because the store may become available again.
     return attempts.isAnyOpen ? undefined : left(OUTCOME_UNKNOWN);
   }
 
   /**
-   * What a failure of one try means. A refusal that says "not run" must be true for ever, so it
-   * is proved against the table first: the read may come from the past, and an attempt whose
-   * answer was lost, of this call or of another daemon's, may still be on its way. While the
-   * store cannot be asked, an earlier call may have been accepted, so that is "unknown" too.
-   * Undefined when it is worth another try.
+   * Decides the result after a failed try; undefined if the confirmation should be retried. A
+   * refusal that says "not run" must stay true forever, so it is verified against the table
+   * first: the read may be out of date, and an attempt whose answer was lost, by this daemon or
+   * another one, may still take effect later. While the store is unavailable the outcome is
+   * "unknown", because an earlier call may have been accepted.
    */
   async #afterFailure(
     cause: Failure,
@@ -221,9 +225,9 @@
   }
 
   /**
-   * Proves that the plan's row is as read by writing it again as it is, or that there is none.
-   * The row's version moves, and any attempt under way named the former one, so none of them can
-   * take effect any more.
+   * Verifies that the plan's row is still as read, or still absent. An existing row is rewritten
+   * unchanged, which increments its version. Attempts in flight require the old version, so none
+   * of them can take effect any more.
    */
   async #isProved(planId: string, row: TableRow | undefined): Promise<boolean> {
     const key = planKey(planId);
@@ -235,7 +239,7 @@
     return !isLeft(result) && result.right.outcome === TransactionOutcome.Committed;
   }
 
-  /** Tells what the plan lost to and offers one made from where things stand now. */
+  /** Adds to a refusal the change that made the plan stale, and a plan for the current state. */
   async #staleRefusal(
     cause: Failure,
     plan: Plan,
--- a/src/operator/node/planSteps.ts
+++ b/src/operator/node/planSteps.ts
@@ -1,4 +1,4 @@
-/** Writes out the tasks that a plan's row holds in short. */
+/** Expands the new tasks that a plan's row stores in compact form. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
 import type { JsonValue } from '../../base/common/json.js';
@@ -9,22 +9,25 @@
 const writtenOut = async ({ freshTasks, ...step }: PlanStep): Promise<PlanStep> => {
   if (freshTasks === undefined) return step;
   const tasks: BatchTask[] = [];
-  // eslint-disable-next-line no-restricted-syntax -- the pieces are made one by one, on demand
+  // eslint-disable-next-line no-restricted-syntax -- the generator creates chunks on demand
   for (const piece of freshTaskPieces(freshTasks)) {
     tasks.push(...piece);
-    // eslint-disable-next-line no-await-in-loop -- one piece a turn is the purpose
+    // eslint-disable-next-line no-await-in-loop -- yields to the event loop after each chunk
     await nextTurn();
   }
   return { ...step, after: { ...(step.after as Readonly<Record<string, JsonValue>>), tasks } };
 };
 
-/** A plan as operators see it and as it is digested; requests get their turn meanwhile. */
+/**
+ * Returns the plan with the full tasks of new shards, as operators see it and as it is digested.
+ * Yields to the event loop in between.
+ */
 export const withTasksWrittenOut = async <Planned extends Pick<Plan, 'steps'>>(
   plan: Planned,
 ): Promise<Planned> => {
   const steps: PlanStep[] = [];
   for (let index = 0; index < plan.steps.length; index += 1) {
-    // eslint-disable-next-line no-await-in-loop -- one step after the other
+    // eslint-disable-next-line no-await-in-loop -- one step at a time limits the work per turn
     steps.push(await writtenOut(plan.steps[index] as PlanStep));
   }
   return { ...plan, steps };
--- a/src/operator/node/planSweeper.ts
+++ b/src/operator/node/planSweeper.ts
@@ -1,4 +1,4 @@
-/** Removes plans that are past their retention. */
+/** Removes plans whose retention time has passed. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Disposable } from '../../base/common/lifecycle.js';
@@ -8,12 +8,12 @@
 import { planningFault } from '../common/confirmation.js';
 import { planPrefixesBefore } from '../common/plan.js';
 
-/** The first sweep of a process also takes what was left while no daemon ran. */
+/** Old hours covered by each sweep, so that it also removes plans left while no daemon ran. */
 const HOURS_SWEPT = 48;
 const ROWS_PER_TRANSACTION = 100;
 const HOUR_MS = 3_600_000;
 
-/** The part of the sweep that takes no time of its own, for tests. */
+/** One sweep without a timer, so that tests can run it directly. */
 export class PlanSweep {
   readonly #table: TableService;
 
@@ -28,10 +28,11 @@
   }
 
   /**
-   * Some 12,000 plans are made a day, and nothing else removes them: the table would fill and
-   * every listing of plans grow. Ids begin with the hour, so only old hours are read. All daemons
-   * sweep; a second sweep finds no rows or fails the condition, so concurrency is safe. Only
-   * whole hours past the retention are taken, so a clock that is fast by less takes none too soon.
+   * Removes old plans. About 12,000 plans are made a day and nothing else removes them, so without
+   * the sweep the table and every listing of plans would grow without bound. Plan ids begin with
+   * the hour, so only old hours are read. All daemons sweep concurrently: a second sweep finds no
+   * rows, or its conditions fail. A plan is removed only when its whole hour is older than the
+   * retention, so a clock that is fast by less than the rest of that hour removes it no earlier.
    */
   async run(wallNowMs: number): Promise<void> {
     const prefixes = planPrefixesBefore(wallNowMs - this.#retentionMs, HOURS_SWEPT);
@@ -39,7 +40,7 @@
     if (isLeft(read)) return;
     const { rows } = read.right;
     for (let index = 0; index < rows.length; index += ROWS_PER_TRANSACTION) {
-      // One small transaction at a time leaves the store to those who wait for it.
+      // Small transactions, one at a time, do not delay other users of the store.
       // eslint-disable-next-line no-await-in-loop
       await this.#remove(rows.slice(index, index + ROWS_PER_TRANSACTION), wallNowMs);
     }
--- a/src/operator/node/teamSurvey.ts
+++ b/src/operator/node/teamSurvey.ts
@@ -1,4 +1,4 @@
-/** Reads what one team's jobs run out of their work rows. */
+/** Reads the running tasks of one team's jobs from the jobs' shard rows. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
 import { type Either, isLeft, right } from 'fp-ts/lib/Either.js';
@@ -30,7 +30,7 @@
   if (isLeft(read)) return read;
   const running: RunningTask[] = [];
   for (let index = 0; index < read.right.rows.length; index += 1) {
-    // A job of 10,000 tasks has over a thousand in each zone; requests get their turn between.
+    // A job of 10,000 tasks has over a thousand in each zone, so other requests run in between.
     // eslint-disable-next-line no-await-in-loop
     await nextTurn();
     running.push(...toRunningTasks(workRowSchema.parse(read.right.rows[index]?.value)));
@@ -39,9 +39,10 @@
 };
 
 /**
- * Tasks of a team's jobs that run, without their workers. A start and an end change the ledger
- * and the job's row in one transaction, so the row tells the same as the ledger; but the ledger
- * of 17,500 tasks is sorted by rack, and to find a team's forty in it all of it had to be read.
+ * Running tasks of a team's jobs, without their workers. When a task starts or ends, one
+ * transaction changes both the ledger and the shard's row, so the shard rows agree with the ledger.
+ * The ledger is organized by rack: finding the forty tasks of a team in it would mean reading all
+ * 17,500 tasks.
  */
 export const surveyTeam = async (
   table: TableService,
