--- a/src/operator/test/badInput.test.ts
+++ b/src/operator/test/badInput.test.ts
@@ -31,7 +31,7 @@
 
 const plan = (intent: unknown): Promise<Answer> => post(JSON.stringify({ intent }));
 
-/** Announces a body of 50 MB and sends until an answer comes, as a tool would. */
+/** Announces a body of 50 MB, sends its first bytes and waits for the answer. */
 const postHuge = (): Promise<Answer> =>
   new Promise((resolve, reject) => {
     const call = rawRequest({
@@ -68,19 +68,19 @@
   ['no intent at all', undefined, 400, 'intent'],
   ['a bad name', { intent: 'withdraw-zone', zone: '../x' }, 400, 'is not a valid name'],
   [
-    'a size of less than nothing',
+    'a negative size',
     { intent: 'submit-job', ...job, size: { ...SIZE, memoryBytes: -1 } },
     400,
     'intent.size.memoryBytes',
   ],
   [
-    'a size that no worker has',
+    'a job whose task fits on no worker',
     { intent: 'submit-job', ...job, size: HUGE_SIZE },
     422,
     'large enough',
   ],
   [
-    'a service that no worker has room for',
+    'a service whose task fits on no worker',
     { intent: 'create-service', service: { ...service('x'), size: HUGE_SIZE } },
     422,
     'large enough',
@@ -93,13 +93,13 @@
   ],
   ['a service that does not exist', { intent: 'remove-service', name: 'x' }, 422, 'no service x'],
   [
-    'a zone that does not exist',
+    'withdrawing a zone that does not exist',
     { intent: 'withdraw-zone', zone: 'x' },
     422,
     'availability zone x',
   ],
   [
-    'bringing in a zone that does not exist',
+    'using a zone that does not exist',
     { intent: 'use-zone', zone: 'x', region: 'r' },
     422,
     'availability zone x',
@@ -113,19 +113,19 @@
     'intent.jobIds',
   ],
   [
-    'a quota under what services take',
+    'a quota below the resources of services',
     { intent: 'set-quota', team: 'kitchen', limit },
     422,
     'kitchen uses 12 processors',
   ],
   [
-    'a quota under what a job runs',
+    'a quota below the resources of a running job',
     { intent: 'set-quota', team: 'bakers', limit },
     422,
     'bakers uses 2 processors',
   ],
   [
-    'one submission twice in many',
+    'the same submission twice in one intent',
     {
       intent: 'submit-jobs',
       jobs: [
@@ -137,7 +137,7 @@
     'name the same submission twice',
   ],
   [
-    'more tasks than one plan carries',
+    'more tasks than one plan allows',
     {
       intent: 'submit-jobs',
       jobs: ['a', 'b'].map((key) => ({ ...job, submissionKey: key, size: SIZE, taskCount: 6_000 })),
@@ -147,42 +147,45 @@
   ],
   ['a version that does not exist', { intent: 'revert', version: 9 }, 422, 'no version 9'],
   [
-    'a policy beyond its bounds',
+    'a policy value out of bounds',
     { intent: 'set-policy', policy: { maximumReplicaCount: 0 } },
     400,
     'maximumReplicaCount',
   ],
 ];
 
-describe('bad input', () => {
+describe('bad input to the operator interface', () => {
   let before: unknown;
   beforeEach(() => {
     before = table.read({ keys: [], prefixes: [''] });
   });
 
-  it.each(BAD_INTENTS)('%s is one clear error and no change', async (_name, intent, code, text) => {
-    const { statusCode, body } = await plan(intent);
-    expect(body.message).toContain(text);
-    expect(statusCode).toBe(code);
-    expect(body.workOutcome).toBe('not-run');
-    expect(body.message.length).toBeLessThan(300);
-    expect(table.read({ keys: [], prefixes: [''] })).toEqual(before);
-  });
+  it.each(BAD_INTENTS)(
+    '%s gets one clear error and changes nothing',
+    async (_name, intent, code, text) => {
+      const { statusCode, body } = await plan(intent);
+      expect(body.message).toContain(text);
+      expect(statusCode).toBe(code);
+      expect(body.workOutcome).toBe('not-run');
+      expect(body.message.length).toBeLessThan(300);
+      expect(table.read({ keys: [], prefixes: [''] })).toEqual(before);
+    },
+  );
 
-  it('a body that is no JSON is one clear error and no change', async () => {
+  it('a body that is not JSON gets one clear error and changes nothing', async () => {
     const { statusCode, body } = await post('{"intent":');
     expect([statusCode, body.error]).toEqual([400, 'bad-request']);
     expect(table.read({ keys: [], prefixes: [''] })).toEqual(before);
   });
 
-  // Read whole, bodies like this one would take the daemon's memory and with it callers' requests.
+  // Reading such bodies whole would exhaust the daemon's memory, and callers' requests would fail.
   it('a body of 50 MB is refused before it is read', async () => {
     const { statusCode, body } = await postHuge();
     expect([statusCode, body.error, body.workOutcome]).toEqual([413, 'body-too-large', 'not-run']);
     expect(table.read({ keys: [], prefixes: [''] })).toEqual(before);
   });
 
-  it('a token or role that does not do is refused', async () => {
+  it('an unknown token or an insufficient role is refused', async () => {
     const body = JSON.stringify({ intent: { intent: 'withdraw-zone', zone: 'zone-a' } });
     expect((await post(body, 'guessed')).body.error).toBe('unauthorised');
     expect((await post(body, 'vic-token')).body.error).toBe('forbidden');
--- a/src/operator/test/confirmation.test.ts
+++ b/src/operator/test/confirmation.test.ts
@@ -13,7 +13,7 @@
 const outcomeOf = (refusal: ConfirmationRefusal): string => errorBody(refusal).workOutcome;
 
 describe('confirming a plan', () => {
-  it('changes nothing before, and changes once however often it is confirmed', async () => {
+  it('changes nothing before, and makes the change once however often it is repeated', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     const plan = await harness.plan(plans, useZone('zone-a'));
@@ -25,10 +25,10 @@
     expect(harness.history).toHaveLength(1);
   });
 
-  // Two operators plan for the same zone from the same state. The first confirmation wins; the
-  // second plan was made from rows that have changed since, so it is refused as stale, is told
-  // what it lost to and gets a plan made from where things stand now.
-  it('refuses the loser of a race on the same object and lets others through', async () => {
+  // Two operators plan for the same zone from the same state. The first confirmation wins. The
+  // rows of the second plan have changed by then, so it is refused as stale. The refusal names the
+  // change that won and contains a new plan made from the current state.
+  it('refuses the loser of a race on the same object and accepts plans for others', async () => {
     const harness = new OperatorHarness(1);
     const [first, second] = [harness.daemon(), harness.daemon()];
     const winner = await harness.plan(first, useZone('zone-a'));
@@ -46,9 +46,9 @@
     expect((await harness.confirm(second, newPlan))._tag).toBe('Right');
   });
 
-  // The plan's row in the table is not the one that was shown: a fault of a program or a hand
-  // in the table. What would be written was never read by anybody, so it is refused.
-  it('does nothing that was not shown', async () => {
+  // A bug or a manual edit of the table has altered the plan's row after the plan was shown. The
+  // operator has not seen the altered steps, so the confirmation is refused.
+  it('refuses a plan whose row was altered after it was shown', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     const plan = await harness.plan(plans, useZone('zone-a'));
@@ -68,7 +68,7 @@
     expect(harness.brokenInvariants).toEqual(['invariant_only_what_was_shown']);
   });
 
-  it('refuses a plan that has expired, for good', async () => {
+  it('refuses a plan that has expired', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     const plan = await harness.plan(plans, useZone('zone-a'));
@@ -78,9 +78,9 @@
     expect(harness.otherRows).toEqual([]);
   });
 
-  // A job is dealt out to three zones; one is withdrawn before the plan is confirmed. The shard
-  // would be written to a cell that starts nothing and its tasks would wait for a return.
-  it('refuses a job that was planned for a zone which is withdrawn since', async () => {
+  // A job's tasks are distributed over two zones, and one is withdrawn before the confirmation. Its
+  // shard would be written to a cell that starts nothing, and wait until the zone is used again.
+  it('refuses a job that was planned for a zone that has been withdrawn since', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     await harness.carryOut(plans, useZone('zone-a'));
@@ -98,7 +98,7 @@
   });
 });
 
-/** A table whose calls a test answers, with the real table behind it. */
+/** Wraps the harness's table. The test decides how each transaction is answered. */
 const scripted = (
   harness: OperatorHarness,
   transact: (transaction: Transaction, applied: () => void) => 'lost' | 'down' | 'pass',
@@ -115,10 +115,10 @@
 const isConfirmation = (transaction: Transaction): boolean =>
   transaction.writes.some(({ key }) => key.startsWith('configuration/'));
 
-describe('a confirmation whose answer is lost', () => {
-  // The transaction took effect, its answer was lost, and then the store goes out altogether.
-  // The operator would start over if told "not run", and the change would be made twice.
-  it('ends as unknown while the store is out and as accepted when asked again', async () => {
+describe('a transaction whose answer is lost', () => {
+  // The transaction takes effect, its answer is lost, and then the store becomes unavailable. If
+  // the answer were "not run", the operator would start over and make the change twice.
+  it('has an unknown outcome while the store is down and is found on a retry', async () => {
     const harness = new OperatorHarness(1);
     let isOut = false;
     const table = scripted(harness, (transaction, apply) => {
@@ -141,8 +141,8 @@
     expect(harness.history).toHaveLength(1);
   });
 
-  // The transaction hangs about in the network. The plan expires meanwhile and the operator is
-  // told that it was not run; then the transaction arrives. It must not take effect any more.
+  // The transaction is delayed in the network. Meanwhile the plan expires and the operator is told
+  // that it was not run. When the transaction arrives, it must not take effect.
   it('cannot take effect after a refusal that says not-run', async () => {
     const harness = new OperatorHarness(1);
     let applyLate = (): void => {};
@@ -161,8 +161,8 @@
     expect(harness.otherRows).toEqual([]);
   });
 
-  // The plan itself was kept but the answer was lost. A second write under the same id finds it.
-  it('of the plan itself still gives the plan', async () => {
+  // The plan was stored but the answer was lost. A second write under the same id finds the plan.
+  it('is repeated if it stores a plan, and the plan is returned', async () => {
     const harness = new OperatorHarness(1);
     let lostCount = 0;
     const table = scripted(harness, (transaction, apply) => {
@@ -204,27 +204,30 @@
     harness.table.truth.transact({ operationId: 'rewrite', conditions: [], writes: [write] });
   };
 
-  // An operator submits a job of thousands of tasks and confirms it through another daemon. The
-  // plan's row held every task, and who read it parsed a megabyte while requests waited. Kept in
-  // short it must mean the same: the digest is that of the form with all tasks, and the rows
-  // written are those shown, also from a row that was kept in the long form.
-  it.each([false, true])('writes what was shown; plan kept at full length: %s', async (isLong) => {
-    const { harness, plan } = await planned();
-    const key = `plan/${plan.planId}`;
-    expect(plan.digest).toBe(GOLDEN_DIGEST);
-    expect(JSON.stringify(harness.rows(key)).length).toBeLessThan(5_000);
-    if (isLong) rewritePlan(harness, plan, key);
-    expect(await harness.settle(harness.daemon().find(plan.planId))).toEqual(right(plan));
-    const confirmed = await harness.confirm(harness.daemon(), plan);
-    expect(confirmed).toMatchObject(right({ steps: plan.steps, state: 'confirmed' }));
-    const shown = plan.steps.map(({ key: stepKey, after }) => ({ key: stepKey, value: after }));
-    const written = harness.otherRows.map(({ key: rowKey, value }) => ({ key: rowKey, value }));
-    expect(written).toEqual(expect.arrayContaining(shown));
-    expect(harness.brokenInvariants).toEqual([]);
-  });
-
-  // The row tells of another number of tasks than was shown: nobody has read that, so it is refused.
-  it('refuses a row whose tasks in short were altered', async () => {
+  // An operator submits a job of thousands of tasks and confirms it through another daemon. When
+  // the plan's row held every task, its readers parsed a megabyte while requests waited. The
+  // compact form must mean the same: the digest covers the full tasks, and the written rows are
+  // those that were shown. Rows that were stored with the full tasks must still work.
+  it.each([false, true])(
+    'writes the steps that were shown (full tasks stored: %s)',
+    async (isLong) => {
+      const { harness, plan } = await planned();
+      const key = `plan/${plan.planId}`;
+      expect(plan.digest).toBe(GOLDEN_DIGEST);
+      expect(JSON.stringify(harness.rows(key)).length).toBeLessThan(5_000);
+      if (isLong) rewritePlan(harness, plan, key);
+      expect(await harness.settle(harness.daemon().find(plan.planId))).toEqual(right(plan));
+      const confirmed = await harness.confirm(harness.daemon(), plan);
+      expect(confirmed).toMatchObject(right({ steps: plan.steps, state: 'confirmed' }));
+      const shown = plan.steps.map(({ key: stepKey, after }) => ({ key: stepKey, value: after }));
+      const written = harness.otherRows.map(({ key: rowKey, value }) => ({ key: rowKey, value }));
+      expect(written).toEqual(expect.arrayContaining(shown));
+      expect(harness.brokenInvariants).toEqual([]);
+    },
+  );
+
+  // The stored tasks differ from those that the operator saw, so the confirmation is refused.
+  it('refuses a plan whose compact tasks were altered in its row', async () => {
     const { harness, plan } = await planned();
     const key = `plan/${plan.planId}`;
     const text = JSON.stringify(harness.rows(key)[0]?.value);
--- a/src/operator/test/instances.test.ts
+++ b/src/operator/test/instances.test.ts
@@ -11,9 +11,9 @@
   return { kind: 'daemon', id, availabilityZone: 'zone-a', state, ...addresses };
 };
 
-// The platform's list lags: it names an entry that has died and not the one that took its place.
-// An operator who looks for a missing entry must see both what the list says and what is seen.
-it('instances are shown as the list has them and as the daemons see one another', async () => {
+// The platform's instance list lags: it contains a daemon that has died but not its replacement.
+// An operator who looks for a missing daemon must see the listed state and the observed state.
+it('listing instances shows their listed states and the observed states of daemons', async () => {
   const harness = new OperatorHarness(1);
   harness.instances = [daemon('one'), daemon('dead'), worker('w1', 'zone-a')];
   const members = new Map([
--- a/src/operator/test/killedDaemon.test.ts
+++ b/src/operator/test/killedDaemon.test.ts
@@ -8,11 +8,11 @@
 import type { Plan } from '../common/plan.js';
 import { OperatorHarness, service, SIZE } from './operatorHarness.js';
 
-/** More table calls than planning or confirming any intent here makes. */
+/** More table calls than planning or confirming any of these intents makes. */
 const MAXIMUM_CALLS = 12;
 const STEPS = Array.from({ length: MAXIMUM_CALLS }, (_, index) => index + 1);
 
-/** Where in its last call the daemon dies: before the table took it in, or after. */
+/** Whether the daemon is killed before or after its last call takes effect in the table. */
 const Death = { BeforeEffect: 'before', AfterEffect: 'after' } as const;
 type Death = (typeof Death)[keyof typeof Death];
 
@@ -34,7 +34,7 @@
   ]),
 );
 
-/** The table as a daemon sees it that is killed at its nth call: nothing ever comes back. */
+/** A table for a daemon that is killed during call `lastCall`: no answer arrives from then on. */
 const mortal = (harness: OperatorHarness, lastCall: number, death: Death) => {
   let callCount = 0;
   const call = <T>(run: () => Promise<T>): Promise<T> => {
@@ -59,15 +59,15 @@
   return harness;
 };
 
-/** Runs a daemon until it has answered or nothing of it moves any more. */
+/** Runs until the daemon has answered or 20 s have passed, and then for 20 s to let calls end. */
 const runUntilStill = async (harness: OperatorHarness, work: Promise<unknown>): Promise<void> => {
   await harness.time.runUntil(harness.time.nowMs() + 20_000, work);
   await harness.time.runUntil(harness.time.nowMs() + 20_000);
 };
 
 describe('a daemon that is killed', () => {
-  // The operator's call breaks off and nothing tells how far the daemon got. However far it was
-  // with the plan, no row of anything but plans may have changed.
+  // The operator's call breaks off, and the operator does not know how far the daemon got. At
+  // whatever call the daemon is killed, only rows of plans may have changed.
   it.each(WALK)('while planning %s changes nothing (%s the effect)', async (_n, death, intent) => {
     const deaths = await Promise.all(
       STEPS.map(async (lastCall) => {
@@ -79,14 +79,14 @@
         return isDead();
       }),
     );
-    // The walk is of use only if it ends with daemons that were not killed at all.
+    // The test covers every call only if the daemon with the highest number was never killed.
     expect(deaths[0]).toBe(true);
     expect(deaths.at(-1)).toBe(false);
   });
 
-  // The daemon dies at any single table call of a confirmation. The change is then made whole or
-  // not at all, and the operator, who confirms the same plan through another daemon, finds it
-  // made once, with one line of history.
+  // The daemon is killed at any single table call of a confirmation. The change is then made
+  // completely or not at all. After the operator has confirmed the same plan through another
+  // daemon, the change is made once and history has one entry for it.
   it.each(WALK)('while confirming %s changes all or nothing (%s the effect)', async (...row) => {
     const [, death, intent] = row;
     const outcomes = await Promise.all(
@@ -115,31 +115,34 @@
     expect(outcomes.at(-1)).toEqual({ isDead: false, isUnchanged: false });
   });
 
-  // The same walk with each call's answer lost in place of the daemon: a refusal of the store at
-  // any one call. Whatever the operator is told must be true of the table.
-  it.each(INTENTS)('is not needed: any one call may fail ($intent)', async (intent) => {
-    await Promise.all(
-      STEPS.map(async (failingCall) => {
-        const harness = await setUp();
-        const plan = await harness.plan(harness.daemon(), intent);
-        let callCount = 0;
-        const failing = <T>(run: () => Promise<T>) => {
-          callCount += 1;
-          if (callCount !== failingCall) return run();
-          return Promise.resolve(left(failure(ErrorKind.StoreUnavailable, 'out')) as T);
-        };
-        const table: TableService = {
-          read: (request) => () => failing(harness.table.read(request)),
-          transact: (transaction) => () => failing(harness.table.transact(transaction)),
-        };
-        const confirmed = await harness.confirm(harness.daemon(table), plan);
-        const isMade = harness.history.length === 4;
-        if (!isLeft(confirmed)) expect(isMade).toBe(true);
-        else if (confirmed.left.workOutcome === 'not-run') expect(isMade).toBe(false);
-        const again = await harness.confirm(harness.daemon(), plan);
-        expect(isLeft(again)).toBe(false);
-        expect(harness.history).toHaveLength(4);
-      }),
-    );
-  });
+  // The daemon survives, but the store refuses any single one of its calls. The outcome that the
+  // operator is told must agree with the table.
+  it.each(INTENTS)(
+    'or refused by the store at any one call reports a true outcome ($intent)',
+    async (intent) => {
+      await Promise.all(
+        STEPS.map(async (failingCall) => {
+          const harness = await setUp();
+          const plan = await harness.plan(harness.daemon(), intent);
+          let callCount = 0;
+          const failing = <T>(run: () => Promise<T>) => {
+            callCount += 1;
+            if (callCount !== failingCall) return run();
+            return Promise.resolve(left(failure(ErrorKind.StoreUnavailable, 'out')) as T);
+          };
+          const table: TableService = {
+            read: (request) => () => failing(harness.table.read(request)),
+            transact: (transaction) => () => failing(harness.table.transact(transaction)),
+          };
+          const confirmed = await harness.confirm(harness.daemon(table), plan);
+          const isMade = harness.history.length === 4;
+          if (!isLeft(confirmed)) expect(isMade).toBe(true);
+          else if (confirmed.left.workOutcome === 'not-run') expect(isMade).toBe(false);
+          const again = await harness.confirm(harness.daemon(), plan);
+          expect(isLeft(again)).toBe(false);
+          expect(harness.history).toHaveLength(4);
+        }),
+      );
+    },
+  );
 });
--- a/src/operator/test/operatorErrors.test.ts
+++ b/src/operator/test/operatorErrors.test.ts
@@ -51,9 +51,9 @@
 const historyLength = async (): Promise<number> =>
   ((await call('GET', '/v1/history')).body as unknown as unknown[]).length;
 
-describe('when something goes wrong an operator is told', () => {
-  // Whoever confirms an hour later would carry out what was planned for another state of things.
-  it('that a plan has expired', async () => {
+describe('an error response to an operator', () => {
+  // A plan confirmed an hour later would make changes that were planned for a different state.
+  it('says that a plan has expired', async () => {
     const plan = await makePlan();
     server.wallMs = PLAN_LIFETIME_MS + 1;
     const { statusCode, body } = await confirm(plan);
@@ -63,7 +63,7 @@
     expect(await historyLength()).toBe(1);
   });
 
-  it('that a digest is of another plan', async () => {
+  it('says that a digest belongs to another plan', async () => {
     const [one, other] = [await makePlan(), await makePlan()];
     const { statusCode, body } = await confirm({ ...one, digest: other.digest });
     expect([statusCode, body.error, body.workOutcome]).toEqual([409, 'plan-conflict', 'not-run']);
@@ -71,8 +71,8 @@
     expect(await historyLength()).toBe(1);
   });
 
-  // The store takes the change in and its answer is lost; the daemon asks again by itself.
-  it('of the acceptance although its answer was lost, and once however often asked', async () => {
+  // The store makes the change and its answer is lost. The daemon retries by itself.
+  it('is not sent if a lost answer can be retried, and the change is made once', async () => {
     const plan = await makePlan();
     server.lostAnswerCount = 1;
     const first = await confirm(plan);
@@ -81,9 +81,10 @@
     expect(await historyLength()).toBe(2);
   });
 
-  // The store goes out before anything is known. "Not run" could be untrue, so it is unknown, with
-  // the time to come back; confirming the same plan again finds out and makes one change.
-  it('that the outcome is unknown while the store is out, and the outcome afterwards', async () => {
+  // The store becomes unavailable before the outcome is known. "Not run" could be wrong, so the
+  // outcome is unknown, with a time to retry after. Confirming the same plan again returns the
+  // outcome and makes one change.
+  it('says that the outcome is unknown while the store is unavailable', async () => {
     const plan = await makePlan();
     server.isTableDown = true;
     const { statusCode, body, retryAfter } = await confirm(plan);
@@ -95,7 +96,7 @@
     expect(await historyLength()).toBe(2);
   });
 
-  it('that the store is out, when planning or looking', async () => {
+  it('says that the store is unavailable when planning or listing', async () => {
     server.isTableDown = true;
     const planned = await call('POST', '/v1/plans', WITHDRAWAL);
     expect(planned.statusCode).toBe(503);
@@ -104,7 +105,7 @@
     expect([looked.statusCode, looked.body.error]).toEqual([503, 'store-unavailable']);
   });
 
-  it('which role is missing, and that a token is not known', async () => {
+  it('names the missing role or says that the token is unknown', async () => {
     const plan = await makePlan();
     const forbidden = await confirm(plan, 'pat-token');
     expect([forbidden.statusCode, forbidden.body.error]).toEqual([403, 'forbidden']);
@@ -118,14 +119,21 @@
   });
 
   it.each([
-    ['a plan that is not there', 'GET', '/v1/plans/x', undefined, 404, 'no plan x'],
-    ['progress of no plan', 'GET', '/v1/plans/x/progress', undefined, 404, 'no plan x'],
-    ['a confirmation of no plan', 'POST', '/v1/plans/x/confirm', { digest: 'd' }, 404, 'no plan x'],
+    ['a plan that does not exist', 'GET', '/v1/plans/x', undefined, 404, 'no plan x'],
+    ['the progress of an unknown plan', 'GET', '/v1/plans/x/progress', undefined, 404, 'no plan x'],
+    [
+      'a confirmation of an unknown plan',
+      'POST',
+      '/v1/plans/x/confirm',
+      { digest: 'd' },
+      404,
+      'no plan x',
+    ],
     ['a confirmation without a digest', 'POST', '/v1/plans/x/confirm', {}, 400, 'digest'],
-    ['an object that is not there', 'GET', '/v1/zones/x', undefined, 404, 'no zone x'],
-    ['a path that is not there', 'GET', '/v1/paintings', undefined, 404, 'no /v1/paintings'],
-    ['another method', 'POST', '/v1/zones', {}, 404, 'no /v1/zones'],
-  ] as const)('of %s in one line', async (_name, method, path, body, statusCode, text) => {
+    ['an object that does not exist', 'GET', '/v1/zones/x', undefined, 404, 'no zone x'],
+    ['a path that does not exist', 'GET', '/v1/paintings', undefined, 404, 'no /v1/paintings'],
+    ['a method that is not supported', 'POST', '/v1/zones', {}, 404, 'no /v1/zones'],
+  ] as const)('is one line for %s', async (_name, method, path, body, statusCode, text) => {
     const answer = await call(method, path, body);
     expect(answer.statusCode).toBe(statusCode);
     expect(answer.body.message).toContain(text);
--- a/src/operator/test/operatorHarness.ts
+++ b/src/operator/test/operatorHarness.ts
@@ -1,4 +1,4 @@
-/** Operators of several daemons over one table in virtual time. */
+/** Runs the plan services of several daemons on one table in virtual time. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import type { RandomSource } from '../../base/common/random.js';
@@ -53,7 +53,7 @@
   connectionCount: 64,
 });
 
-/** A table and as many daemons over it as there are calls of `daemon`. */
+/** One table and the plan services of any number of daemons that share it. */
 export class OperatorHarness {
   readonly time = new VirtualTime();
 
@@ -80,7 +80,7 @@
     this.table = new VirtualTable(this.time, this.random, behaviour);
   }
 
-  /** The operators' side of one daemon. */
+  /** Creates the plan service of one more daemon. */
   daemon(table: TableService = this.table): PlanService {
     const nextId = (): string => {
       this.#idCount += 1;
@@ -103,7 +103,7 @@
     );
   }
 
-  /** Lets time pass until the work is done. */
+  /** Advances the virtual time until the work is done. */
   async settle<T>(work: Promise<T>): Promise<T> {
     await this.time.runUntil(this.time.nowMs() + LONGEST_TEST_MS, work);
     return work;
@@ -115,6 +115,7 @@
     return plan.right;
   }
 
+  /** Plans an intent and returns the failure; undefined if planning succeeds. */
   refusal(plans: PlanService, intent: Intent): Promise<Failure | undefined> {
     return this.settle(plans.plan(intent, 'ann')).then((plan) =>
       isLeft(plan) ? plan.left : undefined,
@@ -129,7 +130,7 @@
     return this.settle(plans.confirm({ planId, digest, author }));
   }
 
-  /** Plans and confirms, for setting a test up. */
+  /** Plans and confirms an intent. */
   async carryOut(plans: PlanService, intent: Intent): Promise<Plan> {
     const confirmed = await this.confirm(plans, await this.plan(plans, intent));
     if (isLeft(confirmed)) throw new Error(confirmed.left.message);
@@ -140,7 +141,7 @@
     return this.table.truth.read({ keys: [], prefixes: [prefix] }).rows;
   }
 
-  /** Everything that is not a plan. */
+  /** All rows except plans. */
   get otherRows(): readonly TableRow[] {
     return this.rows('').filter(({ key }) => !key.startsWith('plan/'));
   }
@@ -153,7 +154,7 @@
     return this.rows(CHANGE_PREFIX).map(({ value }) => changeRowSchema.parse(value));
   }
 
-  /** Counters of broken invariants. */
+  /** Names of the counters of broken invariants that were incremented. */
   get brokenInvariants(): readonly string[] {
     return [...this.counts.keys()].filter((name) => name.startsWith('invariant_'));
   }
--- a/src/operator/test/operatorRaces.test.ts
+++ b/src/operator/test/operatorRaces.test.ts
@@ -10,17 +10,17 @@
 const OPERATOR_COUNT = 20;
 const ROUND_COUNT = 4;
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
-/** Longer than any transaction can hang about. */
+/** Longer than any transaction can be delayed in the network. */
 const SETTLING_MS = 60_000;
 
-/** What became of one call of confirm, as its operator was told. */
+/** The outcome of one call of `confirm` as reported to its operator. */
 interface Told {
   readonly planId: string;
   readonly outcome: 'accepted' | 'not-run' | 'unknown';
   readonly acceptedVersion: number;
 }
 
-/** Few enough objects that intents conflict, and some that stand alone. */
+/** Picks from few objects, so that many intents conflict with each other and some do not. */
 const randomIntent = (harness: OperatorHarness, operator: number): Intent => {
   const lot = harness.random.nextIndex(6);
   const name = `s${harness.random.nextIndex(3)}`;
@@ -65,12 +65,12 @@
     told.push({ planId, outcome, acceptedVersion: 0 });
   };
   for (let round = 0; round < ROUND_COUNT; round += 1) {
-    // An operator does one thing after the other.
+    // An operator makes and confirms one plan at a time.
     // eslint-disable-next-line no-await-in-loop
     await harness.time.delay(harness.random.nextFraction() * 50);
     // eslint-disable-next-line no-await-in-loop
     const plan = await plans.plan(randomIntent(harness, operator), author);
-    // Impatient ones confirm twice at the same time.
+    // Some operators confirm the same plan twice at the same time.
     const isTwice = harness.random.nextFraction() < 0.3;
     if (!isLeft(plan) && plan.right.steps.length > 0) {
       // eslint-disable-next-line no-await-in-loop
@@ -105,41 +105,44 @@
   return [harness, told];
 };
 
-describe('twenty operators at once', () => {
-  // Operators of seven daemons plan and confirm at random on the same few objects, some twice at
-  // a time, while a quarter of the table's answers are lost: before the write, after it, or with
-  // the write landing seconds later. A change made twice, or made though its operator was told
-  // that it was not run, or missing from history, shows up when history is held against what
-  // each operator was told.
-  it.each(SEEDS)('make one line of history (seed %i)', async (seed) => {
-    const [harness, told] = await run(seed);
-    const { history } = harness;
-    expect(history.map(({ version }) => version)).toEqual(history.map((_, index) => index + 1));
-    const versionOf = new Map(history.map(({ planId, version }) => [planId, version]));
-    expect(versionOf.size).toBe(history.length);
-    const accepted = told.filter(({ outcome }) => outcome === 'accepted');
-    expect(
-      accepted.filter(({ planId, acceptedVersion }) => versionOf.get(planId) !== acceptedVersion),
-    ).toEqual([]);
-    const notRun = told.filter(({ outcome }) => outcome === 'not-run');
-    const acceptedIds = new Set(accepted.map(({ planId }) => planId));
-    expect(
-      notRun.filter(({ planId }) => versionOf.has(planId) && !acceptedIds.has(planId)),
-    ).toEqual([]);
-    const confirmed = harness
-      .rows(planKey(''))
-      .map(({ value }) => keptPlanSchema.parse(value))
-      .filter(({ state }) => state === PlanState.Confirmed);
-    expect(confirmed.map(({ planId }) => planId).sort()).toEqual([...versionOf.keys()].sort());
-    expect(harness.brokenInvariants).toEqual([]);
-    // The run is of use only if there were winners and losers.
-    expect(accepted.length).toBeGreaterThan(10);
-    expect(notRun.length).toBeGreaterThan(2);
-  });
+describe('concurrent operators', () => {
+  // Twenty operators of seven daemons plan and confirm random intents on the same few objects, some
+  // of them twice at the same time. A quarter of the table's answers are lost: before the write,
+  // after it, or with the write taking effect seconds later. The test compares history with the
+  // outcomes that the operators were told. It finds changes that are made twice, missing from
+  // history, or made although the operator was told that they were not run.
+  it.each(SEEDS)(
+    'create one linear history that agrees with their outcomes (seed %i)',
+    async (seed) => {
+      const [harness, told] = await run(seed);
+      const { history } = harness;
+      expect(history.map(({ version }) => version)).toEqual(history.map((_, index) => index + 1));
+      const versionOf = new Map(history.map(({ planId, version }) => [planId, version]));
+      expect(versionOf.size).toBe(history.length);
+      const accepted = told.filter(({ outcome }) => outcome === 'accepted');
+      expect(
+        accepted.filter(({ planId, acceptedVersion }) => versionOf.get(planId) !== acceptedVersion),
+      ).toEqual([]);
+      const notRun = told.filter(({ outcome }) => outcome === 'not-run');
+      const acceptedIds = new Set(accepted.map(({ planId }) => planId));
+      expect(
+        notRun.filter(({ planId }) => versionOf.has(planId) && !acceptedIds.has(planId)),
+      ).toEqual([]);
+      const confirmed = harness
+        .rows(planKey(''))
+        .map(({ value }) => keptPlanSchema.parse(value))
+        .filter(({ state }) => state === PlanState.Confirmed);
+      expect(confirmed.map(({ planId }) => planId).sort()).toEqual([...versionOf.keys()].sort());
+      expect(harness.brokenInvariants).toEqual([]);
+      // The run proves something only if some plans were accepted and some were refused.
+      expect(accepted.length).toBeGreaterThan(10);
+      expect(notRun.length).toBeGreaterThan(2);
+    },
+  );
 
-  // Two teams' operators work on different services while each confirmation is slow. Neither is
-  // refused for what the other does.
-  it.each(SEEDS)('do not hinder each other on different things (seed %i)', async (seed) => {
+  // Twenty operators set the quotas of different teams while each confirmation is slow. None of
+  // them is refused because of another one's change.
+  it.each(SEEDS)('do not conflict when they change different objects (seed %i)', async (seed) => {
     const harness = new OperatorHarness(seed, { maximumDelayMs: 40 });
     const daemons = Array.from({ length: 7 }, () => harness.daemon());
     const work = Array.from({ length: OPERATOR_COUNT }, async (_, operator) => {
@@ -155,9 +158,9 @@
     expect(results).toEqual(results.map(() => 'accepted'));
   });
 
-  // Two services of one team each fit into its quota but not together. Both plans are made
-  // before either is confirmed; were both accepted the team would be over its quota.
-  it('cannot together exceed a quota that each of them keeps', async () => {
+  // Two services of one team each fit into its quota, but not together. Both plans are made before
+  // either is confirmed. If both were accepted, the team would exceed its quota.
+  it('cannot exceed a quota with two plans that each keep it', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
@@ -173,8 +176,9 @@
     expect(isLeft(refused) && refused.left.message).toContain('the quota is');
   });
 
-  // Each operator takes out one of the last two zones, and neither plan warned of the last one.
-  it('cannot together take the last two zones out unwarned', async () => {
+  // Two operators each withdraw one of the last two zones. Neither plan contains the warning about
+  // the last zone, so the second one must be refused and planned again.
+  it('cannot withdraw the last two zones without a warning', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
--- a/src/operator/test/operatorServerHarness.ts
+++ b/src/operator/test/operatorServerHarness.ts
@@ -46,19 +46,19 @@
 };
 
 /**
- * The operators' HTTP interface of one daemon over a table in memory: zone `zone-a` with two
- * workers, the service `rounds`, a quota and a job with a running task. Tokens are `ann-token`
- * (may confirm), `pat-token` (may plan) and `vic-token` (may look).
+ * The operators' HTTP interface of one daemon, with a table in memory. The table contains the zone
+ * `zone-a` with two workers, the service `rounds`, a quota and a job with a running task. The
+ * tokens are `ann-token` (role confirm), `pat-token` (role plan) and `vic-token` (role view).
  */
 export class TestOperatorServer {
   readonly table = new TableStandIn();
 
-  /** The wall clock, which a test may move. */
+  /** The wall clock in milliseconds; tests may set it. */
   wallMs = 0;
 
   isTableDown = false;
 
-  /** How many more transactions take effect without an answer. */
+  /** How many of the next transactions take effect but have their answers lost. */
   lostAnswerCount = 0;
 
   readonly #server: OperatorServer;
--- a/src/operator/test/planProgress.test.ts
+++ b/src/operator/test/planProgress.test.ts
@@ -64,9 +64,9 @@
     await harness.settle(follower.refresh());
   });
 
-  // An operator takes a zone out for maintenance and must not pull the plug while tasks run
-  // there. "Accepted" alone does not tell; the watch ended with it.
-  it('of a zone taken out ends when no task is left in it', async () => {
+  // An operator withdraws a zone for maintenance and must not power it off while tasks run there.
+  // Watching the plan used to end when the plan was accepted, which is too early.
+  it('is done for a withdrawn zone when no task is left in the zone', async () => {
     const plan = await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(await remaining(plan)).toEqual([3, false]);
     setLedger([assignment('t1', 'w1')]);
@@ -78,21 +78,24 @@
   it.each<readonly [string, Intent, number, number]>([
     ['a drained worker', { intent: 'drain-worker', workerId: 'w2' }, 2, 0],
     [
-      'a service made smaller',
+      'a service with fewer replicas',
       { intent: 'change-service', service: service('rounds', 'kitchen', 4) },
       3,
       4,
     ],
-    ['a service removed', { intent: 'remove-service', name: 'rounds' }, 1, 0],
+    ['a removed service', { intent: 'remove-service', name: 'rounds' }, 1, 0],
     ['a quota', { intent: 'set-quota', team: 'other', limit: SIZE }, 0, 0],
-  ])('of %s counts the tasks that are to come or go', async (_name, intent, before, after) => {
-    const plan = await harness.carryOut(plans, intent);
-    expect(await remaining(plan)).toEqual([before, before === 0]);
-    setLedger([]);
-    expect(await remaining(plan)).toEqual([after, after === 0]);
-  });
+  ])(
+    'counts the tasks that still have to start or end for %s',
+    async (_name, intent, before, after) => {
+      const plan = await harness.carryOut(plans, intent);
+      expect(await remaining(plan)).toEqual([before, before === 0]);
+      setLedger([]);
+      expect(await remaining(plan)).toEqual([after, after === 0]);
+    },
+  );
 
-  it('of a cancellation ends when no task of the jobs is left', async () => {
+  it('is done for a cancellation when no task of the jobs is left', async () => {
     write(workKey('zone-a', 'kitchen.k~zone-a'), OPEN_SHARD);
     write('job/kitchen.k', {});
     const plan = await harness.carryOut(plans, { intent: 'cancel-jobs', jobIds: ['kitchen.k'] });
@@ -101,8 +104,8 @@
     expect(await remaining(plan)).toEqual([0, true]);
   });
 
-  // Nobody confirmed it in time; a watch that waits on would wait for ever.
-  it('of a plan that has expired is a refusal', async () => {
+  // Nobody confirmed the plan in time. Without the failure, watching it would never end.
+  it('is a failure for a plan that has expired', async () => {
     const plan = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(await remaining(plan)).toEqual([0, false]);
     harness.wallSkewMs = 120_000;
--- a/src/operator/test/planner.test.ts
+++ b/src/operator/test/planner.test.ts
@@ -18,7 +18,7 @@
   checkpoint: null,
 });
 
-describe('what a plan tells', () => {
+describe('a plan', () => {
   let harness: OperatorHarness;
   let plans: PlanService;
   beforeEach(async () => {
@@ -43,7 +43,7 @@
     });
   });
 
-  it('of a zone taken out: replicas that move, tasks evicted, capacity that is missing', async () => {
+  it('to withdraw a zone lists moved replicas, evicted tasks and missing capacity', async () => {
     const { effects } = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(effects.moving.count).toBe(3);
     expect(effects.evicted).toEqual({
@@ -65,7 +65,7 @@
     expect(again.effects.notDone.join()).toContain('zone-b lacks capacity for at least 4 tasks');
   });
 
-  it('of a worker drained: only its own tasks', async () => {
+  it('to drain a worker lists only the tasks of that worker', async () => {
     const plan = await harness.plan(plans, { intent: 'drain-worker', workerId: 'zone-a-1' });
     expect(plan.effects.evicted.count).toBe(1);
     expect(plan.effects.capacity.map(({ totalAfter }) => totalAfter.processorMillis)).toEqual([
@@ -73,15 +73,15 @@
     ]);
   });
 
-  // A zone was taken out and its tasks are about to leave; a worker in it is drained as well. The
-  // plan named the same tasks once more, as though the drain evicted them.
-  it('not of tasks that are leaving without it', async () => {
+  // A zone has been withdrawn and its tasks are about to leave, and then a worker in it is drained
+  // as well. The plan once listed the same tasks again, as if the drain evicted them.
+  it('does not list tasks that are leaving for another reason', async () => {
     await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     const plan = await harness.plan(plans, { intent: 'drain-worker', workerId: 'zone-a-1' });
     expect(plan.effects.evicted.count).toBe(0);
   });
 
-  it('of a service made smaller or removed: what ends, and the quota after it', async () => {
+  it('to reduce a service lists the tasks that end and the quota use afterwards', async () => {
     const limit = { processorMillis: 12_000, memoryBytes: 2 ** 40, acceleratorCount: 0 };
     await harness.carryOut(plans, {
       intent: 'set-quota',
@@ -97,7 +97,7 @@
     expect(refused?.message).toContain('the quota is 16 processors');
   });
 
-  it('of a job: its tasks, and nothing once it was submitted', async () => {
+  it('to submit a job lists its tasks, and is empty if the job was submitted before', async () => {
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 5, size: SIZE, workMs: 1 };
     const submission = { intent: 'submit-job', ...job, urgency: 'normal' } as const;
     const plan = await harness.carryOut(plans, submission);
@@ -107,9 +107,9 @@
     expect((await harness.plan(plans, cancellation)).effects.ending.count).toBe(5);
   });
 
-  // A stream of jobs of one task each. All of them once went to the first zone in use, whose cell
-  // filled up while the others idled. They have to go to all zones, by the room that each has.
-  it('of one-task jobs: they go to every zone, by its capacity', async () => {
+  // Jobs of one task each once all went to the first zone in use, whose cell filled up while the
+  // others were idle. They have to go to all zones in proportion to the capacity.
+  it('distributes one-task jobs over all zones by capacity', async () => {
     harness.instances = [
       ...harness.instances,
       worker('zone-b-3', 'zone-b'),
@@ -119,7 +119,7 @@
     for (let index = 0; index < 300; index += 1) {
       const job = { team: 'kitchen', submissionKey: `s${index}`, taskCount: 1, size: SIZE };
       const submission = { intent: 'submit-job', ...job, workMs: 1, urgency: 'normal' } as const;
-      // Plans of one daemon are made one after another.
+      // The plans are made one after another through one daemon.
       // eslint-disable-next-line no-await-in-loop
       const { steps } = await harness.plan(plans, submission);
       const zone = steps.map(({ key }) => key.split('/')).find(([kind]) => kind === 'work')?.[1];
@@ -129,9 +129,9 @@
     expect(counts.get('zone-b')).toBeGreaterThan(150);
   });
 
-  // Only one zone has a worker that is large enough. Its shares elsewhere would wait a minute a
-  // zone to be passed on.
-  it('of a large task: it goes where a worker can take it', async () => {
+  // Only one zone has a worker that is large enough. Shards in other zones would wait for a minute
+  // in each zone before they are handed over.
+  it('sends large tasks only to zones with a worker that is large enough', async () => {
     const large = worker('zone-b-3', 'zone-b');
     const capacity = { ...large.capacity, acceleratorCount: 8 };
     harness.instances = [...harness.instances, { ...large, capacity }];
@@ -142,8 +142,9 @@
     expect(shards.map(({ key }) => key)).toEqual(['work/zone-b/kitchen.large~zone-b']);
   });
 
-  // Each zone has two workers for four tasks each, and three tasks of the service: five are left.
-  it('of a job: the quota with it, and the tasks that have to wait for others', async () => {
+  // Each zone has two workers with room for four tasks each. Three tasks of the service run there,
+  // so there is room for five more.
+  it('to submit a job lists the quota use and the tasks that have to wait for room', async () => {
     const limit = { processorMillis: 80_000, memoryBytes: 2 ** 40, acceleratorCount: 0 };
     await harness.carryOut(plans, { intent: 'set-quota', team: 'kitchen', limit });
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 14, size: SIZE, workMs: 1 };
@@ -162,9 +163,9 @@
     expect(cancelled.effects.quotas.map(({ after }) => after.processorMillis)).toEqual([12_000]);
   });
 
-  // A week's plans are submitted together. Were one of them refused and the others taken, the
-  // operator would have to find out which; a household would be skipped silently.
-  it('of many jobs at once: all or none', async () => {
+  // If one of many jobs were refused and the others accepted, the operator would have to find out
+  // which one is missing, and its work could be skipped unnoticed.
+  it('to submit several jobs submits all of them or none', async () => {
     const terms = { team: 'kitchen', taskCount: 3, size: SIZE, workMs: 1, urgency: 'low' as const };
     const jobs = ['a', 'b'].map((submissionKey) => ({ ...terms, submissionKey }));
     const plan = await harness.carryOut(plans, { intent: 'submit-jobs', jobs });
@@ -178,12 +179,12 @@
     expect(harness.rows('job/')).toHaveLength(2);
   });
 
-  it('of an intent that is already so: no change', async () => {
+  it('has no steps if the intent is already fulfilled', async () => {
     const plan = await harness.plan(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
     expect(plan.steps).toEqual([]);
   });
 
-  it('keeps to the policy', async () => {
+  it('is refused if it violates the policy', async () => {
     const policy = { isSubmissionOpen: false, maximumReplicaCount: 6 };
     await harness.carryOut(plans, { intent: 'set-policy', policy });
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 5, size: SIZE, workMs: 1 };
@@ -196,7 +197,7 @@
 });
 
 describe('undoing a version', () => {
-  it('is a new version, and is refused once the object was changed again', async () => {
+  it('creates a new version, and is refused if the object has been changed again', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
@@ -212,10 +213,10 @@
   });
 });
 
-describe('plans that are past their time', () => {
-  // Plans are kept so that confirming once more finds what became of them, and removed a day
-  // later; a plan of today must survive, or its confirmation would be refused for no reason.
-  it('are removed, and no other row', async () => {
+describe('a sweep of old plans', () => {
+  // Plans are kept for a day, so that repeating a confirmation returns the first outcome. A plan of
+  // today must not be removed, or its confirmation would be refused.
+  it('removes the plans past their retention and no other row', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
--- a/src/operator/test/planningCost.test.ts
+++ b/src/operator/test/planningCost.test.ts
@@ -58,17 +58,17 @@
     });
   });
 
-  // An operator sets one team's quota. What the team runs was looked for in every rack's row:
-  // megabytes were parsed, and callers of the same daemon waited meanwhile.
-  it('reads what one team runs, not the whole ledger', async () => {
+  // An operator sets the quota of one team. The plan once searched every rack's row for the team's
+  // tasks: the daemon parsed megabytes and blocked the requests of its callers.
+  it('reads the running tasks of one team without reading the whole ledger', async () => {
     const before = harness.table.truth.counts.readRowCount;
     const plan = await harness.plan(plans, { intent: 'set-quota', team: 'bakers', limit: LIMIT });
     expect(harness.table.truth.counts.readRowCount - before).toBeLessThan(10);
     expect(plan.steps).toHaveLength(1);
   });
 
-  // A task that ended or waits takes nothing; another team's tasks are not this one's.
-  it('counts just the tasks that the team runs', async () => {
+  // Tasks that have ended or are queued use no resources, and tasks of other teams do not count.
+  it('counts only the running tasks of the team', async () => {
     const under = { ...LIMIT, processorMillis: 1_999 };
     const refused = await harness.refusal(plans, {
       intent: 'set-quota',
@@ -87,9 +87,9 @@
     expect(kitchen?.message).toContain('kitchen uses 14 processors');
   });
 
-  // An operator cancels or watches large jobs. All their shards were checked in one go, and callers
-  // of the same daemon waited for tens of milliseconds; now each shard leaves them a turn.
-  it('lets others have a turn before each shard', async () => {
+  // An operator cancels or watches large jobs. When all their shards were parsed in one go, callers
+  // of the same daemon waited for tens of milliseconds.
+  it('yields to the event loop before each shard', async () => {
     const rows = Array.from({ length: 5 }, (_, index) => ({
       ...{ key: `work/zone-a/${index}`, version: 1, operationId: 'o', value: shard('kitchen', []) },
     }));
@@ -105,8 +105,8 @@
     expect(turnCount).toBeGreaterThanOrEqual(rows.length);
   });
 
-  // Every plan of one version needs the same sums over all services.
-  it('adds services up once for a version', () => {
+  // All plans of one version need the same sums over all services.
+  it('computes the sums over services once per version', () => {
     const view = { ...EMPTY_CONFIGURATION, version: 1 };
     expect(ServiceTotals.of(view)).toBe(ServiceTotals.of(view));
     expect(ServiceTotals.of({ ...view, version: 2 })).not.toBe(ServiceTotals.of(view));
