--- a/src/operator/common/confirmation.ts
+++ b/src/operator/common/confirmation.ts
@@ -23,7 +23,14 @@
   cellInboxKey,
   workPrefix,
 } from '../../services/workload/common/workRows.js';
-import { isEmptyPlan, type Plan, PLAN_PREFIX, planKey, keptPlanSchema, PlanState } from './plan.js';
+import {
+  isEmptyPlan,
+  type Plan,
+  PLAN_PREFIX,
+  planKey,
+  storedPlanSchema,
+  PlanState,
+} from './plan.js';
 
 export interface ConfirmationRequest {
   readonly planId: string;
@@ -54,7 +61,10 @@
 ];
 
 /** The first key that has changed since the plan was made; undefined if none has. */
-export const staleKey = (plan: Plan, rows: ReadonlyMap<string, TableRow>): string | undefined =>
+export const firstChangedKey = (
+  plan: Plan,
+  rows: ReadonlyMap<string, TableRow>,
+): string | undefined =>
   [...plan.steps, ...plan.guards].find(
     ({ key, baseRowVersion }) => (rows.get(key)?.version ?? ABSENT_VERSION) !== baseRowVersion,
   )?.key;
@@ -78,7 +88,7 @@
   });
 
 /** Keys of the rows written by a plan that the owner of a cell has to read. */
-const arrivingKeys = (plan: Plan, cell: string): readonly string[] =>
+const keysForCell = (plan: Plan, cell: string): readonly string[] =>
   plan.steps
     .map(({ key }) => key)
     .filter((key) =>
@@ -119,7 +129,7 @@
       ...plan.steps.map(({ key, after }) => ({ key, value: after })),
       ...plan.notifiedCells.map((cell) => ({
         key: cellInboxKey(cell),
-        value: inboxWith(rows.get(cellInboxKey(cell)), operationId, arrivingKeys(plan, cell)),
+        value: inboxWith(rows.get(cellInboxKey(cell)), operationId, keysForCell(plan, cell)),
       })),
     ],
   };
@@ -140,7 +150,7 @@
   if (row === undefined) {
     return left(failure(ErrorKind.UnknownObject, `no plan ${request.planId}`));
   }
-  const plan = keptPlanSchema.parse(row.value);
+  const plan = storedPlanSchema.parse(row.value);
   if (plan.digest !== request.digest) {
     const message = `the digest is not that of plan ${plan.planId}; read the plan again`;
     return left(failure(ErrorKind.PlanConflict, message));
@@ -152,7 +162,7 @@
     const message = `plan ${plan.planId} expired ${plan.expiresAt}; make a new one`;
     return left(failure(ErrorKind.PlanExpired, message));
   }
-  const changedKey = staleKey(plan, rows);
+  const changedKey = firstChangedKey(plan, rows);
   if (changedKey !== undefined) {
     const message = `${changedKey} has changed since the plan was made`;
     return left(failure(ErrorKind.PlanStale, message));
@@ -173,7 +183,7 @@
 export type WriteInvariant = (typeof WriteInvariant)[keyof typeof WriteInvariant];
 
 /** Checks the invariant that making or removing plans writes no rows other than plans. */
-export const planningFault = (transaction: Transaction): WriteInvariant | undefined =>
+export const planningViolation = (transaction: Transaction): WriteInvariant | undefined =>
   transaction.writes.every(({ key }) => key.startsWith(PLAN_PREFIX))
     ? undefined
     : WriteInvariant.OnlyPlansBeforeConfirmation;
@@ -184,41 +194,45 @@
  * `rows`. The check looks only at the transaction that is about to be sent, so it is independent
  * of the code that built it.
  */
-export const confirmationFault = (
+export const confirmationViolation = (
   plan: Plan,
   rows: ReadonlyMap<string, TableRow>,
   { conditions, writes }: Transaction,
 ): WriteInvariant | undefined => {
   const version = toVersion([...rows.values()]) + 1;
-  const own = [planKey(plan.planId), VERSION_KEY, changeKey(version)];
-  const conditioned = new Set(conditions.map(({ key }) => key));
-  if (!own.every((key) => conditioned.has(key) && writes.some((write) => write.key === key))) {
+  const acceptanceKeys = [planKey(plan.planId), VERSION_KEY, changeKey(version)];
+  const conditionKeys = new Set(conditions.map(({ key }) => key));
+  if (
+    !acceptanceKeys.every(
+      (key) => conditionKeys.has(key) && writes.some((write) => write.key === key),
+    )
+  ) {
     return WriteInvariant.HistoryIsOneLine;
   }
-  const shown = new Map(plan.steps.map((step) => [step.key, step]));
+  const shownSteps = new Map(plan.steps.map((step) => [step.key, step]));
   const inboxes = new Set(plan.notifiedCells.map((cell) => cellInboxKey(cell)));
   const isAsShown = writes.every(({ key, value }) => {
-    if (own.includes(key) || inboxes.has(key)) return true;
-    const after = shown.get(key)?.after;
+    if (acceptanceKeys.includes(key) || inboxes.has(key)) return true;
+    const after = shownSteps.get(key)?.after;
     const isEqual = after === value || canonicalJson(after) === canonicalJson(value);
-    return conditioned.has(key) && isEqual;
+    return conditionKeys.has(key) && isEqual;
   });
-  const isWhole = plan.steps.every(({ key }) => writes.some((write) => write.key === key));
-  return isAsShown && isWhole ? undefined : WriteInvariant.OnlyWhatWasShown;
+  const hasAllSteps = plan.steps.every(({ key }) => writes.some((write) => write.key === key));
+  return isAsShown && hasAllSteps ? undefined : WriteInvariant.OnlyWhatWasShown;
 };
 
 /**
  * Tracks the transactions of one confirmation whose answers were lost. Each may have taken effect,
  * or may still take effect while the rows in its conditions are unchanged.
  */
-export class OpenAttempts {
+export class LostAttempts {
   readonly #versionRowVersions = new Set<number>();
 
-  get isAnyOpen(): boolean {
+  get hasAny(): boolean {
     return this.#versionRowVersions.size > 0;
   }
 
-  addLost(transaction: Transaction): void {
+  add(transaction: Transaction): void {
     const condition = transaction.conditions.find(({ key }) => key === VERSION_KEY);
     this.#versionRowVersions.add(condition?.version ?? ABSENT_VERSION);
   }
@@ -229,7 +243,7 @@
    * attempt that requires a newer version row was made after the snapshot. The snapshot is then
    * out of date and says nothing about that attempt.
    */
-  noteStillPending(rows: ReadonlyMap<string, TableRow>): void {
+  updateFromPendingPlan(rows: ReadonlyMap<string, TableRow>): void {
     const current = rows.get(VERSION_KEY)?.version ?? ABSENT_VERSION;
     this.#versionRowVersions.forEach((version) => {
       if (version < current) this.#versionRowVersions.delete(version);
--- a/src/operator/common/freshTasks.ts
+++ b/src/operator/common/freshTasks.ts
@@ -25,12 +25,12 @@
 });
 
 /** Tasks that are created between two turns of the event loop. */
-const TASKS_PER_PIECE = 1_000;
+const TASKS_PER_CHUNK = 1_000;
 
 /** Creates the full tasks in chunks. The caller can yield to the event loop between chunks. */
-export function* freshTaskPieces({ firstIndex, count }: FreshTasks): Generator<BatchTask[]> {
-  for (let from = 0; from < count; from += TASKS_PER_PIECE) {
-    const length = Math.min(TASKS_PER_PIECE, count - from);
-    yield Array.from({ length }, (_, offset) => freshTask(firstIndex + from + offset));
+export function* freshTaskChunks({ firstIndex, count }: FreshTasks): Generator<BatchTask[]> {
+  for (let start = 0; start < count; start += TASKS_PER_CHUNK) {
+    const length = Math.min(TASKS_PER_CHUNK, count - start);
+    yield Array.from({ length }, (_, offset) => freshTask(firstIndex + start + offset));
   }
 }
--- a/src/operator/common/jobPlanning.ts
+++ b/src/operator/common/jobPlanning.ts
@@ -14,7 +14,7 @@
   workKey,
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
-import { dealTasks } from './dealing.js';
+import { distributeTasks } from './taskDistribution.js';
 import type { SubmitJobIntent } from './intent.js';
 import type { PlanStep } from './plan.js';
 import {
@@ -38,7 +38,7 @@
   zones: readonly string[],
 ): readonly PlanStep[] => {
   const { taskCount, size, team, urgency, workMs } = intent;
-  const shares = dealTasks(jobId, taskCount, size, zones, basis.workers);
+  const shares = distributeTasks(jobId, taskCount, size, zones, basis.workers);
   return shares.flatMap(({ zone, firstIndex, count }) => {
     const shardId = toShardId(jobId, zone);
     const shard: WorkRow = { shardId, jobId, team, size, urgency, workMs, tasks: [] };
@@ -60,7 +60,7 @@
 });
 
 /** Why a job cannot run or must not be submitted; undefined if it can be planned. */
-const refusalOf = (basis: PlanningBasis, intent: SubmitJobIntent): string | undefined => {
+const refusalReason = (basis: PlanningBasis, intent: SubmitJobIntent): string | undefined => {
   const { policy, quotas } = basis.view;
   if (!policy.isSubmissionOpen) return 'the policy takes no new jobs at present';
   if (intent.taskCount > policy.maximumTaskCountOfJob) {
@@ -75,8 +75,8 @@
 
 const jobWarnings = (basis: PlanningBasis, intent: SubmitJobIntent): readonly string[] => {
   const limit = basis.view.quotas.get(intent.team)?.limit;
-  const whole = multipliedResources(intent.size, intent.taskCount);
-  if (limit === undefined || fitsInto(whole, limit)) return [];
+  const allTasksSize = multipliedResources(intent.size, intent.taskCount);
+  if (limit === undefined || fitsInto(allTasksSize, limit)) return [];
   return [`all ${intent.taskCount} tasks at once would exceed the quota of ${intent.team}`];
 };
 
@@ -95,7 +95,7 @@
     if (isSame) return planned(`job ${jobId} has been submitted before`, []);
     return impossible(`job ${jobId} was submitted with other contents`);
   }
-  const refusal = refusalOf(basis, intent);
+  const refusal = refusalReason(basis, intent);
   if (refusal !== undefined) return impossible(refusal);
   const placeable = checkPlaceable(basis, intent.size);
   if (isLeft(placeable)) return placeable;
@@ -112,10 +112,10 @@
 };
 
 export const planCancellation = (basis: PlanningBasis, jobIds: readonly string[]): Planned => {
-  const allowed = basis.view.policy.maximumCancelledJobCount;
-  if (jobIds.length > allowed) {
+  const maximumCount = basis.view.policy.maximumCancelledJobCount;
+  if (jobIds.length > maximumCount) {
     return impossible(
-      `the policy allows ${allowed} jobs in one cancellation, not ${jobIds.length}`,
+      `the policy allows ${maximumCount} jobs in one cancellation, not ${jobIds.length}`,
     );
   }
   const missing = jobIds.filter((jobId) => !basis.rows.has(jobKey(jobId)));
--- a/src/operator/common/plan.ts
+++ b/src/operator/common/plan.ts
@@ -23,11 +23,11 @@
 });
 
 /** A step as stored in the plan's row. */
-const keptStepSchema = planStepSchema.extend({
+const storedStepSchema = planStepSchema.extend({
   /** Present if `after` is a shard whose tasks are left out; see `freshTasks.ts`. */
   freshTasks: freshTasksSchema.optional(),
 });
-export type PlanStep = z.infer<typeof keptStepSchema>;
+export type PlanStep = z.infer<typeof storedStepSchema>;
 
 /** A row that the plan relies on without writing it. */
 export const planGuardSchema = z.strictObject({
@@ -105,8 +105,8 @@
 });
 
 /** A plan as stored in its row, with new tasks in compact form. Operators see the full tasks. */
-export const keptPlanSchema = planSchema.extend({ steps: z.array(keptStepSchema) });
-export type Plan = z.infer<typeof keptPlanSchema>;
+export const storedPlanSchema = planSchema.extend({ steps: z.array(storedStepSchema) });
+export type Plan = z.infer<typeof storedPlanSchema>;
 
 export const PLAN_PREFIX = 'plan/';
 export const planKey = (planId: string): string => `${PLAN_PREFIX}${planId}`;
--- a/src/operator/common/planEffects.ts
+++ b/src/operator/common/planEffects.ts
@@ -12,18 +12,18 @@
 } from '../../services/worker/common/resources.js';
 import type { AffectedTask, PlanEffects, TaskGroup } from './plan.js';
 import type { PlanningBasis } from './planningBasis.js';
-import { ServiceTotals } from './replicas.js';
-import { capacityOfZone, missingTasks, roomFor } from './zoneRoom.js';
+import { ServiceTotals } from './serviceTotals.js';
+import { capacityOfZone, missingReplicaCount, taskRoom } from './zoneRoom.js';
 
 /** How many tasks of a group a plan lists by name. */
 const NAMED_TASK_COUNT = 5;
 
-const isLarger = (one: Resources, other: Resources): number =>
+const compareSizesDescending = (one: Resources, other: Resources): number =>
   other.acceleratorCount - one.acceleratorCount ||
   other.processorMillis - one.processorMillis ||
   other.memoryBytes - one.memoryBytes;
 
-const isSame = (one: unknown, other: unknown): boolean =>
+const isEqual = (one: unknown, other: unknown): boolean =>
   one === other || JSON.stringify(one) === JSON.stringify(other);
 
 /** Several tasks of one service or job, all of the same size. */
@@ -32,18 +32,18 @@
 }
 
 const toGroup = (tasks: readonly CountedTasks[]): TaskGroup => {
-  const present = tasks.filter(({ count }) => count > 0);
-  const largest = [...present]
-    .sort((one, other) => isLarger(one.size, other.size))
+  const nonEmpty = tasks.filter(({ count }) => count > 0);
+  const largest = [...nonEmpty]
+    .sort((one, other) => compareSizesDescending(one.size, other.size))
     .slice(0, NAMED_TASK_COUNT)
     .map(({ taskId, size, count }) => ({
       taskId: count === 1 ? taskId : `${taskId} (${count} tasks)`,
       size,
     }));
-  return { count: present.reduce((sum, { count }) => sum + count, 0), largest };
+  return { count: nonEmpty.reduce((sum, { count }) => sum + count, 0), largest };
 };
 
-interface ServiceShift {
+interface ReplicaChange {
   readonly service: ServiceDocument;
   readonly starting: number;
   readonly moving: number;
@@ -60,33 +60,33 @@
 }
 
 /** How many replicas of a service start, end, or move from one zone to another. */
-const serviceShift = (
+const replicaChange = (
   comparison: Comparison,
   zones: ReadonlySet<string>,
   name: string,
-): ServiceShift => {
+): ReplicaChange => {
   const { before, after, totalsBefore, totalsAfter } = comparison;
-  let coming = 0;
-  let going = 0;
+  let added = 0;
+  let removed = 0;
   zones.forEach((zone) => {
     const difference = totalsAfter.replicas(name, zone) - totalsBefore.replicas(name, zone);
-    coming += Math.max(0, difference);
-    going += Math.max(0, -difference);
+    added += Math.max(0, difference);
+    removed += Math.max(0, -difference);
   });
-  const moving = Math.min(coming, going);
+  const moving = Math.min(added, removed);
   const service = (after.services.get(name) ?? before.services.get(name)) as ServiceDocument;
-  return { service, moving, starting: coming - moving, ending: going - moving };
+  return { service, moving, starting: added - moving, ending: removed - moving };
 };
 
 /** Replica changes of the affected services: all services if zones change, else changed ones. */
-const serviceShifts = (comparison: Comparison): readonly ServiceShift[] => {
+const replicaChanges = (comparison: Comparison): readonly ReplicaChange[] => {
   const { before, after, totalsBefore, totalsAfter } = comparison;
   const zones = new Set([...totalsBefore.zones, ...totalsAfter.zones]);
-  const areZonesSame = isSame(totalsBefore.zones, totalsAfter.zones);
+  const hasSameZones = isEqual(totalsBefore.zones, totalsAfter.zones);
   const names = new Set([...before.services.keys(), ...after.services.keys()]);
   return [...names]
-    .filter((name) => !areZonesSame || before.services.get(name) !== after.services.get(name))
-    .map((name) => serviceShift(comparison, zones, name));
+    .filter((name) => !hasSameZones || before.services.get(name) !== after.services.get(name))
+    .map((name) => replicaChange(comparison, zones, name));
 };
 
 const zoneCapacity = (comparison: Comparison, zone: string): PlanEffects['capacity'][number] => {
@@ -99,25 +99,25 @@
     totalAfter: sumResources(workersAfter),
     reservedBefore: totalsBefore.inZone(zone),
     reservedAfter: totalsAfter.inZone(zone),
-    missingTaskCount: isKnown ? missingTasks(totalsAfter, zone, workersAfter) : 0,
+    missingTaskCount: isKnown ? missingReplicaCount(totalsAfter, zone, workersAfter) : 0,
   };
 };
 
 /** Views share the maps that no step has changed, so comparing references is enough. */
-const isCapacityTouched = ({ before, after }: Comparison): boolean =>
+const canCapacityDiffer = ({ before, after }: Comparison): boolean =>
   before.zones !== after.zones ||
   before.services !== after.services ||
   before.workers !== after.workers;
 
 const capacityEffects = (comparison: Comparison): PlanEffects['capacity'] => {
-  if (!isCapacityTouched(comparison)) return [];
+  if (!canCapacityDiffer(comparison)) return [];
   return [...new Set([...comparison.before.zones.keys(), ...comparison.after.zones.keys()])]
     .sort()
     .map((zone) => zoneCapacity(comparison, zone))
     .filter(
       (zone) =>
-        !isSame(zone.totalBefore, zone.totalAfter) ||
-        !isSame(zone.reservedBefore, zone.reservedAfter),
+        !isEqual(zone.totalBefore, zone.totalAfter) ||
+        !isEqual(zone.reservedBefore, zone.reservedAfter),
     );
 };
 
@@ -150,7 +150,7 @@
     const jobs = runningJobsOf(comparison.basis, team);
     const usedBefore = addResources(totalsBefore.ofTeam(team), jobs);
     const usedAfter = addResources(totalsAfter.ofTeam(team), jobs);
-    if (isSame(limitBefore, limit) && isSame(usedBefore, usedAfter)) return [];
+    if (isEqual(limitBefore, limit) && isEqual(usedBefore, usedAfter)) return [];
     return [{ team, limit, before: usedBefore, after: usedAfter }];
   });
 };
@@ -180,14 +180,14 @@
     .filter(({ workerId }) => basis.view.workers.get(workerId)?.isDraining !== true)
     .map(({ taskId, size }) => ({ taskId, size, count: 1 }));
 
-const toCounted = (
-  shifts: readonly ServiceShift[],
-  member: 'starting' | 'moving' | 'ending',
+const countedTasks = (
+  changes: readonly ReplicaChange[],
+  field: 'starting' | 'moving' | 'ending',
 ): readonly CountedTasks[] =>
-  shifts.map((shift) => ({
-    taskId: shift.service.name,
-    size: shift.service.size,
-    count: shift[member],
+  changes.map((change) => ({
+    taskId: change.service.name,
+    size: change.service.size,
+    count: change[field],
   }));
 
 /** Tasks of one job that a plan starts or ends. The configuration does not contain jobs. */
@@ -227,13 +227,13 @@
 };
 
 /** Messages for jobs with more tasks in a zone than fit at a time, even without other jobs. */
-const waitingTasks = (
+const insufficientRoomMessages = (
   { basis, after, totalsAfter }: Comparison,
   { inZones }: JobChanges,
 ): readonly string[] =>
   inZones.flatMap(({ zone, jobId, size, count }) => {
     if (basis.workers.length === 0) return [];
-    const room = roomFor(size, totalsAfter, zone, capacityOfZone(basis, after, zone), count);
+    const room = taskRoom(size, totalsAfter, zone, capacityOfZone(basis, after, zone), count);
     if (room >= count) return [];
     return [`${zone} has room for ${room} of the ${count} tasks of ${jobId} at a time`];
   });
@@ -251,13 +251,13 @@
     totalsBefore: ServiceTotals.of(basis.view),
     totalsAfter: ServiceTotals.of(after),
   };
-  const shifts = serviceShifts(comparison);
+  const changes = replicaChanges(comparison);
   const capacity = capacityEffects(comparison);
   return {
-    starting: toGroup([...toCounted(shifts, 'starting'), ...jobs.starting]),
-    moving: toGroup([...toCounted(shifts, 'moving'), ...drainedTasks(basis, after)]),
+    starting: toGroup([...countedTasks(changes, 'starting'), ...jobs.starting]),
+    moving: toGroup([...countedTasks(changes, 'moving'), ...drainedTasks(basis, after)]),
     evicted: toGroup(evictedTasks(basis, after)),
-    ending: toGroup([...toCounted(shifts, 'ending'), ...jobs.ending]),
+    ending: toGroup([...countedTasks(changes, 'ending'), ...jobs.ending]),
     quotas: [...quotaEffects(comparison), ...jobQuotas(comparison, jobs)],
     capacity,
     notDone: [
@@ -267,7 +267,7 @@
           const wait = 'which wait until there is room';
           return `${zone} lacks capacity for at least ${missingTaskCount} tasks, ${wait}`;
         }),
-      ...waitingTasks(comparison, jobs),
+      ...insufficientRoomMessages(comparison, jobs),
     ],
   };
 };
--- a/src/operator/common/planner.ts
+++ b/src/operator/common/planner.ts
@@ -37,7 +37,7 @@
   setRow,
 } from './planningBasis.js';
 import { withQuotaSteps } from './quotaSteps.js';
-import { ServiceTotals } from './replicas.js';
+import { ServiceTotals } from './serviceTotals.js';
 import { checkPlaceable, sizeText } from './sizeChecks.js';
 
 /** The steps of a plan and the configuration that results from them. */
@@ -54,13 +54,13 @@
   const existing = basis.view.services.get(service.name);
   const isCreation = intent.intent === IntentKind.CreateService;
   if (!isCreation && existing === undefined) return impossible(`no service ${service.name}`);
-  const isTaken =
+  const isNameTaken =
     isCreation && existing !== undefined && canonicalJson(existing) !== canonicalJson(service);
-  if (isTaken) return impossible(`the name ${service.name} is taken`);
+  if (isNameTaken) return impossible(`the name ${service.name} is taken`);
   const { maximumReplicaCount } = basis.view.policy;
   if (service.replicaCount > maximumReplicaCount) {
-    const asked = `not ${service.replicaCount}`;
-    return impossible(`the policy allows a service ${maximumReplicaCount} replicas, ${asked}`);
+    const requested = `not ${service.replicaCount}`;
+    return impossible(`the policy allows a service ${maximumReplicaCount} replicas, ${requested}`);
   }
   const placeable = checkPlaceable(basis, service.size);
   if (isLeft(placeable)) return placeable;
@@ -77,12 +77,12 @@
   return planned(summary, steps, { guards: [guardDocument(basis, POLICY_KEY)], warnings });
 };
 
-const planRemoval = (basis: PlanningBasis, name: string): Planned =>
+const planServiceRemoval = (basis: PlanningBasis, name: string): Planned =>
   basis.view.services.has(name)
     ? planned(`remove service ${name}`, setRow(basis, serviceKey(name), null))
     : impossible(`no service ${name}`);
 
-const planWithdrawal = (basis: PlanningBasis, zone: string): Planned => {
+const planZoneWithdrawal = (basis: PlanningBasis, zone: string): Planned => {
   const existing = basis.view.zones.get(zone);
   if (existing === undefined) return impossible(`no availability zone ${zone}`);
   const remaining = zonesInUse(basis.view).filter((name) => name !== zone);
@@ -101,7 +101,7 @@
   });
 };
 
-const planUse = (basis: PlanningBasis, zone: string, region: string): Planned => {
+const planZoneUse = (basis: PlanningBasis, zone: string, region: string): Planned => {
   const isListed = basis.workers.some(({ availabilityZone }) => availabilityZone === zone);
   const isUnknown = basis.workers.length > 0 && !isListed && !basis.view.zones.has(zone);
   if (isUnknown) return impossible(`no worker is listed in an availability zone ${zone}`);
@@ -111,7 +111,7 @@
   return planned(`use availability zone ${zone}`, steps, { warnings });
 };
 
-const planWorker = (basis: PlanningBasis, id: string, isDraining: boolean): Planned => {
+const planWorkerDrain = (basis: PlanningBasis, id: string, isDraining: boolean): Planned => {
   const isKnown = basis.view.workers.has(id) || basis.workers.some((worker) => worker.id === id);
   if (basis.workers.length > 0 && !isKnown) return impossible(`no worker ${id}`);
   const summary = `${isDraining ? 'drain' : 'return'} worker ${id}`;
@@ -145,16 +145,18 @@
   if (refused !== undefined && isLeft(refused)) {
     return impossible(`${jobIdOfTerms(jobs[refusedIndex] as JobTerms)}: ${refused.left.message}`);
   }
-  const parts = plans.flatMap((plan) => (isLeft(plan) ? [] : [plan.right]));
-  const guards = new Map(parts.flatMap((part) => part.guards).map((guard) => [guard.key, guard]));
+  const jobPlans = plans.flatMap((plan) => (isLeft(plan) ? [] : [plan.right]));
+  const guards = new Map(
+    jobPlans.flatMap((part) => part.guards).map((guard) => [guard.key, guard]),
+  );
   const taskCount = jobs.reduce((sum, terms) => sum + terms.taskCount, 0);
   return planned(
     `submit ${jobs.length} jobs of ${taskCount} tasks in all`,
-    parts.flatMap(({ steps }) => steps),
+    jobPlans.flatMap(({ steps }) => steps),
     {
       guards: [...guards.values()],
-      notifiedCells: [...new Set(parts.flatMap((part) => part.notifiedCells))],
-      warnings: [...new Set(parts.flatMap((part) => part.warnings))],
+      notifiedCells: [...new Set(jobPlans.flatMap((part) => part.notifiedCells))],
+      warnings: [...new Set(jobPlans.flatMap((part) => part.warnings))],
     },
   );
 };
@@ -186,7 +188,7 @@
     case IntentKind.ChangeService:
       return planService(basis, intent);
     case IntentKind.RemoveService:
-      return planRemoval(basis, intent.name);
+      return planServiceRemoval(basis, intent.name);
     case IntentKind.SubmitJob:
       return planJob(basis, intent);
     case IntentKind.SubmitJobs:
@@ -194,13 +196,13 @@
     case IntentKind.CancelJobs:
       return planCancellation(basis, intent.jobIds);
     case IntentKind.WithdrawZone:
-      return planWithdrawal(basis, intent.zone);
+      return planZoneWithdrawal(basis, intent.zone);
     case IntentKind.UseZone:
-      return planUse(basis, intent.zone, intent.region);
+      return planZoneUse(basis, intent.zone, intent.region);
     case IntentKind.DrainWorker:
-      return planWorker(basis, intent.workerId, true);
+      return planWorkerDrain(basis, intent.workerId, true);
     case IntentKind.ReturnWorker:
-      return planWorker(basis, intent.workerId, false);
+      return planWorkerDrain(basis, intent.workerId, false);
     case IntentKind.SetQuota:
       return planQuota(basis, intent);
     case IntentKind.SetPolicy:
@@ -231,13 +233,15 @@
   if (isLeft(result)) return result;
   const { steps } = result.right;
   const after = withSteps(basis, steps);
-  const quota = withQuotaSteps(basis, after);
-  if (isLeft(quota)) return quota;
-  const written = new Set(steps.map(({ key }) => key));
+  const quotaChanges = withQuotaSteps(basis, after);
+  if (isLeft(quotaChanges)) return quotaChanges;
+  const writtenKeys = new Set(steps.map(({ key }) => key));
   return right({
     ...result.right,
-    steps: [...steps, ...quota.right.steps.filter(({ key }) => !written.has(key))],
-    guards: [...result.right.guards, ...quota.right.guards].filter(({ key }) => !written.has(key)),
+    steps: [...steps, ...quotaChanges.right.steps.filter(({ key }) => !writtenKeys.has(key))],
+    guards: [...result.right.guards, ...quotaChanges.right.guards].filter(
+      ({ key }) => !writtenKeys.has(key),
+    ),
     after,
   });
 };
--- a/src/operator/common/planningBasis.ts
+++ b/src/operator/common/planningBasis.ts
@@ -52,8 +52,8 @@
 export const planned = (
   summary: string,
   steps: readonly PlanStep[],
-  more: Partial<Omit<PlannedSteps, 'summary' | 'steps'>> = {},
-): Planned => right({ summary, steps, guards: [], notifiedCells: [], warnings: [], ...more });
+  options: Partial<Omit<PlannedSteps, 'summary' | 'steps'>> = {},
+): Planned => right({ summary, steps, guards: [], notifiedCells: [], warnings: [], ...options });
 
 /** A step that sets a row; no step if the row already has that value. */
 export const setRow = (
--- a/src/operator/common/planRows.ts
+++ b/src/operator/common/planningKeys.ts
@@ -14,7 +14,7 @@
 import { jobIdOfTerms, submittedJobs } from './jobChanges.js';
 
 /** Keys of the rows that planning an intent reads in addition to the configuration view. */
-export const rowsToRead = (intent: Intent): readonly string[] => {
+export const keysToRead = (intent: Intent): readonly string[] => {
   switch (intent.intent) {
     case IntentKind.CreateService:
     case IntentKind.ChangeService:
@@ -42,7 +42,7 @@
 };
 
 /** Keys that are known only after reading other rows: the documents that a version changed. */
-export const furtherRowsToRead = (
+export const furtherKeysToRead = (
   intent: Intent,
   rows: ReadonlyMap<string, TableRow>,
 ): readonly string[] => {
--- a/src/operator/common/quotaSteps.ts
+++ b/src/operator/common/quotaSteps.ts
@@ -7,7 +7,7 @@
 import { fitsInto } from '../../services/worker/common/resources.js';
 import type { PlanGuard, PlanStep } from './plan.js';
 import { guardDocument, impossible, type PlanningBasis } from './planningBasis.js';
-import { ServiceTotals } from './replicas.js';
+import { ServiceTotals } from './serviceTotals.js';
 import { sizeText } from './sizeChecks.js';
 
 /**
@@ -20,30 +20,32 @@
   basis: PlanningBasis,
   after: ConfigurationView,
 ): Either<Failure, { readonly steps: readonly PlanStep[]; readonly guards: PlanGuard[] }> => {
-  const [before, later] = [ServiceTotals.of(basis.view), ServiceTotals.of(after)];
-  const grown = later.teams.filter((team) => !fitsInto(later.ofTeam(team), before.ofTeam(team)));
-  const relimited = [...after.quotas.keys()].filter(
+  const [totalsBefore, totalsAfter] = [ServiceTotals.of(basis.view), ServiceTotals.of(after)];
+  const growingTeams = totalsAfter.teams.filter(
+    (team) => !fitsInto(totalsAfter.ofTeam(team), totalsBefore.ofTeam(team)),
+  );
+  const teamsWithNewLimit = [...after.quotas.keys()].filter(
     (team) => after.quotas.get(team) !== basis.view.quotas.get(team),
   );
-  const over = [...grown, ...relimited].find((team) => {
+  const exceedingTeam = [...growingTeams, ...teamsWithNewLimit].find((team) => {
     const limit = after.quotas.get(team)?.limit;
-    return limit !== undefined && !fitsInto(later.ofTeam(team), limit);
+    return limit !== undefined && !fitsInto(totalsAfter.ofTeam(team), limit);
   });
-  if (over !== undefined) {
-    const limit = after.quotas.get(over)?.limit;
-    const wanted = sizeText(later.ofTeam(over));
+  if (exceedingTeam !== undefined) {
+    const limit = after.quotas.get(exceedingTeam)?.limit;
+    const requested = sizeText(totalsAfter.ofTeam(exceedingTeam));
     return impossible(
-      `services of ${over} would ask for ${wanted}; the quota is ${limit === undefined ? 'none' : sizeText(limit)}`,
+      `services of ${exceedingTeam} would ask for ${requested}; the quota is ${limit === undefined ? 'none' : sizeText(limit)}`,
     );
   }
-  const limited = grown.filter((team) => basis.view.quotas.has(team));
-  const unlimited = grown.filter((team) => !basis.view.quotas.has(team));
+  const teamsWithQuota = growingTeams.filter((team) => basis.view.quotas.has(team));
+  const teamsWithoutQuota = growingTeams.filter((team) => !basis.view.quotas.has(team));
   return right({
-    steps: limited.map((team) => {
+    steps: teamsWithQuota.map((team) => {
       const document = basis.view.quotas.get(team) ?? null;
       const { baseRowVersion } = guardDocument(basis, quotaKey(team));
       return { key: quotaKey(team), before: document, after: document, baseRowVersion };
     }),
-    guards: unlimited.map((team) => guardDocument(basis, quotaKey(team))),
+    guards: teamsWithoutQuota.map((team) => guardDocument(basis, quotaKey(team))),
   });
 };
--- a/src/operator/common/replicas.ts
+++ b/src/operator/common/serviceTotals.ts
@@ -15,7 +15,7 @@
   type Resources,
 } from '../../services/worker/common/resources.js';
 
-const CACHE = new WeakMap<ConfigurationView, ServiceTotals>();
+const totalsByView = new WeakMap<ConfigurationView, ServiceTotals>();
 
 /** Sums over the services of one view, computed once because a plan needs them many times. */
 export class ServiceTotals {
@@ -36,10 +36,10 @@
 
   /** The sums of a view. A view never changes, so all plans of a version share its sums. */
   static of(view: ConfigurationView): ServiceTotals {
-    const known = CACHE.get(view);
-    if (known !== undefined) return known;
+    const cached = totalsByView.get(view);
+    if (cached !== undefined) return cached;
     const totals = new ServiceTotals(view);
-    CACHE.set(view, totals);
+    totalsByView.set(view, totals);
     return totals;
   }
 
@@ -48,22 +48,22 @@
     this.zones = zonesInUse(view);
     this.#zoneIndexes = new Map(this.zones.map((zone, index) => [zone, index]));
     let inEveryZone = NO_RESOURCES;
-    const moreInZone = this.zones.map(() => NO_RESOURCES);
+    const remainderByZone = this.zones.map(() => NO_RESOURCES);
     const sizes = new Map<string, Resources>();
     view.services.forEach(({ team, size, replicaCount }) => {
       const sum = this.#byTeam.get(team) ?? NO_RESOURCES;
       this.#byTeam.set(team, addResources(sum, multipliedResources(size, replicaCount)));
-      const inLast = evenShare(replicaCount, this.zones.length - 1, this.zones.length);
-      inEveryZone = addResources(inEveryZone, multipliedResources(size, inLast));
+      const baseCount = evenShare(replicaCount, this.zones.length - 1, this.zones.length);
+      inEveryZone = addResources(inEveryZone, multipliedResources(size, baseCount));
       // The first zones get the remainder, one replica each.
-      for (let index = 0; index < replicaCount - inLast * this.zones.length; index += 1) {
-        const more = moreInZone[index];
-        if (more === undefined) break;
-        moreInZone[index] = addResources(more, size);
+      for (let index = 0; index < replicaCount - baseCount * this.zones.length; index += 1) {
+        const remainder = remainderByZone[index];
+        if (remainder === undefined) break;
+        remainderByZone[index] = addResources(remainder, size);
       }
       sizes.set(`${size.processorMillis} ${size.memoryBytes} ${size.acceleratorCount}`, size);
     });
-    this.#byZone = moreInZone.map((more) => addResources(inEveryZone, more));
+    this.#byZone = remainderByZone.map((remainder) => addResources(inEveryZone, remainder));
     this.sizes = [...sizes.values()];
   }
 
--- a/src/operator/common/dealing.ts
+++ b/src/operator/common/taskDistribution.ts
@@ -8,7 +8,7 @@
 import type { FreshTasks } from './freshTasks.js';
 
 /** How many tasks of a size fit on an empty worker. */
-const taskCountOn = ({ capacity }: WorkerInstance, size: Resources): number => {
+const taskCountOnEmptyWorker = ({ capacity }: WorkerInstance, size: Resources): number => {
   const limits = [
     size.processorMillis === 0 ? Infinity : capacity.processorMillis / size.processorMillis,
     size.memoryBytes === 0 ? Infinity : capacity.memoryBytes / size.memoryBytes,
@@ -30,7 +30,7 @@
     zones.map((zone) =>
       usable
         .filter(({ availabilityZone }) => availabilityZone === zone)
-        .reduce((sum, worker) => sum + taskCountOn(worker, size), 0),
+        .reduce((sum, worker) => sum + taskCountOnEmptyWorker(worker, size), 0),
     );
   const live = weightsOf(workers.filter(({ state }) => state === InstanceState.Live));
   const candidates = [live, weightsOf(workers)];
@@ -55,7 +55,7 @@
  * for it. Cells hand over tasks to each other later to correct an uneven load. A zone without a
  * worker that is large enough for the task gets no tasks.
  */
-export const dealTasks = (
+export const distributeTasks = (
   jobId: string,
   taskCount: number,
   size: Resources,
@@ -63,15 +63,15 @@
   workers: readonly WorkerInstance[],
 ): readonly ZoneShare[] => {
   const weights = zoneWeights(workers, zones, size);
-  const total = weights.reduce((sum, weight) => sum + weight, 0);
+  const totalWeight = weights.reduce((sum, weight) => sum + weight, 0);
   const offset = fractionOf(jobId);
   // A rounding error can place the last task beyond the last interval.
   const lastUsedIndex = weights.findLastIndex((weight) => weight > 0);
   const zoneIndexOf = (taskIndex: number): number => {
-    let left = ((taskIndex + offset) / taskCount) * total;
+    let remaining = ((taskIndex + offset) / taskCount) * totalWeight;
     const zoneIndex = weights.findIndex((weight) => {
-      left -= weight;
-      return left < 0;
+      remaining -= weight;
+      return remaining < 0;
     });
     return zoneIndex < 0 ? lastUsedIndex : zoneIndex;
   };
@@ -80,9 +80,9 @@
     const zoneIndex = zoneIndexOf(taskIndex);
     if (!firstIndexes.has(zoneIndex)) firstIndexes.set(zoneIndex, taskIndex);
   }
-  return [...firstIndexes].map(([zoneIndex, firstIndex], place, all) => ({
+  return [...firstIndexes].map(([zoneIndex, firstIndex], position, entries) => ({
     zone: zones[zoneIndex] as string,
     firstIndex,
-    count: (all[place + 1]?.[1] ?? taskCount) - firstIndex,
+    count: (entries[position + 1]?.[1] ?? taskCount) - firstIndex,
   }));
 };
--- a/src/operator/common/zoneRoom.ts
+++ b/src/operator/common/zoneRoom.ts
@@ -12,7 +12,7 @@
   sumResources,
 } from '../../services/worker/common/resources.js';
 import type { PlanningBasis } from './planningBasis.js';
-import type { ServiceTotals } from './replicas.js';
+import type { ServiceTotals } from './serviceTotals.js';
 
 /** Capacity of each worker of a zone that may start tasks; empty if the zone is not in use. */
 export const capacityOfZone = (
@@ -27,7 +27,7 @@
         .map((worker) => worker.capacity)
     : [];
 
-const countThatFits = (size: Resources, free: Resources, wanted: number): number => {
+const fittingTaskCount = (size: Resources, free: Resources, wanted: number): number => {
   const limits = [
     size.processorMillis === 0 ? wanted : free.processorMillis / size.processorMillis,
     size.memoryBytes === 0 ? wanted : free.memoryBytes / size.memoryBytes,
@@ -42,29 +42,29 @@
  * is ignored, so the result is a lower bound. A service whose task size exceeds every single
  * worker counts with all its replicas.
  */
-export const missingTasks = (
+export const missingReplicaCount = (
   totals: ServiceTotals,
   zone: string,
   workers: readonly Resources[],
 ): number => {
   let free = sumResources(workers);
-  const isPlaceableEach = totals.sizes.every((size) =>
+  const isEverySizePlaceable = totals.sizes.every((size) =>
     workers.some((capacity) => fitsInto(size, capacity)),
   );
   // If the sum fits, every service has room, and the services need not be checked one by one.
-  if (isPlaceableEach && fitsInto(totals.inZone(zone), free)) return 0;
+  if (isEverySizePlaceable && fitsInto(totals.inZone(zone), free)) return 0;
   return totals.byUrgency.reduce((missing, { name, size }) => {
     const wanted = totals.replicas(name, zone);
     if (wanted === 0) return missing;
     const isPlaceable = workers.some((capacity) => fitsInto(size, capacity));
-    const placed = isPlaceable ? countThatFits(size, free, wanted) : 0;
+    const placed = isPlaceable ? fittingTaskCount(size, free, wanted) : 0;
     free = subtractResources(free, multipliedResources(size, placed));
     return missing + wanted - placed;
   }, 0);
 };
 
 /** Upper bound of the tasks of a size that a zone has room for in addition to its services. */
-export const roomFor = (
+export const taskRoom = (
   size: Resources,
   totals: ServiceTotals,
   zone: string,
@@ -72,6 +72,6 @@
   wanted: number,
 ): number => {
   const free = subtractResources(sumResources(workers), totals.inZone(zone));
-  const placeable = workers.reduce((sum, one) => sum + countThatFits(size, one, wanted), 0);
-  return Math.min(placeable, countThatFits(size, free, wanted));
+  const placeable = workers.reduce((sum, one) => sum + fittingTaskCount(size, one, wanted), 0);
+  return Math.min(placeable, fittingTaskCount(size, free, wanted));
 };
--- a/src/operator/node/ledgerSurvey.ts
+++ b/src/operator/node/ledgerAssignments.ts
@@ -47,7 +47,7 @@
 };
 
 /** Number of concurrent reads: the next answers arrive while one is being parsed. */
-const LANE_COUNT = 3;
+const CONCURRENT_READ_COUNT = 3;
 
 const readRacks = async (
   table: TableService,
@@ -64,29 +64,29 @@
  * Reads the assignments of the racks for which `isWanted` is true, sorted by task id. Yields to
  * the event loop between reads. Fails with the first failure of the store.
  */
-export const surveyLedger = async (
+export const readAssignments = async (
   table: TableService,
   racks: readonly LedgerRack[],
   isWanted: (assignment: Assignment) => boolean,
 ): Promise<Either<Failure, readonly Assignment[]>> => {
   const found: Assignment[] = [];
-  let fault: Failure | undefined;
+  let firstFailure: Failure | undefined;
   let nextIndex = 0;
-  const runLane = async (): Promise<void> => {
-    while (nextIndex < racks.length && fault === undefined) {
-      const part = racks.slice(nextIndex, nextIndex + RACKS_PER_READ);
+  const runReader = async (): Promise<void> => {
+    while (nextIndex < racks.length && firstFailure === undefined) {
+      const nextRacks = racks.slice(nextIndex, nextIndex + RACKS_PER_READ);
       nextIndex += RACKS_PER_READ;
       // Each reader parses one part at a time, so that it blocks the event loop only briefly.
       // eslint-disable-next-line no-await-in-loop
-      const read = await readRacks(table, part);
-      if (isLeft(read)) fault = read.left;
+      const read = await readRacks(table, nextRacks);
+      if (isLeft(read)) firstFailure = read.left;
       else found.push(...read.right.filter(isWanted));
       // eslint-disable-next-line no-await-in-loop
       await nextTurn();
     }
   };
-  await Promise.all(Array.from({ length: LANE_COUNT }, runLane));
-  if (fault !== undefined) return left(fault);
+  await Promise.all(Array.from({ length: CONCURRENT_READ_COUNT }, runReader));
+  if (firstFailure !== undefined) return left(firstFailure);
   // The readers finish in any order. Sorting makes plans of the same state equal.
   return right(found.sort((one, other) => (one.taskId < other.taskId ? -1 : 1)));
 };
--- a/src/operator/node/operatorAccess.ts
+++ b/src/operator/node/operatorAccess.ts
@@ -26,17 +26,17 @@
     const [, token = ''] = BEARER.exec(authorization ?? '') ?? [];
     const hash = createHash('sha256').update(token).digest();
     // All hashes are compared, so that the response time does not reveal which one matched.
-    const [known] = this.#tokens.filter(({ sha256 }) =>
+    const [operator] = this.#tokens.filter(({ sha256 }) =>
       timingSafeEqual(Buffer.from(sha256, 'hex'), hash),
     );
-    if (known === undefined) {
+    if (operator === undefined) {
       const message = token === '' ? 'no bearer token was given' : 'the token is not known here';
       return left(failure(ErrorKind.Unauthorised, message));
     }
-    if (RANKS[known.role] < RANKS[needed]) {
-      const message = `${known.name} has the role ${known.role}; this needs ${needed}`;
+    if (RANKS[operator.role] < RANKS[needed]) {
+      const message = `${operator.name} has the role ${operator.role}; this needs ${needed}`;
       return left(failure(ErrorKind.Forbidden, message));
     }
-    return right(known.name);
+    return right(operator.name);
   }
 }
--- a/src/operator/node/operatorQueries.ts
+++ b/src/operator/node/operatorQueries.ts
@@ -20,10 +20,10 @@
   workPrefix,
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
-import { planPrefixesBefore, keptPlanSchema } from '../common/plan.js';
-import { ServiceTotals } from '../common/replicas.js';
-import { racksOf, surveyLedger } from './ledgerSurvey.js';
-import { checkShards } from './shardRows.js';
+import { planPrefixesBefore, storedPlanSchema } from '../common/plan.js';
+import { ServiceTotals } from '../common/serviceTotals.js';
+import { racksOf, readAssignments } from './ledgerAssignments.js';
+import { parseShards } from './shardParsing.js';
 
 export interface JobStatus {
   readonly job: JobRow;
@@ -48,11 +48,11 @@
 export type ObjectKind = (typeof ObjectKind)[keyof typeof ObjectKind];
 
 /** The states of the daemons as observed by this daemon, by id. */
-export interface SeenMembers {
+export interface ObservedDaemons {
   readonly members: ReadonlyMap<string, string>;
 }
 
-type Listed = Either<Failure, readonly Readonly<Record<string, unknown>>[]>;
+type ListResult = Either<Failure, readonly Readonly<Record<string, unknown>>[]>;
 
 /** The maximum number of versions that `history` returns. */
 const HISTORY_LENGTH = 200;
@@ -60,7 +60,7 @@
 const PLAN_HOURS = 2;
 const HOUR_MS = 3_600_000;
 
-const ID_MEMBERS: Readonly<Record<ObjectKind, string>> = {
+const ID_FIELDS: Readonly<Record<ObjectKind, string>> = {
   [ObjectKind.Services]: 'name',
   [ObjectKind.Jobs]: 'jobId',
   [ObjectKind.Tasks]: 'taskId',
@@ -102,7 +102,7 @@
 
   readonly #directory: Pick<InstanceDirectory, 'instances'>;
 
-  readonly #peers: SeenMembers;
+  readonly #peers: ObservedDaemons;
 
   readonly #wallNowMs: () => number;
 
@@ -110,7 +110,7 @@
     table: TableService,
     configuration: ConfigurationService,
     directory: Pick<InstanceDirectory, 'instances'>,
-    peers: SeenMembers,
+    peers: ObservedDaemons,
     wallNowMs: () => number,
   ) {
     this.#table = table;
@@ -154,12 +154,12 @@
     if (isLeft(read)) return read;
     const jobRow = read.right.rows.find((row) => row.key === jobKey(jobId));
     if (jobRow === undefined) return left(failure(ErrorKind.UnknownObject, `no job ${jobId}`));
-    const shards = await checkShards(read.right.rows.filter((row) => row !== jobRow));
+    const shards = await parseShards(read.right.rows.filter((row) => row !== jobRow));
     return right(toJobStatus(jobRowSchema.parse(jobRow.value), shards));
   }
 
   /** Lists all objects of a kind as flat records. */
-  async list(kind: ObjectKind): Promise<Listed> {
+  async list(kind: ObjectKind): Promise<ListResult> {
     switch (kind) {
       case ObjectKind.Instances:
         return right(this.#instances());
@@ -181,7 +181,7 @@
     if (kind === ObjectKind.Jobs) return this.job(id);
     const listed = await this.list(kind);
     if (isLeft(listed)) return listed;
-    const found = listed.right.find((item) => item[ID_MEMBERS[kind]] === id);
+    const found = listed.right.find((item) => item[ID_FIELDS[kind]] === id);
     if (found === undefined) {
       const name = kind.slice(0, -1);
       return left(failure(ErrorKind.UnknownObject, `no ${name} ${id}`));
@@ -252,14 +252,14 @@
   ): Promise<Either<Failure, readonly Assignment[]>> {
     const workers = this.#directory.instances.filter(isWorker);
     const racks = racksOf(workers, ({ id }) => workerId === undefined || id === workerId);
-    return surveyLedger(this.#table, racks, isWanted);
+    return readAssignments(this.#table, racks, isWanted);
   }
 
   /** Plans of the last `PLAN_HOURS` hours, without their steps and guards. */
-  async #plans(): Promise<Listed> {
+  async #plans(): Promise<ListResult> {
     const prefixes = planPrefixesBefore(this.#wallNowMs() + HOUR_MS, PLAN_HOURS);
     return this.#rows(prefixes, (value) => {
-      const { steps, guards, ...plan } = keptPlanSchema.parse(value);
+      const { steps, guards, ...plan } = storedPlanSchema.parse(value);
       return { ...plan, stepCount: steps.length };
     });
   }
--- a/src/operator/node/operatorServer.ts
+++ b/src/operator/node/operatorServer.ts
@@ -47,7 +47,7 @@
 const HTTP_UNAVAILABLE = 503;
 const FIRST_SERVER_ERROR = 500;
 
-const firstFault = (error: z.ZodError): Either<Failure, never> => {
+const invalidBody = (error: z.ZodError): Either<Failure, never> => {
   const [issue] = error.issues;
   const path = issue === undefined || issue.path.length === 0 ? 'body' : issue.path.join('.');
   const message = `${path}: ${issue?.message ?? 'is not valid'}`;
@@ -116,7 +116,7 @@
     const { plans } = this.#services;
     this.#route('POST', '/v1/plans', OperatorRole.Plan, (request, author) => {
       const body = planBodySchema.safeParse(request.body);
-      return body.success ? plans.plan(body.data.intent, author) : firstFault(body.error);
+      return body.success ? plans.plan(body.data.intent, author) : invalidBody(body.error);
     });
     this.#route('GET', '/v1/plans/:id', OperatorRole.View, (request) =>
       plans.find(idParamsSchema.parse(request.params).id),
@@ -127,7 +127,7 @@
     });
     this.#route('POST', '/v1/plans/:id/confirm', OperatorRole.Confirm, (request, author) => {
       const body = confirmBodySchema.safeParse(request.body);
-      if (!body.success) return firstFault(body.error);
+      if (!body.success) return invalidBody(body.error);
       const { id } = idParamsSchema.parse(request.params);
       return plans.confirm({ planId: id, digest: body.data.digest, author });
     });
@@ -135,7 +135,7 @@
 
   #addQueryRoutes(): void {
     const { queries, configuration, spans } = this.#services;
-    const found = (value: unknown): Either<Failure, unknown> => ({ _tag: 'Right', right: value });
+    const success = (value: unknown): Either<Failure, unknown> => ({ _tag: 'Right', right: value });
     Object.values(ObjectKind).forEach((kind) => {
       this.#route('GET', `/v1/${kind}`, OperatorRole.View, () => queries.list(kind));
       // Single plans have their own route, which returns them with their steps.
@@ -146,14 +146,14 @@
     });
     this.#route('GET', '/v1/policy', OperatorRole.View, async () => {
       const view = await queries.view();
-      return isLeft(view) ? view : found(view.right.policy);
+      return isLeft(view) ? view : success(view.right.policy);
     });
     this.#route('GET', '/v1/version', OperatorRole.View, () =>
-      found({ version: configuration.current?.version ?? 0 }),
+      success({ version: configuration.current?.version ?? 0 }),
     );
     this.#route('GET', '/v1/history', OperatorRole.View, () => queries.history());
     this.#route('GET', '/v1/traces/:id', OperatorRole.View, (request) =>
-      found(spans.find(idParamsSchema.parse(request.params).id)),
+      success(spans.find(idParamsSchema.parse(request.params).id)),
     );
   }
 
--- a/src/operator/node/planSteps.ts
+++ b/src/operator/node/planExpansion.ts
@@ -3,15 +3,15 @@
 
 import type { JsonValue } from '../../base/common/json.js';
 import type { BatchTask } from '../../services/workload/common/workRows.js';
-import { freshTaskPieces } from '../common/freshTasks.js';
+import { freshTaskChunks } from '../common/freshTasks.js';
 import type { Plan, PlanStep } from '../common/plan.js';
 
-const writtenOut = async ({ freshTasks, ...step }: PlanStep): Promise<PlanStep> => {
+const withFullTasks = async ({ freshTasks, ...step }: PlanStep): Promise<PlanStep> => {
   if (freshTasks === undefined) return step;
   const tasks: BatchTask[] = [];
   // eslint-disable-next-line no-restricted-syntax -- the generator creates chunks on demand
-  for (const piece of freshTaskPieces(freshTasks)) {
-    tasks.push(...piece);
+  for (const chunk of freshTaskChunks(freshTasks)) {
+    tasks.push(...chunk);
     // eslint-disable-next-line no-await-in-loop -- yields to the event loop after each chunk
     await nextTurn();
   }
@@ -22,13 +22,13 @@
  * Returns the plan with the full tasks of new shards, as operators see it and as it is digested.
  * Yields to the event loop in between.
  */
-export const withTasksWrittenOut = async <Planned extends Pick<Plan, 'steps'>>(
+export const withFullSteps = async <Planned extends Pick<Plan, 'steps'>>(
   plan: Planned,
 ): Promise<Planned> => {
   const steps: PlanStep[] = [];
   for (let index = 0; index < plan.steps.length; index += 1) {
     // eslint-disable-next-line no-await-in-loop -- one step at a time limits the work per turn
-    steps.push(await writtenOut(plan.steps[index] as PlanStep));
+    steps.push(await withFullTasks(plan.steps[index] as PlanStep));
   }
   return { ...plan, steps };
 };
--- a/src/operator/node/planMaker.ts
+++ b/src/operator/node/planMaker.ts
@@ -26,7 +26,7 @@
   workPrefix,
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
-import { planningFault } from '../common/confirmation.js';
+import { planningViolation } from '../common/confirmation.js';
 import { type Intent, IntentKind } from '../common/intent.js';
 import {
   type DigestedPlan,
@@ -39,11 +39,11 @@
 } from '../common/plan.js';
 import { effectsOfPlan, type PlannedChange, planIntent } from '../common/planner.js';
 import type { RunningTask } from '../common/planningBasis.js';
-import { furtherRowsToRead, rowsToRead } from '../common/planRows.js';
-import { racksOf, surveyLedger, toRunningTask } from './ledgerSurvey.js';
-import { checkOpenShards } from './shardRows.js';
-import { withTasksWrittenOut } from './planSteps.js';
-import { surveyTeam } from './teamSurvey.js';
+import { furtherKeysToRead, keysToRead } from '../common/planningKeys.js';
+import { racksOf, readAssignments, toRunningTask } from './ledgerAssignments.js';
+import { parseOpenShards } from './shardParsing.js';
+import { withFullSteps } from './planExpansion.js';
+import { readRunningTasksOfTeam } from './teamTasks.js';
 
 export interface PlanMakerServices {
   readonly table: TableService;
@@ -59,15 +59,15 @@
 /** How often the view and the rows are read until they are consistent. */
 const MAXIMUM_READ_TRIES = 5;
 /** How many jobs of a cancellation have their shards read to predict which tasks end. */
-const MAXIMUM_SURVEYED_JOBS = 20;
+const MAXIMUM_PREDICTED_JOBS = 20;
 
 /** A configuration view and rows that are consistent with it. */
-interface Reading {
+interface ConsistentRead {
   readonly view: ConfigurationView;
   readonly rows: ReadonlyMap<string, TableRow>;
 }
 
-const isInAgreement = (
+const isConsistent = (
   view: ConfigurationView,
   keys: readonly string[],
   rows: ReadonlyMap<string, TableRow>,
@@ -99,13 +99,13 @@
 
   /** Makes a plan and stores it; nothing else is written. */
   async plan(intent: Intent, author: string): Promise<Either<Failure, Plan>> {
-    const reading = await this.#readBasis(intent);
-    if (isLeft(reading)) return reading;
-    const { view, rows } = reading.right;
+    const basisRead = await this.#readBasis(intent);
+    if (isLeft(basisRead)) return basisRead;
+    const { view, rows } = basisRead.right;
     const workers = this.#services.directory.instances.filter(isWorker);
-    const running = await this.#running(view, intent, workers);
+    const running = await this.#readRunningTasks(view, intent, workers);
     if (isLeft(running)) return running;
-    const ending = await this.#ending(view, intent);
+    const ending = await this.#readEndingShards(view, intent);
     if (isLeft(ending)) return ending;
     const planId = toPlanId(this.#services.wallNowMs(), this.#services.newSuffix());
     const basis = { view, rows, workers, running: running.right, planId };
@@ -116,9 +116,9 @@
     await nextTurn();
     const effects = effectsOfPlan(basis, intent, planned.right, ending.right);
     await nextTurn();
-    const decided = { ...planned.right, effects };
-    const kept = await this.#toPlan(planId, intent, author, view.version, decided);
-    return this.#keep(kept.inShort, kept.writtenOut);
+    const plannedWithEffects = { ...planned.right, effects };
+    const plans = await this.#toPlan(planId, intent, author, view.version, plannedWithEffects);
+    return this.#store(plans.compact, plans.full);
   }
 
   /**
@@ -128,9 +128,9 @@
    * version, which is rare during a burst of confirmations, but the documents that are in both
    * must be equal. Everything else that the plan relies on is a condition of its confirmation.
    */
-  async #readBasis(intent: Intent): Promise<Either<Failure, Reading>> {
+  async #readBasis(intent: Intent): Promise<Either<Failure, ConsistentRead>> {
     const { configuration, table } = this.#services;
-    const keys = new Set(rowsToRead(intent));
+    const keys = new Set(keysToRead(intent));
     for (let tryCount = 0; tryCount < MAXIMUM_READ_TRIES; tryCount += 1) {
       // Each try depends on the keys that the previous one found.
       // eslint-disable-next-line no-await-in-loop
@@ -140,30 +140,30 @@
       if (isLeft(read)) return read;
       const rows = rowsByKey(read.right.rows);
       const knownKeyCount = keys.size;
-      furtherRowsToRead(intent, rows).forEach((key) => keys.add(key));
+      furtherKeysToRead(intent, rows).forEach((key) => keys.add(key));
       const view = configuration.current;
-      const isWhole = view !== undefined && keys.size === knownKeyCount;
-      if (isWhole && isInAgreement(view, [...keys], rows)) return right({ view, rows });
+      const hasReadAllKeys = view !== undefined && keys.size === knownKeyCount;
+      if (hasReadAllKeys && isConsistent(view, [...keys], rows)) return right({ view, rows });
     }
     const message = 'the configuration in force could not be read';
     return left(failure(ErrorKind.ConfigurationUnknown, message));
   }
 
-  async #running(
+  async #readRunningTasks(
     view: ConfigurationView,
     intent: Intent,
     workers: readonly WorkerInstance[],
   ): Promise<Either<Failure, readonly RunningTask[]>> {
     if (intent.intent === IntentKind.SetQuota) {
       const zones = [...view.zones.keys()];
-      return surveyTeam(this.#services.table, zones, intent.team);
+      return readRunningTasksOfTeam(this.#services.table, zones, intent.team);
     }
-    const survey = await this.#survey(intent, workers);
-    return isLeft(survey) ? survey : right(survey.right.map(toRunningTask));
+    const assignments = await this.#readAssignments(intent, workers);
+    return isLeft(assignments) ? assignments : right(assignments.right.map(toRunningTask));
   }
 
   /** Reads the part of the ledger that an intent needs; most intents need none. */
-  async #survey(
+  async #readAssignments(
     intent: Intent,
     workers: readonly WorkerInstance[],
   ): Promise<Either<Failure, readonly Assignment[]>> {
@@ -171,11 +171,11 @@
     switch (intent.intent) {
       case IntentKind.WithdrawZone: {
         const racks = racksOf(workers, (worker) => worker.availabilityZone === intent.zone);
-        return surveyLedger(table, racks, () => true);
+        return readAssignments(table, racks, () => true);
       }
       case IntentKind.DrainWorker: {
         const racks = racksOf(workers, (worker) => worker.id === intent.workerId);
-        return surveyLedger(table, racks, ({ workerId }) => workerId === intent.workerId);
+        return readAssignments(table, racks, ({ workerId }) => workerId === intent.workerId);
       }
       default:
         return right([]);
@@ -183,35 +183,35 @@
   }
 
   /** Open shards of the jobs that a cancellation names; only the first of many jobs are read. */
-  async #ending(
+  async #readEndingShards(
     view: ConfigurationView,
     intent: Intent,
   ): Promise<Either<Failure, readonly WorkRow[]>> {
     if (intent.intent !== IntentKind.CancelJobs) return right([]);
     const zones = [...view.zones.keys()];
     const prefixes = intent.jobIds
-      .slice(0, MAXIMUM_SURVEYED_JOBS)
+      .slice(0, MAXIMUM_PREDICTED_JOBS)
       .flatMap((jobId) => zones.map((zone) => `${workPrefix(zone)}${jobId}~`));
     const read = await this.#services.table.read({ keys: [], prefixes })();
     if (isLeft(read)) return read;
-    return right(await checkOpenShards(read.right.rows));
+    return right(await parseOpenShards(read.right.rows));
   }
 
   /**
    * Stores a plan in compact form. The plan's id is new, so writing the row a second time after a
    * lost answer is idempotent: the second try either finds the row or writes it.
    */
-  async #keep(inShort: Plan, plan: Plan): Promise<Either<Failure, Plan>> {
+  async #store(compact: Plan, plan: Plan): Promise<Either<Failure, Plan>> {
     const { table, metrics } = this.#services;
     const key = planKey(plan.planId);
     const transaction: Transaction = {
       operationId: plan.planId,
       conditions: [{ key, version: ABSENT_VERSION }],
-      writes: [{ key, value: inShort }],
+      writes: [{ key, value: compact }],
     };
-    const fault = planningFault(transaction);
-    if (fault !== undefined) {
-      metrics.count(fault);
+    const violation = planningViolation(transaction);
+    if (violation !== undefined) {
+      metrics.count(violation);
       return left(failure(ErrorKind.Internal, 'a plan would have changed more than plans'));
     }
     const first = await table.transact(transaction)();
@@ -230,7 +230,7 @@
     author: string,
     baseVersion: number,
     planned: PlannedChange & { readonly effects: PlanEffects },
-  ): Promise<{ readonly inShort: Plan; readonly writtenOut: Plan }> {
+  ): Promise<{ readonly compact: Plan; readonly full: Plan }> {
     const createdAtMs = this.#services.wallNowMs();
     const contents = {
       planId,
@@ -240,18 +240,18 @@
       guards: [...planned.guards],
       notifiedCells: [...planned.notifiedCells],
     };
-    const writtenOut = await withTasksWrittenOut(contents);
-    const rest = {
+    const fullContents = await withFullSteps(contents);
+    const otherFields = {
       author,
       summary: planned.summary,
       effects: planned.effects,
       warnings: [...planned.warnings],
       createdAt: new Date(createdAtMs).toISOString(),
       expiresAt: new Date(createdAtMs + this.#planLifetimeMs).toISOString(),
-      digest: await planDigest(writtenOut),
+      digest: await planDigest(fullContents),
       state: PlanState.Pending,
       acceptedVersion: 0,
     };
-    return { inShort: { ...contents, ...rest }, writtenOut: { ...writtenOut, ...rest } };
+    return { compact: { ...contents, ...otherFields }, full: { ...fullContents, ...otherFields } };
   }
 }
--- a/src/operator/node/planProgress.ts
+++ b/src/operator/node/planProgress.ts
@@ -10,8 +10,8 @@
 import { IntentKind } from '../common/intent.js';
 import { jobIdOfTerms, submittedJobs } from '../common/jobChanges.js';
 import { type Plan, PlanState } from '../common/plan.js';
-import { racksOf, surveyLedger } from './ledgerSurvey.js';
-import { checkOpenShards } from './shardRows.js';
+import { racksOf, readAssignments } from './ledgerAssignments.js';
+import { parseOpenShards } from './shardParsing.js';
 
 export interface PlanProgress {
   readonly state: PlanState;
@@ -24,7 +24,7 @@
 /** How many jobs' rows are read at a time. */
 const JOBS_PER_READ = 20;
 
-type Remaining = Promise<Either<Failure, number>>;
+type TaskCountResult = Promise<Either<Failure, number>>;
 
 export class PlanProgressReader {
   readonly #table: TableService;
@@ -60,38 +60,38 @@
       }
       return right({ state, acceptedVersion, remainingTaskCount: 0, isDone: false });
     }
-    const remaining = await this.#remaining(plan);
+    const remaining = await this.#remainingTaskCount(plan);
     if (isLeft(remaining)) return remaining;
     const remainingTaskCount = remaining.right;
     return right({ state, acceptedVersion, remainingTaskCount, isDone: remainingTaskCount === 0 });
   }
 
-  #remaining({ intent }: Plan): Remaining {
+  #remainingTaskCount({ intent }: Plan): TaskCountResult {
     switch (intent.intent) {
       case IntentKind.SubmitJob:
       case IntentKind.SubmitJobs:
-        return this.#openTasksOf(submittedJobs(intent).map(jobIdOfTerms));
+        return this.#openTaskCount(submittedJobs(intent).map(jobIdOfTerms));
       case IntentKind.CancelJobs:
-        return this.#openTasksOf(intent.jobIds);
+        return this.#openTaskCount(intent.jobIds);
       case IntentKind.WithdrawZone:
-        return this.#assignedOn(({ availabilityZone }) => availabilityZone === intent.zone);
+        return this.#assignedTaskCount(({ availabilityZone }) => availabilityZone === intent.zone);
       case IntentKind.DrainWorker:
-        return this.#assignedOn(({ id }) => id === intent.workerId);
+        return this.#assignedTaskCount(({ id }) => id === intent.workerId);
       case IntentKind.CreateService:
       case IntentKind.ChangeService:
-        return this.#missingOf(intent.service.name);
+        return this.#replicaDifference(intent.service.name);
       case IntentKind.RemoveService:
-        return this.#missingOf(intent.name);
+        return this.#replicaDifference(intent.name);
       default:
         return Promise.resolve(right(0));
     }
   }
 
   /** Number of tasks that are still assigned to the workers that have to become empty. */
-  async #assignedOn(isWanted: (worker: WorkerInstance) => boolean): Remaining {
+  async #assignedTaskCount(isWanted: (worker: WorkerInstance) => boolean): TaskCountResult {
     const wanted = this.#directory.instances.filter(isWorker).filter(isWanted);
     const ids = new Set(wanted.map(({ id }) => id));
-    const found = await this.#survey(wanted, ({ workerId }) => ids.has(workerId));
+    const found = await this.#readAssignments(wanted, ({ workerId }) => ids.has(workerId));
     return isLeft(found) ? found : right(found.right.length);
   }
 
@@ -99,24 +99,24 @@
    * Difference between a service's task count and its replica count in the current configuration,
    * which a later plan may have changed. Zero for a removed service that has no tasks left.
    */
-  async #missingOf(serviceName: string): Remaining {
+  async #replicaDifference(serviceName: string): TaskCountResult {
     await this.#configuration.refresh();
     const service = this.#configuration.current?.services.get(serviceName);
     const workers = this.#directory.instances.filter(isWorker);
-    const found = await this.#survey(workers, (one) => one.serviceName === serviceName);
+    const found = await this.#readAssignments(workers, (one) => one.serviceName === serviceName);
     if (isLeft(found)) return found;
     return right(Math.abs((service?.replicaCount ?? 0) - found.right.length));
   }
 
-  #survey(
+  #readAssignments(
     workers: readonly WorkerInstance[],
     isWanted: (assignment: Assignment) => boolean,
   ): Promise<Either<Failure, readonly Assignment[]>> {
-    return surveyLedger(this.#table, racksOf(workers), isWanted);
+    return readAssignments(this.#table, racksOf(workers), isWanted);
   }
 
   /** Number of the jobs' tasks that have not ended. Ended shards have another key prefix. */
-  async #openTasksOf(jobIds: readonly string[]): Remaining {
+  async #openTaskCount(jobIds: readonly string[]): TaskCountResult {
     const zones = [...(this.#configuration.current?.zones.keys() ?? [])];
     let count = 0;
     for (let from = 0; from < jobIds.length; from += JOBS_PER_READ) {
@@ -126,7 +126,7 @@
       const read = await this.#table.read({ keys: [], prefixes })();
       if (isLeft(read)) return read;
       // eslint-disable-next-line no-await-in-loop
-      const shards = await checkOpenShards(read.right.rows);
+      const shards = await parseOpenShards(read.right.rows);
       count += shards.reduce((sum, { tasks }) => sum + tasks.length, 0);
     }
     return right(count);
--- a/src/operator/node/planService.ts
+++ b/src/operator/node/planService.ts
@@ -21,18 +21,18 @@
   TransactionOutcome,
 } from '../../services/table/common/table.js';
 import {
-  confirmationFault,
+  confirmationViolation,
   confirmationKeys,
   type ConfirmationRequest,
   decideConfirmation,
-  OpenAttempts,
-  staleKey,
+  LostAttempts,
+  firstChangedKey,
   WriteInvariant,
 } from '../common/confirmation.js';
 import type { Intent } from '../common/intent.js';
-import { type Plan, planKey, keptPlanSchema, type PlanStep } from '../common/plan.js';
+import { type Plan, planKey, storedPlanSchema, type PlanStep } from '../common/plan.js';
 import { planDigest, PlanMaker, type PlanMakerServices } from './planMaker.js';
-import { withTasksWrittenOut } from './planSteps.js';
+import { withFullSteps } from './planExpansion.js';
 
 export interface PlanServices extends PlanMakerServices {
   readonly clock: Clock;
@@ -62,13 +62,13 @@
  * grow to 200 ms spread the others over a second or two. Without random jitter all of them would
  * retry at the same moment and conflict again.
  */
-const FIRST_WAIT_MS = 5;
-const LONGEST_WAIT_MS = 200;
+const INITIAL_BACKOFF_MS = 5;
+const MAXIMUM_BACKOFF_MS = 200;
 
 /** How many versions are searched for the change that made a plan stale. */
 const MAXIMUM_CHANGES_SEARCHED = 100;
 
-const isStoreFault = ({ kind }: Failure): boolean =>
+const isStoreFailure = ({ kind }: Failure): boolean =>
   kind === ErrorKind.StoreUnavailable || kind === ErrorKind.StoreAnswerLost;
 
 const OUTCOME_UNKNOWN = failure(
@@ -77,7 +77,7 @@
 );
 
 /** The transaction with the values of the steps, which have the full tasks of new shards. */
-const withValuesOf = (transaction: Transaction, steps: readonly PlanStep[]): Transaction => {
+const withStepValues = (transaction: Transaction, steps: readonly PlanStep[]): Transaction => {
   const values = new Map(steps.map(({ key, after }) => [key, after]));
   const writes = transaction.writes.map(({ key, value }) => ({
     key,
@@ -117,17 +117,17 @@
 
   /** Returns a plan with its full tasks. Fails with `UnknownObject` if there is no such plan. */
   async find(planId: string): Promise<Either<Failure, Plan>> {
-    const plan = await this.#findInShort(planId);
-    return isLeft(plan) ? plan : right(await withTasksWrittenOut(plan.right));
+    const plan = await this.#findStored(planId);
+    return isLeft(plan) ? plan : right(await withFullSteps(plan.right));
   }
 
   /** The plan as stored, with new tasks in compact form. */
-  async #findInShort(planId: string): Promise<Either<Failure, Plan>> {
+  async #findStored(planId: string): Promise<Either<Failure, Plan>> {
     const read = await this.#services.table.read({ keys: [planKey(planId)], prefixes: [] })();
     if (isLeft(read)) return read;
     const row = read.right.rows[0];
     if (row === undefined) return left(failure(ErrorKind.UnknownObject, `no plan ${planId}`));
-    return right(keptPlanSchema.parse(row.value));
+    return right(storedPlanSchema.parse(row.value));
   }
 
   /**
@@ -136,9 +136,13 @@
    */
   async confirm(request: ConfirmationRequest): Promise<ConfirmationResult> {
     const { clock, delay, random } = this.#services;
-    const giveUpAtMs = clock.nowMs() + this.#limits.confirmTimeoutMs;
-    const attempts = new OpenAttempts();
-    for (let waitMs = FIRST_WAIT_MS; ; waitMs = Math.min(waitMs * 2, LONGEST_WAIT_MS)) {
+    const deadlineMs = clock.nowMs() + this.#limits.confirmTimeoutMs;
+    const attempts = new LostAttempts();
+    for (
+      let backoffMs = INITIAL_BACKOFF_MS;
+      ;
+      backoffMs = Math.min(backoffMs * 2, MAXIMUM_BACKOFF_MS)
+    ) {
       // Each try depends on the outcome of the previous one.
       // eslint-disable-next-line no-await-in-loop
       const result = await this.#tryConfirm(request, attempts);
@@ -146,34 +150,34 @@
         if (!isLeft(result)) this.#didAccept.fire(result.right);
         return result;
       }
-      if (clock.nowMs() + waitMs > giveUpAtMs) return left(OUTCOME_UNKNOWN);
+      if (clock.nowMs() + backoffMs > deadlineMs) return left(OUTCOME_UNKNOWN);
       // eslint-disable-next-line no-await-in-loop
-      await delay(waitMs * (1 + random.nextFraction()));
+      await delay(backoffMs * (1 + random.nextFraction()));
     }
   }
 
   /** Tries to confirm a plan once. Returns undefined if the confirmation should be retried. */
   async #tryConfirm(
     request: ConfirmationRequest,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
   ): Promise<ConfirmationResult | undefined> {
     const { table, newOperationId, wallNowMs } = this.#services;
-    const known = await this.#findInShort(request.planId);
-    if (isLeft(known)) return this.#afterFailure(known.left, request, attempts, new Map());
-    const read = await table.read({ keys: confirmationKeys(known.right), prefixes: [] })();
-    if (isLeft(read)) return this.#afterFailure(read.left, request, attempts, new Map());
+    const stored = await this.#findStored(request.planId);
+    if (isLeft(stored)) return this.#resultAfterFailure(stored.left, request, attempts, new Map());
+    const read = await table.read({ keys: confirmationKeys(stored.right), prefixes: [] })();
+    if (isLeft(read)) return this.#resultAfterFailure(read.left, request, attempts, new Map());
     const rows = rowsByKey(read.right.rows);
     const nowAt = new Date(wallNowMs()).toISOString();
     const step = decideConfirmation(request, rows, newOperationId(), nowAt);
-    if (isLeft(step)) return this.#afterFailure(step.left, request, attempts, rows);
-    const accepted = await withTasksWrittenOut(step.right.plan);
+    if (isLeft(step)) return this.#resultAfterFailure(step.left, request, attempts, rows);
+    const accepted = await withFullSteps(step.right.plan);
     if (step.right.kind === 'accepted') return right(accepted);
-    attempts.noteStillPending(rows);
+    attempts.updateFromPendingPlan(rows);
     // The written steps are the same objects as the digested ones, so comparing them is cheap.
     // The digest shows whether they are the steps that the operator saw.
-    const shown = { ...step.right.pending, steps: accepted.steps };
-    const transaction = withValuesOf(step.right.transaction, accepted.steps);
-    return this.#write(shown, accepted, transaction, rows, attempts);
+    const shownPlan = { ...step.right.pending, steps: accepted.steps };
+    const transaction = withStepValues(step.right.transaction, accepted.steps);
+    return this.#write(shownPlan, accepted, transaction, rows, attempts);
   }
 
   async #write(
@@ -181,27 +185,27 @@
     accepted: Plan,
     transaction: Transaction,
     rows: ReadonlyMap<string, TableRow>,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
   ): Promise<ConfirmationResult | undefined> {
     const { table, metrics } = this.#services;
     const isAltered = (await planDigest(pending)) !== pending.digest;
-    const fault = isAltered
+    const violation = isAltered
       ? WriteInvariant.OnlyWhatWasShown
-      : confirmationFault(pending, rows, transaction);
-    if (fault !== undefined) {
-      metrics.count(fault);
-      const workOutcome = attempts.isAnyOpen ? WorkOutcome.Unknown : WorkOutcome.NotRun;
+      : confirmationViolation(pending, rows, transaction);
+    if (violation !== undefined) {
+      metrics.count(violation);
+      const workOutcome = attempts.hasAny ? WorkOutcome.Unknown : WorkOutcome.NotRun;
       return left({ ...failure(ErrorKind.Internal, 'the plan is not as shown'), workOutcome });
     }
     const written = await table.transact(transaction)();
     if (!isLeft(written)) {
       return written.right.outcome === TransactionOutcome.Committed ? right(accepted) : undefined;
     }
-    if (written.left.kind === ErrorKind.StoreAnswerLost) attempts.addLost(transaction);
-    if (!isStoreFault(written.left)) return written;
+    if (written.left.kind === ErrorKind.StoreAnswerLost) attempts.add(transaction);
+    if (!isStoreFailure(written.left)) return written;
     // The store is unavailable, so the outcome of an earlier attempt is unknown. Retry if there
     // was such an attempt, because the store may become available again.
-    return attempts.isAnyOpen ? undefined : left(OUTCOME_UNKNOWN);
+    return attempts.hasAny ? undefined : left(OUTCOME_UNKNOWN);
   }
 
   /**
@@ -211,17 +215,17 @@
    * another one, may still take effect later. While the store is unavailable the outcome is
    * "unknown", because an earlier call may have been accepted.
    */
-  async #afterFailure(
+  async #resultAfterFailure(
     cause: Failure,
     request: ConfirmationRequest,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
     rows: ReadonlyMap<string, TableRow>,
   ): Promise<ConfirmationResult | undefined> {
-    if (isStoreFault(cause)) return attempts.isAnyOpen ? undefined : left(OUTCOME_UNKNOWN);
+    if (isStoreFailure(cause)) return attempts.hasAny ? undefined : left(OUTCOME_UNKNOWN);
     const row = rows.get(planKey(request.planId));
-    if (!(await this.#isProved(request.planId, row))) return undefined;
+    if (!(await this.#verifyUnchanged(request.planId, row))) return undefined;
     if (cause.kind !== ErrorKind.PlanStale || row === undefined) return left(cause);
-    return left(await this.#staleRefusal(cause, keptPlanSchema.parse(row.value), request, rows));
+    return left(await this.#staleRefusal(cause, storedPlanSchema.parse(row.value), request, rows));
   }
 
   /**
@@ -229,7 +233,7 @@
    * unchanged, which increments its version. Attempts in flight require the old version, so none
    * of them can take effect any more.
    */
-  async #isProved(planId: string, row: TableRow | undefined): Promise<boolean> {
+  async #verifyUnchanged(planId: string, row: TableRow | undefined): Promise<boolean> {
     const key = planKey(planId);
     const result = await this.#services.table.transact({
       operationId: this.#services.newOperationId(),
@@ -246,17 +250,20 @@
     request: ConfirmationRequest,
     rows: ReadonlyMap<string, TableRow>,
   ): Promise<ConfirmationRefusal> {
-    const winner = await this.#winnerOf(plan, rows);
-    const message = winner === undefined ? cause.message : `${cause.message} by ${winner}`;
-    const again = await this.#maker.plan(plan.intent, request.author);
-    if (isLeft(again)) {
-      return { ...cause, message: `${message}; planned anew: ${again.left.message}` };
+    const conflict = await this.#conflictingChange(plan, rows);
+    const message = conflict === undefined ? cause.message : `${cause.message} by ${conflict}`;
+    const replanned = await this.#maker.plan(plan.intent, request.author);
+    if (isLeft(replanned)) {
+      return { ...cause, message: `${message}; planned anew: ${replanned.left.message}` };
     }
-    return { ...cause, message, newPlan: again.right };
+    return { ...cause, message, newPlan: replanned.right };
   }
 
-  async #winnerOf(plan: Plan, rows: ReadonlyMap<string, TableRow>): Promise<string | undefined> {
-    const key = staleKey(plan, rows);
+  async #conflictingChange(
+    plan: Plan,
+    rows: ReadonlyMap<string, TableRow>,
+  ): Promise<string | undefined> {
+    const key = firstChangedKey(plan, rows);
     const version = toVersion([...rows.values()]);
     const from = Math.max(plan.baseVersion, version - MAXIMUM_CHANGES_SEARCHED);
     if (key === undefined || from >= version) return undefined;
@@ -264,7 +271,9 @@
     const read = await this.#services.table.read({ keys, prefixes: [] })();
     if (isLeft(read)) return undefined;
     const changes = read.right.rows.map((row) => changeRowSchema.parse(row.value));
-    const winner = changes.filter((change) => change.keys.includes(key)).at(-1);
-    return winner && `version ${winner.version} of ${winner.author}: ${winner.summary}`;
+    const lastChange = changes.filter((change) => change.keys.includes(key)).at(-1);
+    return (
+      lastChange && `version ${lastChange.version} of ${lastChange.author}: ${lastChange.summary}`
+    );
   }
 }
--- a/src/operator/node/planSweeper.ts
+++ b/src/operator/node/planSweeper.ts
@@ -5,7 +5,7 @@
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import type { TableRow, TableService } from '../../services/table/common/table.js';
-import { planningFault } from '../common/confirmation.js';
+import { planningViolation } from '../common/confirmation.js';
 import { planPrefixesBefore } from '../common/plan.js';
 
 /** Old hours covered by each sweep, so that it also removes plans left while no daemon ran. */
@@ -52,9 +52,9 @@
       conditions: rows.map(({ key, version }) => ({ key, version })),
       writes: rows.map(({ key }) => ({ key, value: null })),
     };
-    const fault = planningFault(transaction);
-    if (fault !== undefined) {
-      this.#metrics.count(fault);
+    const violation = planningViolation(transaction);
+    if (violation !== undefined) {
+      this.#metrics.count(violation);
       return;
     }
     const removed = await this.#table.transact(transaction)();
--- a/src/operator/node/shardRows.ts
+++ b/src/operator/node/shardParsing.ts
@@ -9,7 +9,7 @@
  * to the event loop before each one. The rows must still come from a single read: a shard that
  * moves to another cell between two reads would be missed or counted twice.
  */
-export const checkShards = async (rows: readonly TableRow[]): Promise<readonly WorkRow[]> => {
+export const parseShards = async (rows: readonly TableRow[]): Promise<readonly WorkRow[]> => {
   const shards: WorkRow[] = [];
   for (let index = 0; index < rows.length; index += 1) {
     // eslint-disable-next-line no-await-in-loop -- yields to the event loop before each shard
@@ -20,8 +20,8 @@
 };
 
 /** Parses shards and keeps only the tasks that have not ended. */
-export const checkOpenShards = async (rows: readonly TableRow[]): Promise<readonly WorkRow[]> =>
-  (await checkShards(rows)).map((shard) => ({
+export const parseOpenShards = async (rows: readonly TableRow[]): Promise<readonly WorkRow[]> =>
+  (await parseShards(rows)).map((shard) => ({
     ...shard,
     tasks: shard.tasks.filter((task) => !isEnded(task)),
   }));
--- a/src/operator/node/teamSurvey.ts
+++ b/src/operator/node/teamTasks.ts
@@ -21,7 +21,7 @@
       ...{ taskId: batchTaskId(jobId, index), workerId: '', serviceName: '', jobId, size },
     }));
 
-const surveyZone = async (
+const readRunningTasksInZone = async (
   table: TableService,
   zone: string,
   team: string,
@@ -44,14 +44,14 @@
  * The ledger is organized by rack: finding the forty tasks of a team in it would mean reading all
  * 17,500 tasks.
  */
-export const surveyTeam = async (
+export const readRunningTasksOfTeam = async (
   table: TableService,
   zones: readonly string[],
   team: string,
 ): Promise<Either<Failure, readonly RunningTask[]>> => {
-  const surveys = await Promise.all(zones.map((zone) => surveyZone(table, zone, team)));
-  return surveys.reduce<Either<Failure, readonly RunningTask[]>>((sum, survey) => {
+  const results = await Promise.all(zones.map((zone) => readRunningTasksInZone(table, zone, team)));
+  return results.reduce<Either<Failure, readonly RunningTask[]>>((sum, result) => {
     if (isLeft(sum)) return sum;
-    return isLeft(survey) ? survey : right([...sum.right, ...survey.right]);
+    return isLeft(result) ? result : right([...sum.right, ...result.right]);
   }, right([]));
 };
--- a/src/operator/test/badInput.test.ts
+++ b/src/operator/test/badInput.test.ts
@@ -32,7 +32,7 @@
 const plan = (intent: unknown): Promise<Answer> => post(JSON.stringify({ intent }));
 
 /** Announces a body of 50 MB, sends its first bytes and waits for the answer. */
-const postHuge = (): Promise<Answer> =>
+const postHugeBody = (): Promise<Answer> =>
   new Promise((resolve, reject) => {
     const call = rawRequest({
       host: '127.0.0.1',
@@ -180,7 +180,7 @@
 
   // Reading such bodies whole would exhaust the daemon's memory, and callers' requests would fail.
   it('a body of 50 MB is refused before it is read', async () => {
-    const { statusCode, body } = await postHuge();
+    const { statusCode, body } = await postHugeBody();
     expect([statusCode, body.error, body.workOutcome]).toEqual([413, 'body-too-large', 'not-run']);
     expect(table.read({ keys: [], prefixes: [''] })).toEqual(before);
   });
--- a/src/operator/test/confirmation.test.ts
+++ b/src/operator/test/confirmation.test.ts
@@ -83,13 +83,13 @@
   it('refuses a job that was planned for a zone that has been withdrawn since', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
-    await harness.carryOut(plans, useZone('zone-a'));
-    await harness.carryOut(plans, useZone('zone-b'));
+    await harness.planAndConfirm(plans, useZone('zone-a'));
+    await harness.planAndConfirm(plans, useZone('zone-b'));
     const size = { processorMillis: 1, memoryBytes: 1, acceleratorCount: 0 };
     const job = { team: 't', submissionKey: 'k', taskCount: 4, size, workMs: 1 };
     const submission: Intent = { intent: 'submit-job', ...job, urgency: 'normal' };
     const plan = await harness.plan(plans, submission);
-    await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-b' });
+    await harness.planAndConfirm(plans, { intent: 'withdraw-zone', zone: 'zone-b' });
     const refused = await harness.confirm(plans, plan);
     expect(isLeft(refused) && refused.left.kind).toBe('plan-stale');
     const newPlan = (refused as { left: ConfirmationRefusal }).left.newPlan as Plan;
@@ -99,16 +99,16 @@
 });
 
 /** Wraps the harness's table. The test decides how each transaction is answered. */
-const scripted = (
+const scriptedTable = (
   harness: OperatorHarness,
   transact: (transaction: Transaction, applied: () => void) => 'lost' | 'down' | 'pass',
 ): TableService => ({
   read: (request) => harness.table.read(request),
   transact: (transaction) => {
-    const verdict = transact(transaction, () => harness.table.truth.transact(transaction));
-    if (verdict === 'pass') return harness.table.transact(transaction);
-    const kind = verdict === 'lost' ? ErrorKind.StoreAnswerLost : ErrorKind.StoreUnavailable;
-    return () => Promise.resolve(left(failure(kind, verdict)));
+    const answer = transact(transaction, () => harness.table.truth.transact(transaction));
+    if (answer === 'pass') return harness.table.transact(transaction);
+    const kind = answer === 'lost' ? ErrorKind.StoreAnswerLost : ErrorKind.StoreUnavailable;
+    return () => Promise.resolve(left(failure(kind, answer)));
   },
 });
 
@@ -120,12 +120,12 @@
   // the answer were "not run", the operator would start over and make the change twice.
   it('has an unknown outcome while the store is down and is found on a retry', async () => {
     const harness = new OperatorHarness(1);
-    let isOut = false;
-    const table = scripted(harness, (transaction, apply) => {
-      if (isOut) return 'down';
+    let isStoreDown = false;
+    const table = scriptedTable(harness, (transaction, apply) => {
+      if (isStoreDown) return 'down';
       if (!isConfirmation(transaction)) return 'pass';
       apply();
-      isOut = true;
+      isStoreDown = true;
       harness.table.behaviour.isDown = true;
       return 'lost';
     });
@@ -135,7 +135,7 @@
     expect(isLeft(first) && outcomeOf(first.left)).toBe('unknown');
     const second = await harness.confirm(plans, plan);
     expect(isLeft(second) && outcomeOf(second.left)).toBe('unknown');
-    isOut = false;
+    isStoreDown = false;
     harness.table.behaviour.isDown = false;
     expect((await harness.confirm(plans, plan))._tag).toBe('Right');
     expect(harness.history).toHaveLength(1);
@@ -146,7 +146,7 @@
   it('cannot take effect after a refusal that says not-run', async () => {
     const harness = new OperatorHarness(1);
     let applyLate = (): void => {};
-    const table = scripted(harness, (transaction, apply) => {
+    const table = scriptedTable(harness, (transaction, apply) => {
       if (!isConfirmation(transaction)) return 'pass';
       applyLate = apply;
       harness.wallSkewMs = 61_000;
@@ -165,7 +165,7 @@
   it('is repeated if it stores a plan, and the plan is returned', async () => {
     const harness = new OperatorHarness(1);
     let lostCount = 0;
-    const table = scripted(harness, (transaction, apply) => {
+    const table = scriptedTable(harness, (transaction, apply) => {
       if (lostCount > 0 || !transaction.writes.some(({ key }) => key.startsWith('plan/'))) {
         return 'pass';
       }
@@ -188,13 +188,13 @@
     ...{ urgency: 'normal', workMs: 1 },
   };
 
-  const planned = async () => {
+  const setUpPlan = async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     harness.instances = ZONES.map((zone, index) => worker(`w${index}`, zone));
     for (let index = 0; index < ZONES.length; index += 1) {
       // eslint-disable-next-line no-await-in-loop -- versions follow one another
-      await harness.carryOut(plans, useZone(ZONES[index] as string));
+      await harness.planAndConfirm(plans, useZone(ZONES[index] as string));
     }
     return { harness, plan: await harness.plan(plans, JOB) };
   };
@@ -210,12 +210,12 @@
   // those that were shown. Rows that were stored with the full tasks must still work.
   it.each([false, true])(
     'writes the steps that were shown (full tasks stored: %s)',
-    async (isLong) => {
-      const { harness, plan } = await planned();
+    async (isStoredInFull) => {
+      const { harness, plan } = await setUpPlan();
       const key = `plan/${plan.planId}`;
       expect(plan.digest).toBe(GOLDEN_DIGEST);
       expect(JSON.stringify(harness.rows(key)).length).toBeLessThan(5_000);
-      if (isLong) rewritePlan(harness, plan, key);
+      if (isStoredInFull) rewritePlan(harness, plan, key);
       expect(await harness.settle(harness.daemon().find(plan.planId))).toEqual(right(plan));
       const confirmed = await harness.confirm(harness.daemon(), plan);
       expect(confirmed).toMatchObject(right({ steps: plan.steps, state: 'confirmed' }));
@@ -228,7 +228,7 @@
 
   // The stored tasks differ from those that the operator saw, so the confirmation is refused.
   it('refuses a plan whose compact tasks were altered in its row', async () => {
-    const { harness, plan } = await planned();
+    const { harness, plan } = await setUpPlan();
     const key = `plan/${plan.planId}`;
     const text = JSON.stringify(harness.rows(key)[0]?.value);
     rewritePlan(harness, JSON.parse(text.replace('"firstIndex":0', '"firstIndex":1')), key);
--- a/src/operator/test/killedDaemon.test.ts
+++ b/src/operator/test/killedDaemon.test.ts
@@ -10,11 +10,11 @@
 
 /** More table calls than planning or confirming any of these intents makes. */
 const MAXIMUM_CALLS = 12;
-const STEPS = Array.from({ length: MAXIMUM_CALLS }, (_, index) => index + 1);
+const CALL_NUMBERS = Array.from({ length: MAXIMUM_CALLS }, (_, index) => index + 1);
 
 /** Whether the daemon is killed before or after its last call takes effect in the table. */
-const Death = { BeforeEffect: 'before', AfterEffect: 'after' } as const;
-type Death = (typeof Death)[keyof typeof Death];
+const KillPoint = { BeforeEffect: 'before', AfterEffect: 'after' } as const;
+type KillPoint = (typeof KillPoint)[keyof typeof KillPoint];
 
 const INTENTS: readonly Intent[] = [
   { intent: 'withdraw-zone', zone: 'zone-a' },
@@ -26,41 +26,41 @@
   },
 ];
 
-const WALK = INTENTS.flatMap((intent) =>
-  Object.values(Death).map((death): readonly [string, Death, Intent] => [
+const CASES = INTENTS.flatMap((intent) =>
+  Object.values(KillPoint).map((killPoint): readonly [string, KillPoint, Intent] => [
     intent.intent,
-    death,
+    killPoint,
     intent,
   ]),
 );
 
 /** A table for a daemon that is killed during call `lastCall`: no answer arrives from then on. */
-const mortal = (harness: OperatorHarness, lastCall: number, death: Death) => {
+const killedDuringCall = (harness: OperatorHarness, lastCall: number, killPoint: KillPoint) => {
   let callCount = 0;
   const call = <T>(run: () => Promise<T>): Promise<T> => {
     callCount += 1;
     if (callCount < lastCall) return run();
-    if (callCount === lastCall && death === Death.AfterEffect) void run();
+    if (callCount === lastCall && killPoint === KillPoint.AfterEffect) void run();
     return new Promise(() => {});
   };
   const table: TableService = {
     read: (request) => () => call(harness.table.read(request)),
     transact: (transaction) => () => call(harness.table.transact(transaction)),
   };
-  return { table, isDead: () => callCount >= lastCall };
+  return { table, isKilled: () => callCount >= lastCall };
 };
 
 const setUp = async (): Promise<OperatorHarness> => {
   const harness = new OperatorHarness(1);
   const plans = harness.daemon();
-  await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-  await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
-  await harness.carryOut(plans, { intent: 'create-service', service: service('rounds') });
+  await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+  await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
+  await harness.planAndConfirm(plans, { intent: 'create-service', service: service('rounds') });
   return harness;
 };
 
 /** Runs until the daemon has answered or 20 s have passed, and then for 20 s to let calls end. */
-const runUntilStill = async (harness: OperatorHarness, work: Promise<unknown>): Promise<void> => {
+const runUntilIdle = async (harness: OperatorHarness, work: Promise<unknown>): Promise<void> => {
   await harness.time.runUntil(harness.time.nowMs() + 20_000, work);
   await harness.time.runUntil(harness.time.nowMs() + 20_000);
 };
@@ -68,36 +68,39 @@
 describe('a daemon that is killed', () => {
   // The operator's call breaks off, and the operator does not know how far the daemon got. At
   // whatever call the daemon is killed, only rows of plans may have changed.
-  it.each(WALK)('while planning %s changes nothing (%s the effect)', async (_n, death, intent) => {
-    const deaths = await Promise.all(
-      STEPS.map(async (lastCall) => {
-        const harness = await setUp();
-        const before = canonicalJson(harness.otherRows);
-        const { table, isDead } = mortal(harness, lastCall, death);
-        await runUntilStill(harness, harness.daemon(table).plan(intent, 'ann'));
-        expect(canonicalJson(harness.otherRows)).toBe(before);
-        return isDead();
-      }),
-    );
-    // The test covers every call only if the daemon with the highest number was never killed.
-    expect(deaths[0]).toBe(true);
-    expect(deaths.at(-1)).toBe(false);
-  });
+  it.each(CASES)(
+    'while planning %s changes nothing (%s the effect)',
+    async (_n, killPoint, intent) => {
+      const kills = await Promise.all(
+        CALL_NUMBERS.map(async (lastCall) => {
+          const harness = await setUp();
+          const before = canonicalJson(harness.otherRows);
+          const { table, isKilled } = killedDuringCall(harness, lastCall, killPoint);
+          await runUntilIdle(harness, harness.daemon(table).plan(intent, 'ann'));
+          expect(canonicalJson(harness.otherRows)).toBe(before);
+          return isKilled();
+        }),
+      );
+      // The test covers every call only if the daemon with the highest number was never killed.
+      expect(kills[0]).toBe(true);
+      expect(kills.at(-1)).toBe(false);
+    },
+  );
 
   // The daemon is killed at any single table call of a confirmation. The change is then made
   // completely or not at all. After the operator has confirmed the same plan through another
   // daemon, the change is made once and history has one entry for it.
-  it.each(WALK)('while confirming %s changes all or nothing (%s the effect)', async (...row) => {
-    const [, death, intent] = row;
+  it.each(CASES)('while confirming %s changes all or nothing (%s the effect)', async (...row) => {
+    const [, killPoint, intent] = row;
     const outcomes = await Promise.all(
-      STEPS.map(async (lastCall) => {
+      CALL_NUMBERS.map(async (lastCall) => {
         const harness = await setUp();
         const plan: Plan = await harness.plan(harness.daemon(), intent);
         const before = canonicalJson(harness.otherRows);
-        const { table, isDead } = mortal(harness, lastCall, death);
+        const { table, isKilled } = killedDuringCall(harness, lastCall, killPoint);
         const { planId, digest } = plan;
         const confirmation = harness.daemon(table).confirm({ planId, digest, author: 'ann' });
-        await runUntilStill(harness, confirmation);
+        await runUntilIdle(harness, confirmation);
         const isUnchanged = canonicalJson(harness.otherRows) === before;
         const after = new Map(harness.rows('').map(({ key, value }) => [key, value]));
         const isWhole = plan.steps.every(
@@ -108,11 +111,11 @@
         expect(isLeft(again) ? again.left.message : again.right.acceptedVersion).toBe(4);
         expect(harness.history.filter((change) => change.planId === planId)).toHaveLength(1);
         expect(harness.brokenInvariants).toEqual([]);
-        return { isDead: isDead(), isUnchanged };
+        return { isKilled: isKilled(), isUnchanged };
       }),
     );
-    expect(outcomes[0]).toEqual({ isDead: true, isUnchanged: true });
-    expect(outcomes.at(-1)).toEqual({ isDead: false, isUnchanged: false });
+    expect(outcomes[0]).toEqual({ isKilled: true, isUnchanged: true });
+    expect(outcomes.at(-1)).toEqual({ isKilled: false, isUnchanged: false });
   });
 
   // The daemon survives, but the store refuses any single one of its calls. The outcome that the
@@ -121,7 +124,7 @@
     'or refused by the store at any one call reports a true outcome ($intent)',
     async (intent) => {
       await Promise.all(
-        STEPS.map(async (failingCall) => {
+        CALL_NUMBERS.map(async (failingCall) => {
           const harness = await setUp();
           const plan = await harness.plan(harness.daemon(), intent);
           let callCount = 0;
--- a/src/operator/test/operatorErrors.test.ts
+++ b/src/operator/test/operatorErrors.test.ts
@@ -37,15 +37,15 @@
   };
 };
 
-interface Known {
+interface PlanReference {
   readonly planId: string;
   readonly digest: string;
 }
 
-const makePlan = async (): Promise<Known> =>
-  (await call('POST', '/v1/plans', WITHDRAWAL)).body as unknown as Known;
+const makePlan = async (): Promise<PlanReference> =>
+  (await call('POST', '/v1/plans', WITHDRAWAL)).body as unknown as PlanReference;
 
-const confirm = ({ planId, digest }: Known, token?: string): Promise<Answer> =>
+const confirm = ({ planId, digest }: PlanReference, token?: string): Promise<Answer> =>
   call('POST', `/v1/plans/${planId}/confirm`, { digest }, token);
 
 const historyLength = async (): Promise<number> =>
@@ -101,8 +101,8 @@
     const planned = await call('POST', '/v1/plans', WITHDRAWAL);
     expect(planned.statusCode).toBe(503);
     expect(planned.body).toMatchObject({ workOutcome: 'not-run', isWorthRetrying: true });
-    const looked = await call('GET', '/v1/jobs');
-    expect([looked.statusCode, looked.body.error]).toEqual([503, 'store-unavailable']);
+    const listed = await call('GET', '/v1/jobs');
+    expect([listed.statusCode, listed.body.error]).toEqual([503, 'store-unavailable']);
   });
 
   it('names the missing role or says that the token is unknown', async () => {
@@ -111,8 +111,8 @@
     expect([forbidden.statusCode, forbidden.body.error]).toEqual([403, 'forbidden']);
     expect(forbidden.body.message).toBe('pat has the role plan; this needs confirm');
     expect(forbidden.body.workOutcome).toBe('not-run');
-    const looking = await call('POST', '/v1/plans', WITHDRAWAL, 'vic-token');
-    expect(looking.body.message).toBe('vic has the role view; this needs plan');
+    const planning = await call('POST', '/v1/plans', WITHDRAWAL, 'vic-token');
+    expect(planning.body.message).toBe('vic has the role view; this needs plan');
     const unknown = await call('GET', '/v1/zones', undefined, 'guessed');
     expect([unknown.statusCode, unknown.body.error]).toEqual([401, 'unauthorised']);
     expect(unknown.body.message).toBe('the token is not known here');
--- a/src/operator/test/operatorHarness.ts
+++ b/src/operator/test/operatorHarness.ts
@@ -131,7 +131,7 @@
   }
 
   /** Plans and confirms an intent. */
-  async carryOut(plans: PlanService, intent: Intent): Promise<Plan> {
+  async planAndConfirm(plans: PlanService, intent: Intent): Promise<Plan> {
     const confirmed = await this.confirm(plans, await this.plan(plans, intent));
     if (isLeft(confirmed)) throw new Error(confirmed.left.message);
     return confirmed.right;
--- a/src/operator/test/operatorRaces.test.ts
+++ b/src/operator/test/operatorRaces.test.ts
@@ -3,7 +3,7 @@
 
 import { errorBody } from '../../services/errors/common/errorKinds.js';
 import type { Intent } from '../common/intent.js';
-import { type Plan, planKey, keptPlanSchema, PlanState } from '../common/plan.js';
+import { type Plan, planKey, storedPlanSchema, PlanState } from '../common/plan.js';
 import type { PlanService } from '../node/planService.js';
 import { OperatorHarness, service, SIZE } from './operatorHarness.js';
 
@@ -14,7 +14,7 @@
 const SETTLING_MS = 60_000;
 
 /** The outcome of one call of `confirm` as reported to its operator. */
-interface Told {
+interface ReportedOutcome {
   readonly planId: string;
   readonly outcome: 'accepted' | 'not-run' | 'unknown';
   readonly acceptedVersion: number;
@@ -22,11 +22,11 @@
 
 /** Picks from few objects, so that many intents conflict with each other and some do not. */
 const randomIntent = (harness: OperatorHarness, operator: number): Intent => {
-  const lot = harness.random.nextIndex(6);
+  const kindIndex = harness.random.nextIndex(6);
   const name = `s${harness.random.nextIndex(3)}`;
   const replicaCount = 1 + harness.random.nextIndex(9);
   const team = `t${harness.random.nextIndex(2)}`;
-  switch (lot) {
+  switch (kindIndex) {
     case 0:
       return { intent: 'change-service', service: service(name, 'kitchen', replicaCount) };
     case 1:
@@ -46,23 +46,23 @@
   }
 };
 
-const operate = async (
+const runOperator = async (
   harness: OperatorHarness,
   plans: PlanService,
   operator: number,
-): Promise<readonly Told[]> => {
-  const told: Told[] = [];
+): Promise<readonly ReportedOutcome[]> => {
+  const reported: ReportedOutcome[] = [];
   const author = `operator-${operator}`;
   const confirm = async (plan: Plan): Promise<void> => {
     const { planId, digest } = plan;
     const result = await plans.confirm({ planId, digest, author });
     if (!isLeft(result)) {
-      told.push({ planId, outcome: 'accepted', acceptedVersion: result.right.acceptedVersion });
+      reported.push({ planId, outcome: 'accepted', acceptedVersion: result.right.acceptedVersion });
       return;
     }
     const outcome = errorBody(result.left).workOutcome;
     if (outcome === 'ran') throw new Error('a refusal cannot have run');
-    told.push({ planId, outcome, acceptedVersion: 0 });
+    reported.push({ planId, outcome, acceptedVersion: 0 });
   };
   for (let round = 0; round < ROUND_COUNT; round += 1) {
     // An operator makes and confirms one plan at a time.
@@ -77,10 +77,10 @@
       await Promise.all([confirm(plan.right), ...(isTwice ? [confirm(plan.right)] : [])]);
     }
   }
-  return told;
+  return reported;
 };
 
-const run = async (seed: number): Promise<[OperatorHarness, readonly Told[]]> => {
+const run = async (seed: number): Promise<[OperatorHarness, readonly ReportedOutcome[]]> => {
   const harness = new OperatorHarness(seed);
   const daemons = Array.from({ length: 7 }, () => harness.daemon());
   const first = daemons[0] as PlanService;
@@ -90,7 +90,7 @@
   ]);
   await setUp.reduce(async (before, intent) => {
     await before;
-    await harness.carryOut(first, intent);
+    await harness.planAndConfirm(first, intent);
   }, Promise.resolve());
   Object.assign(harness.table.behaviour, {
     maximumDelayMs: 40,
@@ -98,11 +98,11 @@
     lateEffectRatio: 0.1,
   });
   const operators = Array.from({ length: OPERATOR_COUNT }, (_, operator) =>
-    operate(harness, daemons[operator % daemons.length] as PlanService, operator),
+    runOperator(harness, daemons[operator % daemons.length] as PlanService, operator),
   );
-  const told = (await harness.settle(Promise.all(operators))).flat();
+  const reported = (await harness.settle(Promise.all(operators))).flat();
   await harness.time.runUntil(harness.time.nowMs() + SETTLING_MS);
-  return [harness, told];
+  return [harness, reported];
 };
 
 describe('concurrent operators', () => {
@@ -114,23 +114,23 @@
   it.each(SEEDS)(
     'create one linear history that agrees with their outcomes (seed %i)',
     async (seed) => {
-      const [harness, told] = await run(seed);
+      const [harness, reported] = await run(seed);
       const { history } = harness;
       expect(history.map(({ version }) => version)).toEqual(history.map((_, index) => index + 1));
       const versionOf = new Map(history.map(({ planId, version }) => [planId, version]));
       expect(versionOf.size).toBe(history.length);
-      const accepted = told.filter(({ outcome }) => outcome === 'accepted');
+      const accepted = reported.filter(({ outcome }) => outcome === 'accepted');
       expect(
         accepted.filter(({ planId, acceptedVersion }) => versionOf.get(planId) !== acceptedVersion),
       ).toEqual([]);
-      const notRun = told.filter(({ outcome }) => outcome === 'not-run');
+      const notRun = reported.filter(({ outcome }) => outcome === 'not-run');
       const acceptedIds = new Set(accepted.map(({ planId }) => planId));
       expect(
         notRun.filter(({ planId }) => versionOf.has(planId) && !acceptedIds.has(planId)),
       ).toEqual([]);
       const confirmed = harness
         .rows(planKey(''))
-        .map(({ value }) => keptPlanSchema.parse(value))
+        .map(({ value }) => storedPlanSchema.parse(value))
         .filter(({ state }) => state === PlanState.Confirmed);
       expect(confirmed.map(({ planId }) => planId).sort()).toEqual([...versionOf.keys()].sort());
       expect(harness.brokenInvariants).toEqual([]);
@@ -163,9 +163,9 @@
   it('cannot exceed a quota with two plans that each keep it', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
     const limit = { processorMillis: 16_000, memoryBytes: 2 ** 40, acceleratorCount: 0 };
-    await harness.carryOut(plans, { intent: 'set-quota', team: 'kitchen', limit });
+    await harness.planAndConfirm(plans, { intent: 'set-quota', team: 'kitchen', limit });
     const [one, other] = [
       await harness.plan(plans, { intent: 'create-service', service: service('one') }),
       await harness.plan(plans, { intent: 'create-service', service: service('other') }),
@@ -181,8 +181,8 @@
   it('cannot withdraw the last two zones without a warning', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
     const one = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     const other = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-b' });
     expect((await harness.confirm(plans, one))._tag).toBe('Right');
--- a/src/operator/test/operatorServerHarness.ts
+++ b/src/operator/test/operatorServerHarness.ts
@@ -95,12 +95,12 @@
   }
 
   #tableService(): TableService {
-    const down = left(failure(ErrorKind.StoreUnavailable, 'the table is out of service'));
+    const unavailable = left(failure(ErrorKind.StoreUnavailable, 'the table is out of service'));
     return {
-      read: (asked) => () =>
-        Promise.resolve(this.isTableDown ? down : right(this.table.read(asked))),
+      read: (readRequest) => () =>
+        Promise.resolve(this.isTableDown ? unavailable : right(this.table.read(readRequest))),
       transact: (transaction: Transaction) => () => {
-        if (this.isTableDown) return Promise.resolve(down);
+        if (this.isTableDown) return Promise.resolve(unavailable);
         const result = this.table.transact(transaction);
         if (this.lostAnswerCount === 0) return Promise.resolve(right(result));
         this.lostAnswerCount -= 1;
--- a/src/operator/test/planProgress.test.ts
+++ b/src/operator/test/planProgress.test.ts
@@ -57,9 +57,9 @@
     );
     const wallNowMs = () => Date.parse('2026-01-01T00:00:00Z') + harness.wallSkewMs;
     reader = new PlanProgressReader(harness.table, follower, harness, wallNowMs);
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
-    await harness.carryOut(plans, { intent: 'create-service', service: service('rounds') });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'create-service', service: service('rounds') });
     setLedger([assignment('t1', 'w1'), assignment('t2', 'w2'), assignment('r', 'w2', 'rounds')]);
     await harness.settle(follower.refresh());
   });
@@ -67,7 +67,7 @@
   // An operator withdraws a zone for maintenance and must not power it off while tasks run there.
   // Watching the plan used to end when the plan was accepted, which is too early.
   it('is done for a withdrawn zone when no task is left in the zone', async () => {
-    const plan = await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
+    const plan = await harness.planAndConfirm(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(await remaining(plan)).toEqual([3, false]);
     setLedger([assignment('t1', 'w1')]);
     expect(await remaining(plan)).toEqual([1, false]);
@@ -88,7 +88,7 @@
   ])(
     'counts the tasks that still have to start or end for %s',
     async (_name, intent, before, after) => {
-      const plan = await harness.carryOut(plans, intent);
+      const plan = await harness.planAndConfirm(plans, intent);
       expect(await remaining(plan)).toEqual([before, before === 0]);
       setLedger([]);
       expect(await remaining(plan)).toEqual([after, after === 0]);
@@ -98,7 +98,10 @@
   it('is done for a cancellation when no task of the jobs is left', async () => {
     write(workKey('zone-a', 'kitchen.k~zone-a'), OPEN_SHARD);
     write('job/kitchen.k', {});
-    const plan = await harness.carryOut(plans, { intent: 'cancel-jobs', jobIds: ['kitchen.k'] });
+    const plan = await harness.planAndConfirm(plans, {
+      intent: 'cancel-jobs',
+      jobIds: ['kitchen.k'],
+    });
     expect(await remaining(plan)).toEqual([2, false]);
     write(workKey('zone-a', 'kitchen.k~zone-a'), null);
     expect(await remaining(plan)).toEqual([0, true]);
--- a/src/operator/test/planner.test.ts
+++ b/src/operator/test/planner.test.ts
@@ -28,9 +28,9 @@
       worker(`${zone}-1`, zone),
       worker(`${zone}-2`, zone),
     ]);
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
-    await harness.carryOut(plans, { intent: 'create-service', service: service('rounds') });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-b', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'create-service', service: service('rounds') });
     harness.table.truth.transact({
       operationId: 'ledger',
       conditions: [],
@@ -60,7 +60,7 @@
       ['zone-b', 16_000],
     ]);
     const grown = { ...service('rounds'), replicaCount: 12 };
-    await harness.carryOut(plans, { intent: 'change-service', service: grown });
+    await harness.planAndConfirm(plans, { intent: 'change-service', service: grown });
     const again = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(again.effects.notDone.join()).toContain('zone-b lacks capacity for at least 4 tasks');
   });
@@ -76,14 +76,14 @@
   // A zone has been withdrawn and its tasks are about to leave, and then a worker in it is drained
   // as well. The plan once listed the same tasks again, as if the drain evicted them.
   it('does not list tasks that are leaving for another reason', async () => {
-    await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
+    await harness.planAndConfirm(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     const plan = await harness.plan(plans, { intent: 'drain-worker', workerId: 'zone-a-1' });
     expect(plan.effects.evicted.count).toBe(0);
   });
 
   it('to reduce a service lists the tasks that end and the quota use afterwards', async () => {
     const limit = { processorMillis: 12_000, memoryBytes: 2 ** 40, acceleratorCount: 0 };
-    await harness.carryOut(plans, {
+    await harness.planAndConfirm(plans, {
       intent: 'set-quota',
       team: 'kitchen',
       limit: { ...limit, processorMillis: 16_000 },
@@ -100,7 +100,7 @@
   it('to submit a job lists its tasks, and is empty if the job was submitted before', async () => {
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 5, size: SIZE, workMs: 1 };
     const submission = { intent: 'submit-job', ...job, urgency: 'normal' } as const;
-    const plan = await harness.carryOut(plans, submission);
+    const plan = await harness.planAndConfirm(plans, submission);
     expect(plan.effects.starting.count).toBe(5);
     expect((await harness.plan(plans, submission)).steps).toEqual([]);
     const cancellation = { intent: 'cancel-jobs' as const, jobIds: ['kitchen.k2'] };
@@ -146,10 +146,10 @@
   // so there is room for five more.
   it('to submit a job lists the quota use and the tasks that have to wait for room', async () => {
     const limit = { processorMillis: 80_000, memoryBytes: 2 ** 40, acceleratorCount: 0 };
-    await harness.carryOut(plans, { intent: 'set-quota', team: 'kitchen', limit });
+    await harness.planAndConfirm(plans, { intent: 'set-quota', team: 'kitchen', limit });
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 14, size: SIZE, workMs: 1 };
     const submission = { intent: 'submit-job', ...job, urgency: 'normal' } as const;
-    const { effects } = await harness.carryOut(plans, submission);
+    const { effects } = await harness.planAndConfirm(plans, submission);
     const quotas = effects.quotas.map(({ team, before, after }) => [
       ...[team, before.processorMillis, after.processorMillis],
     ]);
@@ -168,7 +168,7 @@
   it('to submit several jobs submits all of them or none', async () => {
     const terms = { team: 'kitchen', taskCount: 3, size: SIZE, workMs: 1, urgency: 'low' as const };
     const jobs = ['a', 'b'].map((submissionKey) => ({ ...terms, submissionKey }));
-    const plan = await harness.carryOut(plans, { intent: 'submit-jobs', jobs });
+    const plan = await harness.planAndConfirm(plans, { intent: 'submit-jobs', jobs });
     expect(plan.effects.starting.count).toBe(6);
     expect(harness.rows('job/').map(({ key }) => key)).toEqual(['job/kitchen.a', 'job/kitchen.b']);
     expect((await harness.plan(plans, { intent: 'submit-jobs', jobs })).steps).toEqual([]);
@@ -186,7 +186,7 @@
 
   it('is refused if it violates the policy', async () => {
     const policy = { isSubmissionOpen: false, maximumReplicaCount: 6 };
-    await harness.carryOut(plans, { intent: 'set-policy', policy });
+    await harness.planAndConfirm(plans, { intent: 'set-policy', policy });
     const job = { team: 'kitchen', submissionKey: 'k2', taskCount: 5, size: SIZE, workMs: 1 };
     const closed = await harness.refusal(plans, { intent: 'submit-job', ...job, urgency: 'low' });
     expect(closed?.message).toContain('no new jobs');
@@ -200,9 +200,12 @@
   it('creates a new version, and is refused if the object has been changed again', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-    const withdrawn = await harness.carryOut(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
-    const undone = await harness.carryOut(plans, {
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    const withdrawn = await harness.planAndConfirm(plans, {
+      intent: 'withdraw-zone',
+      zone: 'zone-a',
+    });
+    const undone = await harness.planAndConfirm(plans, {
       intent: 'revert',
       version: withdrawn.acceptedVersion,
     });
@@ -219,7 +222,7 @@
   it('removes the plans past their retention and no other row', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
     harness.wallSkewMs = DAY_MS;
     const today: Plan = await harness.plan(plans, {
       intent: 'use-zone',
--- a/src/operator/test/planningCost.test.ts
+++ b/src/operator/test/planningCost.test.ts
@@ -8,8 +8,8 @@
   workKey,
 } from '../../services/workload/common/workRows.js';
 import type { PlanService } from '../node/planService.js';
-import { checkOpenShards } from '../node/shardRows.js';
-import { ServiceTotals } from '../common/replicas.js';
+import { parseOpenShards } from '../node/shardParsing.js';
+import { ServiceTotals } from '../common/serviceTotals.js';
 import { OperatorHarness, service, SIZE, worker } from './operatorHarness.js';
 
 const RACK_COUNT = 40;
@@ -41,8 +41,8 @@
       ...worker(`w${index}`, 'zone-a'),
       rack: `rack-${index}`,
     }));
-    await harness.carryOut(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
-    await harness.carryOut(plans, { intent: 'create-service', service: service('rounds') });
+    await harness.planAndConfirm(plans, { intent: 'use-zone', zone: 'zone-a', region: 'r' });
+    await harness.planAndConfirm(plans, { intent: 'create-service', service: service('rounds') });
     const { Assigned, Done, Queued } = BatchTaskState;
     harness.table.truth.transact({
       operationId: 'work',
@@ -69,11 +69,11 @@
 
   // Tasks that have ended or are queued use no resources, and tasks of other teams do not count.
   it('counts only the running tasks of the team', async () => {
-    const under = { ...LIMIT, processorMillis: 1_999 };
+    const tooLow = { ...LIMIT, processorMillis: 1_999 };
     const refused = await harness.refusal(plans, {
       intent: 'set-quota',
       team: 'bakers',
-      limit: under,
+      limit: tooLow,
     });
     expect(refused?.message).toContain('bakers uses 2 processors');
     const enough = { ...LIMIT, processorMillis: 2_000 };
@@ -100,7 +100,7 @@
       if (!isDone) setImmediate(count);
     };
     setImmediate(count);
-    expect(await checkOpenShards(rows)).toHaveLength(rows.length);
+    expect(await parseOpenShards(rows)).toHaveLength(rows.length);
     isDone = true;
     expect(turnCount).toBeGreaterThanOrEqual(rows.length);
   });
