--- a/src/operator/node/planSweeper.ts
+++ b/src/operator/node/planSweeper.ts
@@ -32,7 +32,7 @@
    * the sweep the table and every listing of plans would grow without bound. Plan ids begin with
    * the hour, so only old hours are read. All daemons sweep concurrently: a second sweep finds no
    * rows, or its conditions fail. A plan is removed only when its whole hour is older than the
-   * retention, so a clock that is fast by less than the rest of that hour removes it no earlier.
+   * retention. The rest of that hour is a margin for a clock that is fast.
    */
   async run(wallNowMs: number): Promise<void> {
     const prefixes = planPrefixesBefore(wallNowMs - this.#retentionMs, HOURS_SWEPT);
