--- a/src/operator/test/confirmation.test.ts
+++ b/src/operator/test/confirmation.test.ts
@@ -13,7 +13,7 @@
 const outcomeOf = (refusal: ConfirmationRefusal): string => errorBody(refusal).workOutcome;
 
 describe('confirming a plan', () => {
-  it('changes nothing before, and makes the change once however often it is repeated', async () => {
+  it('makes the change only then, and only once however often it is repeated', async () => {
     const harness = new OperatorHarness(1);
     const plans = harness.daemon();
     const plan = await harness.plan(plans, useZone('zone-a'));
--- a/src/operator/test/planProgress.test.ts
+++ b/src/operator/test/planProgress.test.ts
@@ -108,7 +108,7 @@
   });
 
   // Nobody confirmed the plan in time. Without the failure, watching it would never end.
-  it('is a failure for a plan that has expired', async () => {
+  it('fails for a plan that has expired', async () => {
     const plan = await harness.plan(plans, { intent: 'withdraw-zone', zone: 'zone-a' });
     expect(await remaining(plan)).toEqual([0, false]);
     harness.wallSkewMs = 120_000;
