--- a/src/scheduler/test/fleet/fleetScheduling.test.ts
+++ b/src/scheduler/test/fleet/fleetScheduling.test.ts
@@ -127,10 +127,10 @@
 
 describe('a burst that exceeds the capacity', () => {
   it('does not make later submissions late', async () => {
-    // Forty submissions arrive at once at a worker that completes eight a second, then six a second
-    // for twenty seconds. In order of arrival, the backlog would last all that time and nothing
-    // would be done within its objective of two seconds. Submissions that are already late must
-    // yield to the others.
+    // Forty submissions arrive at once at a worker that completes eight a second. After them, six a
+    // second arrive for twenty seconds. In order of arrival, the backlog would last all that time
+    // and nothing would be done within its objective of two seconds. Submissions that are already
+    // late must yield to the others.
     const OBJECTIVE_MS = 2_000;
     const world = await worldOf(1);
     const sentAtMs = new Map<string, number>();
