--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -51,7 +51,7 @@
   const run = newRun(task, number, view.id, nowMs, percent);
   view.addRun(run);
   registry.addRun(run);
-  registry.markUnrecorded(task.submission);
+  registry.markAssignmentsDirty(task.submission);
   return run;
 };
 
--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -134,22 +134,26 @@
     const { registry, owner } = input;
     const views = [...input.views];
     const sharedWrites = this.#sharedWrites(input, views, nowMs);
-    if (registry.dirty.size === 0 && registry.unrecorded.size === 0 && sharedWrites.length === 0) {
+    if (
+      registry.dirtyProgress.size === 0 &&
+      registry.dirtyAssignments.size === 0 &&
+      sharedWrites.length === 0
+    ) {
       // Ends of runs of persistent tasks or of unknown submissions change nothing that is stored.
       views.forEach((view) => {
         view.recordedSequence = view.handledSequence;
       });
       return undefined;
     }
-    const assigned = registry.takeUnrecorded(MAXIMUM_ASSIGNMENT_ROWS);
+    const assigned = registry.takeDirtyAssignments(MAXIMUM_ASSIGNMENT_ROWS);
     // Assignments don't list runs that have ended. They are stored together with the ends: a new
     // owner that read only the assignments would start those tasks again.
-    const assignedProgress = registry.takeDirtyOf(assigned);
+    const assignedProgress = registry.takeDirtyProgressOf(assigned);
     const remainingRowCount =
       MAXIMUM_ROWS_PER_TRANSACTION - assigned.length - assignedProgress.length;
     const records = [
       ...assignedProgress,
-      ...registry.takeDirty(Math.floor(remainingRowCount / ROWS_PER_PROGRESS)),
+      ...registry.takeDirtyProgress(Math.floor(remainingRowCount / ROWS_PER_PROGRESS)),
     ];
     const writes = [
       ...assigned.map((record) => ({
@@ -162,7 +166,7 @@
     this.#operationCount += 1;
     this.#status = CommitStatus.InFlight;
     this.#nextCommitAtMs = nowMs + input.intervalMs;
-    const includesAllProgress = registry.dirty.size === 0;
+    const includesAllProgress = registry.dirtyProgress.size === 0;
     this.#pending = {
       records,
       writes,
@@ -202,8 +206,8 @@
       this.#pending = undefined;
       return { recorded: pending.runs };
     }
-    pending.records.forEach((record) => registry.markDirty(record));
-    pending.assigned.forEach((record) => registry.markUnrecorded(record));
+    pending.records.forEach((record) => registry.markProgressDirty(record));
+    pending.assigned.forEach((record) => registry.markAssignmentsDirty(record));
     this.#writtenCounts = '';
     this.#writtenInterference = '';
     this.#status = CommitStatus.InDoubt;
--- a/src/scheduler/common/fleet/runTracker.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -51,7 +51,7 @@
   isStopConfirmed: false,
   workedPercent: 0,
   firstListed: undefined,
-  percentSinceMs: nowMs,
+  percentUnchangedSinceMs: nowMs,
   recentFigure: 0,
   headroom: UNKNOWN_HEADROOM,
   overTargetSinceMs: undefined,
@@ -149,7 +149,7 @@
     if (run.state !== RunState.Starting) return;
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
-    run.percentSinceMs = nowMs;
+    run.percentUnchangedSinceMs = nowMs;
   }
 
   handleStopped(run: TaskRun, result: Either<Failure, OrderOutcome>, nowMs: number): void {
@@ -290,14 +290,14 @@
     run.firstListed ??= { percent: running.workedPercent, atMs: nowMs };
     if (running.workedPercent !== run.workedPercent) {
       run.workedPercent = running.workedPercent;
-      run.percentSinceMs = nowMs;
+      run.percentUnchangedSinceMs = nowMs;
     }
     run.recentFigure = running.recentFigure;
     if (run.state === RunState.Starting || run.state === RunState.Unanswered) {
       this.#stops.delete(run);
       run.state = RunState.Running;
       run.settledAtMs = nowMs;
-      run.percentSinceMs = nowMs;
+      run.percentUnchangedSinceMs = nowMs;
     }
     this.#registry.noteStarted(task.submission);
     return true;
@@ -309,7 +309,7 @@
     if (task === undefined) return undefined;
     const isWanted = isOpen(task.submission) && !task.isDone && task.runs.length === 0;
     const run = this.#addListed(view, task, running.run, nowMs);
-    this.#registry.markUnrecorded(task.submission);
+    this.#registry.markAssignmentsDirty(task.submission);
     if (isWanted) this.#registry.noteStarted(task.submission);
     else this.requestStops([run], StopReason.NotWanted, nowMs);
     return run;
--- a/src/scheduler/common/fleet/stuckRuns.ts
+++ b/src/scheduler/common/fleet/stuckRuns.ts
@@ -19,5 +19,5 @@
   if (step.isGang) return false;
   if (step.isFiller && run.pacePercent < FULL_PACE_PERCENT) return false;
   const limitMs = step.isFiller ? FILLER_STUCK_AFTER_MS : STUCK_AFTER_MS;
-  return nowMs - run.percentSinceMs >= limitMs;
+  return nowMs - run.percentUnchangedSinceMs >= limitMs;
 };
--- a/src/scheduler/common/fleet/submissionRegistry.ts
+++ b/src/scheduler/common/fleet/submissionRegistry.ts
@@ -56,10 +56,11 @@
 
   readonly #waiting = new WaitingTasks();
 
-  readonly #dirty = new Set<SubmissionRecord>();
+  /** Submissions whose progress is yet to be stored. */
+  readonly #dirtyProgress = new Set<SubmissionRecord>();
 
-  /** Submissions with runs that are not in their stored assignments. */
-  readonly #unrecorded = new Set<SubmissionRecord>();
+  /** Submissions with runs that are not yet in their stored assignments. */
+  readonly #dirtyAssignments = new Set<SubmissionRecord>();
 
   /** Tasks that former owners assigned to workers and that `takeInherited` has yet to return. */
   #inherited: InheritedTask[] = [];
@@ -75,12 +76,12 @@
     return this.#waiting;
   }
 
-  get dirty(): ReadonlySet<SubmissionRecord> {
-    return this.#dirty;
+  get dirtyProgress(): ReadonlySet<SubmissionRecord> {
+    return this.#dirtyProgress;
   }
 
-  get unrecorded(): ReadonlySet<SubmissionRecord> {
-    return this.#unrecorded;
+  get dirtyAssignments(): ReadonlySet<SubmissionRecord> {
+    return this.#dirtyAssignments;
   }
 
   has(id: string): boolean {
@@ -118,7 +119,7 @@
     else this.#addRecurring(record, nowMs);
   }
 
-  /** Opens what a former owner has started, even if it is not due by this process's wall clock. */
+  /** Opens occurrences that a former owner has started, even if not due by this process's clock. */
   #addRecurring(record: SubmissionRecord, nowMs: number): void {
     this.#recurring.add(record);
     while (record.nextOccurrence < startedOccurrenceCount(record)) {
@@ -180,7 +181,7 @@
     record.hasStarted = true;
     if (!isOpen(record)) return;
     record.state = SubmissionState.Running;
-    this.#dirty.add(record);
+    this.#dirtyProgress.add(record);
   }
 
   /** Removes a run that is over. Its task waits again unless it is done or its submission ended. */
@@ -202,30 +203,30 @@
     return [];
   }
 
-  /** Takes submissions whose progress is yet to be stored, for the next transaction. */
-  takeDirty(limit: number): readonly SubmissionRecord[] {
-    const taken = [...this.#dirty].slice(0, limit);
-    taken.forEach((record) => this.#dirty.delete(record));
+  /** Returns and unmarks up to `limit` submissions whose progress is yet to be stored. */
+  takeDirtyProgress(limit: number): readonly SubmissionRecord[] {
+    const taken = [...this.#dirtyProgress].slice(0, limit);
+    taken.forEach((record) => this.#dirtyProgress.delete(record));
     return taken;
   }
 
-  /** Takes those of the submissions whose progress is yet to be stored. */
-  takeDirtyOf(records: readonly SubmissionRecord[]): readonly SubmissionRecord[] {
-    return records.filter((record) => this.#dirty.delete(record));
+  /** Returns and unmarks those of `records` whose progress is yet to be stored. */
+  takeDirtyProgressOf(records: readonly SubmissionRecord[]): readonly SubmissionRecord[] {
+    return records.filter((record) => this.#dirtyProgress.delete(record));
   }
 
-  markDirty(record: SubmissionRecord): void {
-    this.#dirty.add(record);
+  markProgressDirty(record: SubmissionRecord): void {
+    this.#dirtyProgress.add(record);
   }
 
-  takeUnrecorded(limit: number): readonly SubmissionRecord[] {
-    const taken = [...this.#unrecorded].slice(0, limit);
-    taken.forEach((record) => this.#unrecorded.delete(record));
+  takeDirtyAssignments(limit: number): readonly SubmissionRecord[] {
+    const taken = [...this.#dirtyAssignments].slice(0, limit);
+    taken.forEach((record) => this.#dirtyAssignments.delete(record));
     return taken;
   }
 
-  markUnrecorded(record: SubmissionRecord): void {
-    if (isOpen(record)) this.#unrecorded.add(record);
+  markAssignmentsDirty(record: SubmissionRecord): void {
+    if (isOpen(record)) this.#dirtyAssignments.add(record);
   }
 
   /** Counts the submissions that wait for their first start, by queue. */
@@ -279,7 +280,7 @@
     const opened = task.submission.occurrences.get(task.occurrence);
     const tasks = task.step.isGang ? (opened?.tasks[task.stepIndex] ?? []) : [task];
     const remainingRuns = tasks.flatMap((member) => this.#markDone(member, opened));
-    this.#dirty.add(task.submission);
+    this.#dirtyProgress.add(task.submission);
     if (opened !== undefined && opened.openCounts[task.stepIndex] === 0) {
       opened.tasks.forEach((_, stepIndex) => this.#enqueueStep(opened, stepIndex, nowMs));
       this.#finishOccurrence(task.submission, opened);
@@ -311,15 +312,15 @@
     if (members.some(({ failedRuns }) => failedRuns.includes(run))) return [];
     task.failedRuns.push(run);
     task.notBeforeMs = nowMs + FAILED_RETRY_DELAY_MS;
-    this.#dirty.add(task.submission);
+    this.#dirtyProgress.add(task.submission);
     return [];
   }
 
   #end(record: SubmissionRecord, state: SubmissionState): readonly TaskRun[] {
     record.state = state;
     recordEndInSizeBalance(record);
-    this.#dirty.add(record);
-    this.#unrecorded.delete(record);
+    this.#dirtyProgress.add(record);
+    this.#dirtyAssignments.delete(record);
     this.#recurring.delete(record);
     const tasks = [...record.occurrences.values()].flatMap((opened) => opened.tasks.flat());
     tasks.forEach((task) => this.#waiting.delete(task));
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -38,7 +38,7 @@
   /** The progress that the worker first listed for the run, and when. */
   firstListed: { readonly percent: number; readonly atMs: number } | undefined;
   /** Since when `workedPercent` has not changed. */
-  percentSinceMs: number;
+  percentUnchangedSinceMs: number;
   recentFigure: number;
   /** How far the tail latency of a serving task is from its target, smoothed; see `headroom.ts`. */
   headroom: number;
@@ -57,7 +57,7 @@
   readonly stepIndex: number;
   readonly index: number;
   readonly step: Step;
-  /** Index among all tasks of all occurrences; identifies the task in the stored progress. */
+  /** Position among all tasks of all occurrences; identifies the task in the stored progress. */
   readonly position: number;
   readonly name: string;
   isDone: boolean;
@@ -95,13 +95,14 @@
   /** Increases in the order in which the scheduler learnt of the submissions. */
   readonly order: number;
   readonly occurrences: Map<number, OccurrenceRecord>;
-  readonly initial: Progress;
+  /** The progress that was stored when the record was created. */
+  readonly initialProgress: Progress;
   /** Occurrences whose tasks are all done. */
   readonly finishedOccurrences: Set<number>;
   nextOccurrence: number;
   state: SubmissionState;
   hasStarted: boolean;
-  /** Runs that former owners may have started, by the index of their task. */
+  /** Runs that former owners may have started, by the position of their task. */
   readonly inheritedRuns: ReadonlyMap<number, readonly InheritedRun[]>;
   learntAtMs: number;
   /** Estimated processor time of all tasks of one occurrence. */
@@ -160,9 +161,9 @@
   const runs = new Map<number, InheritedRun[]>();
   Object.entries(assignments).forEach(([workerId, pairs]) => {
     for (let index = 0; index + 1 < pairs.length; index += 2) {
-      const place = pairs[index] as number;
+      const position = pairs[index] as number;
       const run = pairs[index + 1] as number;
-      runs.set(place, [...(runs.get(place) ?? []), { workerId, run }]);
+      runs.set(position, [...(runs.get(position) ?? []), { workerId, run }]);
     }
   });
   return runs;
@@ -188,7 +189,7 @@
     submission,
     order,
     occurrences: new Map(),
-    initial: progress,
+    initialProgress: progress,
     finishedOccurrences: new Set(),
     nextOccurrence: 0,
     state: progress.state,
@@ -215,10 +216,10 @@
 
 /** Counts the occurrences up to the last one with a task in the stored progress or assignments. */
 export const startedOccurrenceCount = (record: SubmissionRecord): number => {
-  const { submission, initial, inheritedRuns } = record;
-  const failedPlaces = Object.keys(initial.failedRuns).map(Number);
-  const places = [...initial.done, ...failedPlaces, ...inheritedRuns.keys()];
-  const last = places.reduce((highest, place) => Math.max(highest, place), -1);
+  const { submission, initialProgress, inheritedRuns } = record;
+  const failedPositions = Object.keys(initialProgress.failedRuns).map(Number);
+  const positions = [...initialProgress.done, ...failedPositions, ...inheritedRuns.keys()];
+  const last = positions.reduce((highest, position) => Math.max(highest, position), -1);
   return Math.ceil((last + 1) / Math.max(1, tasksOfOccurrence(submission)));
 };
 
@@ -228,9 +229,9 @@
   occurrence: number,
   nowMs: number,
 ): OccurrenceRecord => {
-  const { submission, initial } = record;
-  const done = new Set(initial.done);
-  let place = occurrence * tasksOfOccurrence(submission);
+  const { submission, initialProgress } = record;
+  const done = new Set(initialProgress.done);
+  let position = occurrence * tasksOfOccurrence(submission);
   const tasks = submission.steps.map((step, stepIndex) =>
     Array.from({ length: step.taskCount }, (_, index): TaskRecord => {
       const task: TaskRecord = {
@@ -239,17 +240,17 @@
         stepIndex,
         index,
         step,
-        position: place,
+        position,
         name: taskName(submission.id, occurrence, stepIndex, index),
-        isDone: done.has(place),
+        isDone: done.has(position),
         runs: [],
         lastRun: 0,
-        failedRuns: [...(initial.failedRuns[place] ?? [])],
+        failedRuns: [...(initialProgress.failedRuns[position] ?? [])],
         checkpoint: '',
         notBeforeMs: nowMs,
         waitingSinceMs: nowMs,
       };
-      place += 1;
+      position += 1;
       return task;
     }),
   );
@@ -276,10 +277,10 @@
 
 /** Returns the progress in its stored form. */
 export const toProgress = (record: SubmissionRecord): Progress => {
-  const done = new Set(record.initial.done);
+  const done = new Set(record.initialProgress.done);
   const failedRuns: Record<string, number[]> = {};
-  Object.entries(record.initial.failedRuns).forEach(([place, runs]) => {
-    failedRuns[place] = [...runs];
+  Object.entries(record.initialProgress.failedRuns).forEach(([position, runs]) => {
+    failedRuns[position] = [...runs];
   });
   record.occurrences.forEach(({ tasks }) =>
     tasks.flat().forEach((task) => {
@@ -305,8 +306,8 @@
 /** Returns the assignments in their stored form. */
 export const toAssignments = (record: SubmissionRecord): Assignments => {
   const assignments: Record<string, number[]> = {};
-  const add = (workerId: string, { position: place }: TaskRecord, run: number): void => {
-    assignments[workerId] = [...(assignments[workerId] ?? []), place, run];
+  const add = (workerId: string, { position }: TaskRecord, run: number): void => {
+    assignments[workerId] = [...(assignments[workerId] ?? []), position, run];
   };
   record.occurrences.forEach(({ tasks }) =>
     tasks.flat().forEach((task) => {
--- a/src/scheduler/test/fleet/progressCommits.test.ts
+++ b/src/scheduler/test/fleet/progressCommits.test.ts
@@ -25,7 +25,7 @@
   }
   [...registry.waiting].forEach((task) => {
     registry.addRun(newRun(task, 1, 'worker', 0));
-    registry.markUnrecorded(task.submission);
+    registry.markAssignmentsDirty(task.submission);
   });
   for (let index = 0; index < cancelledCount; index += 1) registry.cancel(idOf(index));
   return registry;
@@ -72,7 +72,7 @@
     registry.noteEnd(ended, 1, RunEnd.Done, 10);
     registry.removeRun(run, 10);
     registry.addRun(newRun(retried, 2, 'worker', 20));
-    registry.markUnrecorded(retried.submission);
+    registry.markAssignmentsDirty(retried.submission);
     const keys =
       commitsOf(registry)
         .next(30)
