--- a/src/scheduler/common/fleet/progressCommits.ts
+++ b/src/scheduler/common/fleet/progressCommits.ts
@@ -146,8 +146,8 @@
       return undefined;
     }
     const assigned = registry.takeDirtyAssignments(MAXIMUM_ASSIGNMENT_ROWS);
-    // Assignments don't list runs that have ended. They are stored together with the ends: a new
-    // owner that read only the assignments would start those tasks again.
+    // Assignments don't list runs that have ended, so they are stored together with the run ends.
+    // A new owner that read the assignments without the ends would start those tasks again.
     const assignedProgress = registry.takeDirtyProgressOf(assigned);
     const remainingRowCount =
       MAXIMUM_ROWS_PER_TRANSACTION - assigned.length - assignedProgress.length;
@@ -230,7 +230,7 @@
     return true;
   }
 
-  /** Writes of rows that don't belong to a single submission. */
+  /** Returns the writes of rows that don't belong to a single submission. */
   #sharedWrites(
     { registry, owner, interference, roster, toTableMs }: CommitInput,
     views: readonly FleetWorkerView[],
@@ -244,7 +244,7 @@
     return rows.flatMap(({ key, value }) => (value === undefined ? [] : [{ key, value }]));
   }
 
-  /** Deletes the assignments row of a submission that has ended. */
+  /** Returns the write of the progress row; also deletes the assignments of an ended submission. */
   #progressWrites(record: SubmissionRecord): readonly RowWrite[] {
     const { id } = record.submission;
     const progress = { key: progressKey(id), value: toProgress(record) };
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -196,7 +196,7 @@
   }
 
   #tableFor(loop: SimulatedEventLoop, costs: Costs): TableService {
-    const serve = <Answer>(answer: () => Answer, costOf: (of: Answer) => number) => {
+    const serve = <Answer>(answer: () => Answer, costOf: (answered: Answer) => number) => {
       let costMs = 0;
       return this.#call<Answer>(
         loop,
@@ -209,7 +209,7 @@
           }),
       );
     };
-    const stamped = <Answer extends object>(answer: Answer) => ({
+    const withTableTime = <Answer extends object>(answer: Answer) => ({
       ...answer,
       tableNowMs: this.simulator.outside.nowMs(),
       position: this.#submissions.length,
@@ -217,14 +217,14 @@
     return {
       read: (request) =>
         serve(
-          () => stamped(this.table.read(request)),
+          () => withTableTime(this.table.read(request)),
           ({ rows }) => costs.answerMs + rows.length * costs.rowMs,
         ),
       transact: (transaction) =>
         this.isTransactionLost(transaction)
           ? noAnswer(loop)
           : serve(
-              () => stamped(this.table.transact(transaction)),
+              () => withTableTime(this.table.transact(transaction)),
               () => costs.answerMs,
             ),
     };
--- a/src/scheduler/test/fleet/fleetFailures.test.ts
+++ b/src/scheduler/test/fleet/fleetFailures.test.ts
@@ -62,7 +62,7 @@
     expect(world.invariants.broken).toEqual([]);
   });
 
-  it('starts the tasks of an unreachable worker elsewhere only after its lease is over', async () => {
+  it('waits until the lease of an unreachable worker is over before it starts its tasks elsewhere', async () => {
     // The worker is cut off and runs its task until its lease lapses by its own clock, which may be
     // two percent slow. Only then is the task started on the other worker.
     const world = await worldOf(LONG);
