--- a/src/entry/common/admission.ts
+++ b/src/entry/common/admission.ts
@@ -2,13 +2,13 @@
 import type { RandomSource } from '../../base/common/random.js';
 import { URGENCY_ORDER, type Urgency } from '../../services/configuration/common/documents.js';
 import { ErrorKind, failure, type Failure } from '../../services/errors/common/errorKinds.js';
-import { AbandonedPlaces } from './abandonedPlaces.js';
+import { AbandonedPermits } from './abandonedPermits.js';
 import {
   type AdmissionDecision,
   AdmissionKind,
   type Dispatched,
   ExtraReason,
-  type PlaceEnd,
+  type AttemptOutcome,
   type Rejected,
   ServerVerdict,
 } from './admissionDecision.js';
@@ -16,22 +16,22 @@
 import type { LatencyWindows } from './latencyWindows.js';
 import type { RoutingTable } from './routing.js';
 import type { ServerChooser } from './serverChoice.js';
-import { ServerLessons } from './serverLessons.js';
+import { ServerFeedback } from './serverFeedback.js';
 import type { ServerRecord, ServiceRecord } from './serverRecords.js';
-import { type RosterSettings, ServiceRoster } from './serviceRoster.js';
+import { type RegistrySettings, ServiceRegistry } from './serviceRegistry.js';
 
-export interface AdmissionSettings extends RosterSettings {
+export interface AdmissionSettings extends RegistrySettings {
   readonly maximumWaitMs: number;
   readonly maximumSetAsideRatio: number;
   readonly leavingHoldMs: number;
 }
 
-const EARLIEST_RETURN_MS = 1_000;
-const RETURN_SPREAD_MS = 2_000;
+const MINIMUM_RETRY_AFTER_MS = 1_000;
+const RETRY_AFTER_JITTER_MS = 2_000;
 
 /** A place counts as used so many median latencies after its start, and at least so long. */
-const ABANDONED_MEDIANS = 1.5;
-const ABANDONED_LEAST_MS = 40;
+const ABANDONED_HOLD_MEDIANS = 1.5;
+const MINIMUM_ABANDONED_HOLD_MS = 40;
 
 /**
  * Made for bursts and saturation on servers that several services and several entries share.
@@ -52,44 +52,44 @@
 
   readonly #random: RandomSource;
 
-  readonly #roster: ServiceRoster<Waiting>;
+  readonly #registry: ServiceRegistry<Waiting>;
 
-  readonly #abandoned = new AbandonedPlaces<Waiting>();
+  readonly #abandonedPermits = new AbandonedPermits<Waiting>();
 
-  readonly #lessons: ServerLessons<Waiting>;
+  readonly #feedback: ServerFeedback<Waiting>;
 
-  #servedCount = 0;
+  #dequeuedCount = 0;
 
   constructor(settings: AdmissionSettings, chooser: ServerChooser, random: RandomSource) {
     this.#settings = settings;
     this.#chooser = chooser;
     this.#random = random;
-    this.#roster = new ServiceRoster(settings);
-    this.#lessons = new ServerLessons(settings.maximumSetAsideRatio, random);
+    this.#registry = new ServiceRegistry(settings);
+    this.#feedback = new ServerFeedback(settings.maximumSetAsideRatio, random);
   }
 
   /** What the servers' answers took, for whoever places work beside them. */
   get latencyWindows(): LatencyWindows {
-    return this.#lessons.latencyWindows;
+    return this.#feedback.latencyWindows;
   }
 
   service(name: string): ServiceRecord<Waiting> | undefined {
-    return this.#roster.service(name);
+    return this.#registry.service(name);
   }
 
   /** Requests that wait now, of all services. */
   get waitingCount(): number {
-    return this.#roster.services.reduce((sum, { queue }) => sum + queue.length, 0);
+    return this.#registry.services.reduce((sum, { queue }) => sum + queue.length, 0);
   }
 
   /** Whether a sweep will have places to free. */
-  get hasAbandonedPlaces(): boolean {
-    return !this.#abandoned.isEmpty;
+  get hasAbandonedPermits(): boolean {
+    return !this.#abandonedPermits.isEmpty;
   }
 
   /** How often a server was set aside since the last call. */
   takeSetAsideCount(): number {
-    return this.#lessons.takeSetAsideCount();
+    return this.#feedback.takeSetAsideCount();
   }
 
   /** Takes new routes over; see the roster. */
@@ -98,34 +98,43 @@
     urgencyOf: (serviceName: string) => Urgency,
     entryCount: number,
   ): void {
-    this.#roster.updateRoutes(routes, urgencyOf, entryCount);
+    this.#registry.updateRoutes(routes, urgencyOf, entryCount);
   }
 
   admit(serviceName: string, waiting: Waiting, nowMs: number): AdmissionDecision<Waiting> {
-    const service = this.#roster.service(serviceName);
+    const service = this.#registry.service(serviceName);
     if (service === undefined) {
-      return Admission.#refused(failure(ErrorKind.UnknownService, `no service ${serviceName}`));
+      return Admission.#refuse(failure(ErrorKind.UnknownService, `no service ${serviceName}`));
     }
     if (service.servers.length === 0) {
-      return Admission.#refused(this.#spread(ErrorKind.NoServer, `no server for ${serviceName}`));
+      return Admission.#refuse(
+        this.#retryableFailure(ErrorKind.NoServer, `no server for ${serviceName}`),
+      );
     }
-    if (service.queue.length === 0 && service.hasRoom) {
+    if (service.queue.length === 0 && service.hasCapacity) {
       const server = this.#chooser.choose(service.servers, nowMs, waiting.avoidedWorkerId);
       if (server !== undefined) {
-        Admission.#occupy(server);
+        Admission.#acquirePermit(server);
         return { kind: AdmissionKind.Admitted, server };
       }
     }
     if (this.#wouldWaitTooLong(service, waiting, nowMs)) {
-      return Admission.#refused(this.#spread(ErrorKind.Saturated, `${serviceName} is saturated`));
+      return Admission.#refuse(
+        this.#retryableFailure(ErrorKind.Saturated, `${serviceName} is saturated`),
+      );
     }
-    if (service.queue.length === 0) service.pace.noteFirstWaiting(nowMs);
+    if (service.queue.length === 0) service.dequeueInterval.noteQueueStart(nowMs);
     const { isAdded, displaced } = service.queue.add(waiting);
     if (!isAdded) {
-      return Admission.#refused(this.#spread(ErrorKind.Saturated, `${serviceName}: queue full`));
+      return Admission.#refuse(
+        this.#retryableFailure(ErrorKind.Saturated, `${serviceName}: queue full`),
+      );
     }
     if (displaced === undefined) return { kind: AdmissionKind.Queued, displaced };
-    const cause = this.#spread(ErrorKind.Saturated, `${serviceName}: others have fewer waiting`);
+    const cause = this.#retryableFailure(
+      ErrorKind.Saturated,
+      `${serviceName}: others have fewer waiting`,
+    );
     return { kind: AdmissionKind.Queued, displaced: { waiting: displaced, failure: cause } };
   }
 
@@ -136,23 +145,24 @@
    */
   tryAdmitExtra(
     serviceName: string,
-    without: ServerRecord<Waiting>,
+    avoidedServer: ServerRecord<Waiting>,
     reason: ExtraReason,
     nowMs: number,
   ): ServerRecord<Waiting> | undefined {
-    const service = this.#roster.service(serviceName);
+    const service = this.#registry.service(serviceName);
     if (service === undefined) return undefined;
-    const isBusy = !service.hasRoom || service.yielding.some(({ queue }) => queue.length > 0);
+    const isBusy =
+      !service.hasCapacity || service.servicesNotMoreUrgent.some(({ queue }) => queue.length > 0);
     if (reason === ExtraReason.Hedge && isBusy) return undefined;
-    const { workerId } = without.worker;
+    const { workerId } = avoidedServer.worker;
     const server = this.#chooser.choose(service.servers, nowMs, workerId);
-    if (server !== undefined) Admission.#occupy(server);
+    if (server !== undefined) Admission.#acquirePermit(server);
     return server;
   }
 
   /** Lets a request go that waits and is wanted no more; its place in the queue is free at once. */
   leave(serviceName: string, waiting: Waiting): boolean {
-    return this.#roster.service(serviceName)?.queue.remove(waiting) ?? false;
+    return this.#registry.service(serviceName)?.queue.remove(waiting) ?? false;
   }
 
   /**
@@ -166,30 +176,33 @@
   finish(
     serviceName: string,
     server: ServerRecord<Waiting>,
-    end: PlaceEnd,
+    end: AttemptOutcome,
     nowMs: number,
   ): readonly Dispatched<Waiting>[] {
-    const service = this.#roster.service(serviceName);
-    if (service !== undefined) this.#lessons.note(service, server, end, nowMs);
+    const service = this.#registry.service(serviceName);
+    if (service !== undefined) this.#feedback.note(service, server, end, nowMs);
     const { worker } = server;
     if (end.isServerLeaving) worker.leavingUntilMs = nowMs + this.#settings.leavingHoldMs;
-    if (end.verdict !== ServerVerdict.Abandoned) return this.#free(server, nowMs);
-    const heldMs = Math.max(ABANDONED_LEAST_MS, ABANDONED_MEDIANS * (service?.limit.medianMs ?? 0));
-    if (end.latencyMs >= heldMs) return this.#free(server, nowMs);
-    this.#abandoned.hold(server, nowMs + heldMs - end.latencyMs);
+    if (end.verdict !== ServerVerdict.Abandoned) return this.#releasePermit(server, nowMs);
+    const holdMs = Math.max(
+      MINIMUM_ABANDONED_HOLD_MS,
+      ABANDONED_HOLD_MEDIANS * (service?.limit.medianMs ?? 0),
+    );
+    if (end.latencyMs >= holdMs) return this.#releasePermit(server, nowMs);
+    this.#abandonedPermits.hold(server, nowMs + holdMs - end.latencyMs);
     return [];
   }
 
-  #free(server: ServerRecord<Waiting>, nowMs: number): readonly Dispatched<Waiting>[] {
+  #releasePermit(server: ServerRecord<Waiting>, nowMs: number): readonly Dispatched<Waiting>[] {
     const { worker } = server;
     worker.inFlightCount -= 1;
-    if (worker.inFlightCount === 0) this.#roster.forgetDeparted(worker);
+    if (worker.inFlightCount === 0) this.#registry.forgetDeparted(worker);
     worker.services.forEach((each) => {
       // The record is this class's own.
       // eslint-disable-next-line no-param-reassign
       each.occupiedCount -= 1;
     });
-    return this.#dispatch(worker.services, nowMs);
+    return this.#dispatchWaiting(worker.services, nowMs);
   }
 
   /** Gives up what can no longer be answered in time, and serves what has room again. */
@@ -197,45 +210,53 @@
     readonly rejected: readonly Rejected<Waiting>[];
     readonly dispatched: readonly Dispatched<Waiting>[];
   } {
-    const freed = this.#abandoned.takeDue(nowMs).flatMap((server) => this.#free(server, nowMs));
+    const dispatchedOnRelease = this.#abandonedPermits
+      .takeDue(nowMs)
+      .flatMap((server) => this.#releasePermit(server, nowMs));
     const rejected: Rejected<Waiting>[] = [];
     const waitingServices: ServiceRecord<Waiting>[] = [];
-    this.#roster.services.forEach((service) => {
+    this.#registry.services.forEach((service) => {
       if (service.queue.length === 0) return;
       service.queue
-        .takeGivenUp((waiting) => service.servers.length === 0 || this.#isLate(waiting, nowMs))
-        .forEach((waiting) => rejected.push(this.#giveUp(service, waiting, nowMs)));
+        .removeWhere((waiting) => service.servers.length === 0 || this.#hasExpired(waiting, nowMs))
+        .forEach((waiting) => rejected.push(this.#toRejected(service, waiting, nowMs)));
       waitingServices.push(service);
     });
     waitingServices.sort(
       (left, right) => URGENCY_ORDER[left.urgency] - URGENCY_ORDER[right.urgency],
     );
-    return { rejected, dispatched: [...freed, ...this.#dispatch(waitingServices, nowMs)] };
+    return {
+      rejected,
+      dispatched: [...dispatchedOnRelease, ...this.#dispatchWaiting(waitingServices, nowMs)],
+    };
   }
 
-  static #refused(cause: Failure): { readonly kind: 'refused'; readonly failure: Failure } {
+  static #refuse(cause: Failure): { readonly kind: 'refused'; readonly failure: Failure } {
     return { kind: AdmissionKind.Refused, failure: cause };
   }
 
-  #isLate(waiting: Waiting, nowMs: number): boolean {
+  #hasExpired(waiting: Waiting, nowMs: number): boolean {
     return (
       nowMs >= waiting.deadlineAtMs ||
       nowMs - waiting.waitingSinceMs >= this.#settings.maximumWaitMs
     );
   }
 
-  #giveUp(service: ServiceRecord<Waiting>, waiting: Waiting, nowMs: number): Rejected<Waiting> {
+  #toRejected(service: ServiceRecord<Waiting>, waiting: Waiting, nowMs: number): Rejected<Waiting> {
     if (service.servers.length === 0) {
-      return { waiting, failure: this.#spread(ErrorKind.NoServer, `no server: ${service.name}`) };
+      return {
+        waiting,
+        failure: this.#retryableFailure(ErrorKind.NoServer, `no server: ${service.name}`),
+      };
     }
-    const isPast = nowMs >= waiting.deadlineAtMs;
-    const kind = isPast ? ErrorKind.DeadlineExceeded : ErrorKind.Saturated;
-    return { waiting, failure: this.#spread(kind, `${service.name}: waited too long`) };
+    const isPastDeadline = nowMs >= waiting.deadlineAtMs;
+    const kind = isPastDeadline ? ErrorKind.DeadlineExceeded : ErrorKind.Saturated;
+    return { waiting, failure: this.#retryableFailure(kind, `${service.name}: waited too long`) };
   }
 
-  #spread(kind: ErrorKind, message: string): Failure {
-    const spreadMs = Math.floor(this.#random.nextFraction() * RETURN_SPREAD_MS);
-    return { ...failure(kind, message), retryAfterMs: EARLIEST_RETURN_MS + spreadMs };
+  #retryableFailure(kind: ErrorKind, message: string): Failure {
+    const jitterMs = Math.floor(this.#random.nextFraction() * RETRY_AFTER_JITTER_MS);
+    return { ...failure(kind, message), retryAfterMs: MINIMUM_RETRY_AFTER_MS + jitterMs };
   }
 
   /**
@@ -243,12 +264,12 @@
    * more urgent work takes every place, the pace is what has passed since the last one.
    */
   #wouldWaitTooLong(service: ServiceRecord<Waiting>, waiting: Waiting, nowMs: number): boolean {
-    const waitMs = service.queue.length * service.pace.gapMs(nowMs);
+    const waitMs = service.queue.length * service.dequeueInterval.valueMs(nowMs);
     const remainingMs = waiting.deadlineAtMs - nowMs;
     return waitMs > this.#settings.maximumWaitMs || waitMs + service.limit.medianMs > remainingMs;
   }
 
-  #dispatch(
+  #dispatchWaiting(
     services: readonly ServiceRecord<Waiting>[],
     nowMs: number,
   ): readonly Dispatched<Waiting>[] {
@@ -261,10 +282,10 @@
       const server = this.#chooser.choose(service.servers, nowMs, waiting.avoidedWorkerId);
       if (server === undefined) return dispatched;
       service.queue.takeNext();
-      Admission.#occupy(server);
-      this.#servedCount += 1;
-      service.lastServedOrder = this.#servedCount;
-      service.pace.noteServed(nowMs);
+      Admission.#acquirePermit(server);
+      this.#dequeuedCount += 1;
+      service.lastDequeueOrder = this.#dequeuedCount;
+      service.dequeueInterval.noteDequeue(nowMs);
       dispatched.push({ waiting, server });
     }
   }
@@ -275,17 +296,17 @@
   ): ServiceRecord<Waiting> | undefined {
     let next: ServiceRecord<Waiting> | undefined;
     services.forEach((service) => {
-      if (service.queue.length === 0 || !service.hasRoom) return;
-      const isSooner =
+      if (service.queue.length === 0 || !service.hasCapacity) return;
+      const isPreferred =
         next === undefined ||
         URGENCY_ORDER[service.urgency] < URGENCY_ORDER[next.urgency] ||
-        (service.urgency === next.urgency && service.lastServedOrder < next.lastServedOrder);
-      if (isSooner) next = service;
+        (service.urgency === next.urgency && service.lastDequeueOrder < next.lastDequeueOrder);
+      if (isPreferred) next = service;
     });
     return next;
   }
 
-  static #occupy<Waiting extends WaitingRequest>(server: ServerRecord<Waiting>): void {
+  static #acquirePermit<Waiting extends WaitingRequest>(server: ServerRecord<Waiting>): void {
     const { worker } = server;
     worker.inFlightCount += 1;
     worker.services.forEach((service) => {
--- a/src/entry/common/admissionDecision.ts
+++ b/src/entry/common/admissionDecision.ts
@@ -44,7 +44,7 @@
 export type ServerVerdict = (typeof ServerVerdict)[keyof typeof ServerVerdict];
 
 /** How a request that had a place ended, as far as choosing servers goes. */
-export interface PlaceEnd {
+export interface AttemptOutcome {
   readonly latencyMs: number;
   readonly verdict: ServerVerdict;
   readonly isServerLeaving: boolean;
--- a/src/entry/common/callerRequest.ts
+++ b/src/entry/common/callerRequest.ts
@@ -18,7 +18,7 @@
   readonly body: Uint8Array | undefined;
 }
 
-export interface RequestTerms {
+export interface RequestOptions {
   readonly timeoutMs: number;
   readonly isIdempotent: boolean;
   readonly idempotencyKey: string | undefined;
@@ -26,7 +26,7 @@
   readonly callerId: string;
 }
 
-export interface TermLimits {
+export interface DeadlineLimits {
   readonly defaultDeadlineMs: number;
   readonly maximumDeadlineMs: number;
 }
@@ -39,31 +39,31 @@
   'PUT',
   'DELETE',
 ]);
-const KEY_FORM = /^[\x21-\x7e]{1,128}$/u;
-const TIMEOUT_FORM = /^[1-9][0-9]{0,8}$/u;
+const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/u;
+const TIMEOUT_PATTERN = /^[1-9][0-9]{0,8}$/u;
 
-const LONGEST_CALLER_ID = 64;
+const MAXIMUM_CALLER_ID_LENGTH = 64;
 
 const badRequest = (message: string): Either<Failure, never> =>
   left(failure(ErrorKind.BadRequest, message));
 
-const single = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-export const readTerms = (
+export const readRequestOptions = (
   request: CallerRequest,
-  limits: TermLimits,
-): Either<Failure, RequestTerms> => {
-  const timeout = single(request.headers[DEADLINE_HEADER]);
-  if (timeout !== undefined && !TIMEOUT_FORM.test(timeout)) {
+  limits: DeadlineLimits,
+): Either<Failure, RequestOptions> => {
+  const timeout = firstValue(request.headers[DEADLINE_HEADER]);
+  if (timeout !== undefined && !TIMEOUT_PATTERN.test(timeout)) {
     return badRequest(`${DEADLINE_HEADER} is not a positive number of milliseconds`);
   }
-  const idempotent = single(request.headers[IDEMPOTENT_HEADER]);
+  const idempotent = firstValue(request.headers[IDEMPOTENT_HEADER]);
   if (idempotent !== undefined && idempotent !== 'true' && idempotent !== 'false') {
     return badRequest(`${IDEMPOTENT_HEADER} is neither true nor false`);
   }
-  const idempotencyKey = single(request.headers[IDEMPOTENCY_KEY_HEADER]);
-  if (idempotencyKey !== undefined && !KEY_FORM.test(idempotencyKey)) {
+  const idempotencyKey = firstValue(request.headers[IDEMPOTENCY_KEY_HEADER]);
+  if (idempotencyKey !== undefined && !KEY_PATTERN.test(idempotencyKey)) {
     return badRequest(`${IDEMPOTENCY_KEY_HEADER} is not 1 to 128 visible characters`);
   }
   const timeoutMs = timeout === undefined ? limits.defaultDeadlineMs : Number(timeout);
@@ -72,6 +72,6 @@
     isIdempotent:
       idempotent === undefined ? IDEMPOTENT_METHODS.has(request.method) : idempotent === 'true',
     idempotencyKey,
-    callerId: (single(request.headers[CALLER_HEADER]) ?? '').slice(0, LONGEST_CALLER_ID),
+    callerId: (firstValue(request.headers[CALLER_HEADER]) ?? '').slice(0, MAXIMUM_CALLER_ID_LENGTH),
   });
 };
--- a/src/entry/common/claims.ts
+++ b/src/entry/common/claims.ts
@@ -34,7 +34,7 @@
     claimKey(claim.generation + offset, claim.serviceName, claim.idempotencyKey),
   );
 
-export const ownClaimKey = (claim: ClaimRequest): string =>
+export const currentClaimKey = (claim: ClaimRequest): string =>
   claimKey(claim.generation, claim.serviceName, claim.idempotencyKey);
 
 const claimValue = (
@@ -55,7 +55,7 @@
 export const claimTransaction = (claim: ClaimRequest): Transaction => ({
   operationId: claim.claimId,
   conditions: claimKeys(claim).map((key) => ({ key, version: ABSENT_VERSION })),
-  writes: [{ key: ownClaimKey(claim), value: claimValue(claim, ClaimState.Claimed, null) }],
+  writes: [{ key: currentClaimKey(claim), value: claimValue(claim, ClaimState.Claimed, null) }],
 });
 
 /** Records the answer for repeats; null for one that is too large to keep. */
@@ -65,19 +65,19 @@
   answer: RecordedAnswer | null,
 ): Transaction => ({
   operationId: `${claim.claimId}/answer`,
-  conditions: [{ key: ownClaimKey(claim), version }],
-  writes: [{ key: ownClaimKey(claim), value: claimValue(claim, ClaimState.Answered, answer) }],
+  conditions: [{ key: currentClaimKey(claim), version }],
+  writes: [{ key: currentClaimKey(claim), value: claimValue(claim, ClaimState.Answered, answer) }],
 });
 
 /** Gives the key back, after its request surely did not run. */
 export const releaseTransaction = (claim: ClaimRequest, version: number): Transaction => ({
   operationId: `${claim.claimId}/release`,
-  conditions: [{ key: ownClaimKey(claim), version }],
-  writes: [{ key: ownClaimKey(claim), value: null }],
+  conditions: [{ key: currentClaimKey(claim), version }],
+  writes: [{ key: currentClaimKey(claim), value: null }],
 });
 
 /** What a request may do after the table was asked. */
-export type ClaimVerdict =
+export type ClaimDecision =
   /** The claim is this request's own: it may be sent, once. */
   | { readonly kind: 'held'; readonly version: number }
   /** The key was answered before; the same answer is given again. */
@@ -87,13 +87,13 @@
   /** No claim stands; it has to be made (again). */
   | { readonly kind: 'absent' };
 
-const refused = (cause: Failure): ClaimVerdict => ({ kind: 'refused', failure: cause });
+const refused = (cause: Failure): ClaimDecision => ({ kind: 'refused', failure: cause });
 
 /**
  * Reads the verdict from the rows of the key. It is asked after a conflict and after a lost
  * answer: a row with this claim's id shows that the lost insertion took effect.
  */
-export const judgeClaim = (claim: ClaimRequest, rows: readonly TableRow[]): ClaimVerdict => {
+export const decideClaim = (claim: ClaimRequest, rows: readonly TableRow[]): ClaimDecision => {
   const [row] = rows;
   if (row === undefined) return { kind: 'absent' };
   const parsed = claimRowSchema.safeParse(row.value);
@@ -118,37 +118,37 @@
 };
 
 /** After how long of the store's silence a claim is tried again. */
-const STORE_TRIAL_INTERVAL_MS = 500;
+const STORE_PROBE_INTERVAL_MS = 500;
 
 /**
  * Made for an outage of the store in which calls hang until they time out: each request with a
  * key would wait that long for its refusal and hold its caller's connection. After a failure,
  * one claim at a time tries the store, at an interval; all others are refused at once.
  */
-export class StoreGate {
-  #isOut = false;
+export class StoreCircuitBreaker {
+  #isOpen = false;
 
-  #nextTrialAtMs = 0;
+  #nextProbeAtMs = 0;
 
-  mayAsk(nowMs: number): boolean {
-    if (!this.#isOut) return true;
-    if (nowMs < this.#nextTrialAtMs) return false;
-    this.#nextTrialAtMs = nowMs + STORE_TRIAL_INTERVAL_MS;
+  mayCall(nowMs: number): boolean {
+    if (!this.#isOpen) return true;
+    if (nowMs < this.#nextProbeAtMs) return false;
+    this.#nextProbeAtMs = nowMs + STORE_PROBE_INTERVAL_MS;
     return true;
   }
 
-  noteAnswer(): void {
-    this.#isOut = false;
+  noteSuccess(): void {
+    this.#isOpen = false;
   }
 
   noteFailure(nowMs: number): void {
-    this.#isOut = true;
-    this.#nextTrialAtMs = nowMs + STORE_TRIAL_INTERVAL_MS;
+    this.#isOpen = true;
+    this.#nextProbeAtMs = nowMs + STORE_PROBE_INTERVAL_MS;
   }
 }
 
 /** A claim that takes longer gives its place at a server back, and the next ones are early. */
-export const LONGEST_PLACE_FOR_CLAIM_MS = 25;
+export const MAXIMUM_CLAIM_HOLD_MS = 25;
 
 /**
  * Decides when a key is claimed: late, when its request has its place at a server, or early,
@@ -171,7 +171,7 @@
   }
 
   noteClaim(durationMs: number, isAnswered: boolean): void {
-    this.#isEarly = !isAnswered || durationMs > LONGEST_PLACE_FOR_CLAIM_MS;
+    this.#isEarly = !isAnswered || durationMs > MAXIMUM_CLAIM_HOLD_MS;
   }
 }
 
--- a/src/entry/common/concurrencyLimit.ts
+++ b/src/entry/common/concurrencyLimit.ts
@@ -3,28 +3,28 @@
 const WINDOW_ANSWER_COUNT = 64;
 /** Places of the median and of the latency that one in twenty exceeds, in a sorted window. */
 const MEDIAN_INDEX = WINDOW_ANSWER_COUNT / 2;
-const HIGH_INDEX = Math.floor(WINDOW_ANSWER_COUNT * 0.95);
+const P95_INDEX = Math.floor(WINDOW_ANSWER_COUNT * 0.95);
 /** Weight of one more window; the lowest of many unsmoothed medians would be far too low. */
-const WINDOW_WEIGHT = 0.25;
+const WINDOW_SMOOTHING_WEIGHT = 0.25;
 /** Latency above the unloaded one at which the limit shrinks instead of growing. */
-const TOLERANCE = 1.25;
+const LATENCY_TOLERANCE_RATIO = 1.25;
 /** Latency that this process itself may add, which says nothing about the servers. */
-const OWN_JITTER_MS = 1;
+const LOCAL_JITTER_MS = 1;
 /** The most that one window takes away. */
-const STRONGEST_CUT = 0.8;
+const MINIMUM_CUT_FACTOR = 0.8;
 /** A share of the limit that has to be in use for growth to mean anything. */
-const BINDING_SHARE = 0.9;
+const SATURATED_SHARE = 0.9;
 /** Weight of a window in which this entry used less than its share, towards a higher latency. */
-const UNLOADED_WEIGHT = 0.1;
+const UNLOADED_INCREASE_WEIGHT = 0.1;
 /**
  * How much more than its share of the slots an entry may always keep in flight. Entries choose
  * without knowing of one another, so at exactly one request for each slot some slots stand empty
  * while others have two.
  */
 const SLOT_HEADROOM = 1.25;
-const LOWEST_LIMIT = 2;
+const MINIMUM_LIMIT = 2;
 
-const blend = (before: number, next: number, weight: number): number =>
+const smooth = (before: number, next: number, weight: number): number =>
   before === 0 ? next : before + (next - before) * weight;
 
 /**
@@ -48,25 +48,25 @@
 
   #windowLength = 0;
 
-  #mostInFlight = 0;
+  #maximumInFlight = 0;
 
   #unloadedMs = 0;
 
   #medianMs = 0;
 
-  #highMs = 0;
+  #p95Ms = 0;
 
-  #floor: number;
+  #minimum: number;
 
-  #highest: number;
+  #maximum: number;
 
   #limit: number;
 
   /** `slotShare` is this entry's share of the slots, `highest` what it may never exceed. */
-  constructor(slotShare: number, highest: number) {
-    this.#highest = Math.max(LOWEST_LIMIT, highest);
-    this.#floor = this.#floorFor(slotShare);
-    this.#limit = this.#floor;
+  constructor(slotShare: number, maximum: number) {
+    this.#maximum = Math.max(MINIMUM_LIMIT, maximum);
+    this.#minimum = this.#minimumFor(slotShare);
+    this.#limit = this.#minimum;
   }
 
   get value(): number {
@@ -83,41 +83,45 @@
    * is the highest one seen, and zero before there was any.
    */
   get highMs(): number {
-    if (this.#highMs > 0) return this.#highMs;
+    if (this.#p95Ms > 0) return this.#p95Ms;
     return this.#window.subarray(0, this.#windowLength).reduce((most, ms) => Math.max(most, ms), 0);
   }
 
   /** Servers or entries came or went, so the limit moves at once. */
-  rescale(slotShare: number, highest: number): void {
-    const before = this.#floor;
-    this.#highest = Math.max(LOWEST_LIMIT, highest);
-    this.#floor = this.#floorFor(slotShare);
-    this.#limit = this.#bounded((this.#limit * this.#floor) / before);
+  rescale(slotShare: number, maximum: number): void {
+    const before = this.#minimum;
+    this.#maximum = Math.max(MINIMUM_LIMIT, maximum);
+    this.#minimum = this.#minimumFor(slotShare);
+    this.#limit = this.#clamp((this.#limit * this.#minimum) / before);
   }
 
   /** Returns whether the limit may have moved. */
   note(latencyMs: number, inFlightCount: number): boolean {
     this.#window[this.#windowLength] = latencyMs;
     this.#windowLength += 1;
-    this.#mostInFlight = Math.max(this.#mostInFlight, inFlightCount);
+    this.#maximumInFlight = Math.max(this.#maximumInFlight, inFlightCount);
     if (this.#windowLength < WINDOW_ANSWER_COUNT) return false;
     this.#window.sort();
-    this.#highMs = blend(this.#highMs, this.#window[HIGH_INDEX] ?? 0, WINDOW_WEIGHT);
-    this.#medianMs = blend(this.#medianMs, this.#window[MEDIAN_INDEX] ?? 0, WINDOW_WEIGHT);
+    this.#p95Ms = smooth(this.#p95Ms, this.#window[P95_INDEX] ?? 0, WINDOW_SMOOTHING_WEIGHT);
+    this.#medianMs = smooth(
+      this.#medianMs,
+      this.#window[MEDIAN_INDEX] ?? 0,
+      WINDOW_SMOOTHING_WEIGHT,
+    );
     this.#adjust();
     this.#windowLength = 0;
-    this.#mostInFlight = 0;
+    this.#maximumInFlight = 0;
     return true;
   }
 
   #adjust(): void {
-    this.#learnUnloaded();
-    const toleratedMs = this.#unloadedMs * TOLERANCE + OWN_JITTER_MS;
+    this.#updateUnloaded();
+    const toleratedMs = this.#unloadedMs * LATENCY_TOLERANCE_RATIO + LOCAL_JITTER_MS;
     if (this.#medianMs > toleratedMs) {
-      const cut = Math.max(STRONGEST_CUT, toleratedMs / this.#medianMs);
-      this.#limit = this.#bounded(this.#limit * cut);
-    } else if (this.#mostInFlight >= this.#limit * BINDING_SHARE) {
-      this.#limit = this.#bounded(this.#limit + Math.sqrt(this.#limit) / 2);
+      const cut = Math.max(MINIMUM_CUT_FACTOR, toleratedMs / this.#medianMs);
+      this.#limit = this.#clamp(this.#limit * cut);
+    } else if (this.#maximumInFlight >= this.#limit * SATURATED_SHARE) {
+      this.#limit = this.#clamp(this.#limit + Math.sqrt(this.#limit) / 2);
     }
   }
 
@@ -125,19 +129,19 @@
    * Lower latencies are learnt at once. Higher ones are learnt slowly, and only while this entry
    * used less than its share; otherwise a lasting overload would become the new normal.
    */
-  #learnUnloaded(): void {
+  #updateUnloaded(): void {
     if (this.#unloadedMs === 0 || this.#medianMs < this.#unloadedMs) {
       this.#unloadedMs = this.#medianMs;
-    } else if (this.#mostInFlight < this.#floor * BINDING_SHARE) {
-      this.#unloadedMs = blend(this.#unloadedMs, this.#medianMs, UNLOADED_WEIGHT);
+    } else if (this.#maximumInFlight < this.#minimum * SATURATED_SHARE) {
+      this.#unloadedMs = smooth(this.#unloadedMs, this.#medianMs, UNLOADED_INCREASE_WEIGHT);
     }
   }
 
-  #floorFor(slotShare: number): number {
-    return Math.min(this.#highest, Math.max(LOWEST_LIMIT, slotShare * SLOT_HEADROOM));
+  #minimumFor(slotShare: number): number {
+    return Math.min(this.#maximum, Math.max(MINIMUM_LIMIT, slotShare * SLOT_HEADROOM));
   }
 
-  #bounded(limit: number): number {
-    return Math.min(this.#highest, Math.max(this.#floor, limit));
+  #clamp(limit: number): number {
+    return Math.min(this.#maximum, Math.max(this.#minimum, limit));
   }
 }
--- a/src/entry/common/fairQueue.ts
+++ b/src/entry/common/fairQueue.ts
@@ -80,26 +80,26 @@
   }
 
   /** Removes and returns the requests that `isGivenUp` names. */
-  takeGivenUp(isGivenUp: (waiting: Waiting) => boolean): readonly Waiting[] {
-    const givenUp: Waiting[] = [];
+  removeWhere(shouldRemove: (waiting: Waiting) => boolean): readonly Waiting[] {
+    const removed: Waiting[] = [];
     [...this.#lanes].forEach(([callerId, lane]) => {
-      const kept = lane.filter((waiting) => !isGivenUp(waiting));
+      const kept = lane.filter((waiting) => !shouldRemove(waiting));
       if (kept.length === lane.length) return;
-      givenUp.push(...lane.filter(isGivenUp));
+      removed.push(...lane.filter(shouldRemove));
       if (kept.length === 0) this.#lanes.delete(callerId);
       else this.#lanes.set(callerId, kept);
     });
-    this.#length -= givenUp.length;
-    return givenUp;
+    this.#length -= removed.length;
+    return removed;
   }
 
   #displaceFor(waiting: Waiting): Waiting | undefined {
-    let [longestId, longest] = ['', 0];
+    let [longestId, longestLength] = ['', 0];
     this.#lanes.forEach((lane, callerId) => {
-      if (lane.length > longest) [longestId, longest] = [callerId, lane.length];
+      if (lane.length > longestLength) [longestId, longestLength] = [callerId, lane.length];
     });
     const ownCount = this.#lanes.get(waiting.callerId)?.length ?? 0;
-    if (longest <= ownCount + 1) return undefined;
+    if (longestLength <= ownCount + 1) return undefined;
     this.#length -= 1;
     return this.#lanes.get(longestId)?.pop();
   }
--- a/src/entry/common/passedHeaders.ts
+++ b/src/entry/common/forwardedHeaders.ts
@@ -16,22 +16,22 @@
   'transfer-encoding',
   'upgrade',
 ]);
-const ORDINARY_CONNECTION = /^(keep-alive|close)$/iu;
+const PLAIN_CONNECTION_VALUE = /^(keep-alive|close)$/iu;
 
 /** Names that the message's own `connection` header declares to be of this hop. */
-const declaredNames = (headers: Headers): ReadonlySet<string> | undefined => {
+const connectionHeaderNames = (headers: Headers): ReadonlySet<string> | undefined => {
   const { connection } = headers;
-  if (typeof connection !== 'string' || ORDINARY_CONNECTION.test(connection)) return undefined;
+  if (typeof connection !== 'string' || PLAIN_CONNECTION_VALUE.test(connection)) return undefined;
   return new Set(connection.split(',').map((name) => name.trim().toLowerCase()));
 };
 
 export const endToEndHeaders = (headers: Headers): Record<string, string | string[]> => {
   const kept: Record<string, string | string[]> = {};
-  const declared = declaredNames(headers);
+  const connectionNames = connectionHeaderNames(headers);
   Object.keys(headers).forEach((name) => {
     const value = headers[name];
     if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) return;
-    if (declared?.has(name) !== true) kept[name] = value;
+    if (connectionNames?.has(name) !== true) kept[name] = value;
   });
   return kept;
 };
--- a/src/entry/common/hangUp.ts
+++ b/src/entry/common/hangUp.ts
@@ -10,7 +10,7 @@
 } as const;
 export type HangUpStep = (typeof HangUpStep)[keyof typeof HangUpStep];
 
-export interface HangUpQuestion {
+export interface HangUpState {
   readonly isIdempotent: boolean;
   /** Whether an attempt is under way. */
   readonly isUnderWay: boolean;
@@ -27,7 +27,7 @@
  * Work that is not idempotent is left to end once a byte of it may have left: cut short, its
  * outcome could not be recorded under its key, and the caller's repeat would be told "unknown".
  */
-export const hangUpStep = ({ isIdempotent, isUnderWay, isSent }: HangUpQuestion): HangUpStep => {
+export const hangUpStep = ({ isIdempotent, isUnderWay, isSent }: HangUpState): HangUpStep => {
   if (!isUnderWay) return HangUpStep.LetGo;
   return isIdempotent || !isSent ? HangUpStep.Abort : HangUpStep.LetEnd;
 };
--- a/src/entry/common/hangUpNotice.ts
+++ b/src/entry/common/hangUpSignal.ts
@@ -5,7 +5,7 @@
  * would tell the same, but making one and taking it down costs some 11 µs of processor time, a
  * tenth of what a bare pass-through spends on a whole request.
  */
-export class HangUpNotice {
+export class HangUpSignal {
   #hasHungUp = false;
 
   #listener: (() => void) | undefined;
@@ -20,7 +20,7 @@
   }
 
   /** Tells of the hang-up, once however often it is called. */
-  give(): void {
+  raise(): void {
     if (this.#hasHungUp) return;
     this.#hasHungUp = true;
     this.#listener?.();
--- a/src/entry/common/latencyEstimate.ts
+++ b/src/entry/common/latencyEstimate.ts
@@ -1,7 +1,7 @@
 /** A moving estimate of a backend server's latency that forgets with time. */
 
 /** Time in which an estimate that no answer confirms falls to about a third. */
-const FORGETTING_MS = 10_000;
+const DECAY_MS = 10_000;
 /** Weight of one more answer. */
 const ANSWER_WEIGHT = 0.2;
 
@@ -18,7 +18,7 @@
   /** Zero before the first answer, so that a new server is tried. */
   valueMs(nowMs: number): number {
     const idleMs = nowMs - this.#updatedAtMs;
-    return this.#averageMs * Math.exp(-idleMs / FORGETTING_MS);
+    return this.#averageMs * Math.exp(-idleMs / DECAY_MS);
   }
 
   note(latencyMs: number, nowMs: number): void {
--- a/src/entry/common/requestProgress.ts
+++ b/src/entry/common/requestProgress.ts
@@ -9,7 +9,7 @@
 import { AttemptEnd } from './attempt.js';
 import { type HangUpStep, hangUpStep } from './hangUp.js';
 
-export interface ProgressTerms {
+export interface ProgressOptions {
   readonly isIdempotent: boolean;
   readonly maximumAttemptCount: number;
   readonly deadlineAtMs: number;
@@ -21,11 +21,11 @@
  * room, changes nothing about the first.
  */
 export class RequestProgress {
-  readonly #terms: ProgressTerms;
+  readonly #options: ProgressOptions;
 
   #attemptCount = 0;
 
-  #unendedCount = 0;
+  #runningCount = 0;
 
   #mayHaveRun = false;
 
@@ -33,8 +33,8 @@
 
   #lastEnd: AttemptEnd = AttemptEnd.NotRun;
 
-  constructor(terms: ProgressTerms) {
-    this.#terms = terms;
+  constructor(options: ProgressOptions) {
+    this.#options = options;
   }
 
   get attemptCount(): number {
@@ -43,7 +43,7 @@
 
   /** Whether an attempt is under way or was sent without a known outcome. */
   get mayHaveRun(): boolean {
-    return this.#mayHaveRun || this.#unendedCount > 0;
+    return this.#mayHaveRun || this.#runningCount > 0;
   }
 
   /**
@@ -51,14 +51,14 @@
    * idempotent may have run already: the caller would be billed twice.
    */
   tryStart(): boolean {
-    if (!this.#terms.isIdempotent && this.mayHaveRun) return false;
+    if (!this.#options.isIdempotent && this.mayHaveRun) return false;
     this.#attemptCount += 1;
-    this.#unendedCount += 1;
+    this.#runningCount += 1;
     return true;
   }
 
   noteEnd(end: AttemptEnd): void {
-    this.#unendedCount -= 1;
+    this.#runningCount -= 1;
     this.#lastEnd = end;
     if (end !== AttemptEnd.NotRun) this.#mayHaveRun = true;
   }
@@ -66,13 +66,13 @@
   /** Decides on a request whose caller hung up; from then on it is not tried again. */
   noteHangUp(isSent: boolean): HangUpStep {
     this.#isAbandoned = true;
-    const { isIdempotent } = this.#terms;
-    return hangUpStep({ isIdempotent, isUnderWay: this.#unendedCount > 0, isSent });
+    const { isIdempotent } = this.#options;
+    return hangUpStep({ isIdempotent, isUnderWay: this.#runningCount > 0, isSent });
   }
 
   /** Whether another attempt is allowed, apart from the retry budget. */
   mayRetry(nowMs: number): boolean {
-    const { isIdempotent, maximumAttemptCount, deadlineAtMs } = this.#terms;
+    const { isIdempotent, maximumAttemptCount, deadlineAtMs } = this.#options;
     if (this.#isAbandoned) return false;
     if (this.#attemptCount >= maximumAttemptCount || nowMs >= deadlineAtMs) return false;
     return isIdempotent || !this.mayHaveRun;
@@ -80,14 +80,15 @@
 
   /** The final answer when the attempts have come to nothing. */
   finalFailure(nowMs: number): Failure {
-    if (this.#isAbandoned) return this.#abandoned();
-    const isPast = nowMs >= this.#terms.deadlineAtMs;
+    if (this.#isAbandoned) return this.#abandonedFailure();
+    const isPastDeadline = nowMs >= this.#options.deadlineAtMs;
     if (this.mayHaveRun) {
-      return isPast
+      return isPastDeadline
         ? failure(ErrorKind.DeadlineExceededAfterSend, 'no answer before the deadline')
         : failure(ErrorKind.AnswerLost, 'the connection ended before the whole answer');
     }
-    if (isPast) return failure(ErrorKind.DeadlineExceeded, 'nothing was sent before the deadline');
+    if (isPastDeadline)
+      return failure(ErrorKind.DeadlineExceeded, 'nothing was sent before the deadline');
     const isRefusal = this.#lastEnd === AttemptEnd.NotRun;
     return isRefusal
       ? failure(ErrorKind.ServerRefused, 'the backend server did not take the request')
@@ -95,13 +96,13 @@
   }
 
   /** Read by nobody but the claim of its key and the counters: the caller is gone. */
-  #abandoned(): Failure {
+  #abandonedFailure(): Failure {
     const workOutcome = this.mayHaveRun ? WorkOutcome.Unknown : WorkOutcome.NotRun;
     return { ...failure(ErrorKind.CallerLeft, 'the caller hung up'), workOutcome };
   }
 
   /** A refusal as it may be told: never as not run when an earlier attempt may have run. */
-  tellable(cause: Failure): Failure {
+  toReportedFailure(cause: Failure): Failure {
     const outcome = cause.workOutcome ?? ERROR_ANSWERS[cause.kind].workOutcome;
     if (!this.mayHaveRun || outcome !== WorkOutcome.NotRun) return cause;
     return { ...cause, workOutcome: WorkOutcome.Unknown };
--- a/src/entry/common/retryBudget.ts
+++ b/src/entry/common/retryBudget.ts
@@ -42,7 +42,7 @@
 }
 
 /** The part of the hedge budget that is spent without a sign that hedging helps. */
-const TRIAL_SHARE = 0.1;
+const EXPLORATION_SHARE = 0.1;
 
 /**
  * Bounds hedges, and keeps them to where they help. A request that is long by its nature is as
@@ -50,31 +50,31 @@
  * part of the budget goes into trying; each hedge that is answered first earns another one.
  */
 export class HedgeBudget {
-  readonly #all: RetryBudget;
+  readonly #totalBudget: RetryBudget;
 
-  readonly #trials: RetryBudget;
+  readonly #explorationBudget: RetryBudget;
 
   constructor(ratio: number) {
-    this.#all = new RetryBudget(ratio);
-    this.#trials = new RetryBudget(ratio * TRIAL_SHARE);
+    this.#totalBudget = new RetryBudget(ratio);
+    this.#explorationBudget = new RetryBudget(ratio * EXPLORATION_SHARE);
   }
 
   get hasToken(): boolean {
-    return this.#all.hasToken && this.#trials.hasToken;
+    return this.#totalBudget.hasToken && this.#explorationBudget.hasToken;
   }
 
   earn(): void {
-    this.#all.earn();
-    this.#trials.earn();
+    this.#totalBudget.earn();
+    this.#explorationBudget.earn();
   }
 
   trySpend(): boolean {
     if (!this.hasToken) return false;
-    return this.#all.trySpend() && this.#trials.trySpend();
+    return this.#totalBudget.trySpend() && this.#explorationBudget.trySpend();
   }
 
   /** A hedge was answered before the first attempt. */
   noteWin(): void {
-    this.#trials.refund();
+    this.#explorationBudget.refund();
   }
 }
--- a/src/entry/common/secondAttempt.ts
+++ b/src/entry/common/secondAttempt.ts
@@ -1,7 +1,7 @@
 /** Decides when a request under way is sent a second time beside the first. */
 import { ExtraReason } from './admissionDecision.js';
 
-export interface UnderWay {
+export interface RunningRequest {
   readonly isIdempotent: boolean;
   readonly attemptCount: number;
   readonly maximumAttemptCount: number;
@@ -28,12 +28,12 @@
  * that is merely long is never cut off by this. Work that is not idempotent is left alone.
  */
 export const secondAttemptReason = (
-  underWay: UnderWay,
+  running: RunningRequest,
   settings: SecondAttemptSettings,
 ): ExtraReason | undefined => {
-  const { ageMs, highLatencyMs } = underWay;
-  if (!underWay.isIdempotent || underWay.hasProgress) return undefined;
-  if (underWay.attemptCount >= underWay.maximumAttemptCount) return undefined;
+  const { ageMs, highLatencyMs } = running;
+  if (!running.isIdempotent || running.hasProgress) return undefined;
+  if (running.attemptCount >= running.maximumAttemptCount) return undefined;
   if (ageMs >= Math.max(settings.silenceFloorMs, highLatencyMs * SILENCE_FACTOR)) {
     return ExtraReason.Silence;
   }
--- a/src/entry/common/serverChoice.ts
+++ b/src/entry/common/serverChoice.ts
@@ -13,7 +13,7 @@
 }
 
 /** Draws before all servers are looked at; enough unless most of them are full. */
-const DRAW_LIMIT = 6;
+const MAXIMUM_DRAWS = 6;
 
 /** A random eligible server; looks at all only after several draws have failed. */
 export const drawEligible = <Waiting extends WaitingRequest>(
@@ -24,7 +24,7 @@
 ): ServerRecord<Waiting> | undefined => {
   if (servers.length === 0) return undefined;
   const avoided = servers.length > 1 ? avoidedWorkerId : undefined;
-  for (let draw = 0; draw < DRAW_LIMIT; draw += 1) {
+  for (let draw = 0; draw < MAXIMUM_DRAWS; draw += 1) {
     const drawn = servers[random.nextIndex(servers.length)];
     if (drawn?.isEligible(nowMs) === true && drawn.worker.workerId !== avoided) return drawn;
   }
@@ -73,7 +73,7 @@
 }
 
 /** Latency times the square of what is in flight; see docs/design/requests.md for the powers. */
-const weightedLatencyMs = <Waiting extends WaitingRequest>(
+const loadWeightedLatencyMs = <Waiting extends WaitingRequest>(
   server: ServerRecord<Waiting>,
   nowMs: number,
 ): number => server.latency.valueMs(nowMs) * (server.worker.inFlightCount + 1) ** 2;
@@ -97,7 +97,7 @@
     nowMs: number,
     avoidedWorkerId?: string,
   ): ServerRecord<Waiting> | undefined {
-    const costOf = (server: ServerRecord<Waiting>): number => weightedLatencyMs(server, nowMs);
+    const costOf = (server: ServerRecord<Waiting>): number => loadWeightedLatencyMs(server, nowMs);
     return cheaperOfTwo(servers, nowMs, this.#random, avoidedWorkerId, costOf);
   }
 }
--- a/src/entry/common/serverLessons.ts
+++ b/src/entry/common/serverFeedback.ts
@@ -1,6 +1,6 @@
 /** What an entry learns of servers from how attempts at them ended. */
 import type { RandomSource } from '../../base/common/random.js';
-import { type PlaceEnd, ServerVerdict } from './admissionDecision.js';
+import { type AttemptOutcome, ServerVerdict } from './admissionDecision.js';
 import type { WaitingRequest } from './fairQueue.js';
 import { LatencyWindows } from './latencyWindows.js';
 import type { ServerRecord, ServiceRecord } from './serverRecords.js';
@@ -9,7 +9,7 @@
  * Apart from admission, which only asks whether a server may be chosen: here is what makes one
  * less likely to be chosen, or sets it aside.
  */
-export class ServerLessons<Waiting extends WaitingRequest> {
+export class ServerFeedback<Waiting extends WaitingRequest> {
   readonly #maximumSetAsideRatio: number;
 
   readonly #random: RandomSource;
@@ -35,7 +35,7 @@
   note(
     service: ServiceRecord<Waiting>,
     server: ServerRecord<Waiting>,
-    end: PlaceEnd,
+    end: AttemptOutcome,
     nowMs: number,
   ): void {
     if (end.verdict === ServerVerdict.Unused) return;
@@ -48,7 +48,7 @@
       this.latencyWindows.note(server.worker.workerId, service.name, end.latencyMs, nowMs);
       server.health.noteSuccess();
       if (service.limit.note(end.latencyMs, service.occupiedCount)) {
-        service.overtaking.forEach((each) => each.refreshRoom());
+        service.servicesNotLessUrgent.forEach((each) => each.refreshEffectiveLimit());
       }
       return;
     }
@@ -66,7 +66,7 @@
     const { servers } = service;
     if (servers.length < 2) return false;
     const allowed = Math.max(1, Math.floor(servers.length * this.#maximumSetAsideRatio));
-    const asideCount = servers.filter(({ health }) => health.isSetAside(nowMs)).length;
-    return asideCount < allowed;
+    const setAsideCount = servers.filter(({ health }) => health.isSetAside(nowMs)).length;
+    return setAsideCount < allowed;
   }
 }
--- a/src/entry/common/serverHealth.ts
+++ b/src/entry/common/serverHealth.ts
@@ -6,9 +6,9 @@
  * than a half, sets a server aside; one failure among successes never does.
  */
 const OUTCOME_WEIGHT = 0.2;
-const SET_ASIDE_SHARE = 0.5;
-const FIRST_PERIOD_MS = 1_000;
-const LONGEST_PERIOD_MS = 30_000;
+const SET_ASIDE_FAILURE_SHARE = 0.5;
+const MINIMUM_SET_ASIDE_MS = 1_000;
+const MAXIMUM_SET_ASIDE_MS = 30_000;
 /** Successes in a row that end the trial after a return. */
 const TRIAL_SUCCESS_COUNT = 3;
 
@@ -25,7 +25,7 @@
 
   #setAsideCount = 0;
 
-  #missingSuccessCount = 0;
+  #remainingTrialCount = 0;
 
   isSetAside(nowMs: number): boolean {
     return nowMs < this.#setAsideUntilMs;
@@ -33,27 +33,30 @@
 
   /** Whether the server has come back and has not yet shown that it works. */
   get isOnTrial(): boolean {
-    return this.#missingSuccessCount > 0;
+    return this.#remainingTrialCount > 0;
   }
 
   noteSuccess(): void {
     this.#failureShare *= 1 - OUTCOME_WEIGHT;
-    if (this.#missingSuccessCount === 0) return;
-    this.#missingSuccessCount -= 1;
-    if (this.#missingSuccessCount === 0) this.#setAsideCount = 0;
+    if (this.#remainingTrialCount === 0) return;
+    this.#remainingTrialCount -= 1;
+    if (this.#remainingTrialCount === 0) this.#setAsideCount = 0;
   }
 
   /** Whether the failure is one too many; the caller decides if the server may be set aside. */
   noteFailure(): boolean {
     this.#failureShare = this.#failureShare * (1 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
-    return this.#failureShare > SET_ASIDE_SHARE || this.isOnTrial;
+    return this.#failureShare > SET_ASIDE_FAILURE_SHARE || this.isOnTrial;
   }
 
   setAside(nowMs: number, random: RandomSource): void {
-    const periodMs = Math.min(FIRST_PERIOD_MS * 2 ** this.#setAsideCount, LONGEST_PERIOD_MS);
+    const periodMs = Math.min(
+      MINIMUM_SET_ASIDE_MS * 2 ** this.#setAsideCount,
+      MAXIMUM_SET_ASIDE_MS,
+    );
     this.#setAsideUntilMs = nowMs + periodMs * (1 + random.nextFraction() / 2);
     this.#setAsideCount += 1;
     this.#failureShare = 0;
-    this.#missingSuccessCount = TRIAL_SUCCESS_COUNT;
+    this.#remainingTrialCount = TRIAL_SUCCESS_COUNT;
   }
 }
--- a/src/entry/common/serverRecords.ts
+++ b/src/entry/common/serverRecords.ts
@@ -6,7 +6,7 @@
 import type { BackendServer } from './routing.js';
 import { ServerHealth } from './serverHealth.js';
 import { FairQueue, type WaitingRequest } from './fairQueue.js';
-import { ServingPace } from './servingPace.js';
+import { DequeueInterval } from './dequeueInterval.js';
 
 /** A worker with the requests of all services that this entry has in flight on it. */
 export class WorkerRecord<Waiting extends WaitingRequest> {
@@ -68,7 +68,7 @@
 
   readonly queue: FairQueue<Waiting>;
 
-  readonly pace = new ServingPace();
+  readonly dequeueInterval = new DequeueInterval();
 
   readonly budget: RetryBudget;
 
@@ -82,7 +82,7 @@
   occupiedCount = 0;
 
   /** The place in the order of serving; the least recently served goes first. */
-  lastServedOrder = 0;
+  lastDequeueOrder = 0;
 
   constructor(
     name: string,
@@ -104,16 +104,16 @@
   slotCount = 0;
 
   /** Services on the same workers that are no more urgent, this one included. */
-  yielding: readonly ServiceRecord<Waiting>[] = [];
+  servicesNotMoreUrgent: readonly ServiceRecord<Waiting>[] = [];
 
   /** Services on the same workers that are no less urgent, this one included. */
-  overtaking: readonly ServiceRecord<Waiting>[] = [];
+  servicesNotLessUrgent: readonly ServiceRecord<Waiting>[] = [];
 
   /** What `refreshRoom` made of the limits. */
-  room = 0;
+  effectiveLimit = 0;
 
-  get hasRoom(): boolean {
-    return this.occupiedCount < this.room;
+  get hasCapacity(): boolean {
+    return this.occupiedCount < this.effectiveLimit;
   }
 
   /**
@@ -122,11 +122,11 @@
    * the one that learns a lower limit gets no place, hence no answers, and never learns better,
    * and low work would shut urgent work out.
    */
-  refreshRoom(): void {
-    const perSlot = this.yielding.reduce(
+  refreshEffectiveLimit(): void {
+    const limitPerSlot = this.servicesNotMoreUrgent.reduce(
       (most, { limit, slotCount }) => Math.max(most, limit.value / Math.max(1, slotCount)),
       0,
     );
-    this.room = Math.max(1, Math.floor(perSlot * this.slotCount));
+    this.effectiveLimit = Math.max(1, Math.floor(limitPerSlot * this.slotCount));
   }
 }
--- a/src/entry/common/serviceRoster.ts
+++ b/src/entry/common/serviceRegistry.ts
@@ -7,15 +7,15 @@
 import type { BackendServer, RoutingTable } from './routing.js';
 import { ServerRecord, ServiceRecord, WorkerRecord } from './serverRecords.js';
 
-export interface RosterSettings {
+export interface RegistrySettings {
   readonly queueCapacity: number;
   readonly maximumEntryCount: number;
   readonly retryBudgetRatio: number;
   readonly hedgeBudgetRatio: number;
 }
 
-export class ServiceRoster<Waiting extends WaitingRequest> {
-  readonly #settings: RosterSettings;
+export class ServiceRegistry<Waiting extends WaitingRequest> {
+  readonly #settings: RegistrySettings;
 
   readonly #services = new Map<string, ServiceRecord<Waiting>>();
 
@@ -26,7 +26,7 @@
 
   #entryCount = 1;
 
-  constructor(settings: RosterSettings) {
+  constructor(settings: RegistrySettings) {
     this.#settings = settings;
   }
 
@@ -57,7 +57,7 @@
     const known = new Map([...this.#departed, ...this.#workers]);
     this.#workers.clear();
     this.#departed.clear();
-    routes.forEach((servers) => servers.forEach((server) => this.#keepWorker(server, known)));
+    routes.forEach((servers) => servers.forEach((server) => this.#retainWorker(server, known)));
     known.forEach((worker, workerId) => {
       if (this.#workers.has(workerId)) return;
       // The record is this class's own.
@@ -76,24 +76,28 @@
       service.urgency = urgencyOf(name);
       this.#setServers(service, servers);
     });
-    this.#relate();
+    this.#linkSharedServices();
   }
 
   /** Finds for each service those on the same workers, by urgency. */
-  #relate(): void {
+  #linkSharedServices(): void {
     this.#services.forEach((service) => {
       const rank = URGENCY_ORDER[service.urgency];
       const related = new Set(service.servers.flatMap(({ worker }) => worker.services));
       related.add(service);
       /* eslint-disable no-param-reassign -- the record is this class's own */
-      service.yielding = [...related].filter(({ urgency }) => URGENCY_ORDER[urgency] >= rank);
-      service.overtaking = [...related].filter(({ urgency }) => URGENCY_ORDER[urgency] <= rank);
+      service.servicesNotMoreUrgent = [...related].filter(
+        ({ urgency }) => URGENCY_ORDER[urgency] >= rank,
+      );
+      service.servicesNotLessUrgent = [...related].filter(
+        ({ urgency }) => URGENCY_ORDER[urgency] <= rank,
+      );
       /* eslint-enable no-param-reassign */
     });
-    this.#services.forEach((service) => service.refreshRoom());
+    this.#services.forEach((service) => service.refreshEffectiveLimit());
   }
 
-  #keepWorker(server: BackendServer, known: ReadonlyMap<string, WorkerRecord<Waiting>>): void {
+  #retainWorker(server: BackendServer, known: ReadonlyMap<string, WorkerRecord<Waiting>>): void {
     if (this.#workers.has(server.workerId)) return;
     const worker = known.get(server.workerId) ?? new WorkerRecord<Waiting>(server.workerId);
     worker.inFlightLimit = this.#pooledShare(server);
@@ -110,7 +114,7 @@
     const service = new ServiceRecord<Waiting>(
       name,
       urgency,
-      new ConcurrencyLimit(this.#slotShare(servers), this.#highestLimit(servers)),
+      new ConcurrencyLimit(this.#slotShare(servers), this.#maximumLimit(servers)),
       new FairQueue<Waiting>(queueCapacity),
       new RetryBudget(retryBudgetRatio),
       new HedgeBudget(hedgeBudgetRatio),
@@ -136,7 +140,7 @@
     service.occupiedCount = records.reduce((sum, { worker }) => sum + worker.inFlightCount, 0);
     service.slotCount = servers.reduce((sum, { slotCount }) => sum + slotCount, 0);
     /* eslint-enable no-param-reassign */
-    service.limit.rescale(this.#slotShare(servers), this.#highestLimit(servers));
+    service.limit.rescale(this.#slotShare(servers), this.#maximumLimit(servers));
   }
 
   #slotShare(servers: readonly BackendServer[]): number {
@@ -144,7 +148,7 @@
     return slotCount / this.#entryCount;
   }
 
-  #highestLimit(servers: readonly BackendServer[]): number {
+  #maximumLimit(servers: readonly BackendServer[]): number {
     return servers.reduce((sum, server) => sum + this.#pooledShare(server), 0);
   }
 
--- a/src/entry/node/attemptRequest.ts
+++ b/src/entry/node/attemptRequest.ts
@@ -2,7 +2,7 @@
 import type { TraceSpan } from '../../services/tracing/common/tracing.js';
 import type { CallerRequest } from '../common/callerRequest.js';
 import { SERVICE_HEADER, TRACEPARENT_HEADER } from '../common/headers.js';
-import { endToEndHeaders } from '../common/passedHeaders.js';
+import { endToEndHeaders } from '../common/forwardedHeaders.js';
 import type { BackendServer } from '../common/routing.js';
 import type { AttemptRequest } from './backendConnections.js';
 
--- a/src/entry/node/attemptRun.ts
+++ b/src/entry/node/attemptRun.ts
@@ -24,7 +24,7 @@
 const HTTP_NOT_MODIFIED = 304;
 const HTTP_UNAVAILABLE = 503;
 
-class GivenUpError extends Error {}
+class AttemptCancelledError extends Error {}
 
 /**
  * Follows the attempt's connection and settles once.
@@ -63,7 +63,7 @@
 
   #chunks: Buffer[] = [];
 
-  #lengthBytes = 0;
+  #receivedBytes = 0;
 
   constructor(method: string, maximumBodyBytes: number, metrics: Metrics) {
     this.#method = method;
@@ -87,16 +87,16 @@
   /** Ends the attempt; a connection that carries it is closed, so its answer meets nobody. */
   giveUp(): void {
     this.#end(AttemptEnd.TimedOut);
-    this.#controller?.abort(new GivenUpError('given up'));
+    this.#controller?.abort(new AttemptCancelledError('given up'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     if (this.#isSent) {
-      this.#breach('invariant_attempt_sent_twice', controller);
+      this.#reportInvariantViolation('invariant_attempt_sent_twice', controller);
       return;
     }
     if (this.#settle === undefined) {
-      controller.abort(new GivenUpError('given up before it was sent'));
+      controller.abort(new AttemptCancelledError('given up before it was sent'));
       return;
     }
     this.#controller = controller;
@@ -111,7 +111,7 @@
     this.#hasProgress = true;
     if (statusCode < FIRST_FINAL_STATUS) return;
     if (this.#statusCode !== 0) {
-      this.#breach('invariant_second_answer', controller);
+      this.#reportInvariantViolation('invariant_second_answer', controller);
       return;
     }
     this.#statusCode = statusCode;
@@ -123,18 +123,18 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    this.#lengthBytes += chunk.length;
-    if (this.#lengthBytes <= this.#maximumBodyBytes) {
+    this.#receivedBytes += chunk.length;
+    if (this.#receivedBytes <= this.#maximumBodyBytes) {
       this.#chunks.push(chunk);
       return;
     }
     this.#metrics.count('answers_too_large');
     this.#end(AttemptEnd.Lost);
-    controller.abort(new GivenUpError('the answer is too large'));
+    controller.abort(new AttemptCancelledError('the answer is too large'));
   }
 
   onResponseEnd(): void {
-    if (!this.#isFramed || !this.#hasStatedLength()) {
+    if (!this.#isFramed || !this.#hasDeclaredLength()) {
       this.#metrics.count('answers_cut');
       this.#end(AttemptEnd.Lost);
       return;
@@ -167,10 +167,10 @@
     settle({ end: this.#isSent ? end : AttemptEnd.NotRun, answer, isServerLeaving });
   }
 
-  #breach(invariant: string, controller: Dispatcher.DispatchController): void {
+  #reportInvariantViolation(invariant: string, controller: Dispatcher.DispatchController): void {
     this.#metrics.count(invariant);
     this.#end(AttemptEnd.Lost);
-    controller.abort(new GivenUpError(invariant));
+    controller.abort(new AttemptCancelledError(invariant));
   }
 
   #hasNoBody(): boolean {
@@ -181,8 +181,8 @@
     );
   }
 
-  #hasStatedLength(): boolean {
-    const stated = this.#headers['content-length'];
-    return stated === undefined || this.#hasNoBody() || Number(stated) === this.#lengthBytes;
+  #hasDeclaredLength(): boolean {
+    const declared = this.#headers['content-length'];
+    return declared === undefined || this.#hasNoBody() || Number(declared) === this.#receivedBytes;
   }
 }
--- a/src/entry/node/backendConnections.ts
+++ b/src/entry/node/backendConnections.ts
@@ -31,7 +31,7 @@
   openCount: number;
   inFlightCount: number;
   /** Whether the one connection outside the pool is in use. */
-  hasFresh: boolean;
+  isFreshInUse: boolean;
 }
 
 /**
@@ -53,7 +53,7 @@
 
   readonly #metrics: Metrics;
 
-  #wanted: ReadonlySet<string> | undefined;
+  #wantedOrigins: ReadonlySet<string> | undefined;
 
   constructor(settings: BackendConnectionSettings, metrics: Metrics) {
     this.#settings = settings;
@@ -70,7 +70,7 @@
       return run;
     }
     connections.inFlightCount += 1;
-    const isFresh = request.isFreshWanted && !connections.hasFresh && connections.share > 1;
+    const isFresh = request.isFreshWanted && !connections.isFreshInUse && connections.share > 1;
     if (isFresh) this.#dispatchFresh(connections, request, run);
     else connections.pool.dispatch(BackendConnections.#options(request), run);
     void run.result.then(() => {
@@ -82,7 +82,7 @@
 
   /** Closes what leads to servers that are gone, as soon as nothing is in flight there. */
   retainOnly(origins: ReadonlySet<string>): void {
-    this.#wanted = origins;
+    this.#wantedOrigins = origins;
     [...this.#servers.keys()].forEach((origin) => this.#closeUnwanted(origin));
   }
 
@@ -93,7 +93,7 @@
 
   #closeUnwanted(origin: string): void {
     const connections = this.#servers.get(origin);
-    const isWanted = this.#wanted === undefined || this.#wanted.has(origin);
+    const isWanted = this.#wantedOrigins === undefined || this.#wantedOrigins.has(origin);
     if (connections === undefined || isWanted || connections.inFlightCount > 0) return;
     this.#servers.delete(origin);
     void connections.pool.destroy();
@@ -107,28 +107,28 @@
       ...this.#clientOptions(),
       connections: pooledShare(share),
     });
-    const connections = { pool, share, openCount: 0, inFlightCount: 0, hasFresh: false };
-    this.#watch(pool, connections);
+    const connections = { pool, share, openCount: 0, inFlightCount: 0, isFreshInUse: false };
+    this.#countOpenConnections(pool, connections);
     this.#servers.set(server.origin, connections);
     return connections;
   }
 
   #dispatchFresh(connections: ServerConnections, request: AttemptRequest, run: AttemptRun): void {
     const client = new Client(request.server.origin, this.#clientOptions());
-    this.#watch(client, connections);
+    this.#countOpenConnections(client, connections);
     // The record is this class's own.
     /* eslint-disable no-param-reassign */
-    connections.hasFresh = true;
+    connections.isFreshInUse = true;
     client.dispatch({ ...BackendConnections.#options(request), reset: true }, run);
     void run.result.then(async () => {
       await client.destroy();
-      connections.hasFresh = false;
+      connections.isFreshInUse = false;
     });
     /* eslint-enable no-param-reassign */
   }
 
   /** Keeps the account of open connections and refuses to be silent about a breach. */
-  #watch(dispatcher: Pool | Client, connections: ServerConnections): void {
+  #countOpenConnections(dispatcher: Pool | Client, connections: ServerConnections): void {
     // The record is this class's own.
     /* eslint-disable no-param-reassign */
     dispatcher.on('connect', () => {
--- a/src/entry/node/callerServer.ts
+++ b/src/entry/node/callerServer.ts
@@ -15,8 +15,8 @@
 import { listeningPort } from '../../services/http/node/listening.js';
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import type { Settings } from '../../services/settings/common/settings.js';
-import { HangUpNotice } from '../common/hangUpNotice.js';
-import { endToEndHeaders } from '../common/passedHeaders.js';
+import { HangUpSignal } from '../common/hangUpSignal.js';
+import { endToEndHeaders } from '../common/forwardedHeaders.js';
 import type { RequestHandler } from './requestHandler.js';
 
 const SERVICE_PATH = /^\/services\/([^/?]+)(.*)$/u;
@@ -24,7 +24,7 @@
 const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
 const FIRST_SERVER_ERROR = 500;
 /** How often connections are looked over for callers that send too slowly. */
-const SLOW_SENDER_CHECK_MS = 1_000;
+const SLOW_SENDER_CHECK_INTERVAL_MS = 1_000;
 
 const toFailure = (error: { code?: string; statusCode?: number; message: string }): Failure => {
   if (error.code === BODY_TOO_LARGE_CODE) return failure(ErrorKind.BodyTooLarge, error.message);
@@ -85,7 +85,7 @@
       bodyLimit: settings.maximumBodyBytes,
       requestTimeout: settings.receiveTimeoutMs,
       http: {
-        connectionsCheckingInterval: SLOW_SENDER_CHECK_MS,
+        connectionsCheckingInterval: SLOW_SENDER_CHECK_INTERVAL_MS,
         headersTimeout: settings.receiveTimeoutMs,
       },
       exposeHeadRoutes: false,
@@ -129,7 +129,7 @@
     );
     this.#server.addHook('onRequest', (request, reply, done) => {
       if (this.#isDraining) void reply.header('connection', 'close');
-      if (this.#tryHold(request, reply)) done();
+      if (this.#tryReserveBody(request, reply)) done();
     });
     this.#server.setErrorHandler((error, _request, reply) =>
       replyWithFailure(reply, toFailure(error as Error)),
@@ -140,7 +140,7 @@
   }
 
   /** Sets memory for the body aside, or refuses the request before its body is read. */
-  #tryHold(request: FastifyRequest, reply: FastifyReply): boolean {
+  #tryReserveBody(request: FastifyRequest, reply: FastifyReply): boolean {
     const { 'content-length': length, 'transfer-encoding': encoding } = request.headers;
     if (length === undefined && encoding === undefined) return true;
     const { maximumBodyBytes, maximumHeldBytes } = this.#settings;
@@ -164,19 +164,19 @@
    * Runs a step that is told when the caller's connection closes first. The connection is
    * watched, not the reply: one that waits behind another on its connection never tells.
    */
-  async #untilHangUp<Result>(
+  async #withHangUpSignal<Result>(
     socket: Socket,
-    step: (hangUp: HangUpNotice) => Promise<Result>,
+    step: (hangUp: HangUpSignal) => Promise<Result>,
   ): Promise<Result> {
-    const notice = new HangUpNotice();
+    const signal = new HangUpSignal();
     const handleClose = (): void => {
       this.#metrics.count('callers_hung_up');
-      notice.give();
+      signal.raise();
     };
     socket.on('close', handleClose);
     if (socket.destroyed) handleClose();
     try {
-      return await step(notice);
+      return await step(signal);
     } finally {
       socket.removeListener('close', handleClose);
     }
@@ -192,7 +192,7 @@
       headers: request.headers,
       body: Buffer.isBuffer(request.body) ? request.body : undefined,
     };
-    const result = await this.#untilHangUp(request.raw.socket, (hangUp) =>
+    const result = await this.#withHangUpSignal(request.raw.socket, (hangUp) =>
       this.#handler.handle(callerRequest, hangUp),
     );
     // Also said of requests that came before the shutdown began; the caller would otherwise
--- a/src/entry/node/claimKeeper.ts
+++ b/src/entry/node/claimKeeper.ts
@@ -23,10 +23,10 @@
   type ClaimRequest,
   ClaimTiming,
   claimTransaction,
-  type ClaimVerdict,
-  judgeClaim,
+  type ClaimDecision,
+  decideClaim,
   releaseTransaction,
-  StoreGate,
+  StoreCircuitBreaker,
 } from '../common/claims.js';
 
 /** A claim that was made, with the version of its row. */
@@ -41,22 +41,22 @@
   | { readonly kind: 'held'; readonly held: HeldClaim }
   | { readonly kind: 'replay'; readonly answer: RecordedAnswer };
 
-export interface ClaimKeeperSettings {
+export interface ClaimManagerSettings {
   readonly claimLifetimeMs: number;
   readonly maximumRecordedBytes: number;
 }
 
 /** Rounds of asking the store before a request is refused as not run. */
-const MAXIMUM_ROUNDS = 4;
+const MAXIMUM_CLAIM_ROUNDS = 4;
 /** Tries to write an answer or a release; a lost write affects only repeats of the request. */
-const MAXIMUM_WRITE_TRIES = 3;
-const STORE_RETURN_MS = 2_000;
-const ABANDONMENT_INTERVAL_MS = 200;
-const MAXIMUM_ABANDONED = 1_000;
+const MAXIMUM_WRITE_ATTEMPTS = 3;
+const STORE_RETRY_AFTER_MS = 2_000;
+const WITHDRAWAL_INTERVAL_MS = 200;
+const MAXIMUM_ABANDONED_CLAIMS = 1_000;
 
-const storeOut = (): Failure => ({
+const storeUnavailable = (): Failure => ({
   ...failure(ErrorKind.StoreUnavailable, 'the store that keeps idempotency keys is out'),
-  retryAfterMs: STORE_RETURN_MS,
+  retryAfterMs: STORE_RETRY_AFTER_MS,
 });
 
 const digestOf = ({ method, path, body }: CallerRequest): string =>
@@ -72,9 +72,9 @@
 
   readonly #metrics: Metrics;
 
-  readonly #settings: ClaimKeeperSettings;
+  readonly #settings: ClaimManagerSettings;
 
-  readonly #gate = new StoreGate();
+  readonly #storeBreaker = new StoreCircuitBreaker();
 
   readonly #timing = new ClaimTiming();
 
@@ -83,20 +83,20 @@
   /** Claims whose insertion may have taken effect although nothing was sent. */
   readonly #abandoned = new Set<ClaimRequest>();
 
-  readonly #abandonmentTimer: PeriodicTimer;
+  readonly #withdrawalTimer: PeriodicTimer;
 
-  constructor(table: TableService, clock: Clock, metrics: Metrics, settings: ClaimKeeperSettings) {
+  constructor(table: TableService, clock: Clock, metrics: Metrics, settings: ClaimManagerSettings) {
     this.#table = table;
     this.#clock = clock;
     this.#metrics = metrics;
     this.#settings = settings;
-    this.#abandonmentTimer = new PeriodicTimer(ABANDONMENT_INTERVAL_MS, () =>
+    this.#withdrawalTimer = new PeriodicTimer(WITHDRAWAL_INTERVAL_MS, () =>
       this.#withdrawAbandoned(),
     );
   }
 
   dispose(): void {
-    this.#abandonmentTimer.dispose();
+    this.#withdrawalTimer.dispose();
   }
 
   /** Whether keys are claimed before their requests wait; see `ClaimTiming`. */
@@ -135,19 +135,19 @@
       requestDigest: digestOf(request),
       generation: claimGeneration(wallMs, this.#settings.claimLifetimeMs),
     };
-    for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
-      if (!this.#gate.mayAsk(this.#clock.nowMs())) return this.#refuseForStore();
+    for (let round = 0; round < MAXIMUM_CLAIM_ROUNDS; round += 1) {
+      if (!this.#storeBreaker.mayCall(this.#clock.nowMs())) return this.#refuseUnavailable();
       // eslint-disable-next-line no-await-in-loop -- each round depends on the one before
-      const verdict = await this.#ask(claim, tableUnder(this.#table, span));
-      if (isLeft(verdict)) return this.#refuseForStore(claim);
-      if (verdict.right.kind === 'held') {
-        const { version } = verdict.right;
+      const decision = await this.#tryInsert(claim, tableUnder(this.#table, span));
+      if (isLeft(decision)) return this.#refuseUnavailable(claim);
+      if (decision.right.kind === 'held') {
+        const { version } = decision.right;
         return right({ kind: 'held', held: { claim, version, span } });
       }
-      if (verdict.right.kind === 'replay') return right(verdict.right);
-      if (verdict.right.kind === 'refused') return left(verdict.right.failure);
+      if (decision.right.kind === 'replay') return right(decision.right);
+      if (decision.right.kind === 'refused') return left(decision.right.failure);
     }
-    return this.#refuseForStore(claim);
+    return this.#refuseUnavailable(claim);
   }
 
   /** Records an answer for repeats, without keeping the caller waiting for it. */
@@ -166,33 +166,36 @@
     await Promise.all(this.#writes);
   }
 
-  async #ask(claim: ClaimRequest, table: TableService): Promise<Either<Failure, ClaimVerdict>> {
+  async #tryInsert(
+    claim: ClaimRequest,
+    table: TableService,
+  ): Promise<Either<Failure, ClaimDecision>> {
     const inserted = await table.transact(claimTransaction(claim))();
     if (isLeft(inserted)) {
-      this.#gate.noteFailure(this.#clock.nowMs());
+      this.#storeBreaker.noteFailure(this.#clock.nowMs());
       this.#metrics.count('claim_store_failures', { kind: inserted.left.kind });
       if (inserted.left.kind !== ErrorKind.StoreAnswerLost) return inserted;
     } else {
-      this.#gate.noteAnswer();
+      this.#storeBreaker.noteSuccess();
       if (inserted.right.outcome === TransactionOutcome.Committed) {
         return right({ kind: 'held', version: inserted.right.version });
       }
     }
     const read = await table.read({ keys: claimKeys(claim), prefixes: [] })();
     if (isLeft(read)) {
-      this.#gate.noteFailure(this.#clock.nowMs());
+      this.#storeBreaker.noteFailure(this.#clock.nowMs());
       return read;
     }
-    this.#gate.noteAnswer();
-    return right(judgeClaim(claim, read.right.rows));
+    this.#storeBreaker.noteSuccess();
+    return right(decideClaim(claim, read.right.rows));
   }
 
-  #refuseForStore(claim?: ClaimRequest): Either<Failure, never> {
+  #refuseUnavailable(claim?: ClaimRequest): Either<Failure, never> {
     this.#metrics.count('claims_refused');
-    if (claim !== undefined && this.#abandoned.size < MAXIMUM_ABANDONED) {
+    if (claim !== undefined && this.#abandoned.size < MAXIMUM_ABANDONED_CLAIMS) {
       this.#abandoned.add(claim);
     }
-    return left(storeOut());
+    return left(storeUnavailable());
   }
 
   /**
@@ -201,16 +204,16 @@
    */
   async #withdrawAbandoned(): Promise<void> {
     const [claim] = this.#abandoned;
-    if (claim === undefined || !this.#gate.mayAsk(this.#clock.nowMs())) return;
+    if (claim === undefined || !this.#storeBreaker.mayCall(this.#clock.nowMs())) return;
     const read = await this.#table.read({ keys: claimKeys(claim), prefixes: [] })();
     if (isLeft(read)) {
-      this.#gate.noteFailure(this.#clock.nowMs());
+      this.#storeBreaker.noteFailure(this.#clock.nowMs());
       return;
     }
-    this.#gate.noteAnswer();
-    const verdict = judgeClaim(claim, read.right.rows);
-    if (verdict.kind === 'held') {
-      const released = await this.#table.transact(releaseTransaction(claim, verdict.version))();
+    this.#storeBreaker.noteSuccess();
+    const decision = decideClaim(claim, read.right.rows);
+    if (decision.kind === 'held') {
+      const released = await this.#table.transact(releaseTransaction(claim, decision.version))();
       if (isLeft(released)) return;
     }
     this.#abandoned.delete(claim);
@@ -218,15 +221,15 @@
 
   #write({ span }: HeldClaim, transaction: Transaction): Promise<void> {
     const table = tableUnder(this.#table, span);
-    const writing = this.#writeWithTries(table, transaction).finally(() =>
+    const writing = this.#writeWithRetries(table, transaction).finally(() =>
       this.#writes.delete(writing),
     );
     this.#writes.add(writing);
     return writing;
   }
 
-  async #writeWithTries(table: TableService, transaction: Transaction): Promise<void> {
-    for (let tries = 0; tries < MAXIMUM_WRITE_TRIES; tries += 1) {
+  async #writeWithRetries(table: TableService, transaction: Transaction): Promise<void> {
+    for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- tries follow one another
       const written = await table.transact(transaction)();
       if (!isLeft(written)) return;
--- a/src/entry/node/journey.ts
+++ b/src/entry/node/journey.ts
@@ -4,9 +4,9 @@
 import type { Failure } from '../../services/errors/common/errorKinds.js';
 import type { TraceSpan } from '../../services/tracing/common/tracing.js';
 import type { ExtraReason } from '../common/admissionDecision.js';
-import type { CallerRequest, RequestTerms } from '../common/callerRequest.js';
+import type { CallerRequest, RequestOptions } from '../common/callerRequest.js';
 import type { WaitingRequest } from '../common/fairQueue.js';
-import type { HangUpNotice } from '../common/hangUpNotice.js';
+import type { HangUpSignal } from '../common/hangUpSignal.js';
 import type { RequestProgress } from '../common/requestProgress.js';
 import type { ServerRecord } from '../common/serverRecords.js';
 import type { AttemptRun, BackendAnswer } from './attemptRun.js';
@@ -14,10 +14,10 @@
 /** A request under way: what it is, by when it must be answered and its trace. */
 export interface Journey extends WaitingRequest {
   readonly request: CallerRequest;
-  readonly terms: RequestTerms;
+  readonly options: RequestOptions;
   readonly progress: RequestProgress;
   readonly span: TraceSpan | undefined;
-  readonly hangUp: HangUpNotice;
+  readonly hangUp: HangUpSignal;
   waitingSinceMs: number;
   avoidedWorkerId: string | undefined;
   queueSpan: TraceSpan | undefined;
@@ -35,7 +35,7 @@
   readonly server: ServerRecord<Journey>;
   readonly run: AttemptRun;
   readonly startedAtMs: number;
-  readonly extra: ExtraReason | undefined;
+  readonly secondAttemptReason: ExtraReason | undefined;
   readonly span: TraceSpan | undefined;
   isOvertaken: boolean;
   isAbandoned: boolean;
--- a/src/entry/node/requestDispatch.ts
+++ b/src/entry/node/requestDispatch.ts
@@ -15,7 +15,7 @@
   ExtraReason,
   ServerVerdict,
 } from '../common/admissionDecision.js';
-import { LONGEST_PLACE_FOR_CLAIM_MS } from '../common/claims.js';
+import { MAXIMUM_CLAIM_HOLD_MS } from '../common/claims.js';
 import { HangUpStep } from '../common/hangUp.js';
 import type { ServerRecord, ServiceRecord } from '../common/serverRecords.js';
 import { toAttemptRequest } from './attemptRequest.js';
@@ -28,7 +28,7 @@
 
 const GAUGE_INTERVAL_MS = 1_000;
 /** What is not yet known of an attempt at its start. */
-const FRESH = { isOvertaken: false, isAbandoned: false };
+const INITIAL_ATTEMPT_STATE = { isOvertaken: false, isAbandoned: false };
 
 export interface RequestDispatchServices {
   readonly admission: Admission<Journey>;
@@ -42,7 +42,7 @@
 
   readonly #settings: Settings['entry'];
 
-  readonly #journeys = new Set<Journey>();
+  readonly #activeRequests = new Set<Journey>();
 
   readonly #disposables = new DisposableStore();
 
@@ -57,11 +57,11 @@
     this.#secondAttempts = new SecondAttempts(admission, metrics, settings);
     this.#sweepTimer = this.#disposables.add(
       new SweepTimer(
-        () => this.#journeys.size > 0 || admission.hasAbandonedPlaces,
+        () => this.#activeRequests.size > 0 || admission.hasAbandonedPermits,
         () => this.#sweep(),
       ),
     );
-    this.#disposables.add(new PeriodicTimer(GAUGE_INTERVAL_MS, () => this.#report()));
+    this.#disposables.add(new PeriodicTimer(GAUGE_INTERVAL_MS, () => this.#reportGauges()));
   }
 
   dispose(): void {
@@ -69,51 +69,59 @@
   }
 
   get underWayCount(): number {
-    return this.#journeys.size;
+    return this.#activeRequests.size;
   }
 
   /** Gives everything under way its final answer, at the end of a shutdown's time. */
   giveUpAll(): void {
-    this.#journeys.forEach((journey) => {
+    this.#activeRequests.forEach((activeRequest) => {
       this.#services.metrics.count('requests_given_up_at_shutdown');
-      this.#finish(journey, left(failure(ErrorKind.ShuttingDown, 'the entry is shutting down')));
+      this.#finish(
+        activeRequest,
+        left(failure(ErrorKind.ShuttingDown, 'the entry is shutting down')),
+      );
     });
   }
 
   /** Serves a request; the result comes once, at the deadline at the latest. */
-  serve(journey: Journey): Promise<Either<Failure, BackendAnswer>> {
+  serve(activeRequest: Journey): Promise<Either<Failure, BackendAnswer>> {
     return new Promise((settle) => {
       // The record is this class's own from here on.
       // eslint-disable-next-line no-param-reassign
-      journey.settle = settle;
-      this.#journeys.add(journey);
+      activeRequest.settle = settle;
+      this.#activeRequests.add(activeRequest);
       this.#sweepTimer.arm();
-      if (journey.hangUp.hasHungUp) {
-        this.#handleHangUp(journey);
+      if (activeRequest.hangUp.hasHungUp) {
+        this.#handleHangUp(activeRequest);
         return;
       }
-      journey.hangUp.listen(() => this.#handleHangUp(journey));
-      const service = this.#service(journey);
+      activeRequest.hangUp.listen(() => this.#handleHangUp(activeRequest));
+      const service = this.#serviceOf(activeRequest);
       service?.budget.earn();
       service?.hedgeBudget.earn();
-      this.#admit(journey, this.#services.clock.nowMs());
+      this.#admit(activeRequest, this.#services.clock.nowMs());
     });
   }
 
   /** The caller hung up: frees what the request holds, unless it must end by itself. */
-  #handleHangUp(journey: Journey): void {
-    if (journey.isDone) return;
+  #handleHangUp(activeRequest: Journey): void {
+    if (activeRequest.isDone) return;
     const { admission, metrics } = this.#services;
-    const step = journey.progress.noteHangUp(journey.running.some(({ run }) => run.isSent));
+    const step = activeRequest.progress.noteHangUp(
+      activeRequest.running.some(({ run }) => run.isSent),
+    );
     metrics.count('requests_abandoned', { step });
     if (step === HangUpStep.LetEnd) return;
     if (step === HangUpStep.LetGo) {
-      admission.leave(journey.request.serviceName, journey);
-      this.#finish(journey, left(journey.progress.finalFailure(this.#services.clock.nowMs())));
+      admission.leave(activeRequest.request.serviceName, activeRequest);
+      this.#finish(
+        activeRequest,
+        left(activeRequest.progress.finalFailure(this.#services.clock.nowMs())),
+      );
       return;
     }
     // The request ends when they have, so that what is told of the work is what they found.
-    journey.running.forEach((attempt) => {
+    activeRequest.running.forEach((attempt) => {
       // The record is this class's own.
       // eslint-disable-next-line no-param-reassign
       attempt.isAbandoned = true;
@@ -121,24 +129,28 @@
     });
   }
 
-  #service(journey: Journey): ServiceRecord<Journey> | undefined {
-    return this.#services.admission.service(journey.request.serviceName);
+  #serviceOf(activeRequest: Journey): ServiceRecord<Journey> | undefined {
+    return this.#services.admission.service(activeRequest.request.serviceName);
   }
 
-  #admit(journey: Journey, nowMs: number): void {
-    const decision = this.#services.admission.admit(journey.request.serviceName, journey, nowMs);
+  #admit(activeRequest: Journey, nowMs: number): void {
+    const decision = this.#services.admission.admit(
+      activeRequest.request.serviceName,
+      activeRequest,
+      nowMs,
+    );
     switch (decision.kind) {
       case AdmissionKind.Admitted:
-        this.#send(journey, decision.server, undefined, nowMs);
+        this.#send(activeRequest, decision.server, undefined, nowMs);
         return;
       case AdmissionKind.Refused:
-        this.#finish(journey, left(decision.failure));
+        this.#finish(activeRequest, left(decision.failure));
         return;
       default:
         this.#services.metrics.count('requests_queued');
         // The record is this class's own.
         // eslint-disable-next-line no-param-reassign
-        journey.queueSpan = journey.span?.child(Hop.Queue);
+        activeRequest.queueSpan = activeRequest.span?.child(Hop.Queue);
         if (decision.displaced === undefined) return;
         this.#services.metrics.count('requests_displaced');
         this.#finish(decision.displaced.waiting, left(decision.displaced.failure));
@@ -146,100 +158,115 @@
   }
 
   #send(
-    journey: Journey,
+    activeRequest: Journey,
     server: ServerRecord<Journey>,
-    extra: ExtraReason | undefined,
+    secondAttemptReason: ExtraReason | undefined,
     nowMs: number,
   ): void {
-    journey.queueSpan?.end();
-    if (journey.prepare === undefined) this.#attempt(journey, server, extra, nowMs);
-    else this.#prepare(journey, journey.prepare, server, nowMs);
+    activeRequest.queueSpan?.end();
+    if (activeRequest.prepare === undefined)
+      this.#attempt(activeRequest, server, secondAttemptReason, nowMs);
+    else this.#startPreparing(activeRequest, activeRequest.prepare, server, nowMs);
   }
 
   /** Holds the place while the request is made ready; the sweep gives it back if that is slow. */
-  #prepare(
-    journey: Journey,
+  #startPreparing(
+    activeRequest: Journey,
     prepare: NonNullable<Journey['prepare']>,
     server: ServerRecord<Journey>,
     nowMs: number,
   ): void {
     /* eslint-disable no-param-reassign -- the record is this class's own */
-    journey.prepare = undefined;
-    journey.preparing = { server, startedAtMs: nowMs };
+    activeRequest.prepare = undefined;
+    activeRequest.preparing = { server, startedAtMs: nowMs };
     /* eslint-enable no-param-reassign */
-    void prepare().then((prepared) => this.#handlePrepared(journey, prepared));
+    void prepare().then((prepared) => this.#handlePrepared(activeRequest, prepared));
   }
 
-  #handlePrepared(journey: Journey, prepared: Either<Failure, BackendAnswer | undefined>): void {
-    if (journey.isDone) return;
+  #handlePrepared(
+    activeRequest: Journey,
+    prepared: Either<Failure, BackendAnswer | undefined>,
+  ): void {
+    if (activeRequest.isDone) return;
     const nowMs = this.#services.clock.nowMs();
     if (isLeft(prepared)) {
-      this.#finish(journey, prepared);
+      this.#finish(activeRequest, prepared);
       return;
     }
     if (prepared.right !== undefined) {
-      this.#finish(journey, right(prepared.right));
+      this.#finish(activeRequest, right(prepared.right));
       return;
     }
-    const server = journey.preparing?.server;
+    const server = activeRequest.preparing?.server;
     if (server?.worker.isInUse(nowMs) === true) {
       // The record is this class's own.
       // eslint-disable-next-line no-param-reassign
-      journey.preparing = undefined;
-      this.#attempt(journey, server, undefined, nowMs);
+      activeRequest.preparing = undefined;
+      this.#attempt(activeRequest, server, undefined, nowMs);
       return;
     }
     // Its place was given back, or its server began to leave meanwhile.
-    this.#givePlaceBack(journey, nowMs);
+    this.#releasePreparingPermit(activeRequest, nowMs);
     /* eslint-disable no-param-reassign -- the record is this class's own */
-    journey.preparing = undefined;
-    journey.waitingSinceMs = nowMs;
+    activeRequest.preparing = undefined;
+    activeRequest.waitingSinceMs = nowMs;
     /* eslint-enable no-param-reassign */
-    this.#admit(journey, nowMs);
+    this.#admit(activeRequest, nowMs);
   }
 
   /** Gives back the place of a request that is still being made ready. */
-  #givePlaceBack(journey: Journey, nowMs: number): void {
-    const { preparing } = journey;
+  #releasePreparingPermit(activeRequest: Journey, nowMs: number): void {
+    const { preparing } = activeRequest;
     if (preparing?.server === undefined) return;
     // The record is this class's own.
     // eslint-disable-next-line no-param-reassign
-    journey.preparing = { ...preparing, server: undefined };
-    this.#giveBack(journey, preparing.server, nowMs);
+    activeRequest.preparing = { ...preparing, server: undefined };
+    this.#releaseUnused(activeRequest, preparing.server, nowMs);
   }
 
   #attempt(
-    journey: Journey,
+    activeRequest: Journey,
     server: ServerRecord<Journey>,
-    extra: ExtraReason | undefined,
+    secondAttemptReason: ExtraReason | undefined,
     nowMs: number,
   ): void {
-    const { request, progress } = journey;
+    const { request, progress } = activeRequest;
     if (!server.worker.isInUse(nowMs)) {
       this.#services.metrics.count('invariant_sent_to_leaving_server');
-      this.#giveBack(journey, server, nowMs);
-      this.#finish(journey, left(failure(ErrorKind.NoServer, 'the backend server is leaving')));
+      this.#releaseUnused(activeRequest, server, nowMs);
+      this.#finish(
+        activeRequest,
+        left(failure(ErrorKind.NoServer, 'the backend server is leaving')),
+      );
       return;
     }
-    if (journey.isDone || !progress.tryStart()) {
-      if (!journey.isDone) this.#services.metrics.count('invariant_non_idempotent_sent_twice');
-      this.#giveBack(journey, server, nowMs);
-      this.#finish(journey, left(failure(ErrorKind.AnswerLost, 'it may have run already')));
+    if (activeRequest.isDone || !progress.tryStart()) {
+      if (!activeRequest.isDone)
+        this.#services.metrics.count('invariant_non_idempotent_sent_twice');
+      this.#releaseUnused(activeRequest, server, nowMs);
+      this.#finish(activeRequest, left(failure(ErrorKind.AnswerLost, 'it may have run already')));
       return;
     }
-    const span = journey.span?.child(Hop.Attempt, { worker: server.worker.workerId });
-    const isFreshWanted = extra === ExtraReason.Silence;
+    const span = activeRequest.span?.child(Hop.Attempt, { worker: server.worker.workerId });
+    const isFreshWanted = secondAttemptReason === ExtraReason.Silence;
     const run = this.#services.connections.attempt(
       toAttemptRequest(request, server.server, span, isFreshWanted),
     );
-    const attempt = { server, run, startedAtMs: nowMs, extra, span, ...FRESH };
-    journey.running.push(attempt);
-    void run.result.then((result) => this.#handleEnd(journey, attempt, result));
+    const attempt = {
+      server,
+      run,
+      startedAtMs: nowMs,
+      secondAttemptReason,
+      span,
+      ...INITIAL_ATTEMPT_STATE,
+    };
+    activeRequest.running.push(attempt);
+    void run.result.then((result) => this.#handleEnd(activeRequest, attempt, result));
   }
 
   /** Gives a place back that was not used after all. */
-  #giveBack(journey: Journey, server: ServerRecord<Journey>, nowMs: number): void {
-    const { serviceName } = journey.request;
+  #releaseUnused(activeRequest: Journey, server: ServerRecord<Journey>, nowMs: number): void {
+    const { serviceName } = activeRequest.request;
     const end = { latencyMs: 0, verdict: ServerVerdict.Unused, isServerLeaving: false };
     this.#sendAll(this.#services.admission.finish(serviceName, server, end, nowMs), nowMs);
   }
@@ -248,62 +275,72 @@
     dispatched.forEach(({ waiting, server }) => this.#send(waiting, server, undefined, nowMs));
   }
 
-  #handleEnd(journey: Journey, attempt: RunningAttempt, result: AttemptResult): void {
+  #handleEnd(activeRequest: Journey, attempt: RunningAttempt, result: AttemptResult): void {
     const nowMs = this.#services.clock.nowMs();
     const { server, startedAtMs, span } = attempt;
     span?.end({ end: result.end });
-    journey.running.splice(journey.running.indexOf(attempt), 1);
-    journey.progress.noteEnd(result.end);
+    activeRequest.running.splice(activeRequest.running.indexOf(attempt), 1);
+    activeRequest.progress.noteEnd(result.end);
     const end = {
       latencyMs: nowMs - startedAtMs,
       verdict: attemptVerdict(attempt, result),
       isServerLeaving: result.isServerLeaving,
     };
     if (end.isServerLeaving) this.#services.metrics.count('servers_said_leaving');
-    const { serviceName } = journey.request;
+    const { serviceName } = activeRequest.request;
     const dispatched = this.#services.admission.finish(serviceName, server, end, nowMs);
     this.#sweepTimer.arm();
-    this.#proceed(journey, attempt, result, nowMs);
+    this.#finishOrRetry(activeRequest, attempt, result, nowMs);
     this.#sendAll(dispatched, nowMs);
   }
 
-  #proceed(journey: Journey, attempt: RunningAttempt, result: AttemptResult, nowMs: number): void {
-    if (journey.isDone) return;
+  #finishOrRetry(
+    activeRequest: Journey,
+    attempt: RunningAttempt,
+    result: AttemptResult,
+    nowMs: number,
+  ): void {
+    if (activeRequest.isDone) return;
     if (result.answer !== undefined) {
-      if (attempt.extra !== undefined) {
-        this.#services.metrics.count('second_attempts_won', { reason: attempt.extra });
-        if (attempt.extra === ExtraReason.Hedge) this.#service(journey)?.hedgeBudget.noteWin();
+      if (attempt.secondAttemptReason !== undefined) {
+        this.#services.metrics.count('second_attempts_won', {
+          reason: attempt.secondAttemptReason,
+        });
+        if (attempt.secondAttemptReason === ExtraReason.Hedge)
+          this.#serviceOf(activeRequest)?.hedgeBudget.noteWin();
       }
-      this.#finish(journey, right(result.answer));
+      this.#finish(activeRequest, right(result.answer));
       return;
     }
-    if (journey.running.length > 0) return;
-    const { progress } = journey;
+    if (activeRequest.running.length > 0) return;
+    const { progress } = activeRequest;
     const mayRetry = progress.mayRetry(nowMs);
-    if (!mayRetry || this.#service(journey)?.budget.trySpend() !== true) {
+    if (!mayRetry || this.#serviceOf(activeRequest)?.budget.trySpend() !== true) {
       if (mayRetry) this.#services.metrics.count('retries_over_budget');
-      this.#finish(journey, left(progress.finalFailure(nowMs)));
+      this.#finish(activeRequest, left(progress.finalFailure(nowMs)));
       return;
     }
     this.#services.metrics.count('request_retries');
     /* eslint-disable no-param-reassign -- the record is this class's own */
-    journey.waitingSinceMs = nowMs;
-    journey.avoidedWorkerId = attempt.server.worker.workerId;
+    activeRequest.waitingSinceMs = nowMs;
+    activeRequest.avoidedWorkerId = attempt.server.worker.workerId;
     /* eslint-enable no-param-reassign */
-    this.#admit(journey, nowMs);
+    this.#admit(activeRequest, nowMs);
   }
 
   /** Answers at once and closes the connections of attempts that no longer matter. */
-  #finish(journey: Journey, result: Either<Failure, BackendAnswer>): void {
-    if (journey.isDone) return;
-    const { progress, running } = journey;
+  #finish(activeRequest: Journey, result: Either<Failure, BackendAnswer>): void {
+    if (activeRequest.isDone) return;
+    const { progress, running } = activeRequest;
     // The record is this class's own.
     // eslint-disable-next-line no-param-reassign
-    journey.isDone = true;
-    this.#journeys.delete(journey);
-    this.#givePlaceBack(journey, this.#services.clock.nowMs());
-    journey.queueSpan?.end();
-    journey.settle(result._tag === 'Left' ? left(progress.tellable(result.left)) : result);
+    activeRequest.isDone = true;
+    this.#activeRequests.delete(activeRequest);
+    this.#releasePreparingPermit(activeRequest, this.#services.clock.nowMs());
+    activeRequest.queueSpan?.end();
+    activeRequest.settle(
+      result._tag === 'Left' ? left(progress.toReportedFailure(result.left)) : result,
+    );
     [...running].forEach((attempt) => {
       // The record is this class's own.
       // eslint-disable-next-line no-param-reassign
@@ -320,31 +357,32 @@
     const { rejected, dispatched } = this.#services.admission.sweep(nowMs);
     rejected.forEach(({ waiting, failure: cause }) => this.#finish(waiting, left(cause)));
     this.#sendAll(dispatched, nowMs);
-    this.#journeys.forEach((journey) => {
-      if (journey.running.length === 0) {
-        this.#sweepPreparing(journey, nowMs);
+    this.#activeRequests.forEach((activeRequest) => {
+      if (activeRequest.running.length === 0) {
+        this.#sweepPreparing(activeRequest, nowMs);
         return;
       }
-      if (nowMs >= journey.deadlineAtMs) {
-        this.#finish(journey, left(journey.progress.finalFailure(nowMs)));
+      if (nowMs >= activeRequest.deadlineAtMs) {
+        this.#finish(activeRequest, left(activeRequest.progress.finalFailure(nowMs)));
         return;
       }
-      const extra = this.#secondAttempts.tryTake(journey, nowMs);
-      if (extra !== undefined) this.#send(journey, extra.server, extra.reason, nowMs);
+      const secondAttempt = this.#secondAttempts.tryReserve(activeRequest, nowMs);
+      if (secondAttempt !== undefined)
+        this.#send(activeRequest, secondAttempt.server, secondAttempt.reason, nowMs);
     });
   }
 
-  #sweepPreparing(journey: Journey, nowMs: number): void {
-    const { preparing } = journey;
+  #sweepPreparing(activeRequest: Journey, nowMs: number): void {
+    const { preparing } = activeRequest;
     if (preparing === undefined) return;
-    if (nowMs >= journey.deadlineAtMs) {
-      this.#finish(journey, left(journey.progress.finalFailure(nowMs)));
-    } else if (nowMs - preparing.startedAtMs >= LONGEST_PLACE_FOR_CLAIM_MS) {
-      this.#givePlaceBack(journey, nowMs);
+    if (nowMs >= activeRequest.deadlineAtMs) {
+      this.#finish(activeRequest, left(activeRequest.progress.finalFailure(nowMs)));
+    } else if (nowMs - preparing.startedAtMs >= MAXIMUM_CLAIM_HOLD_MS) {
+      this.#releasePreparingPermit(activeRequest, nowMs);
     }
   }
 
-  #report(): void {
+  #reportGauges(): void {
     const { admission, metrics } = this.#services;
     metrics.gauge('requests_waiting', admission.waitingCount);
     const setAsideCount = admission.takeSetAsideCount();
--- a/src/entry/node/requestHandler.ts
+++ b/src/entry/node/requestHandler.ts
@@ -20,10 +20,14 @@
 import { Hop, type TraceSpan, type Tracing } from '../../services/tracing/common/tracing.js';
 import type { RecordedAnswer } from '../../services/workload/common/claimRow.js';
 import type { Admission } from '../common/admission.js';
-import { type CallerRequest, readTerms, type RequestTerms } from '../common/callerRequest.js';
-import type { HangUpNotice } from '../common/hangUpNotice.js';
+import {
+  type CallerRequest,
+  readRequestOptions,
+  type RequestOptions,
+} from '../common/callerRequest.js';
+import type { HangUpSignal } from '../common/hangUpSignal.js';
 import { REPLAYED_HEADER, TRACEPARENT_HEADER } from '../common/headers.js';
-import { endToEndHeaders } from '../common/passedHeaders.js';
+import { endToEndHeaders } from '../common/forwardedHeaders.js';
 import { RequestProgress } from '../common/requestProgress.js';
 import type { BackendAnswer } from './attemptRun.js';
 import type { BackendConnections } from './backendConnections.js';
@@ -67,7 +71,7 @@
   body: Buffer.from(answer.bodyBase64, 'base64'),
 });
 
-const outcomeOf = (cause: Failure): WorkOutcome =>
+const workOutcomeOf = (cause: Failure): WorkOutcome =>
   cause.workOutcome ?? ERROR_ANSWERS[cause.kind].workOutcome;
 
 export class RequestHandler implements Disposable {
@@ -83,9 +87,9 @@
     this.#services = services;
     this.#settings = settings;
     this.#dispatch = this.#disposables.add(new RequestDispatch(services, settings));
-    this.#disposables.add(services.routing.onDidChange(() => this.#takeRoutes()));
-    this.#disposables.add(services.entries.onDidChangeMembers(() => this.#takeRoutes()));
-    this.#takeRoutes();
+    this.#disposables.add(services.routing.onDidChange(() => this.#applyRoutes()));
+    this.#disposables.add(services.entries.onDidChangeMembers(() => this.#applyRoutes()));
+    this.#applyRoutes();
   }
 
   dispose(): void {
@@ -108,14 +112,14 @@
   }
 
   /** `hangUp` is given when the caller hangs up before the answer. */
-  async handle(request: CallerRequest, hangUp: HangUpNotice): Promise<Result> {
+  async handle(request: CallerRequest, hangUp: HangUpSignal): Promise<Result> {
     const { clock, tracing, metrics } = this.#services;
     const startedAtMs = clock.nowMs();
-    const terms = readTerms(request, this.#settings);
-    if (isLeft(terms)) return terms;
+    const options = readRequestOptions(request, this.#settings);
+    if (isLeft(options)) return options;
     const header = request.headers[TRACEPARENT_HEADER];
     const span = tracing.startTrace(Hop.Entry, typeof header === 'string' ? header : undefined);
-    const result = await this.#serve(request, terms.right, startedAtMs, span, hangUp);
+    const result = await this.#serve(request, options.right, startedAtMs, span, hangUp);
     const outcome = isLeft(result) ? result.left.kind : 'answered';
     span?.end({ service: request.serviceName, outcome });
     metrics.count('requests', { outcome });
@@ -125,29 +129,29 @@
 
   #serve(
     request: CallerRequest,
-    terms: RequestTerms,
+    options: RequestOptions,
     nowMs: number,
     span: TraceSpan | undefined,
-    hangUp: HangUpNotice,
+    hangUp: HangUpSignal,
   ): Promise<Result> {
     if (!this.#services.routing.routes.has(request.serviceName)) {
       const cause = failure(ErrorKind.UnknownService, `no service ${request.serviceName}`);
       return Promise.resolve(left(cause));
     }
-    const deadlineAtMs = nowMs + terms.timeoutMs;
+    const deadlineAtMs = nowMs + options.timeoutMs;
     const progress = new RequestProgress({
-      isIdempotent: terms.isIdempotent,
+      isIdempotent: options.isIdempotent,
       maximumAttemptCount: this.#settings.maximumAttemptCount,
       deadlineAtMs,
     });
-    const journey: Journey = {
+    const activeRequest: Journey = {
       request,
-      terms,
+      options,
       progress,
       span,
       hangUp,
       deadlineAtMs,
-      callerId: terms.callerId,
+      callerId: options.callerId,
       waitingSinceMs: nowMs,
       avoidedWorkerId: undefined,
       queueSpan: undefined,
@@ -157,46 +161,52 @@
       preparing: undefined,
       settle: () => {},
     };
-    const { idempotencyKey, isIdempotent } = terms;
-    if (isIdempotent || idempotencyKey === undefined) return this.#dispatchChecked(journey);
-    return this.#serveClaimed(journey, idempotencyKey);
+    const { idempotencyKey, isIdempotent } = options;
+    if (isIdempotent || idempotencyKey === undefined) return this.#dispatchChecked(activeRequest);
+    return this.#serveClaimed(activeRequest, idempotencyKey);
   }
 
   /** Sends work that is not idempotent only under the claim of its key. */
-  #serveClaimed(journey: Journey, idempotencyKey: string): Promise<Result> {
-    if (this.#services.claims.isEarly) return this.#serveClaimedEarly(journey, idempotencyKey);
-    return this.#serveClaimedLate(journey, idempotencyKey);
+  #serveClaimed(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
+    if (this.#services.claims.isEarly)
+      return this.#serveClaimedEarly(activeRequest, idempotencyKey);
+    return this.#serveClaimedLate(activeRequest, idempotencyKey);
   }
 
-  async #serveClaimedEarly(journey: Journey, idempotencyKey: string): Promise<Result> {
-    const claimed = await this.#claimInTime(journey, idempotencyKey);
+  async #serveClaimedEarly(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
+    const claimed = await this.#claimBeforeDeadline(activeRequest, idempotencyKey);
     if (isLeft(claimed)) return claimed;
     if (claimed.right.kind === 'replay') return right(fromRecorded(claimed.right.answer));
     // The record is still this class's own.
     // eslint-disable-next-line no-param-reassign
-    journey.waitingSinceMs = this.#services.clock.nowMs();
-    const result = await this.#dispatchChecked(journey);
-    this.#endClaim(claimed.right.held, result, journey);
+    activeRequest.waitingSinceMs = this.#services.clock.nowMs();
+    const result = await this.#dispatchChecked(activeRequest);
+    this.#endClaim(claimed.right.held, result, activeRequest);
     return result;
   }
 
   /** The claim may come after the request was given up; it is given back then. */
-  async #serveClaimedLate(journey: Journey, idempotencyKey: string): Promise<Result> {
+  async #serveClaimedLate(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
     const { claims, wallNowMs } = this.#services;
     let claiming: Promise<Either<Failure, ClaimResult>> | undefined;
     // The record is still this class's own.
     // eslint-disable-next-line no-param-reassign
-    journey.prepare = async () => {
-      claiming = claims.claim(journey.request, idempotencyKey, wallNowMs(), journey.span);
+    activeRequest.prepare = async () => {
+      claiming = claims.claim(
+        activeRequest.request,
+        idempotencyKey,
+        wallNowMs(),
+        activeRequest.span,
+      );
       const claimed = await claiming;
       if (isLeft(claimed)) return claimed;
       const isReplay = claimed.right.kind === 'replay';
       return right(isReplay ? fromRecorded(claimed.right.answer) : undefined);
     };
-    const result = await this.#dispatchChecked(journey);
+    const result = await this.#dispatchChecked(activeRequest);
     void claiming?.then((claimed) => {
       if (isLeft(claimed) || claimed.right.kind !== 'held') return;
-      this.#endClaim(claimed.right.held, result, journey);
+      this.#endClaim(claimed.right.held, result, activeRequest);
     });
     return result;
   }
@@ -205,14 +215,19 @@
    * Claims the key, but keeps the caller waiting no longer than its deadline. A store that
    * answers late may grant the claim afterwards; it is then given back, for nothing was sent.
    */
-  async #claimInTime(
-    journey: Journey,
+  async #claimBeforeDeadline(
+    activeRequest: Journey,
     idempotencyKey: string,
   ): Promise<Either<Failure, ClaimResult>> {
     const { claims, clock, wallNowMs } = this.#services;
-    const claiming = claims.claim(journey.request, idempotencyKey, wallNowMs(), journey.span);
+    const claiming = claims.claim(
+      activeRequest.request,
+      idempotencyKey,
+      wallNowMs(),
+      activeRequest.span,
+    );
     const timer = new AbortController();
-    const remainingMs = Math.max(0, journey.deadlineAtMs - clock.nowMs());
+    const remainingMs = Math.max(0, activeRequest.deadlineAtMs - clock.nowMs());
     const late = delay(remainingMs, undefined, { signal: timer.signal }).catch(() => undefined);
     const claimed = await Promise.race([claiming, late]);
     timer.abort();
@@ -225,24 +240,27 @@
     return left(failure(ErrorKind.DeadlineExceeded, 'the store gave no claim before the deadline'));
   }
 
-  #endClaim(held: HeldClaim, result: Result, journey: Journey): void {
+  #endClaim(held: HeldClaim, result: Result, activeRequest: Journey): void {
     const { claims } = this.#services;
     if (!isLeft(result)) claims.recordAnswer(held, toRecorded(result.right));
-    else if (outcomeOf(result.left) === WorkOutcome.NotRun && !journey.progress.mayHaveRun) {
+    else if (
+      workOutcomeOf(result.left) === WorkOutcome.NotRun &&
+      !activeRequest.progress.mayHaveRun
+    ) {
       void claims.release(held);
     }
   }
 
   /** The last check before a caller is told that its work did not run. */
-  async #dispatchChecked(journey: Journey): Promise<Result> {
-    const result = await this.#dispatch.serve(journey);
-    if (!isLeft(result) || outcomeOf(result.left) !== WorkOutcome.NotRun) return result;
-    if (!journey.progress.mayHaveRun) return result;
+  async #dispatchChecked(activeRequest: Journey): Promise<Result> {
+    const result = await this.#dispatch.serve(activeRequest);
+    if (!isLeft(result) || workOutcomeOf(result.left) !== WorkOutcome.NotRun) return result;
+    if (!activeRequest.progress.mayHaveRun) return result;
     this.#services.metrics.count('invariant_false_not_run');
     return left({ ...result.left, workOutcome: WorkOutcome.Unknown });
   }
 
-  #takeRoutes(): void {
+  #applyRoutes(): void {
     const { routing, admission, connections, configuration, entries } = this.#services;
     const { routes } = routing;
     const view = configuration.current;
--- a/src/entry/node/routingReader.ts
+++ b/src/entry/node/routingReader.ts
@@ -30,11 +30,11 @@
 
   readonly #disposables = new DisposableStore();
 
-  readonly #looksPerWholeRead: number;
+  readonly #readsPerFullRead: number;
 
   #endpoints: EndpointView = NO_ENDPOINTS;
 
-  #lookCount = 0;
+  #readCount = 0;
 
   readonly #didChange = this.#disposables.add(new Emitter<RoutingTable>());
 
@@ -53,7 +53,7 @@
     this.#configuration = configuration;
     this.#directory = directory;
     this.#metrics = metrics;
-    this.#looksPerWholeRead = Math.ceil(WHOLE_ENDPOINT_INTERVAL_MS / intervalMs);
+    this.#readsPerFullRead = Math.ceil(WHOLE_ENDPOINT_INTERVAL_MS / intervalMs);
     this.#disposables.add(configuration.onDidChange(() => this.#rebuild()));
     this.#disposables.add(directory.onDidChange(() => this.#rebuild()));
     this.#disposables.add(new PeriodicTimer(intervalMs, () => this.#read()));
@@ -69,19 +69,19 @@
 
   async #read(): Promise<void> {
     const before = this.#endpoints;
-    const isWhole = this.#lookCount % this.#looksPerWholeRead === 0;
+    const isFullRead = this.#readCount % this.#readsPerFullRead === 0;
     const zones = this.#configuration.current?.zones.keys() ?? [];
-    const request = isWhole
+    const request = isFullRead
       ? { keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES }
       : endpointLook(before, zones);
-    if (!(await this.#takeIn(request))) return;
-    this.#lookCount += 1;
+    if (!(await this.#readRows(request))) return;
+    this.#readCount += 1;
     const keys = endpointKeysDue(this.#endpoints);
-    if (keys.length > 0) await this.#takeIn({ keys, prefixes: [] });
+    if (keys.length > 0) await this.#readRows({ keys, prefixes: [] });
     if (this.#endpoints.rows !== before.rows) this.#rebuild();
   }
 
-  async #takeIn(request: ReadRequest): Promise<boolean> {
+  async #readRows(request: ReadRequest): Promise<boolean> {
     const read = await this.#table.read(request)();
     if (isLeft(read)) {
       this.#metrics.count('endpoint_read_failed');
--- a/src/entry/node/secondAttempts.ts
+++ b/src/entry/node/secondAttempts.ts
@@ -26,14 +26,14 @@
   }
 
   /** Takes a place and a token of the budget, if a second attempt is due; the caller sends it. */
-  tryTake(journey: Journey, nowMs: number): SecondAttempt | undefined {
-    const [first, second] = journey.running;
-    const service = this.#admission.service(journey.request.serviceName);
+  tryReserve(activeRequest: Journey, nowMs: number): SecondAttempt | undefined {
+    const [first, second] = activeRequest.running;
+    const service = this.#admission.service(activeRequest.request.serviceName);
     if (first === undefined || second !== undefined || service === undefined) return undefined;
     const reason = secondAttemptReason(
       {
-        isIdempotent: journey.terms.isIdempotent,
-        attemptCount: journey.progress.attemptCount,
+        isIdempotent: activeRequest.options.isIdempotent,
+        attemptCount: activeRequest.progress.attemptCount,
         maximumAttemptCount: this.#settings.maximumAttemptCount,
         ageMs: nowMs - first.startedAtMs,
         hasProgress: first.run.hasProgress,
--- a/src/entry/test/admission.test.ts
+++ b/src/entry/test/admission.test.ts
@@ -3,7 +3,7 @@
 import { SeededRandom } from '../../base/common/random.js';
 import { Urgency } from '../../services/configuration/common/documents.js';
 import { Admission } from '../common/admission.js';
-import { type PlaceEnd, ServerVerdict } from '../common/admissionDecision.js';
+import { type AttemptOutcome, ServerVerdict } from '../common/admissionDecision.js';
 import type { WaitingRequest } from '../common/fairQueue.js';
 import { RequestProgress } from '../common/requestProgress.js';
 import { LatencyWeightedOfTwo } from '../common/serverChoice.js';
@@ -18,7 +18,7 @@
 const FAILURE = { latencyMs: 1, verdict: ServerVerdict.Failure, isServerLeaving: false };
 
 /** One entry's admission in virtual time, with all that has been admitted. */
-class Bench {
+class AdmissionHarness {
   readonly admission: Admission<Waiting>;
 
   readonly inFlight: { readonly waiting: Waiting; readonly server: ServerRecord<Waiting> }[] = [];
@@ -36,7 +36,7 @@
     this.admission.updateRoutes(routes, (name) => urgencies[name] ?? Urgency.Normal, 8);
   }
 
-  pass(durationMs: number): void {
+  advance(durationMs: number): void {
     this.nowMs += durationMs;
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Ends the request that is in flight the longest and returns what was sent in its stead. */
-  finishOne(end: PlaceEnd = SUCCESS): readonly Waiting[] {
+  finishOne(end: AttemptOutcome = SUCCESS): readonly Waiting[] {
     const first = this.inFlight.shift();
     if (first === undefined) return [];
     const { waiting, server } = first;
@@ -75,11 +75,11 @@
   // server would be asked for more connections than it has and would turn requests away.
   it('shrinks with more entries than the settings say and grows with none', () => {
     const inFlightWith = (entryCount: number): number => {
-      const bench = new Bench(1, { urgent: Urgency.Urgent }, { maximumEntryCount: 8 });
+      const harness = new AdmissionHarness(1, { urgent: Urgency.Urgent }, { maximumEntryCount: 8 });
       const routes = new Map([['urgent', [{ ...backendServer(1), slotCount: 64 }]]]);
-      bench.admission.updateRoutes(routes, () => Urgency.Urgent, entryCount);
-      times(100, () => bench.send('urgent'));
-      return bench.inFlight.length;
+      harness.admission.updateRoutes(routes, () => Urgency.Urgent, entryCount);
+      times(100, () => harness.send('urgent'));
+      return harness.inFlight.length;
     };
     expect(inFlightWith(8)).toBe(7);
     expect(inFlightWith(3)).toBe(7);
@@ -91,109 +91,113 @@
   // A burst of low work has taken every place and waits in hundreds. An urgent request that
   // comes afterwards must be the next to be sent.
   it('serves the urgent service first, whatever waits', () => {
-    const bench = new Bench(4, { rounds: Urgency.Urgent, plans: Urgency.Low });
-    times(100, () => bench.send('plans'));
-    bench.send('rounds');
-    const [next] = bench.finishOne();
+    const harness = new AdmissionHarness(4, { rounds: Urgency.Urgent, plans: Urgency.Low });
+    times(100, () => harness.send('plans'));
+    harness.send('rounds');
+    const [next] = harness.finishOne();
     expect(next?.serviceName).toBe('rounds');
   });
 
   it('lets services of equal urgency take turns, however unequal their bursts', () => {
-    const bench = new Bench(4, { a: Urgency.Normal, b: Urgency.Normal });
-    times(300, () => bench.send('a'));
-    times(30, () => bench.send('b'));
-    const served = Array.from({ length: 40 }, () => bench.finishOne()[0]?.serviceName);
+    const harness = new AdmissionHarness(4, { a: Urgency.Normal, b: Urgency.Normal });
+    times(300, () => harness.send('a'));
+    times(30, () => harness.send('b'));
+    const served = Array.from({ length: 40 }, () => harness.finishOne()[0]?.serviceName);
     expect(served.filter((name) => name === 'b').length).toBeGreaterThanOrEqual(18);
   });
 
   // One caller's storm of retries fills the queue. The few requests of another caller must not
   // wait behind it, nor be refused for want of room; the storm's newest ones leave instead.
   it('lets callers take turns, and a storm displaces only its own', () => {
-    const bench = new Bench(4, { a: Urgency.Normal }, { queueCapacity: 100 });
-    times(500, () => bench.send('a', 'storm'));
-    times(20, () => bench.send('a', 'quiet'));
-    expect(bench.refused.every(({ callerId }) => callerId === 'storm')).toBe(true);
-    const served = Array.from({ length: 40 }, () => bench.finishOne()[0]?.callerId);
+    const harness = new AdmissionHarness(4, { a: Urgency.Normal }, { queueCapacity: 100 });
+    times(500, () => harness.send('a', 'storm'));
+    times(20, () => harness.send('a', 'quiet'));
+    expect(harness.refused.every(({ callerId }) => callerId === 'storm')).toBe(true);
+    const served = Array.from({ length: 40 }, () => harness.finishOne()[0]?.callerId);
     expect(served.filter((callerId) => callerId === 'quiet')).toHaveLength(20);
   });
 
   it('refuses at once what could not be served before its deadline', () => {
-    const bench = new Bench(4, { a: Urgency.Normal });
+    const harness = new AdmissionHarness(4, { a: Urgency.Normal });
     times(200, () => {
-      bench.nowMs += 1;
-      bench.send('a');
-      if (bench.inFlight.length >= 4) bench.finishOne();
+      harness.nowMs += 1;
+      harness.send('a');
+      if (harness.inFlight.length >= 4) harness.finishOne();
     });
-    times(200, () => bench.send('a'));
-    bench.nowMs += 20;
-    bench.finishOne();
-    const before = bench.refused.length;
-    bench.send('a', '', 100);
-    expect(bench.refused).toHaveLength(before + 1);
+    times(200, () => harness.send('a'));
+    harness.nowMs += 20;
+    harness.finishOne();
+    const before = harness.refused.length;
+    harness.send('a', '', 100);
+    expect(harness.refused).toHaveLength(before + 1);
   });
 
   it('gives up what has waited too long, and spreads the times to come back', () => {
-    const bench = new Bench(4, { a: Urgency.Normal }, { maximumWaitMs: 500 });
-    times(50, () => bench.send('a'));
-    bench.nowMs = 500;
-    const { rejected } = bench.admission.sweep(bench.nowMs);
-    expect(rejected.length + bench.inFlight.length).toBe(50);
+    const harness = new AdmissionHarness(4, { a: Urgency.Normal }, { maximumWaitMs: 500 });
+    times(50, () => harness.send('a'));
+    harness.nowMs = 500;
+    const { rejected } = harness.admission.sweep(harness.nowMs);
+    expect(rejected.length + harness.inFlight.length).toBe(50);
     const returns = rejected.map(({ failure }) => failure.retryAfterMs ?? 0);
     expect(Math.min(...returns)).toBeGreaterThanOrEqual(1_000);
     expect(Math.max(...returns) - Math.min(...returns)).toBeGreaterThan(1_000);
   });
 
   it('takes no more from a worker than this entry has connections, and counts all services', () => {
-    const bench = new Bench(1, { a: Urgency.Normal, b: Urgency.Normal });
+    const harness = new AdmissionHarness(1, { a: Urgency.Normal, b: Urgency.Normal });
     // Answers that stay fast let the limit grow as far as it may.
     times(5_000, (index) => {
-      bench.send(index % 2 === 0 ? 'a' : 'b');
-      if (bench.inFlight.length > 6) bench.finishOne();
+      harness.send(index % 2 === 0 ? 'a' : 'b');
+      if (harness.inFlight.length > 6) harness.finishOne();
     });
-    times(100, () => bench.send('a'));
-    expect(bench.inFlight.length).toBeLessThanOrEqual(7);
+    times(100, () => harness.send('a'));
+    expect(harness.inFlight.length).toBeLessThanOrEqual(7);
   });
 });
 
 describe('servers that fail', () => {
-  const failAll = (bench: Bench, count: number, isFailing: (workerId: string) => boolean): void =>
+  const serveEach = (
+    harness: AdmissionHarness,
+    count: number,
+    isFailing: (workerId: string) => boolean,
+  ): void =>
     times(count, () => {
-      bench.pass(1);
-      bench.send('a');
-      const workerId = bench.inFlight[0]?.server.worker.workerId ?? '';
-      bench.finishOne(isFailing(workerId) ? FAILURE : SUCCESS);
+      harness.advance(1);
+      harness.send('a');
+      const workerId = harness.inFlight[0]?.server.worker.workerId ?? '';
+      harness.finishOne(isFailing(workerId) ? FAILURE : SUCCESS);
     });
 
-  const asideCount = (bench: Bench): number =>
-    (bench.admission.service('a')?.servers ?? []).filter(({ health }) =>
-      health.isSetAside(bench.nowMs),
+  const setAsideCount = (harness: AdmissionHarness): number =>
+    (harness.admission.service('a')?.servers ?? []).filter(({ health }) =>
+      health.isSetAside(harness.nowMs),
     ).length;
 
   // A server that fails at once has the shortest latency and the fewest in flight. Without being
   // set aside it draws in the traffic of all.
   it('are set aside and draw in no traffic', () => {
-    const bench = new Bench(10, { a: Urgency.Normal });
-    failAll(bench, 200, (workerId) => workerId === 'w3');
-    expect(asideCount(bench)).toBe(1);
+    const harness = new AdmissionHarness(10, { a: Urgency.Normal });
+    serveEach(harness, 200, (workerId) => workerId === 'w3');
+    expect(setAsideCount(harness)).toBe(1);
   });
 
   // All servers fail, since what they all depend on is out. If all were set aside, nothing would
   // be tried and the few that come back first would be overrun.
   it('are never set aside in more than the allowed part', () => {
-    const bench = new Bench(10, { a: Urgency.Normal });
-    failAll(bench, 900, () => true);
-    expect(asideCount(bench)).toBeLessThanOrEqual(3);
-    expect(asideCount(bench)).toBeGreaterThan(0);
+    const harness = new AdmissionHarness(10, { a: Urgency.Normal });
+    serveEach(harness, 900, () => true);
+    expect(setAsideCount(harness)).toBeLessThanOrEqual(3);
+    expect(setAsideCount(harness)).toBeGreaterThan(0);
   });
 
   it('are taken back by one request at a time', () => {
-    const bench = new Bench(2, { a: Urgency.Normal });
-    failAll(bench, 60, (workerId) => workerId === 'w1');
-    expect(asideCount(bench)).toBe(1);
-    bench.nowMs += 1_600;
-    expect(asideCount(bench)).toBe(0);
-    times(6, () => bench.send('a'));
-    const onReturned = bench.inFlight.filter(({ server }) => server.worker.workerId === 'w1');
+    const harness = new AdmissionHarness(2, { a: Urgency.Normal });
+    serveEach(harness, 60, (workerId) => workerId === 'w1');
+    expect(setAsideCount(harness)).toBe(1);
+    harness.nowMs += 1_600;
+    expect(setAsideCount(harness)).toBe(0);
+    times(6, () => harness.send('a'));
+    const onReturned = harness.inFlight.filter(({ server }) => server.worker.workerId === 'w1');
     expect(onReturned.length).toBeLessThanOrEqual(1);
   });
 });
@@ -219,6 +223,8 @@
     progress.tryStart();
     progress.noteEnd('not-run');
     expect(progress.finalFailure(0).kind).toBe('answer-lost');
-    expect(progress.tellable({ kind: 'saturated', message: '' }).workOutcome).toBe('unknown');
+    expect(progress.toReportedFailure({ kind: 'saturated', message: '' }).workOutcome).toBe(
+      'unknown',
+    );
   });
 });
--- a/src/entry/test/brokenSafeguards.test.ts
+++ b/src/entry/test/brokenSafeguards.test.ts
@@ -17,7 +17,7 @@
 import { AttemptRun } from '../node/attemptRun.js';
 import { type AttemptRequest, BackendConnections } from '../node/backendConnections.js';
 import { CallerServer } from '../node/callerServer.js';
-import { backendServer, EntryHarness, type EntrySabotage, entrySettings } from './entryHarness.js';
+import { backendServer, EntryHarness, type EntryOverrides, entrySettings } from './entryHarness.js';
 import { type RawAnswer, RawBackend, wholeAnswer } from './rawBackend.js';
 
 const cleanups: (() => unknown)[] = [];
@@ -31,26 +31,26 @@
 const pathOf = (head: string): string => head.split(' ')[1] ?? '';
 const answerOf = (head: string): string => wholeAnswer(JSON.stringify({ url: pathOf(head) }));
 
-interface Case {
+interface SafeguardCase {
   /** The point of the brief. */
-  readonly point: string;
-  readonly broken: string;
+  readonly property: string;
+  readonly fault: string;
   /** Breaks the safeguard until the test is over. */
-  readonly breakIt: () => EntrySabotage;
+  readonly injectFault: () => EntryOverrides;
   readonly answer: RawAnswer;
   /**
    * Whether the entry is told to leave, at a moment at which all requests that were begun have
    * come to the server: what is on its way while a listener closes nobody can answer.
    */
   readonly isLeaving?: boolean;
-  readonly finding: string;
+  readonly expectedFinding: string;
 }
 
 /**
  * Connections that go on after their requests were given up: all use one, and what comes over it
  * is taken for the answer to the request that was sent last.
  */
-class MixingConnections extends BackendConnections {
+class SharedSocketConnections extends BackendConnections {
   #socket: Socket | undefined;
 
   #latest: AttemptRun | undefined;
@@ -85,11 +85,11 @@
   }
 }
 
-const CASES: readonly Case[] = [
+const CASES: readonly SafeguardCase[] = [
   {
-    point: 'every caller receives the whole answer',
-    broken: 'the end of the connection is taken for the end of the answer',
-    breakIt: () => {
+    property: 'every caller receives the whole answer',
+    fault: 'the end of the connection is taken for the end of the answer',
+    injectFault: () => {
       const { onResponseStart } = AttemptRun.prototype;
       vi.spyOn(AttemptRun.prototype, 'onResponseStart').mockImplementation(function start(
         this: AttemptRun,
@@ -112,21 +112,21 @@
       if (index % 4 === 0) socket.end(answer.slice(0, -5));
       else socket.write(answer);
     },
-    finding: "another's answer or a part",
+    expectedFinding: "another's answer or a part",
   },
   {
-    point: 'every caller receives the answer to its own request',
-    broken: 'connections go on after their requests were given up',
-    breakIt: () => ({ Connections: MixingConnections }),
+    property: 'every caller receives the answer to its own request',
+    fault: 'connections go on after their requests were given up',
+    injectFault: () => ({ Connections: SharedSocketConnections }),
     answer: (socket, index, head) => {
       setTimeout(() => socket.write(answerOf(head)), index % 3 === 0 ? 20 : 1);
     },
-    finding: "another's answer or a part",
+    expectedFinding: "another's answer or a part",
   },
   {
-    point: 'a request marked as non-idempotent runs at most once',
-    broken: 'what was sent and lost does not count',
-    breakIt: () => {
+    property: 'a request marked as non-idempotent runs at most once',
+    fault: 'what was sent and lost does not count',
+    injectFault: () => {
       vi.spyOn(RequestProgress.prototype, 'mayHaveRun', 'get').mockReturnValue(false);
       return {};
     },
@@ -134,12 +134,12 @@
       if (head.startsWith('POST')) socket.destroy();
       else socket.write(answerOf(head));
     },
-    finding: 'non-idempotent, ran more than once',
+    expectedFinding: 'non-idempotent, ran more than once',
   },
   {
-    point: 'a refusal that says "not run" means the work did not run',
-    broken: 'an attempt that was sent and lost is noted as not run',
-    breakIt: () => {
+    property: 'a refusal that says "not run" means the work did not run',
+    fault: 'an attempt that was sent and lost is noted as not run',
+    injectFault: () => {
       const { noteEnd } = RequestProgress.prototype;
       vi.spyOn(RequestProgress.prototype, 'noteEnd').mockImplementation(function note(
         this: RequestProgress,
@@ -152,12 +152,12 @@
     answer: (socket) => {
       socket.destroy();
     },
-    finding: '"not run", but it ran',
+    expectedFinding: '"not run", but it ran',
   },
   {
-    point: 'a graceful shutdown cuts off no request in flight',
-    broken: 'connections are closed at once',
-    breakIt: () => {
+    property: 'a graceful shutdown cuts off no request in flight',
+    fault: 'connections are closed at once',
+    injectFault: () => {
       const { close } = CallerServer.prototype;
       vi.spyOn(CallerServer.prototype, 'close').mockImplementation(function closeAtOnce(
         this: CallerServer,
@@ -172,14 +172,14 @@
       socket.write(answerOf(head));
     },
     isLeaving: true,
-    finding: 'cut off by a graceful shutdown',
+    expectedFinding: 'cut off by a graceful shutdown',
   },
 ];
 
 /** What the judge finds after the same steps, with or without the switch. */
 const findingsOf = async (
-  { answer, isLeaving = false }: Case,
-  sabotage: EntrySabotage,
+  { answer, isLeaving = false }: SafeguardCase,
+  overrides: EntryOverrides,
 ): Promise<readonly string[]> => {
   const runs = new Map<string, number>();
   const departures = new Map<string, number>();
@@ -190,7 +190,7 @@
     defaultDeadlineMs: isLeaving ? 30_000 : 1_000,
     silenceFloorMs: 60_000,
   });
-  const entry = new EntryHarness(settings, undefined, sabotage);
+  const entry = new EntryHarness(settings, undefined, overrides);
   const serve: RawAnswer = (socket, index, head) => {
     runs.set(pathOf(head), (runs.get(pathOf(head)) ?? 0) + 1);
     if (!isLeaving || departures.size > 0) {
@@ -228,9 +228,9 @@
 
 describe('the judge of requests can fail', () => {
   CASES.forEach((each) =>
-    it(`${each.point}: ${each.broken}`, async () => {
+    it(`${each.property}: ${each.fault}`, async () => {
       expect(await findingsOf(each, {})).toEqual([]);
-      expect(await findingsOf(each, each.breakIt())).toContain(each.finding);
+      expect(await findingsOf(each, each.injectFault())).toContain(each.expectedFinding);
     }),
   );
 });
@@ -253,7 +253,7 @@
     expect((await entry.call('/a')).text).toBe('whole');
     const refused = await entry.call('/b');
     expect([refused.statusCode, refused.headers['snipethread-work']]).toEqual([503, 'not-run']);
-    expect(entry.breaches).toEqual(['invariant_sent_to_leaving_server']);
+    expect(entry.brokenInvariants).toEqual(['invariant_sent_to_leaving_server']);
     expect(backend.requests).toHaveLength(1);
   });
 });
--- a/src/entry/test/claimExpiry.test.ts
+++ b/src/entry/test/claimExpiry.test.ts
@@ -48,7 +48,7 @@
     const generation = Math.floor(NOON_MS / LIFETIME_MS);
     const write = (distance: number, index: number): void => {
       const key = claimKey(generation - distance, 's', `k${index}`);
-      table.stand.transact({
+      table.standIn.transact({
         operationId: key,
         conditions: [],
         writes: [{ key, value: { index } }],
@@ -60,7 +60,7 @@
     const sweeper = new ClaimSweeper(table, silentMetrics, LIFETIME_MS, () => NOON_MS, 7);
     disposables.push(sweeper);
     const count = (): number =>
-      table.stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length;
+      table.standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length;
     for (let step = 0; step < CLAIM_PART_COUNT * 2; step += 1) {
       // eslint-disable-next-line no-await-in-loop -- steps follow one another
       await sweeper.sweepNext();
--- a/src/entry/test/claimTiming.test.ts
+++ b/src/entry/test/claimTiming.test.ts
@@ -45,9 +45,9 @@
   });
   cleanups.push(() => backend.close());
   const port = await backend.listen();
-  const stand = new TableStandIn();
+  const standIn = new TableStandIn();
   const addMember = async (): Promise<Member> => {
-    const table = new FaultyTable(stand);
+    const table = new FaultyTable(standIn);
     const quiet = { hedgeBudgetRatio: 0, silenceFloorMs: 60_000, maximumWaitMs: 60_000 };
     const entry = new EntryHarness(entrySettings(quiet), table);
     entry.route('s', [backendServer(port)]);
@@ -60,22 +60,27 @@
     other: await addMember(),
     backend,
     answerHeld: () => held.splice(0).forEach((socket) => socket.write(wholeAnswer('menu'))),
-    claimCount: () => stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length,
+    claimCount: () => standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length,
   };
   return setup;
 };
 
-const PATIENT = { 'snipethread-timeout-ms': '60000' };
+const LONG_TIMEOUT_HEADERS = { 'snipethread-timeout-ms': '60000' };
 
 const order = ({ entry }: Member) =>
-  entry.call('/orders', { ...PATIENT, 'idempotency-key': 'order-17' }, 'POST', 'bronze');
+  entry.call(
+    '/orders',
+    { ...LONG_TIMEOUT_HEADERS, 'idempotency-key': 'order-17' },
+    'POST',
+    'bronze',
+  );
 
 /** Takes all places of an entry, so that what comes next has to wait. */
-const fill = async ({ entry }: Member, backend: RawBackend): Promise<void> => {
+const occupyAllPermits = async ({ entry }: Member, backend: RawBackend): Promise<void> => {
   const arrivedCount = (): number => backend.requests.length + entry.counter('requests_queued');
   for (let index = 0; entry.counter('requests_queued') === 0; index += 1) {
     const before = arrivedCount();
-    void entry.call(`/menu${index}`, PATIENT).catch(() => undefined);
+    void entry.call(`/menu${index}`, LONG_TIMEOUT_HEADERS).catch(() => undefined);
     // The next one follows once this one is at the backend server or waits, so that none comes
     // after the counter was read.
     // eslint-disable-next-line no-await-in-loop
@@ -84,7 +89,7 @@
 };
 
 /** Ends at once: nothing reaches the table any more, and nobody is answered. */
-const kill = ({ entry, table }: Member): void => {
+const killEntry = ({ entry, table }: Member): void => {
   Object.assign(table, { isOut: true });
   void entry.dispose();
 };
@@ -95,12 +100,12 @@
   // answer "unknown" for a day.
   it('runs by its repeat when it had only waited', async () => {
     const { one, other, backend, claimCount } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const lost = order(one).catch(() => undefined);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
     expect(claimCount()).toBe(0);
-    kill(one);
+    killEntry(one);
     const repeat = await order(other);
     expect([repeat.statusCode, repeat.text]).toEqual([200, 'cast']);
     expect(orderCount(backend)).toBe(1);
@@ -113,7 +118,7 @@
     const { one, other, backend } = await setUp(() => {});
     const lost = order(one).catch(() => undefined);
     await expect.poll(() => orderCount(backend)).toBe(1);
-    kill(one);
+    killEntry(one);
     const repeat = await order(other);
     expect([repeat.statusCode, workOutcome(repeat)]).toEqual([409, 'unknown']);
     expect(orderCount(backend)).toBe(1);
@@ -126,17 +131,17 @@
   // "unknown", for the sleeper will send; when it wakes it sends, once.
   it('runs once when it slept between claim and send', async () => {
     const { one, other, backend } = await setUp();
-    const sleeping: (() => void)[] = [];
+    const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
       new Promise((resolve) => {
-        sleeping.push(resolve);
+        pausedAnswers.push(resolve);
       });
     const first = order(one);
-    await expect.poll(() => sleeping.length).toBe(1);
+    await expect.poll(() => pausedAnswers.length).toBe(1);
     expect(workOutcome(await order(other))).toBe('unknown');
     expect(orderCount(backend)).toBe(0);
     one.table.onDidTransact = () => Promise.resolve();
-    sleeping.forEach((wake) => wake());
+    pausedAnswers.forEach((wake) => wake());
     expect((await first).text).toBe('cast');
     expect(orderCount(backend)).toBe(1);
   });
@@ -145,7 +150,7 @@
   // entry. When its place comes it must not run again; it gets the recorded answer.
   it('does not run again when it slept while it waited', async () => {
     const { one, other, backend, answerHeld } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const first = order(one);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
@@ -161,7 +166,7 @@
   // As before, and the store loses its answer to the claim of the sleeper, which reads then.
   it('does not run again when the answer of its late claim is lost', async () => {
     const { one, other, backend, answerHeld } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const first = order(one);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
@@ -190,25 +195,25 @@
   // there are places. Requests that need no store must be served meanwhile.
   it('does not hold the places of requests that need no claim', async () => {
     const { one, backend, answerHeld } = await setUp();
-    const sleeping: (() => void)[] = [];
+    const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
       new Promise((resolve) => {
-        sleeping.push(resolve);
+        pausedAnswers.push(resolve);
       });
     const orders = Array.from({ length: 20 }, (_, index) => {
-      const headers = { ...PATIENT, 'idempotency-key': `order-${index}` };
+      const headers = { ...LONG_TIMEOUT_HEADERS, 'idempotency-key': `order-${index}` };
       return one.entry.call('/orders', headers, 'POST', 'bronze');
     });
-    await expect.poll(() => sleeping.length).toBe(20);
-    const menu = one.entry.call('/menu', PATIENT);
+    await expect.poll(() => pausedAnswers.length).toBe(20);
+    const menu = one.entry.call('/menu', LONG_TIMEOUT_HEADERS);
     await expect.poll(() => backend.requests.length).toBe(1);
     answerHeld();
     expect((await menu).text).toBe('menu');
     one.table.onDidTransact = () => Promise.resolve();
-    sleeping.forEach((answer) => answer());
+    pausedAnswers.forEach((answer) => answer());
     const answers = await Promise.all(orders);
     expect(answers.map(({ text }) => text)).toEqual(Array(20).fill('cast'));
     expect(orderCount(backend)).toBe(20);
-    expect(one.entry.breaches).toEqual([]);
+    expect(one.entry.brokenInvariants).toEqual([]);
   });
 });
--- a/src/entry/test/entryHarness.ts
+++ b/src/entry/test/entryHarness.ts
@@ -43,10 +43,10 @@
 /** A table whose faults a test switches on. */
 export class FaultyTable implements TableService {
   /** Entries on one table may have faults of their own. */
-  readonly stand: TableStandIn;
+  readonly standIn: TableStandIn;
 
-  constructor(stand = new TableStandIn()) {
-    this.stand = stand;
+  constructor(standIn = new TableStandIn()) {
+    this.standIn = standIn;
   }
 
   isOut = false;
@@ -59,12 +59,12 @@
 
   read: TableService['read'] = (question) => () => {
     if (this.isOut) return Promise.resolve(left(failure(ErrorKind.StoreUnavailable, 'out')));
-    return Promise.resolve(right(this.stand.read(question)));
+    return Promise.resolve(right(this.standIn.read(question)));
   };
 
   transact: TableService['transact'] = (transaction) => async () => {
     if (this.isOut) return left(failure(ErrorKind.StoreUnavailable, 'out'));
-    const result = this.stand.transact(transaction);
+    const result = this.standIn.transact(transaction);
     await this.onDidTransact();
     if (this.lostAnswerCount === 0) return right(result);
     this.lostAnswerCount -= 1;
@@ -80,7 +80,7 @@
 }
 
 /** Parts that tests break to show that something else notices; only tests have these switches. */
-export interface EntrySabotage {
+export interface EntryOverrides {
   readonly chooser?: ServerChooser;
   readonly Connections?: typeof BackendConnections;
 }
@@ -104,7 +104,11 @@
 
   readonly #claims: ClaimKeeper;
 
-  constructor(settings = entrySettings(), table = new FaultyTable(), sabotage: EntrySabotage = {}) {
+  constructor(
+    settings = entrySettings(),
+    table = new FaultyTable(),
+    overrides: EntryOverrides = {},
+  ) {
     this.table = table;
     const metrics: Metrics = {
       count: (name) => this.counters.set(name, this.counter(name) + 1),
@@ -113,7 +117,7 @@
     };
     const random = new SeededRandom(1);
     const { Connections = BackendConnections, chooser = new LatencyWeightedOfTwo(random) } =
-      sabotage;
+      overrides;
     this.#connections = new Connections(settings, metrics);
     this.#claims = new ClaimKeeper(table, systemClock, metrics, settings);
     const services = {
@@ -136,7 +140,7 @@
     return this.counters.get(name) ?? 0;
   }
 
-  get breaches(): readonly string[] {
+  get brokenInvariants(): readonly string[] {
     return [...this.counters.keys()].filter((name) => name.startsWith('invariant_'));
   }
 
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -44,7 +44,7 @@
 });
 
 describe('a burst of hang-ups and repeats under saturation', () => {
-  const inTimeOf = (isNoticingHangUps: boolean, areServersNoticing: boolean): number => {
+  const inTimeShare = (isNoticingHangUps: boolean, areServersNoticing: boolean): number => {
     const impatience = { ...IMPATIENT, areServersNoticing };
     const scenario = impatientCallers({ name: 'small', workerCount: 10 }, impatience);
     const policy = {
@@ -63,7 +63,7 @@
   // patient ones must get more answers in time than if the hang-ups went unnoticed, also when
   // the backend servers work on for connections that were closed.
   it.each([true, false])('serves the others better (servers notice: %s)', (areNoticing) => {
-    expect(inTimeOf(true, areNoticing)).toBeGreaterThan(inTimeOf(false, areNoticing));
+    expect(inTimeShare(true, areNoticing)).toBeGreaterThan(inTimeShare(false, areNoticing));
   });
 });
 
@@ -149,7 +149,7 @@
     expect(backend.requests).toHaveLength(sentCount + 1);
     answerHeld();
     expect((await next).text).toBe('whole');
-    expect(entry.breaches).toEqual([]);
+    expect(entry.brokenInvariants).toEqual([]);
   });
 
   // An order is under way when its caller's line breaks. It must not be cut short: it ends, its
@@ -163,12 +163,12 @@
     await expect.poll(() => entry.counter('requests_abandoned')).toBe(1);
     expect(backend.sockets.size).toBe(1);
     answerHeld();
-    const rows = () => entry.table.stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
+    const rows = () => entry.table.standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
     await expect.poll(() => rows()[0]?.operationId.endsWith('/answer')).toBe(true);
     const key = { 'idempotency-key': 'order-17' };
     expect((await entry.call('/orders', key, 'POST')).text).toBe('whole');
     expect(backend.requests).toHaveLength(1);
-    expect(entry.breaches).toEqual([]);
+    expect(entry.brokenInvariants).toEqual([]);
   });
 
   // The caller of an order hangs up while its claim is being written. Nothing was sent, so
@@ -187,7 +187,7 @@
     await expect.poll(() => entry.counter('callers_hung_up')).toBe(1);
     entry.table.onDidTransact = () => Promise.resolve();
     waiting.forEach((answer) => answer());
-    const rows = () => entry.table.stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
+    const rows = () => entry.table.standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
     await expect.poll(() => rows().length).toBe(0);
     expect(backend.requests).toHaveLength(0);
     const repeat = entry.call('/orders', { 'idempotency-key': 'order-17' }, 'POST');
--- a/src/entry/test/idempotencyKeys.test.ts
+++ b/src/entry/test/idempotencyKeys.test.ts
@@ -45,9 +45,9 @@
   entry.call('/orders', headers, 'POST', body);
 
 const claimRows = (table: FaultyTable) =>
-  table.stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
+  table.standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows;
 
-const until = async (isTrue: () => boolean): Promise<void> => {
+const waitUntil = async (isTrue: () => boolean): Promise<void> => {
   while (!isTrue()) {
     // eslint-disable-next-line no-await-in-loop -- the test's own timeout bounds it
     await new Promise((resolve) => {
@@ -63,7 +63,7 @@
     const { table, backend, addEntry } = await setUp();
     const [one, other] = [await addEntry(), await addEntry()];
     const first = await order(one);
-    await until(() => claimRows(table)[0]?.operationId.endsWith('/answer') === true);
+    await waitUntil(() => claimRows(table)[0]?.operationId.endsWith('/answer') === true);
     const repeat = await order(other);
     expect([first.text, repeat.text]).toEqual(['cast 0', 'cast 0']);
     expect(repeat.headers['snipethread-replayed']).toBe('true');
@@ -101,7 +101,7 @@
     const [dying, other] = [await addEntry(), await addEntry()];
     table.onDidTransact = () => new Promise(() => {});
     const lost = order(dying).catch(() => undefined);
-    await until(() => claimRows(table).length === 1);
+    await waitUntil(() => claimRows(table).length === 1);
     table.onDidTransact = () => Promise.resolve();
     const repeat = await order(other);
     expect([repeat.statusCode, workOutcome(repeat)]).toEqual([409, 'unknown']);
@@ -142,7 +142,7 @@
     expect(claimRows(table)).toHaveLength(1);
     table.onDidTransact = () => Promise.resolve();
     table.isOut = false;
-    await until(() => claimRows(table).length === 0);
+    await waitUntil(() => claimRows(table).length === 0);
     expect((await order(entry)).text).toBe('cast 0');
     expect(backend.requests).toHaveLength(1);
   });
@@ -181,7 +181,7 @@
     expect([late.statusCode, workOutcome(late)]).toEqual([504, 'not-run']);
     table.onDidTransact = () => Promise.resolve();
     waiting.forEach((answer) => answer());
-    await until(() => claimRows(table).length === 0);
+    await waitUntil(() => claimRows(table).length === 0);
     expect(backend.requests).toHaveLength(0);
     expect((await order(entry)).text).toBe('cast 0');
   });
@@ -193,7 +193,7 @@
     });
     const entry = await addEntry({ retryBudgetRatio: 1 });
     expect(workOutcome(await order(entry))).toBe('not-run');
-    await until(() => claimRows(table).length === 0);
+    await waitUntil(() => claimRows(table).length === 0);
     expect((await order(entry)).statusCode).toBe(200);
     expect(backend.requests).toHaveLength(4);
   });
@@ -215,7 +215,7 @@
     );
     const entry = await addEntry();
     expect((await order(entry)).text).toHaveLength(10_000);
-    await until(() => claimRows(table)[0]?.operationId.endsWith('/answer') === true);
+    await waitUntil(() => claimRows(table)[0]?.operationId.endsWith('/answer') === true);
     const repeat = await order(entry);
     expect([repeat.statusCode, workOutcome(repeat)]).toEqual([409, 'ran']);
     expect(backend.requests).toHaveLength(1);
--- a/src/entry/test/limits.test.ts
+++ b/src/entry/test/limits.test.ts
@@ -181,7 +181,7 @@
     );
     clearInterval(timer);
     expect(answers.filter(({ statusCode }) => statusCode === 200).length).toBeGreaterThan(0);
-    expect(backend.mostConnections).toBeLessThanOrEqual(64);
-    expect(entries.flatMap(({ breaches }) => breaches)).toEqual([]);
+    expect(backend.maximumConnections).toBeLessThanOrEqual(64);
+    expect(entries.flatMap(({ brokenInvariants }) => brokenInvariants)).toEqual([]);
   });
 });
--- a/src/entry/test/notRun.test.ts
+++ b/src/entry/test/notRun.test.ts
@@ -82,7 +82,7 @@
     const entry = await startEntry([port]);
     const answer = await entry.call('/a');
     expect(workOutcome(answer)).toBe('unknown');
-    expect(entry.breaches).toEqual([]);
+    expect(entry.brokenInvariants).toEqual([]);
   });
 
   // As before, but by the time of the second attempt the service has no server any more.
@@ -96,14 +96,16 @@
     routes.entry = entry;
     const answer = await entry.call('/a');
     expect(workOutcome(answer)).toBe('unknown');
-    expect(entry.breaches).toEqual([]);
+    expect(entry.brokenInvariants).toEqual([]);
   });
 
   it('is said for a request that waited until its deadline', async () => {
     const [backend, port] = await startBackend(() => {});
     const entry = await startEntry([port]);
-    const patient = { 'snipethread-timeout-ms': '1500' };
-    const first = Array.from({ length: 8 }, () => entry.call('/a', patient, 'POST', 'order'));
+    const longTimeoutHeaders = { 'snipethread-timeout-ms': '1500' };
+    const first = Array.from({ length: 8 }, () =>
+      entry.call('/a', longTimeoutHeaders, 'POST', 'order'),
+    );
     const late = await entry.call('/b', { 'snipethread-timeout-ms': '50' }, 'POST', 'order');
     expect([late.statusCode, workOutcome(late)]).toEqual([504, 'not-run']);
     expect(backend.requests.some((head) => head.startsWith('POST /b'))).toBe(false);
--- a/src/entry/test/rawBackend.ts
+++ b/src/entry/test/rawBackend.ts
@@ -12,20 +12,24 @@
   readonly sockets = new Set<Socket>();
 
   /** The most connections that were open at a time. */
-  mostConnections = 0;
+  maximumConnections = 0;
 
   readonly #server: Server;
 
   constructor(answer: RawAnswer) {
     this.#server = createServer((socket) => {
       this.sockets.add(socket);
-      this.mostConnections = Math.max(this.mostConnections, this.sockets.size);
+      this.maximumConnections = Math.max(this.maximumConnections, this.sockets.size);
       socket.on('close', () => this.sockets.delete(socket));
       socket.on('error', () => {});
       let received = '';
       socket.on('data', (chunk) => {
         received += chunk.toString('latin1');
-        for (let end = RawBackend.#end(received); end > 0; end = RawBackend.#end(received)) {
+        for (
+          let end = RawBackend.#firstRequestEnd(received);
+          end > 0;
+          end = RawBackend.#firstRequestEnd(received)
+        ) {
           const head = received.slice(0, received.indexOf(HEAD_END));
           received = received.slice(end);
           this.requests.push(head);
@@ -48,7 +52,7 @@
   }
 
   /** Where the first whole request ends; zero while it is not whole. */
-  static #end(received: string): number {
+  static #firstRequestEnd(received: string): number {
     const headEnd = received.indexOf(HEAD_END);
     if (headEnd < 0) return 0;
     const length = /content-length: (\d+)/iu.exec(received.slice(0, headEnd))?.[1] ?? '0';
--- a/src/entry/test/silentConnections.test.ts
+++ b/src/entry/test/silentConnections.test.ts
@@ -18,12 +18,12 @@
 });
 
 const DEADLINE_MS = 4_000;
-const PATIENT = { 'snipethread-timeout-ms': String(DEADLINE_MS) };
+const LONG_TIMEOUT_HEADERS = { 'snipethread-timeout-ms': String(DEADLINE_MS) };
 /** Of calls to the platform; an answered one must not take so long, however busy the machine. */
 const CALL_TIMEOUT_MS = 2_000;
-const ALL = [Silence.ToServer, Silence.ToClient, Silence.Both] as const;
+const ALL_SILENCES = [Silence.ToServer, Silence.ToClient, Silence.Both] as const;
 
-const start = async (): Promise<{ entry: EntryHarness; relay: SilentRelay }> => {
+const startWithRelay = async (): Promise<{ entry: EntryHarness; relay: SilentRelay }> => {
   const backend = new RawBackend((socket, _index, head) => {
     const delayMs = head.includes('/slow') ? 2_000 : 0;
     setTimeout(() => socket.write(wholeAnswer('whole')), delayMs);
@@ -44,27 +44,30 @@
   // Something between the two ends forgets the connection: what is sent on it vanishes and
   // nothing closes it, while new connections work. The caller's idempotent request lies on the
   // old one. It must be answered over a new one long before its deadline, and the old one closed.
-  it.each(ALL)('is closed, and its idempotent work answered over a new one: %s', async (way) => {
-    const { entry, relay } = await start();
-    expect((await entry.call('/a', PATIENT)).text).toBe('whole');
-    relay.silenceAll(way);
-    expect(relay.openSilentCount).toBe(1);
-    const answer = await entry.call('/b', PATIENT);
-    expect([answer.statusCode, answer.text]).toEqual([200, 'whole']);
-    expect(relay.connectionCount).toBe(2);
-    expect(entry.counter('connections_overtaken')).toBe(1);
-    expect(entry.breaches).toEqual([]);
-    await expect.poll(() => relay.openSilentCount).toBe(0);
-  });
+  it.each(ALL_SILENCES)(
+    'is closed, and its idempotent work answered over a new one: %s',
+    async (way) => {
+      const { entry, relay } = await startWithRelay();
+      expect((await entry.call('/a', LONG_TIMEOUT_HEADERS)).text).toBe('whole');
+      relay.silenceAll(way);
+      expect(relay.openSilentCount).toBe(1);
+      const answer = await entry.call('/b', LONG_TIMEOUT_HEADERS);
+      expect([answer.statusCode, answer.text]).toEqual([200, 'whole']);
+      expect(relay.connectionCount).toBe(2);
+      expect(entry.counter('connections_overtaken')).toBe(1);
+      expect(entry.brokenInvariants).toEqual([]);
+      await expect.poll(() => relay.openSilentCount).toBe(0);
+    },
+  );
 
   it('leaves work that is not idempotent unknown at its deadline, and closes', async () => {
-    const { entry, relay } = await start();
+    const { entry, relay } = await startWithRelay();
     await entry.call('/a');
     relay.silenceAll(Silence.Both);
     const headers = { 'snipethread-timeout-ms': '800' };
     const answer = await entry.call('/b', headers, 'POST', 'order');
     expect([answer.statusCode, workOutcome(answer)]).toEqual([504, 'unknown']);
-    expect((await entry.call('/c', PATIENT)).text).toBe('whole');
+    expect((await entry.call('/c', LONG_TIMEOUT_HEADERS)).text).toBe('whole');
     expect(entry.counter('request_retries')).toBe(0);
   });
 
@@ -72,12 +75,12 @@
   // takes longer than the bound would never end. The second attempt is as slow as the first, so
   // the first one is answered and wins.
   it('is told from a slow server, whose first attempt is answered', async () => {
-    const { entry } = await start();
-    await entry.call('/a', PATIENT);
+    const { entry } = await startWithRelay();
+    await entry.call('/a', LONG_TIMEOUT_HEADERS);
     // On a busy machine the first call alone may have taken long enough for a second attempt.
     const countBefore = entry.counter('second_attempts');
     const wonBefore = entry.counter('second_attempts_won');
-    const answer = await entry.call('/slow', PATIENT);
+    const answer = await entry.call('/slow', LONG_TIMEOUT_HEADERS);
     expect([answer.statusCode, answer.text]).toEqual([200, 'whole']);
     expect(entry.counter('second_attempts') - countBefore).toBe(1);
     expect(entry.counter('second_attempts_won') - wonBefore).toBe(0);
@@ -87,7 +90,7 @@
 describe('a connection to the table that has gone silent', () => {
   // The same between the daemon and the platform. The call that lies on it fails by its own
   // timeout, as a transaction whose outcome is unknown; the next one goes over a new connection.
-  it.each(ALL)('costs one call: %s', async (way) => {
+  it.each(ALL_SILENCES)('costs one call: %s', async (way) => {
     const platform = new PlatformServer(1);
     const relay = new SilentRelay(await platform.listen());
     const origin = `http://127.0.0.1:${await relay.listen()}`;
@@ -135,7 +138,7 @@
     },
   };
 
-  it.each(ALL.flatMap((way) => Object.keys(CLIENTS).map((name) => [name, way] as const)))(
+  it.each(ALL_SILENCES.flatMap((way) => Object.keys(CLIENTS).map((name) => [name, way] as const)))(
     'costs the calls on it: %s, %s',
     async (name, way) => {
       const platform = new PlatformServer(1);
@@ -161,7 +164,7 @@
   // What is sent to open a connection vanishes. undici ends a call that waits for its connection
   // only when the opening ends, whatever the call's own timeout: without a limit of ours that is
   // after ten seconds, more than the test's own time. Then the way is open again.
-  const OPENING_TEST_MS = 8_000;
+  const OPENING_TEST_TIMEOUT_MS = 8_000;
   it.each(Object.keys(CLIENTS))(
     'costs the calls while it opens: %s',
     async (name) => {
@@ -179,6 +182,6 @@
       opening.mockRestore();
       await expect.poll(isAnswered).toBe(true);
     },
-    OPENING_TEST_MS,
+    OPENING_TEST_TIMEOUT_MS,
   );
 });
--- a/src/entry/test/wholeAnswers.test.ts
+++ b/src/entry/test/wholeAnswers.test.ts
@@ -56,7 +56,7 @@
     expect(answer.statusCode).toBe(502);
     expect(workOutcome(answer)).toBe('unknown');
     expect(backend.requests).toHaveLength(1);
-    expect(entry.breaches).toEqual([]);
+    expect(entry.brokenInvariants).toEqual([]);
   });
 
   it('is tried again for idempotent work', async () => {
@@ -119,7 +119,7 @@
     const texts = [await next, await entry.call('/c')].map(({ text }) => text);
     expect(texts).toEqual(['/b', '/c']);
     expect(held.length).toBeGreaterThan(0);
-    expect(backend.mostConnections).toBeLessThanOrEqual(2);
+    expect(backend.maximumConnections).toBeLessThanOrEqual(2);
   });
 
   // Many requests at a time, answered in the reverse order of their arrival. Each caller must
