--- a/src/entry/common/abandonedPermits.ts
+++ b/src/entry/common/abandonedPermits.ts
@@ -1,4 +1,4 @@
-/** Places that stay taken after their callers hung up. */
+/** Permits that stay in use for a while after their callers hung up. */
 import type { WaitingRequest } from './fairQueue.js';
 import type { ServerRecord } from './serverRecords.js';
 
@@ -7,7 +7,10 @@
   readonly freeAtMs: number;
 }
 
-/** Places whose callers hung up while their servers may still work; bounded by the shares. */
+/**
+ * Permits of requests whose callers hung up while the backend server may still be working. This
+ * entry's connection shares bound their number.
+ */
 export class AbandonedPermits<Waiting extends WaitingRequest> {
   #permits: AbandonedPermit<Waiting>[] = [];
 
@@ -19,7 +22,7 @@
     this.#permits.push({ server, freeAtMs });
   }
 
-  /** The servers whose places are due, each place once. */
+  /** Removes the permits that are due and returns their servers, one for each permit. */
   takeDue(nowMs: number): readonly ServerRecord<Waiting>[] {
     if (this.isEmpty) return [];
     const due = this.#permits.filter(({ freeAtMs }) => freeAtMs <= nowMs);
--- a/src/entry/common/admission.ts
+++ b/src/entry/common/admission.ts
@@ -1,4 +1,4 @@
-/** Decides which request goes to which server now, which waits and which is refused. */
+/** Decides for each request whether it is sent now, and where, or waits, or is refused. */
 import type { RandomSource } from '../../base/common/random.js';
 import { URGENCY_ORDER, type Urgency } from '../../services/configuration/common/documents.js';
 import { ErrorKind, failure, type Failure } from '../../services/errors/common/errorKinds.js';
@@ -29,21 +29,27 @@
 const MINIMUM_RETRY_AFTER_MS = 1_000;
 const RETRY_AFTER_JITTER_MS = 2_000;
 
-/** A place counts as used so many median latencies after its start, and at least so long. */
+/**
+ * How long the permit of an abandoned request stays in use, counted from the start of its attempt:
+ * a multiple of the service's median latency, with a lower bound.
+ */
 const ABANDONED_HOLD_MEDIANS = 1.5;
 const MINIMUM_ABANDONED_HOLD_MS = 40;
 
 /**
- * Made for bursts and saturation on servers that several services and several entries share.
+ * Admission control of one entry, for bursts and saturation on servers that several services and
+ * several entries share.
  *
- * A request goes out at once while its service's limit has room, where the requests of all
- * services on the same workers count: two services together must not fill what each alone may.
- * Else it waits here, and when a place falls free the most urgent service is served first,
- * equal ones in turn, so that low work cannot stand before urgent work inside a worker.
+ * Each request that is sent holds a permit on its server until it ends. A request is sent at once
+ * while its service is below its limit. The limit counts the requests of all services on the same
+ * workers, so that two services together do not exceed the limit that each of them has alone.
+ * Otherwise the request waits here. A freed permit goes to the most urgent waiting service, and
+ * services of equal urgency take turns, so that work of low urgency does not get ahead of urgent
+ * work inside a worker.
  *
- * A request is refused at once when it would wait longer than the setting allows or than its
- * deadline leaves: work that is answered too late is paid for and worth nothing. The time to
- * come back is spread, so that those refused together do not return together.
+ * A request is refused at once when it would wait longer than the setting allows, or longer than
+ * its deadline leaves: the caller pays for work that is answered too late and cannot use it. The
+ * retry delay carries random jitter, so that requests refused together do not return together.
  */
 export class Admission<Waiting extends WaitingRequest> {
   readonly #settings: AdmissionSettings;
@@ -68,7 +74,7 @@
     this.#feedback = new ServerFeedback(settings.maximumSetAsideRatio, random);
   }
 
-  /** What the servers' answers took, for whoever places work beside them. */
+  /** Latencies of the servers' answers, for the scheduler that places tasks on the same workers. */
   get latencyWindows(): LatencyWindows {
     return this.#feedback.latencyWindows;
   }
@@ -77,12 +83,12 @@
     return this.#registry.service(name);
   }
 
-  /** Requests that wait now, of all services. */
+  /** The number of requests of all services that wait now. */
   get waitingCount(): number {
     return this.#registry.services.reduce((sum, { queue }) => sum + queue.length, 0);
   }
 
-  /** Whether a sweep will have places to free. */
+  /** Whether a later sweep has permits of abandoned requests to release. */
   get hasAbandonedPermits(): boolean {
     return !this.#abandonedPermits.isEmpty;
   }
@@ -92,7 +98,7 @@
     return this.#feedback.takeSetAsideCount();
   }
 
-  /** Takes new routes over; see the roster. */
+  /** Applies new routes; see `ServiceRegistry.updateRoutes`. */
   updateRoutes(
     routes: RoutingTable,
     urgencyOf: (serviceName: string) => Urgency,
@@ -139,9 +145,10 @@
   }
 
   /**
-   * A place beside the queue, for an attempt that repeats one under way. A hedge gets it only
-   * while the limit has room and no service on its workers waits, so that no extra work is done under saturation.
-   * One for a connection that seems silent gets it always; the retry budget bounds these.
+   * Returns a server with a permit for a second attempt at a running request, past the queue. A
+   * hedge gets one only while the service is below its limit and no service on its workers waits,
+   * so that saturated servers get no extra work. An attempt that replaces a silent connection is
+   * not held to that; the retry budget bounds these.
    */
   tryAdmitExtra(
     serviceName: string,
@@ -160,18 +167,18 @@
     return server;
   }
 
-  /** Lets a request go that waits and is wanted no more; its place in the queue is free at once. */
+  /** Removes a waiting request that nobody wants any more; false when it does not wait. */
   leave(serviceName: string, waiting: Waiting): boolean {
     return this.#registry.service(serviceName)?.queue.remove(waiting) ?? false;
   }
 
   /**
-   * Gives a place back and returns what may be sent in its stead.
+   * Releases a permit and returns the waiting requests that may be sent instead.
    *
-   * Made also for callers that hang up within milliseconds and repeat at once, on servers that
-   * do not notice that a connection was closed: were their places free at once, each repeat
-   * would put one more request inside a worker, past every limit, and urgent work would wait
-   * there. So an abandoned place stays taken for as long as its work is likely to run.
+   * The permit of an abandoned request stays in use for as long as its work is likely to run. Some
+   * callers hang up within milliseconds and repeat at once, and some servers do not notice that a
+   * connection was closed. If such permits were free at once, each repeat would put one more
+   * request inside a worker, past every limit, and urgent work would wait behind it.
    */
   finish(
     serviceName: string,
@@ -198,14 +205,14 @@
     worker.inFlightCount -= 1;
     if (worker.inFlightCount === 0) this.#registry.forgetDeparted(worker);
     worker.services.forEach((each) => {
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       each.occupiedCount -= 1;
     });
     return this.#dispatchWaiting(worker.services, nowMs);
   }
 
-  /** Gives up what can no longer be answered in time, and serves what has room again. */
+  /** Rejects waiting requests that have expired, and sends those that now get a permit. */
   sweep(nowMs: number): {
     readonly rejected: readonly Rejected<Waiting>[];
     readonly dispatched: readonly Dispatched<Waiting>[];
@@ -260,8 +267,9 @@
   }
 
   /**
-   * Estimates the wait from the queue's length and the pace at which it was served last. While
-   * more urgent work takes every place, the pace is what has passed since the last one.
+   * Estimates the wait from the queue's length and the recent interval between two dequeued
+   * requests. While more urgent work takes every permit, the time since the last dequeued request
+   * serves as that interval.
    */
   #wouldWaitTooLong(service: ServiceRecord<Waiting>, waiting: Waiting, nowMs: number): boolean {
     const waitMs = service.queue.length * service.dequeueInterval.valueMs(nowMs);
@@ -290,7 +298,7 @@
     }
   }
 
-  /** The most urgent service that waits and has room; equal ones take turns. */
+  /** The most urgent service that waits and has capacity; services of equal urgency take turns. */
   static #nextService<Waiting extends WaitingRequest>(
     services: readonly ServiceRecord<Waiting>[],
   ): ServiceRecord<Waiting> | undefined {
@@ -310,7 +318,7 @@
     const { worker } = server;
     worker.inFlightCount += 1;
     worker.services.forEach((service) => {
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       service.occupiedCount += 1;
     });
--- a/src/entry/common/admissionDecision.ts
+++ b/src/entry/common/admissionDecision.ts
@@ -1,4 +1,4 @@
-/** What the admission decides and what it is told, as typed messages. */
+/** The decisions of admission, and the outcomes that are reported to it. */
 import type { Failure } from '../../services/errors/common/errorKinds.js';
 import type { WaitingRequest } from './fairQueue.js';
 import type { ServerRecord } from './serverRecords.js';
@@ -10,46 +10,46 @@
 } as const;
 export type AdmissionKind = (typeof AdmissionKind)[keyof typeof AdmissionKind];
 
-/** What becomes of a request at its arrival. */
+/** The decision on a request at its arrival. */
 export type AdmissionDecision<Waiting extends WaitingRequest> =
   | { readonly kind: 'admitted'; readonly server: ServerRecord<Waiting> }
   | { readonly kind: 'queued'; readonly displaced: Rejected<Waiting> | undefined }
   | { readonly kind: 'refused'; readonly failure: Failure };
 
-/** A request that waited and may be sent now; its place has been taken. */
+/** A request that has waited and may be sent now; it holds a permit on the server. */
 export interface Dispatched<Waiting extends WaitingRequest> {
   readonly waiting: Waiting;
   readonly server: ServerRecord<Waiting>;
 }
 
-/** A request that waited and is given up; it has to be answered at once. */
+/** A request that has waited and is rejected; it has to be answered at once. */
 export interface Rejected<Waiting extends WaitingRequest> {
   readonly waiting: Waiting;
   readonly failure: Failure;
 }
 
-/** What an attempt says about its server. */
+/** The conclusion from an attempt about its server. */
 export const ServerVerdict = {
-  /** An answer that is no server error. */
+  /** The answer is not a server error. */
   Success: 'success',
-  /** A server error, a refusal or no answer; its latency says nothing. */
+  /** A server error, a refusal or no answer; the latency is not counted. */
   Failure: 'failure',
-  /** Given up because another attempt was answered; slow for at least this latency. */
+  /** Cancelled because another attempt was answered; the latency is a lower bound. */
   Overtaken: 'overtaken',
-  /** Given up because its caller hung up; its server may work on for a while. */
+  /** Cancelled because the caller hung up; the server may go on working for a while. */
   Abandoned: 'abandoned',
-  /** The place was not used. */
+  /** The permit was not used. */
   Unused: 'unused',
 } as const;
 export type ServerVerdict = (typeof ServerVerdict)[keyof typeof ServerVerdict];
 
-/** How a request that had a place ended, as far as choosing servers goes. */
+/** The end of an attempt that held a permit, as far as the choice of servers depends on it. */
 export interface AttemptOutcome {
   readonly latencyMs: number;
   readonly verdict: ServerVerdict;
   readonly isServerLeaving: boolean;
 }
 
-/** Why a request under way is sent a second time. */
+/** The reason for a second attempt at a running request. */
 export const ExtraReason = { Hedge: 'hedge', Silence: 'silence' } as const;
 export type ExtraReason = (typeof ExtraReason)[keyof typeof ExtraReason];
--- a/src/entry/common/attempt.ts
+++ b/src/entry/common/attempt.ts
@@ -2,11 +2,11 @@
 
 export const AttemptEnd = {
   Answered: 'answered',
-  /** Surely nothing ran: nothing was sent, or the server said so by the agreed header. */
+  /** The work certainly did not run: nothing was sent, or the server said so by its header. */
   NotRun: 'not-run',
-  /** Sent, and no whole answer came. */
+  /** The request was sent and no complete answer came. */
   Lost: 'lost',
-  /** Sent, and given up before the answer came. */
+  /** The request was sent and cancelled before its answer came. */
   TimedOut: 'timed-out',
 } as const;
 export type AttemptEnd = (typeof AttemptEnd)[keyof typeof AttemptEnd];
--- a/src/entry/common/callerRequest.ts
+++ b/src/entry/common/callerRequest.ts
@@ -1,4 +1,4 @@
-/** What an entry reads from a caller's request before it does anything. */
+/** Reads and checks the options in the headers of a caller's request. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import { ErrorKind, failure, type Failure } from '../../services/errors/common/errorKinds.js';
@@ -22,7 +22,7 @@
   readonly timeoutMs: number;
   readonly isIdempotent: boolean;
   readonly idempotencyKey: string | undefined;
-  /** Empty for callers that do not say who they are. */
+  /** Empty for callers that do not identify themselves. */
   readonly callerId: string;
 }
 
--- a/src/entry/common/claims.ts
+++ b/src/entry/common/claims.ts
@@ -1,4 +1,4 @@
-/** Decides on the claim of an idempotency key; pure, the table is asked by the caller. */
+/** Decisions about the claim of an idempotency key. Pure; the caller reads and writes the table. */
 import {
   ErrorKind,
   failure,
@@ -19,7 +19,7 @@
   type RecordedAnswer,
 } from '../../services/workload/common/claimRow.js';
 
-/** A request that has to hold the claim of its key before it is sent. */
+/** The claim that a request must hold on its idempotency key before it is sent. */
 export interface ClaimRequest {
   readonly serviceName: string;
   readonly idempotencyKey: string;
@@ -28,7 +28,7 @@
   readonly generation: number;
 }
 
-/** The keys that must be absent; the middle one is written. */
+/** The row keys that must be absent; an insertion writes the middle one. */
 export const claimKeys = (claim: ClaimRequest): readonly string[] =>
   [-1, 0, 1].map((offset) =>
     claimKey(claim.generation + offset, claim.serviceName, claim.idempotencyKey),
@@ -49,8 +49,8 @@
 });
 
 /**
- * Inserts the claim if the key is absent. The operation is named by the claim, so that a row
- * that it wrote is known again after its answer was lost.
+ * Inserts the claim if the key is absent. The claim's id is also the operation's id, so that the
+ * entry recognizes its own row after the answer to the insertion was lost.
  */
 export const claimTransaction = (claim: ClaimRequest): Transaction => ({
   operationId: claim.claimId,
@@ -58,7 +58,7 @@
   writes: [{ key: currentClaimKey(claim), value: claimValue(claim, ClaimState.Claimed, null) }],
 });
 
-/** Records the answer for repeats; null for one that is too large to keep. */
+/** Records the answer for repeats of the request; null for an answer that is too large. */
 export const answerTransaction = (
   claim: ClaimRequest,
   version: number,
@@ -69,29 +69,29 @@
   writes: [{ key: currentClaimKey(claim), value: claimValue(claim, ClaimState.Answered, answer) }],
 });
 
-/** Gives the key back, after its request surely did not run. */
+/** Releases the key after its request certainly did not run. */
 export const releaseTransaction = (claim: ClaimRequest, version: number): Transaction => ({
   operationId: `${claim.claimId}/release`,
   conditions: [{ key: currentClaimKey(claim), version }],
   writes: [{ key: currentClaimKey(claim), value: null }],
 });
 
-/** What a request may do after the table was asked. */
+/** The decision about a request, after the table was read or written. */
 export type ClaimDecision =
-  /** The claim is this request's own: it may be sent, once. */
+  /** This request holds the claim and may be sent once. */
   | { readonly kind: 'held'; readonly version: number }
-  /** The key was answered before; the same answer is given again. */
+  /** The key has a recorded answer, which the caller gets again. */
   | { readonly kind: 'replay'; readonly answer: RecordedAnswer }
-  /** Another request holds the key, or the key names another request. */
+  /** Another request holds the key, or the key was used for a different request. */
   | { readonly kind: 'refused'; readonly failure: Failure }
-  /** No claim stands; it has to be made (again). */
+  /** No claim exists; it has to be inserted (again). */
   | { readonly kind: 'absent' };
 
 const refused = (cause: Failure): ClaimDecision => ({ kind: 'refused', failure: cause });
 
 /**
- * Reads the verdict from the rows of the key. It is asked after a conflict and after a lost
- * answer: a row with this claim's id shows that the lost insertion took effect.
+ * Decides from the rows of the key, after a conflict or after the answer to an insertion was lost.
+ * A row with this claim's id shows that the insertion took effect.
  */
 export const decideClaim = (claim: ClaimRequest, rows: readonly TableRow[]): ClaimDecision => {
   const [row] = rows;
@@ -117,13 +117,13 @@
   );
 };
 
-/** After how long of the store's silence a claim is tried again. */
+/** The interval at which one claim probes a store that failed. */
 const STORE_PROBE_INTERVAL_MS = 500;
 
 /**
- * Made for an outage of the store in which calls hang until they time out: each request with a
- * key would wait that long for its refusal and hold its caller's connection. After a failure,
- * one claim at a time tries the store, at an interval; all others are refused at once.
+ * Circuit breaker for outages of the store in which calls hang until they time out. Without it
+ * each request with a key would wait that long for its refusal and hold its caller's connection.
+ * After a failure one claim per interval probes the store; all others are refused at once.
  */
 export class StoreCircuitBreaker {
   #isOpen = false;
@@ -147,21 +147,21 @@
   }
 }
 
-/** A claim that takes longer gives its place at a server back, and the next ones are early. */
+/** A claim that takes longer releases its permit, and the next keys are claimed early. */
 export const MAXIMUM_CLAIM_HOLD_MS = 25;
 
 /**
- * Decides when a key is claimed: late, when its request has its place at a server, or early,
- * before it waits.
+ * Decides when a key is claimed: late, when its request holds a permit on a server, or early,
+ * before the request waits.
  *
- * Made for entries that are killed. A claim stays when its entry dies, and then nobody can tell
- * whether its request was sent; the caller is told "unknown" for a day. Claimed late, a request
- * that only waited has left nothing behind, and its repeat runs at once. What is left is the
- * time from the claim's commit to the first byte, in which no record could tell.
+ * Late claims are for entries that are killed. A claim outlives its entry, and then nobody can
+ * tell whether its request was sent, so the caller gets the outcome "unknown" for a day. With a
+ * late claim, a request that only waited leaves no row behind, and its repeat runs at once. The
+ * outcome stays unknown only for an entry killed between the claim's commit and the first byte.
  *
- * The place stands idle meanwhile, so with a slow store late claims would take the places of
- * requests that need no store at all. Hence early claims after a slow or failed one, until one
- * was quick again.
+ * The permit is idle during a late claim, so with a slow store late claims would use up the
+ * permits of requests that need no store at all. After a slow or failed claim, keys are therefore
+ * claimed early, until a claim is fast again.
  */
 export class ClaimTiming {
   #isEarly = false;
@@ -175,5 +175,5 @@
   }
 }
 
-/** The generation that the wall clock names; see the rows of claims for how far it may be off. */
+/** The generation at a time of the wall clock; the claim rows say how far clocks may differ. */
 export const currentGeneration = claimGeneration;
--- a/src/entry/common/concurrencyLimit.ts
+++ b/src/entry/common/concurrencyLimit.ts
@@ -1,25 +1,25 @@
-/** How many requests of a service an entry keeps in flight, following the measured latency. */
+/** Adapts the number of requests of a service that an entry keeps in flight to the latency. */
 
 const WINDOW_ANSWER_COUNT = 64;
-/** Places of the median and of the latency that one in twenty exceeds, in a sorted window. */
+/** Indexes of the median and of the 95th percentile in a sorted window. */
 const MEDIAN_INDEX = WINDOW_ANSWER_COUNT / 2;
 const P95_INDEX = Math.floor(WINDOW_ANSWER_COUNT * 0.95);
-/** Weight of one more window; the lowest of many unsmoothed medians would be far too low. */
+/** Weight of a new window. The lowest of many unsmoothed medians would be far too low. */
 const WINDOW_SMOOTHING_WEIGHT = 0.25;
-/** Latency above the unloaded one at which the limit shrinks instead of growing. */
+/** Ratio to the unloaded latency above which the limit shrinks instead of growing. */
 const LATENCY_TOLERANCE_RATIO = 1.25;
-/** Latency that this process itself may add, which says nothing about the servers. */
+/** Latency that this process itself may add, independently of the servers. */
 const LOCAL_JITTER_MS = 1;
-/** The most that one window takes away. */
+/** The smallest factor that one window applies to the limit. */
 const MINIMUM_CUT_FACTOR = 0.8;
-/** A share of the limit that has to be in use for growth to mean anything. */
+/** Share of the limit that must have been in use for the limit to grow. */
 const SATURATED_SHARE = 0.9;
-/** Weight of a window in which this entry used less than its share, towards a higher latency. */
+/** Weight with which a window below this entry's share raises the unloaded latency. */
 const UNLOADED_INCREASE_WEIGHT = 0.1;
 /**
- * How much more than its share of the slots an entry may always keep in flight. Entries choose
- * without knowing of one another, so at exactly one request for each slot some slots stand empty
- * while others have two.
+ * Factor on its share of the slots that an entry may always keep in flight. Entries choose servers
+ * independently, so with exactly one request for each slot some slots would be empty while others
+ * have two requests.
  */
 const SLOT_HEADROOM = 1.25;
 const MINIMUM_LIMIT = 2;
@@ -28,20 +28,20 @@
   before === 0 ? next : before + (next - before) * weight;
 
 /**
- * Made for saturation. What waits must wait here, where urgent requests can overtake and late
- * ones can be refused, and not inside the workers. An entry cannot count what waits there, since
- * it sees a part of the traffic, but when the entries together keep more in flight than there
- * are slots, the latency of all answers rises above the unloaded one. So the limit grows while
- * it binds and latency stands still, into what other entries leave unused, and shrinks when
- * latency rises.
+ * Keeps the queue in the entry under saturation, where urgent requests can go first and late ones
+ * can be refused, and not inside the workers. An entry sees only a part of the traffic, so it
+ * cannot count the requests that wait inside a worker. But when all entries together keep more in
+ * flight than there are slots, the latency of all answers rises above the unloaded latency. The
+ * limit therefore grows while it is used up and latency is stable, into the capacity that other
+ * entries leave unused, and it shrinks when latency rises.
  *
- * It never shrinks below this entry's share of the slots. Fewer requests than slots cannot wait
- * for one another, so a cut below that loses work and gains nothing; and with the share as the
- * floor, entries that learnt different unloaded latencies still come out even. Without it the
- * entry that had learnt the highest one took nearly everything (see docs/design/requests.md).
+ * The limit never shrinks below this entry's share of the slots. Fewer requests than slots do not
+ * wait for one another, so a lower limit would lose work and gain nothing. With the share as the
+ * lower bound, entries that measured different unloaded latencies still get equal shares. Without
+ * it the entry with the highest unloaded latency took nearly all (see docs/design/requests.md).
  *
- * The median of a window is followed rather than the mean, since one long request in a hundred
- * would move the mean without any queue.
+ * The limit follows the median of a window rather than the mean, since one long request in a
+ * hundred would move the mean without any queue.
  */
 export class ConcurrencyLimit {
   readonly #window = new Float64Array(WINDOW_ANSWER_COUNT);
@@ -62,7 +62,7 @@
 
   #limit: number;
 
-  /** `slotShare` is this entry's share of the slots, `highest` what it may never exceed. */
+  /** `slotShare` is this entry's share of the slots; the limit never exceeds `maximum`. */
   constructor(slotShare: number, maximum: number) {
     this.#maximum = Math.max(MINIMUM_LIMIT, maximum);
     this.#minimum = this.#minimumFor(slotShare);
@@ -73,21 +73,21 @@
     return this.#limit;
   }
 
-  /** The smoothed median latency; zero before there was one. */
+  /** The smoothed median latency; zero before the first full window. */
   get medianMs(): number {
     return this.#medianMs;
   }
 
   /**
-   * The latency that one answer in twenty exceeds, smoothed. Until there was a whole window it
-   * is the highest one seen, and zero before there was any.
+   * The smoothed 95th percentile of the latency, which one answer in twenty exceeds. Before the
+   * first full window it is the highest latency so far, and zero before the first answer.
    */
   get highMs(): number {
     if (this.#p95Ms > 0) return this.#p95Ms;
     return this.#window.subarray(0, this.#windowLength).reduce((most, ms) => Math.max(most, ms), 0);
   }
 
-  /** Servers or entries came or went, so the limit moves at once. */
+  /** Scales the limit at once when servers or entries come or go. */
   rescale(slotShare: number, maximum: number): void {
     const before = this.#minimum;
     this.#maximum = Math.max(MINIMUM_LIMIT, maximum);
@@ -95,7 +95,7 @@
     this.#limit = this.#clamp((this.#limit * this.#minimum) / before);
   }
 
-  /** Returns whether the limit may have moved. */
+  /** Adds the latency of one answer; returns whether the limit may have changed. */
   note(latencyMs: number, inFlightCount: number): boolean {
     this.#window[this.#windowLength] = latencyMs;
     this.#windowLength += 1;
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Lower latencies are learnt at once. Higher ones are learnt slowly, and only while this entry
-   * used less than its share; otherwise a lasting overload would become the new normal.
+   * Takes over a lower latency at once. A higher one counts slowly, and only when this entry used
+   * less than its share; otherwise a lasting overload would become the new baseline.
    */
   #updateUnloaded(): void {
     if (this.#unloadedMs === 0 || this.#medianMs < this.#unloadedMs) {
--- a/src/entry/common/dequeueInterval.ts
+++ b/src/entry/common/dequeueInterval.ts
@@ -1,6 +1,6 @@
-/** The pace at which a service's waiting requests are served. */
+/** The average interval at which a service's waiting requests leave the queue. */
 
-/** Weight of one more gap. */
+/** Weight of a new interval in the average. */
 const INTERVAL_WEIGHT = 0.05;
 
 export class DequeueInterval {
@@ -8,7 +8,7 @@
 
   #lastDequeuedAtMs = 0;
 
-  /** The queue was empty until now, so the time before says nothing about the pace. */
+  /** Starts a new interval: the queue was empty until now, so the time before does not count. */
   noteQueueStart(nowMs: number): void {
     this.#lastDequeuedAtMs = nowMs;
   }
@@ -19,7 +19,7 @@
     this.#lastDequeuedAtMs = nowMs;
   }
 
-  /** The time from one to the next; at least what has passed since the last. */
+  /** The average interval, or the time since the last dequeued request if that is longer. */
   valueMs(nowMs: number): number {
     return Math.max(this.#averageMs, nowMs - this.#lastDequeuedAtMs);
   }
--- a/src/entry/common/fairQueue.ts
+++ b/src/entry/common/fairQueue.ts
@@ -1,33 +1,33 @@
-/** The bounded queue of a service's requests that wait until a server has room. */
+/** The bounded queue of a service's requests that wait for capacity at a server. */
 
 export interface WaitingRequest {
-  /** Who sent it; callers that do not say are one. */
+  /** The sender; callers that do not identify themselves share the empty id. */
   readonly callerId: string;
   readonly deadlineAtMs: number;
   readonly waitingSinceMs: number;
-  /** The worker of a failed attempt, which the next one leaves out if there is another. */
+  /** The worker of a failed attempt; the next attempt avoids it if there is another worker. */
   readonly avoidedWorkerId: string | undefined;
 }
 
-/** What became of a request that wanted to wait. */
+/** The result of adding a request to the queue. */
 export interface QueueResult<Waiting> {
   readonly isAdded: boolean;
-  /** A request of a greedier caller that had to leave for it. */
+  /** A request that was removed to make room, of a caller with more requests in the queue. */
   readonly displaced: Waiting | undefined;
 }
 
 /**
- * Made for bursts of a few seconds above what the servers can take, and for one caller's storm
- * of retries. Callers take turns, each with its own requests by age, so a caller who sends a
- * hundred times as much waits behind itself. When the queue is full the newest request of the
- * caller with the most waiting makes place for one who has fewer; it gets its final answer at
- * once. The length is bounded, for a queue that outlasts its callers' deadlines only delays the
- * refusal.
+ * A fair queue for bursts of a few seconds above the servers' capacity, and for one caller's storm
+ * of retries. Callers take turns, and the requests of one caller are served by age, so a caller
+ * that sends a hundred times as much only delays itself. When the queue is full, the newest request
+ * of the caller with the most waiting requests makes room for a caller with fewer; the removed
+ * request gets its final answer at once. The length is bounded, because a queue longer than its
+ * callers' deadlines only delays the refusal.
  */
 export class FairQueue<Waiting extends WaitingRequest> {
   readonly #capacity: number;
 
-  /** Callers with something waiting, in the order of their turns. */
+  /** The waiting requests of each caller, in the order of the callers' turns. */
   readonly #lanes = new Map<string, Waiting[]>();
 
   #length = 0;
@@ -56,7 +56,7 @@
     return first.done === true ? undefined : first.value[0];
   }
 
-  /** The request to serve next, removed; its caller's next turn comes last. */
+  /** Removes and returns the request to serve next; its caller moves to the end of the order. */
   takeNext(): Waiting | undefined {
     const first = this.#lanes.entries().next();
     if (first.done === true) return undefined;
@@ -68,7 +68,7 @@
     return waiting;
   }
 
-  /** Takes out one request; false when it does not wait here. */
+  /** Removes one request; false when it is not in the queue. */
   remove(waiting: Waiting): boolean {
     const lane = this.#lanes.get(waiting.callerId);
     const index = lane?.indexOf(waiting) ?? -1;
@@ -79,7 +79,7 @@
     return true;
   }
 
-  /** Removes and returns the requests that `isGivenUp` names. */
+  /** Removes and returns the requests for which `shouldRemove` is true. */
   removeWhere(shouldRemove: (waiting: Waiting) => boolean): readonly Waiting[] {
     const removed: Waiting[] = [];
     [...this.#lanes].forEach(([callerId, lane]) => {
--- a/src/entry/common/forwardedHeaders.ts
+++ b/src/entry/common/forwardedHeaders.ts
@@ -1,8 +1,8 @@
-/** The headers of a message that go on to the next hop. */
+/** Selects the headers of a message that are forwarded to the next hop. */
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Headers that concern one connection only and are never passed on. */
+/** Headers that concern a single connection and are never forwarded. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -18,7 +18,7 @@
 ]);
 const PLAIN_CONNECTION_VALUE = /^(keep-alive|close)$/iu;
 
-/** Names that the message's own `connection` header declares to be of this hop. */
+/** The header names that the message's `connection` header declares as hop-by-hop. */
 const connectionHeaderNames = (headers: Headers): ReadonlySet<string> | undefined => {
   const { connection } = headers;
   if (typeof connection !== 'string' || PLAIN_CONNECTION_VALUE.test(connection)) return undefined;
--- a/src/entry/common/hangUp.ts
+++ b/src/entry/common/hangUp.ts
@@ -1,31 +1,32 @@
-/** What becomes of a request whose caller hung up before its answer. */
+/** Decides on a request whose caller hung up before its answer. */
 
 export const HangUpStep = {
-  /** Nothing is under way: it leaves its place in the queue and is never sent. */
+  /** No attempt is running: the request leaves the queue and is never sent. */
   LetGo: 'let-go',
-  /** What is under way is given up and its connection closed; the place is free at once. */
+  /** The running attempts are cancelled and their connections closed. */
   Abort: 'abort',
-  /** It was sent and must not be cut short: it ends by itself, keeps its place until then. */
+  /** The request was sent and must run to its end; it keeps its permit until then. */
   LetEnd: 'let-end',
 } as const;
 export type HangUpStep = (typeof HangUpStep)[keyof typeof HangUpStep];
 
 export interface HangUpState {
   readonly isIdempotent: boolean;
-  /** Whether an attempt is under way. */
+  /** Whether an attempt is running. */
   readonly isUnderWay: boolean;
-  /** Whether a byte of an attempt under way may have left. */
+  /** Whether a byte of a running attempt may have been sent. */
   readonly isSent: boolean;
 }
 
 /**
- * Made for impatient callers under saturation: each hangs up after a while and sends the same
- * again. Without this every hang-up leaves a request behind that holds a place in the queue, a
- * slot and a part of the retry budget for an answer that nobody reads, so the more callers give
- * up, the longer the others wait, until they give up too.
+ * Under saturation impatient callers hang up after a while and send the same request again. If
+ * hang-ups were ignored, each would leave a request behind that holds a position in the queue, a
+ * slot and a part of the retry budget for an answer that nobody reads. The more callers hung up,
+ * the longer the others would wait, until they hung up too.
  *
- * Work that is not idempotent is left to end once a byte of it may have left: cut short, its
- * outcome could not be recorded under its key, and the caller's repeat would be told "unknown".
+ * Work that is not idempotent runs to its end once a byte of it may have been sent. If it were cut
+ * short, its outcome could not be recorded under its key, and the caller's repeat would get the
+ * outcome "unknown".
  */
 export const hangUpStep = ({ isIdempotent, isUnderWay, isSent }: HangUpState): HangUpStep => {
   if (!isUnderWay) return HangUpStep.LetGo;
--- a/src/entry/common/hangUpSignal.ts
+++ b/src/entry/common/hangUpSignal.ts
@@ -1,9 +1,9 @@
-/** How the connection of a caller tells the request that waits on it that the caller is gone. */
+/** Tells a request that its caller has closed the connection. */
 
 /**
- * One flag and one listener, made for each request. An `AbortSignal` with its event listener
- * would tell the same, but making one and taking it down costs some 11 µs of processor time, a
- * tenth of what a bare pass-through spends on a whole request.
+ * One flag and one listener for each request. An `AbortSignal` with an event listener would do the
+ * same, but creating and removing one costs some 11 µs of processor time, a tenth of the cost of
+ * proxying a whole request without any further logic.
  */
 export class HangUpSignal {
   #hasHungUp = false;
@@ -14,12 +14,12 @@
     return this.#hasHungUp;
   }
 
-  /** Sets the one listener; it is not called for a hang-up that came before. */
+  /** Sets the only listener. It is not called for a hang-up that was raised before. */
   listen(listener: () => void): void {
     this.#listener = listener;
   }
 
-  /** Tells of the hang-up, once however often it is called. */
+  /** Calls the listener on the first call; later calls have no effect. */
   raise(): void {
     if (this.#hasHungUp) return;
     this.#hasHungUp = true;
--- a/src/entry/common/latencyEstimate.ts
+++ b/src/entry/common/latencyEstimate.ts
@@ -1,14 +1,14 @@
-/** A moving estimate of a backend server's latency that forgets with time. */
+/** A moving average of a backend server's latency that decays with time. */
 
-/** Time in which an estimate that no answer confirms falls to about a third. */
+/** Time in which an estimate without new answers falls to about a third. */
 const DECAY_MS = 10_000;
-/** Weight of one more answer. */
+/** Weight of a new answer in the average. */
 const ANSWER_WEIGHT = 0.2;
 
 /**
- * Made for servers that slow down because of what runs beside them. The average follows within
- * a handful of answers. A server that is avoided gets no answers that could clear it, so its
- * estimate fades and it is tried again now and then.
+ * For servers that slow down because of the tasks on the same worker. The average follows a change
+ * within a handful of answers. A server that is avoided gets no answers that could lower its
+ * estimate, so the estimate decays and the server is tried again now and then.
  */
 export class LatencyEstimate {
   #averageMs = 0;
@@ -29,7 +29,7 @@
     this.#updatedAtMs = nowMs;
   }
 
-  /** An answer was not waited for; the latency is at least this, so it may only raise. */
+  /** Records a lower bound of a latency, which can only raise the estimate. */
   noteAtLeast(latencyMs: number, nowMs: number): void {
     if (latencyMs > this.valueMs(nowMs)) this.note(latencyMs, nowMs);
   }
--- a/src/entry/common/latencyWindows.ts
+++ b/src/entry/common/latencyWindows.ts
@@ -1,10 +1,10 @@
-/** Gathers the latencies of each backend server between two looks at them. */
+/** Collects the latencies of each backend server until the next sample is taken. */
 import type {
   LatencySample,
   LatencySampleSource,
 } from '../../services/worker/common/latencySamples.js';
 
-/** Servers of one process that are told apart: a few services on each of 860 workers. */
+/** Servers that one process records: a few services on each of 860 workers. */
 const MAXIMUM_WINDOWS = 5_000;
 
 interface LatencyWindow {
@@ -16,10 +16,10 @@
 }
 
 /**
- * Made for a scheduler that learns which batch work slows a service down. A sample names the
- * instant at which its first request was sent: one that was on its way when the tasks beside the
- * server changed tells nothing of what runs there now. Where nobody looks, in a process without
- * the scheduler's role, it keeps no more than the first records.
+ * For a scheduler that learns which batch work slows a service down. A sample carries the time at
+ * which its first request was sent, because a request that was sent before the tasks on the worker
+ * changed says nothing about the current tasks. In a process without the scheduler's role nobody
+ * takes the samples; it then keeps a bounded number of windows and ignores further servers.
  */
 export class LatencyWindows implements LatencySampleSource {
   #windows = new Map<string, LatencyWindow>();
--- a/src/entry/common/requestProgress.ts
+++ b/src/entry/common/requestProgress.ts
@@ -1,4 +1,4 @@
-/** What has been tried for one request, and what may be tried or said next. */
+/** Tracks the attempts at one request, and decides about retries and the final answer. */
 import {
   ERROR_ANSWERS,
   ErrorKind,
@@ -16,9 +16,9 @@
 }
 
 /**
- * Keeps the one fact that every answer depends on: whether the work may have run. An attempt
- * that was sent and lost makes it so for good; that a later attempt was refused, or found no
- * room, changes nothing about the first.
+ * Tracks the fact that every answer depends on: whether the work may have run. Once an attempt was
+ * sent and lost, the work counts as possibly run for the rest of the request. A later attempt that
+ * is refused, or that finds no capacity, does not change that.
  */
 export class RequestProgress {
   readonly #options: ProgressOptions;
@@ -41,14 +41,14 @@
     return this.#attemptCount;
   }
 
-  /** Whether an attempt is under way or was sent without a known outcome. */
+  /** Whether an attempt is running, or was sent and may have run. */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun || this.#runningCount > 0;
   }
 
   /**
-   * Begins an attempt. False, and the attempt must not be made, when work that is not
-   * idempotent may have run already: the caller would be billed twice.
+   * Begins an attempt. Returns false, and the attempt must not be made, when the work is not
+   * idempotent and may already have run: the caller would be billed twice.
    */
   tryStart(): boolean {
     if (!this.#options.isIdempotent && this.mayHaveRun) return false;
@@ -63,7 +63,7 @@
     if (end !== AttemptEnd.NotRun) this.#mayHaveRun = true;
   }
 
-  /** Decides on a request whose caller hung up; from then on it is not tried again. */
+  /** Decides on a request whose caller hung up; the request is not retried after this. */
   noteHangUp(isSent: boolean): HangUpStep {
     this.#isAbandoned = true;
     const { isIdempotent } = this.#options;
@@ -78,7 +78,7 @@
     return isIdempotent || !this.mayHaveRun;
   }
 
-  /** The final answer when the attempts have come to nothing. */
+  /** The final answer after all attempts have failed. */
   finalFailure(nowMs: number): Failure {
     if (this.#isAbandoned) return this.#abandonedFailure();
     const isPastDeadline = nowMs >= this.#options.deadlineAtMs;
@@ -95,13 +95,13 @@
       : failure(ErrorKind.Internal, 'the request was given up');
   }
 
-  /** Read by nobody but the claim of its key and the counters: the caller is gone. */
+  /** Only the claim of the key and the counters read this failure: the caller is gone. */
   #abandonedFailure(): Failure {
     const workOutcome = this.mayHaveRun ? WorkOutcome.Unknown : WorkOutcome.NotRun;
     return { ...failure(ErrorKind.CallerLeft, 'the caller hung up'), workOutcome };
   }
 
-  /** A refusal as it may be told: never as not run when an earlier attempt may have run. */
+  /** The failure to report: never "not run" when an earlier attempt may have run. */
   toReportedFailure(cause: Failure): Failure {
     const outcome = cause.workOutcome ?? ERROR_ANSWERS[cause.kind].workOutcome;
     if (!this.mayHaveRun || outcome !== WorkOutcome.NotRun) return cause;
--- a/src/entry/common/retryBudget.ts
+++ b/src/entry/common/retryBudget.ts
@@ -1,14 +1,14 @@
-/** Bounds retries to a share of first attempts. */
+/** Limits retries to a share of first attempts. */
 
-/** Retries allowed before any first attempt was seen, so that a quiet entry can retry at all. */
+/** Retries allowed before the first request, so that an entry with little traffic can retry. */
 const INITIAL_TOKENS = 3;
 const MAXIMUM_TOKENS = 100;
 
 /**
- * Made for an outage of all servers of a service: without a bound every request would be sent
- * several times and the servers would come back into a multiple of their load. Each first
- * attempt earns a fraction of a retry; what is not used is kept only up to a limit, so that a
- * long quiet time does not pay for a storm.
+ * A token bucket for outages of all servers of a service. Without a limit every request would be
+ * sent several times, and the servers would return to a multiple of their load. Each first attempt
+ * earns a fraction of a retry. Unused tokens are kept only up to a maximum, so that a long quiet
+ * period does not allow a storm of retries.
  */
 export class RetryBudget {
   readonly #ratio: number;
@@ -28,12 +28,12 @@
     return this.#tokens >= 1;
   }
 
-  /** Gives one back. */
+  /** Returns one token. */
   refund(): void {
     this.#tokens = Math.min(MAXIMUM_TOKENS, this.#tokens + 1);
   }
 
-  /** Takes one retry out of the budget, if there is one. */
+  /** Takes one token for a retry; false when there is none. */
   trySpend(): boolean {
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
@@ -41,13 +41,13 @@
   }
 }
 
-/** The part of the hedge budget that is spent without a sign that hedging helps. */
+/** The part of the hedge budget that is spent before any hedge was answered first. */
 const EXPLORATION_SHARE = 0.1;
 
 /**
- * Bounds hedges, and keeps them to where they help. A request that is long by its nature is as
- * long the second time, so hedging a service of such requests only doubles its work. A small
- * part of the budget goes into trying; each hedge that is answered first earns another one.
+ * Limits hedges to services where they help. A request that takes long by its nature takes as long
+ * the second time, so hedging a service of such requests only doubles its work. A small part of the
+ * budget explores whether hedging helps; each hedge that is answered first earns another one.
  */
 export class HedgeBudget {
   readonly #totalBudget: RetryBudget;
@@ -73,7 +73,7 @@
     return this.#totalBudget.trySpend() && this.#explorationBudget.trySpend();
   }
 
-  /** A hedge was answered before the first attempt. */
+  /** Records that a hedge was answered before the first attempt. */
   noteWin(): void {
     this.#explorationBudget.refund();
   }
--- a/src/entry/common/routing.ts
+++ b/src/entry/common/routing.ts
@@ -1,4 +1,4 @@
-/** Which backend servers may receive requests of a service. */
+/** Computes the backend servers that may receive the requests of each service. */
 import {
   type ConfigurationView,
   isZoneInUse,
@@ -12,7 +12,7 @@
 } from '../../services/instanceList/common/instanceList.js';
 import type { EndpointRow } from '../../services/workload/common/workRows.js';
 
-/** A backend server as an entry sees it. One worker has one, for all its services. */
+/** A backend server as an entry sees it. A worker has one, for all its services. */
 export interface BackendServer {
   readonly workerId: string;
   readonly origin: string;
@@ -38,8 +38,9 @@
   view.workers.get(worker.id)?.isDraining !== true;
 
 /**
- * Joins what the schedulers published with the configuration and the instance list. Each of the
- * three can be the first to know that a server is leaving, so any of them takes it out.
+ * Combines the endpoints that the schedulers published with the configuration and the instance
+ * list. Each of the three can be the first to show that a server is leaving, so a server must be
+ * usable by all three.
  */
 export const toRoutingTable = (
   view: ConfigurationView,
--- a/src/entry/common/secondAttempt.ts
+++ b/src/entry/common/secondAttempt.ts
@@ -1,4 +1,4 @@
-/** Decides when a request under way is sent a second time beside the first. */
+/** Decides when a running request gets a second, concurrent attempt. */
 import { ExtraReason } from './admissionDecision.js';
 
 export interface RunningRequest {
@@ -6,9 +6,9 @@
   readonly attemptCount: number;
   readonly maximumAttemptCount: number;
   readonly ageMs: number;
-  /** Whether any byte of the answer has come. */
+  /** Whether any byte of the answer has arrived. */
   readonly hasProgress: boolean;
-  /** The latency that one in twenty answers of the service exceeds; zero while unknown. */
+  /** The 95th percentile of the service's latency; zero while unknown. */
   readonly highLatencyMs: number;
 }
 
@@ -16,16 +16,16 @@
   readonly silenceFloorMs: number;
 }
 
-/** Factors on the high latency: what is slower than these is slow, or lies on a dead connection. */
+/** Factors on the 95th percentile, after which a request is hedged or its connection is suspect. */
 const HEDGE_FACTOR = 1.5;
 const SILENCE_FACTOR = 4;
 
 /**
- * Made for the slowest few and for connections that went silent. HTTP has no sign of life on a
- * connection that waits for an answer, so slowness and silence look alike from outside. What
- * tells them apart is a second attempt on another connection: if it is answered while the first
- * has not brought a byte, the first connection is closed. Until then the first goes on, so work
- * that is merely long is never cut off by this. Work that is not idempotent is left alone.
+ * Covers the slowest requests and connections that went silent. HTTP has no keep-alive message on
+ * a connection that waits for an answer, so a slow server and a silent connection look the same.
+ * A second attempt on another connection tells them apart: if it is answered before the first one
+ * has brought a byte, the first connection is closed. The first attempt goes on until then, so work
+ * that merely takes long is never cut off here. Work that is not idempotent gets no second attempt.
  */
 export const secondAttemptReason = (
   running: RunningRequest,
--- a/src/entry/common/serverChoice.ts
+++ b/src/entry/common/serverChoice.ts
@@ -12,10 +12,10 @@
   ): ServerRecord<Waiting> | undefined;
 }
 
-/** Draws before all servers are looked at; enough unless most of them are full. */
+/** Random draws before all servers are checked in turn; enough unless most of them are full. */
 const MAXIMUM_DRAWS = 6;
 
-/** A random eligible server; looks at all only after several draws have failed. */
+/** A random eligible server; checks all servers only after several draws have failed. */
 export const drawEligible = <Waiting extends WaitingRequest>(
   servers: readonly ServerRecord<Waiting>[],
   nowMs: number,
@@ -51,9 +51,10 @@
 };
 
 /**
- * Of two servers drawn at random, the one with fewer requests in flight. Made for several
- * entries that each see a part of the traffic: always taking the least loaded would send all
- * entries to the same server at once. It notices a slow server only by what stays in flight.
+ * Power of two choices: draws two servers at random and takes the one with fewer requests in
+ * flight. Several entries each see a part of the traffic, so if each took the least loaded server,
+ * all of them would choose the same one at once. A slow server shows only by the requests that stay
+ * in flight on it.
  */
 export class LeastInFlightOfTwo implements ServerChooser {
   readonly #random: RandomSource;
@@ -72,18 +73,18 @@
   }
 }
 
-/** Latency times the square of what is in flight; see docs/design/requests.md for the powers. */
+/** Latency times the squared in-flight count; docs/design/requests.md compares the exponents. */
 const loadWeightedLatencyMs = <Waiting extends WaitingRequest>(
   server: ServerRecord<Waiting>,
   nowMs: number,
 ): number => server.latency.valueMs(nowMs) * (server.worker.inFlightCount + 1) ** 2;
 
 /**
- * Of two servers drawn at random, the one with the lower cost. Made for one slow server among
- * many when an entry sees a seventh of the traffic: its own requests in flight say little about
- * a worker's load, the latency of the answers also tells what the other entries and the
- * neighbouring tasks do there. A worker that has just stopped answering shows only in what stays
- * in flight, hence the square.
+ * Power of two choices by cost: draws two servers at random and takes the cheaper one. It finds one
+ * slow server among many when an entry sees a seventh of the traffic. Such an entry's own requests
+ * in flight say little about a worker's load; the latency of the answers also reflects the other
+ * entries and the tasks on the same worker. A worker that has just stopped answering shows only in
+ * the requests that stay in flight, so their number is squared.
  */
 export class LatencyWeightedOfTwo implements ServerChooser {
   readonly #random: RandomSource;
--- a/src/entry/common/serverFeedback.ts
+++ b/src/entry/common/serverFeedback.ts
@@ -1,4 +1,4 @@
-/** What an entry learns of servers from how attempts at them ended. */
+/** Updates the records of servers with the outcomes of attempts. */
 import type { RandomSource } from '../../base/common/random.js';
 import { type AttemptOutcome, ServerVerdict } from './admissionDecision.js';
 import type { WaitingRequest } from './fairQueue.js';
@@ -6,15 +6,15 @@
 import type { ServerRecord, ServiceRecord } from './serverRecords.js';
 
 /**
- * Apart from admission, which only asks whether a server may be chosen: here is what makes one
- * less likely to be chosen, or sets it aside.
+ * Makes a server less likely to be chosen, or sets it aside. Admission only asks whether a server
+ * may be chosen.
  */
 export class ServerFeedback<Waiting extends WaitingRequest> {
   readonly #maximumSetAsideRatio: number;
 
   readonly #random: RandomSource;
 
-  /** What the servers' answers took, for whoever places work beside them. */
+  /** Latencies of the servers' answers, for the scheduler that places tasks on the same workers. */
   readonly latencyWindows = new LatencyWindows();
 
   #setAsideCount = 0;
@@ -31,7 +31,7 @@
     return count;
   }
 
-  /** Takes the end of an attempt in, whatever becomes of its place. */
+  /** Records the outcome of an attempt, whether or not its permit is released now. */
   note(
     service: ServiceRecord<Waiting>,
     server: ServerRecord<Waiting>,
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Only a part of a service's servers is ever set aside. When more than that fail, the cause
-   * is hardly the servers, and the few that are left would only be overrun.
+   * Only a part of a service's servers may be set aside. When more of them fail, the servers are
+   * hardly the cause, and the few that are left would only be overloaded.
    */
   #maySetAside(service: ServiceRecord<Waiting>, nowMs: number): boolean {
     const { servers } = service;
--- a/src/entry/common/serverHealth.ts
+++ b/src/entry/common/serverHealth.ts
@@ -1,22 +1,23 @@
-/** Sets a backend server aside that fails, and takes it back carefully. */
+/** Sets a failing backend server aside, and tries it carefully after a while. */
 import type { RandomSource } from '../../base/common/random.js';
 
 /**
- * Weight of one more outcome. With it the fourth failure in a row, or a lasting share of more
- * than a half, sets a server aside; one failure among successes never does.
+ * Weight of a new outcome. With this weight the fourth failure in a row, or a lasting failure share
+ * of more than a half, sets a server aside; a single failure among successes never does.
  */
 const OUTCOME_WEIGHT = 0.2;
 const SET_ASIDE_FAILURE_SHARE = 0.5;
 const MINIMUM_SET_ASIDE_MS = 1_000;
 const MAXIMUM_SET_ASIDE_MS = 30_000;
-/** Successes in a row that end the trial after a return. */
+/** Successes in a row that end the trial of a server that was set aside. */
 const TRIAL_SUCCESS_COUNT = 3;
 
 /**
- * Made for a server that fails at once: failing is fast, so to a choice by load it looks idle
- * and draws in most of the traffic. It is set aside for a time that doubles with each return
- * that fails, spread so that entries do not come back together, and on its return it gets one
- * request at a time until a few have succeeded.
+ * Outlier detection for servers that fail at once. Such failures are fast, so a choice by load
+ * takes the server for idle and sends it most of the traffic. The server is set aside for a time
+ * that doubles with each failed trial. The time carries random jitter, so that the entries do not
+ * try the server together. During its trial the server gets one request at a time until a few have
+ * succeeded.
  */
 export class ServerHealth {
   #failureShare = 0;
@@ -31,7 +32,7 @@
     return nowMs < this.#setAsideUntilMs;
   }
 
-  /** Whether the server has come back and has not yet shown that it works. */
+  /** Whether the server was set aside and has not succeeded often enough since. */
   get isOnTrial(): boolean {
     return this.#remainingTrialCount > 0;
   }
@@ -43,7 +44,7 @@
     if (this.#remainingTrialCount === 0) this.#setAsideCount = 0;
   }
 
-  /** Whether the failure is one too many; the caller decides if the server may be set aside. */
+  /** Returns whether the server should be set aside; the caller decides whether it may be. */
   noteFailure(): boolean {
     this.#failureShare = this.#failureShare * (1 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
     return this.#failureShare > SET_ASIDE_FAILURE_SHARE || this.isOnTrial;
--- a/src/entry/common/serverRecords.ts
+++ b/src/entry/common/serverRecords.ts
@@ -1,4 +1,4 @@
-/** What an entry itself knows of workers, services and the servers that join them. */
+/** An entry's own state of workers, services and backend servers. */
 import { type Urgency } from '../../services/configuration/common/documents.js';
 import { ConcurrencyLimit } from './concurrencyLimit.js';
 import { LatencyEstimate } from './latencyEstimate.js';
@@ -8,11 +8,11 @@
 import { FairQueue, type WaitingRequest } from './fairQueue.js';
 import { DequeueInterval } from './dequeueInterval.js';
 
-/** A worker with the requests of all services that this entry has in flight on it. */
+/** A worker, with the requests of all services that this entry has in flight on it. */
 export class WorkerRecord<Waiting extends WaitingRequest> {
   readonly workerId: string;
 
-  /** Services with a server here, the most urgent first. */
+  /** The services with a server on this worker. */
   services: ServiceRecord<Waiting>[] = [];
 
   inFlightCount = 0;
@@ -20,14 +20,14 @@
   /** This entry's share of the worker's connections. */
   inFlightLimit = 1;
 
-  /** Until when the worker's own word that it is leaving counts. */
+  /** The time until which the worker counts as leaving, because an answer of it said so. */
   leavingUntilMs = 0;
 
   constructor(workerId: string) {
     this.workerId = workerId;
   }
 
-  /** False once it left the routes or said itself that it is leaving. */
+  /** False when the worker is not in the routes or has said that it is leaving. */
   isInUse(nowMs: number): boolean {
     return this.services.length > 0 && nowMs >= this.leavingUntilMs;
   }
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Whether the server may get one more request: it is not leaving, not set aside, this entry's
-   * share of its connections is not used up and a returned one is tried by one at a time.
+   * Whether the server may get one more request: it is not leaving and not set aside, this entry's
+   * share of its connections is not used up, and a server on trial has no request in flight.
    */
   isEligible(nowMs: number): boolean {
     const { worker, health } = this;
@@ -60,7 +60,7 @@
   }
 }
 
-/** A service with its servers, its limit and those who wait for it. */
+/** A service with its servers, its limit and its waiting requests. */
 export class ServiceRecord<Waiting extends WaitingRequest> {
   readonly name: string;
 
@@ -78,10 +78,10 @@
 
   urgency: Urgency;
 
-  /** Requests of all services in flight on the workers of this one. */
+  /** Requests of all services that are in flight on the workers of this service. */
   occupiedCount = 0;
 
-  /** The place in the order of serving; the least recently served goes first. */
+  /** Increases with each dequeued request; the least recently served service goes first. */
   lastDequeueOrder = 0;
 
   constructor(
@@ -100,7 +100,7 @@
     this.hedgeBudget = hedgeBudget;
   }
 
-  /** Slots of all its servers. */
+  /** The number of slots of all its servers. */
   slotCount = 0;
 
   /** Services on the same workers that are no more urgent, this one included. */
@@ -109,7 +109,7 @@
   /** Services on the same workers that are no less urgent, this one included. */
   servicesNotLessUrgent: readonly ServiceRecord<Waiting>[] = [];
 
-  /** What `refreshRoom` made of the limits. */
+  /** The limit that applies to `occupiedCount`; `refreshEffectiveLimit` computes it. */
   effectiveLimit = 0;
 
   get hasCapacity(): boolean {
@@ -117,10 +117,10 @@
   }
 
   /**
-   * A service may use what any service that is no more urgent may use on the same workers, in
-   * proportion to its slots. All see the same workers but learn at their own pace; without this
-   * the one that learns a lower limit gets no place, hence no answers, and never learns better,
-   * and low work would shut urgent work out.
+   * A service may use the highest limit per slot of the services on the same workers that are no
+   * more urgent, in proportion to its own slots. All of them see the same workers but adapt their
+   * limits separately. Otherwise a service with a lower limit would get no permit, hence no
+   * answers, and its limit would never rise again; work of low urgency would shut out urgent work.
    */
   refreshEffectiveLimit(): void {
     const limitPerSlot = this.servicesNotMoreUrgent.reduce(
--- a/src/entry/common/serviceRegistry.ts
+++ b/src/entry/common/serviceRegistry.ts
@@ -1,4 +1,4 @@
-/** The services, servers and workers that requests go to, kept up with the routes. */
+/** Keeps the records of services, servers and workers in line with the routes. */
 import { URGENCY_ORDER, type Urgency } from '../../services/configuration/common/documents.js';
 import { connectionShare, pooledShare } from './connectionShare.js';
 import { ConcurrencyLimit } from './concurrencyLimit.js';
@@ -38,15 +38,15 @@
     return this.#services.get(name);
   }
 
-  /** To be called when the last request on a worker has ended. */
+  /** Must be called when the last request on a worker has ended. */
   forgetDeparted({ workerId }: WorkerRecord<Waiting>): void {
     this.#departed.delete(workerId);
   }
 
   /**
-   * Takes new routes over; what is known of servers that stay is kept. The number of entries
-   * comes from a list that lags; it moves the share that is always granted, and the limit on
-   * connections only downwards from what follows from the settings.
+   * Applies new routes and keeps the records of servers that stay. The number of entries comes from
+   * a list that lags behind. It changes the share that is always granted; the limit on connections
+   * it can only lower, compared with the limit that follows from the settings.
    */
   updateRoutes(
     routes: RoutingTable,
@@ -60,7 +60,7 @@
     routes.forEach((servers) => servers.forEach((server) => this.#retainWorker(server, known)));
     known.forEach((worker, workerId) => {
       if (this.#workers.has(workerId)) return;
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       worker.services = [];
       if (worker.inFlightCount > 0) this.#departed.set(workerId, worker);
@@ -79,13 +79,13 @@
     this.#linkSharedServices();
   }
 
-  /** Finds for each service those on the same workers, by urgency. */
+  /** Finds for each service the services on the same workers that are no more or no less urgent. */
   #linkSharedServices(): void {
     this.#services.forEach((service) => {
       const rank = URGENCY_ORDER[service.urgency];
       const related = new Set(service.servers.flatMap(({ worker }) => worker.services));
       related.add(service);
-      /* eslint-disable no-param-reassign -- the record is this class's own */
+      /* eslint-disable no-param-reassign -- this class owns the record */
       service.servicesNotMoreUrgent = [...related].filter(
         ({ urgency }) => URGENCY_ORDER[urgency] >= rank,
       );
@@ -134,7 +134,7 @@
       worker.services.push(service);
       return [record];
     });
-    // The record is this class's own.
+    // This class owns the record.
     /* eslint-disable no-param-reassign */
     service.servers = records;
     service.occupiedCount = records.reduce((sum, { worker }) => sum + worker.inFlightCount, 0);
@@ -153,8 +153,9 @@
   }
 
   #pooledShare(server: BackendServer): number {
-    // With more entries than the setting says, fixed shares would add up to more connections
-    // than the server has and it would refuse some. Taking less is safe whoever sees the list how.
+    // With more entries than the setting allows for, fixed shares would add up to more connections
+    // than the server accepts, and it would refuse some. A smaller share is safe even when the
+    // entries hold different lists.
     const entryCount = Math.max(this.#settings.maximumEntryCount, this.#entryCount);
     return pooledShare(connectionShare(server, entryCount));
   }
--- a/src/entry/node/attemptRequest.ts
+++ b/src/entry/node/attemptRequest.ts
@@ -1,4 +1,4 @@
-/** The request of one attempt, as the backend server gets it. */
+/** Builds the request that one attempt sends to the backend server. */
 import type { TraceSpan } from '../../services/tracing/common/tracing.js';
 import type { CallerRequest } from '../common/callerRequest.js';
 import { SERVICE_HEADER, TRACEPARENT_HEADER } from '../common/headers.js';
--- a/src/entry/node/attemptRun.ts
+++ b/src/entry/node/attemptRun.ts
@@ -1,4 +1,4 @@
-/** One attempt at a backend server over one connection of undici. */
+/** One attempt at a backend server, over one undici connection. */
 import type { Dispatcher } from 'undici';
 
 import type { Metrics } from '../../services/metrics/common/metrics.js';
@@ -27,16 +27,16 @@
 class AttemptCancelledError extends Error {}
 
 /**
- * Follows the attempt's connection and settles once.
+ * Handles the events of the attempt's connection and settles once.
  *
- * Whether anything was sent is known exactly: `onRequestStart` is called just before the first
- * byte is written, and an attempt that was given up before then is stopped there. An error code
- * would not tell: a broken route gives the same code on a connection that has carried the
- * request as on one that never opened.
+ * It is known exactly whether anything was sent: undici calls `onRequestStart` just before it
+ * writes the first byte, and an attempt that was cancelled before then is stopped there. An error
+ * code would not show this, because a broken route gives the same code for a connection that has
+ * carried the request and for one that never opened.
  *
- * An answer counts as whole only when its framing says where it ends and that end was reached.
- * One that ends with the connection, without a length, looks the same when its server died in
- * the middle; it is taken as lost.
+ * An answer counts as complete only when its framing says where it ends and that end was reached.
+ * An answer without a length that ends with the connection looks the same when its server died in
+ * the middle, so it counts as lost.
  */
 export class AttemptRun implements Dispatcher.DispatchHandler {
   readonly result: Promise<AttemptResult>;
@@ -74,17 +74,17 @@
     });
   }
 
-  /** Whether any byte of the answer has come. */
+  /** Whether any byte of the answer has arrived. */
   get hasProgress(): boolean {
     return this.#hasProgress;
   }
 
-  /** Whether a byte of the request may have left. */
+  /** Whether a byte of the request may have been sent. */
   get isSent(): boolean {
     return this.#isSent;
   }
 
-  /** Ends the attempt; a connection that carries it is closed, so its answer meets nobody. */
+  /** Cancels the attempt and closes its connection, so that no other request gets its answer. */
   giveUp(): void {
     this.#end(AttemptEnd.TimedOut);
     this.#controller?.abort(new AttemptCancelledError('given up'));
--- a/src/entry/node/attemptVerdict.ts
+++ b/src/entry/node/attemptVerdict.ts
@@ -1,4 +1,4 @@
-/** What the end of an attempt says of its server. */
+/** Maps the result of an attempt to a verdict on its server. */
 import { ServerVerdict } from '../common/admissionDecision.js';
 import { AttemptEnd } from '../common/attempt.js';
 import type { AttemptResult } from './attemptRun.js';
@@ -6,7 +6,7 @@
 
 const FIRST_SERVER_ERROR = 500;
 
-/** An attempt that was ended from here is no failure of its server. */
+/** An attempt that this entry cancelled does not count as a failure of its server. */
 export const attemptVerdict = (attempt: RunningAttempt, result: AttemptResult): ServerVerdict => {
   if (attempt.isOvertaken) return ServerVerdict.Overtaken;
   if (attempt.isAbandoned) {
--- a/src/entry/node/backendConnections.ts
+++ b/src/entry/node/backendConnections.ts
@@ -1,4 +1,4 @@
-/** Connections to backend servers and the attempts over them. */
+/** Manages the connections to backend servers and runs attempts over them. */
 import { Client, type Dispatcher, Pool } from 'undici';
 
 import type { Disposable } from '../../base/common/lifecycle.js';
@@ -13,7 +13,7 @@
   readonly path: string;
   readonly headers: Record<string, string | string[]>;
   readonly body: Uint8Array | undefined;
-  /** Whether a connection that has carried nothing yet is wanted. */
+  /** Whether the attempt should use a new connection. */
   readonly isFreshWanted: boolean;
 }
 
@@ -24,7 +24,7 @@
   readonly connectTimeoutMs: number;
 }
 
-/** The connections to one server, with the account of what is open. */
+/** The connections to one server, with the number of open ones. */
 interface ServerConnections {
   readonly pool: Pool;
   readonly share: number;
@@ -35,16 +35,17 @@
 }
 
 /**
- * One pool for each backend server, bounded by this entry's share of the server's connections,
- * and one connection kept back for an attempt that must not meet an old one that is silent.
+ * Holds one pool for each backend server, limited to this entry's share of the server's
+ * connections. One connection of the share is reserved for an attempt that must not use an old
+ * connection, which may be silent.
  *
- * The share is fixed by the number of entries there may be at most, the overlapping ones of a
- * restart included, so the server's limit holds while entries disagree about who exists. The
- * pool of a server that left the routes stays until nothing is in flight on it; a second pool
- * beside it, should the server come back, would double the share.
+ * The share follows from the maximum number of entries, including those that overlap during a
+ * restart, so the server's limit holds even while entries disagree about which entries exist. The
+ * pool of a server that left the routes stays until nothing is in flight on it. If the server came
+ * back and got a second pool, the two together would double the share.
  *
- * A connection carries one request at a time and is closed when its request is given up, so a
- * late answer can meet no other request.
+ * A connection carries one request at a time and is closed when its request is cancelled, so a
+ * late answer cannot reach another request.
  */
 export class BackendConnections implements Disposable {
   readonly #servers = new Map<string, ServerConnections>();
@@ -60,7 +61,7 @@
     this.#metrics = metrics;
   }
 
-  /** Starts an attempt; its run settles in every case. */
+  /** Starts an attempt. The result of the returned run settles in every case. */
   attempt(request: AttemptRequest): AttemptRun {
     const connections = this.#connections(request.server);
     const run = new AttemptRun(request.method, this.#settings.maximumBodyBytes, this.#metrics);
@@ -80,7 +81,7 @@
     return run;
   }
 
-  /** Closes what leads to servers that are gone, as soon as nothing is in flight there. */
+  /** Closes the pools of all other origins, as soon as nothing is in flight on them. */
   retainOnly(origins: ReadonlySet<string>): void {
     this.#wantedOrigins = origins;
     [...this.#servers.keys()].forEach((origin) => this.#closeUnwanted(origin));
@@ -116,7 +117,7 @@
   #dispatchFresh(connections: ServerConnections, request: AttemptRequest, run: AttemptRun): void {
     const client = new Client(request.server.origin, this.#clientOptions());
     this.#countOpenConnections(client, connections);
-    // The record is this class's own.
+    // This class owns the record.
     /* eslint-disable no-param-reassign */
     connections.isFreshInUse = true;
     client.dispatch({ ...BackendConnections.#options(request), reset: true }, run);
@@ -127,9 +128,9 @@
     /* eslint-enable no-param-reassign */
   }
 
-  /** Keeps the account of open connections and refuses to be silent about a breach. */
+  /** Counts the open connections, and reports when they exceed the share. */
   #countOpenConnections(dispatcher: Pool | Client, connections: ServerConnections): void {
-    // The record is this class's own.
+    // This class owns the record.
     /* eslint-disable no-param-reassign */
     dispatcher.on('connect', () => {
       connections.openCount += 1;
@@ -144,9 +145,9 @@
   }
 
   /**
-   * Idle connections are closed after a short time whatever the server offers: what stands
-   * between may forget them, and only an unused connection goes silent unnoticed. Deadlines are
-   * kept by the caller of `attempt`, so undici's own timeouts are off.
+   * Idle connections are closed after a short time, whatever keep-alive time the server offers:
+   * network devices in between may drop their state, and only an unused connection goes silent
+   * unnoticed. The caller of `attempt` enforces deadlines, so undici's own timeouts are off.
    */
   #clientOptions(): Client.Options {
     const { idleConnectionMs, connectTimeoutMs } = this.#settings;
--- a/src/entry/node/callerServer.ts
+++ b/src/entry/node/callerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for callers. */
+/** The HTTP server that receives the callers' requests. */
 import type { Socket } from 'node:net';
 
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
@@ -23,7 +23,7 @@
 const BODY_TOO_LARGE_CODE = 'FST_ERR_CTP_BODY_TOO_LARGE';
 const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
 const FIRST_SERVER_ERROR = 500;
-/** How often connections are looked over for callers that send too slowly. */
+/** The interval at which connections are checked for callers that send too slowly. */
 const SLOW_SENDER_CHECK_INTERVAL_MS = 1_000;
 
 const toFailure = (error: { code?: string; statusCode?: number; message: string }): Failure => {
@@ -33,8 +33,8 @@
 };
 
 /**
- * Answers what is no HTTP request, or was not sent in time, by the table of error kinds. Nothing
- * of it was passed on, so the work surely did not run.
+ * Answers malformed HTTP, or a request that took too long to send, with the error kind of a bad
+ * request. Nothing was forwarded, so the work certainly did not run.
  */
 const answerMalformed = (error: { readonly code?: string }, socket: Socket): void => {
   if (!socket.writable) {
@@ -59,10 +59,10 @@
 };
 
 /**
- * Made for many callers that send slowly or much at once: the bodies held at a time are bounded
- * in bytes before they are read, a body without a stated length counts as the largest allowed,
- * and connections are bounded in number. Without this an entry of 128 MB dies of memory and cuts
- * off everybody's requests.
+ * Limits memory when many callers send slowly or send large bodies at once. The total size of the
+ * bodies held at a time is limited before they are read, a body without a declared length counts
+ * with the maximum size, and the number of connections is limited. Without these limits an entry
+ * with 128 MB runs out of memory and cuts off the requests of all callers.
  */
 export class CallerServer {
   readonly #server: FastifyInstance;
@@ -89,7 +89,7 @@
         headersTimeout: settings.receiveTimeoutMs,
       },
       exposeHeadRoutes: false,
-      // What still comes in over kept-alive connections during a shutdown is served.
+      // Requests on kept-alive connections are still served during a shutdown.
       return503OnClosing: false,
       clientErrorHandler: (error, socket) => {
         metrics.count('caller_connection_errors');
@@ -101,23 +101,23 @@
     this.#server.all('/services/*', (request, reply) => this.#handle(request, reply));
   }
 
-  /** Starts to listen and returns the port, which the system may have chosen. */
+  /** Starts listening and returns the port, which the system may have chosen. */
   async listen(host: string, port: number): Promise<number> {
     await this.#server.listen({ host, port });
     return listeningPort(this.#server);
   }
 
-  /** Tells callers on kept-alive connections to close them; new connections still come in. */
+  /** Tells callers to close their kept-alive connections; new connections are still accepted. */
   startDraining(): void {
     this.#isDraining = true;
   }
 
-  /** Stops listening and resolves when everything in flight is answered. */
+  /** Stops listening, and resolves when all requests in flight are answered. */
   async close(): Promise<void> {
     await this.#server.close();
   }
 
-  /** Closes also the connections on which a request is still being sent. */
+  /** Closes all connections, including those on which a request is still being sent. */
   closeAllConnections(): void {
     this.#server.server.closeAllConnections();
   }
@@ -139,13 +139,13 @@
     );
   }
 
-  /** Sets memory for the body aside, or refuses the request before its body is read. */
+  /** Reserves memory for the body, or refuses the request before its body is read. */
   #tryReserveBody(request: FastifyRequest, reply: FastifyReply): boolean {
     const { 'content-length': length, 'transfer-encoding': encoding } = request.headers;
     if (length === undefined && encoding === undefined) return true;
     const { maximumBodyBytes, maximumHeldBytes } = this.#settings;
     const bytes = encoding === undefined ? Number(length) : maximumBodyBytes;
-    // Longer bodies are refused by the body limit, which has its own error kind.
+    // The body limit refuses longer bodies with an error kind of its own.
     if (bytes > maximumBodyBytes) return true;
     if (this.#heldBytes + bytes > maximumHeldBytes) {
       this.#metrics.count('requests_over_held_bytes');
@@ -161,8 +161,9 @@
   }
 
   /**
-   * Runs a step that is told when the caller's connection closes first. The connection is
-   * watched, not the reply: one that waits behind another on its connection never tells.
+   * Runs a step with a signal that is raised if the caller's connection closes before the step
+   * ends. It listens on the socket and not on the reply, because a reply that waits behind another
+   * one on the same connection emits no event.
    */
   async #withHangUpSignal<Result>(
     socket: Socket,
@@ -195,8 +196,8 @@
     const result = await this.#withHangUpSignal(request.raw.socket, (hangUp) =>
       this.#handler.handle(callerRequest, hangUp),
     );
-    // Also said of requests that came before the shutdown began; the caller would otherwise
-    // send its next one on a connection that is about to close.
+    // Requests that came before the shutdown began get this header too. Otherwise their callers
+    // would send the next request on a connection that is about to close.
     if (this.#isDraining) void reply.header('connection', 'close');
     if (isLeft(result)) return replyWithFailure(reply, result.left);
     const { statusCode, headers, body } = result.right;
--- a/src/entry/node/claimKeeper.ts
+++ b/src/entry/node/claimKeeper.ts
@@ -1,4 +1,4 @@
-/** Holds the claims of idempotency keys in the platform's table. */
+/** Inserts, completes and releases claims of idempotency keys in the platform's table. */
 import { createHash, randomUUID } from 'node:crypto';
 
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
@@ -29,11 +29,11 @@
   StoreCircuitBreaker,
 } from '../common/claims.js';
 
-/** A claim that was made, with the version of its row. */
+/** An inserted claim, with the version of its row. */
 export interface HeldClaim {
   readonly claim: ClaimRequest;
   readonly version: number;
-  /** Of the request, when it is sampled. */
+  /** The request's span; undefined when the request is not sampled. */
   readonly span: TraceSpan | undefined;
 }
 
@@ -46,9 +46,9 @@
   readonly maximumRecordedBytes: number;
 }
 
-/** Rounds of asking the store before a request is refused as not run. */
+/** Rounds of insertion and reading before a request is refused as not run. */
 const MAXIMUM_CLAIM_ROUNDS = 4;
-/** Tries to write an answer or a release; a lost write affects only repeats of the request. */
+/** Attempts to write an answer or a release; a lost write affects only repeats of the request. */
 const MAXIMUM_WRITE_ATTEMPTS = 3;
 const STORE_RETRY_AFTER_MS = 2_000;
 const WITHDRAWAL_INTERVAL_MS = 200;
@@ -80,7 +80,7 @@
 
   readonly #writes = new Set<Promise<void>>();
 
-  /** Claims whose insertion may have taken effect although nothing was sent. */
+  /** Claims whose insertion may have taken effect although their request was never sent. */
   readonly #abandoned = new Set<ClaimRequest>();
 
   readonly #withdrawalTimer: PeriodicTimer;
@@ -105,9 +105,10 @@
   }
 
   /**
-   * Claims the key of a request, whose work may run only after this has resolved as held. Every
-   * failure means that nothing was sent. A lost answer is resolved by reading, and an absent row
-   * by inserting again under the same id: the late copy of an insertion can then only conflict.
+   * Claims the key of a request. The request may be sent only after this has resolved as held;
+   * every failure means that nothing was sent. After a lost answer the rows are read, and if there
+   * is none, the claim is inserted again under the same id, so that a delayed copy of the first
+   * insertion can only conflict.
    */
   async claim(
     request: CallerRequest,
@@ -150,18 +151,18 @@
     return this.#refuseUnavailable(claim);
   }
 
-  /** Records an answer for repeats, without keeping the caller waiting for it. */
+  /** Records an answer for repeats of the request; the caller does not wait for the write. */
   recordAnswer(held: HeldClaim, answer: RecordedAnswer): void {
     const isSmall = answer.bodyBase64.length <= this.#settings.maximumRecordedBytes;
     void this.#write(held, answerTransaction(held.claim, held.version, isSmall ? answer : null));
   }
 
-  /** Gives the key back, so that a repeat may run. */
+  /** Releases the key, so that a repeat may run. */
   release(held: HeldClaim): Promise<void> {
     return this.#write(held, releaseTransaction(held.claim, held.version));
   }
 
-  /** Resolves when the writes under way have ended; they are bounded. */
+  /** Resolves when all running writes have ended; the attempts of each write are limited. */
   async settle(): Promise<void> {
     await Promise.all(this.#writes);
   }
@@ -199,8 +200,8 @@
   }
 
   /**
-   * Takes back what a refused request may have left in the table, so that its repeat is not
-   * told that the key is taken. A claim that is not found counts as taken back.
+   * Removes a claim that a refused request may have left in the table, so that the request's
+   * repeat is not refused because the key is taken. A claim that is not found counts as removed.
    */
   async #withdrawAbandoned(): Promise<void> {
     const [claim] = this.#abandoned;
@@ -230,7 +231,7 @@
 
   async #writeWithRetries(table: TableService, transaction: Transaction): Promise<void> {
     for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt += 1) {
-      // eslint-disable-next-line no-await-in-loop -- tries follow one another
+      // eslint-disable-next-line no-await-in-loop -- attempts run in sequence
       const written = await table.transact(transaction)();
       if (!isLeft(written)) return;
     }
--- a/src/entry/node/claimSweeper.ts
+++ b/src/entry/node/claimSweeper.ts
@@ -1,4 +1,4 @@
-/** Removes claims of idempotency keys whose time is long over. */
+/** Removes expired claims of idempotency keys. */
 import { randomUUID } from 'node:crypto';
 
 import { isLeft } from 'fp-ts/lib/Either.js';
@@ -14,15 +14,16 @@
 } from '../../services/workload/common/claimRow.js';
 
 /**
- * How far back a generation is before it is removed. Insertions ask one generation back, and a
- * clock may be off by one more; a third keeps the removal away from all that is still asked.
+ * The ages, in generations, at which a generation is removed. Insertions check one generation
+ * back, and a clock may be off by one more. A third generation keeps the removal away from all
+ * rows that insertions may still check.
  */
 const REMOVAL_DISTANCES = [3, 4] as const;
 const ROWS_PER_TRANSACTION = 100;
 
 /**
- * Every entry passes over all parts of an old generation once in each lifetime, beginning at a
- * part of its own. Without it the table would grow with every order for ever.
+ * Every entry goes through all parts of the old generations once per lifetime, and each entry
+ * begins at a different part. Without the removal the table would grow with every order.
  */
 export class ClaimSweeper implements Disposable {
   readonly #table: TableService;
@@ -58,7 +59,7 @@
     this.#timer.dispose();
   }
 
-  /** Removes one part of one old generation; the timer calls it, and tests do. */
+  /** Removes one part of one old generation. The timer and tests call it. */
   async sweepNext(): Promise<void> {
     const step = this.#step;
     this.#step += 1;
@@ -79,7 +80,7 @@
     })();
     if (isLeft(removed)) return;
     this.#metrics.count('claims_expired', {}, rows.length);
-    // What is left of the part is removed before the next one is looked at.
+    // The next step removes the rest of this part before it goes on to another part.
     if (rows.length === ROWS_PER_TRANSACTION) this.#step -= 1;
   }
 }
--- a/src/entry/node/journey.ts
+++ b/src/entry/node/journey.ts
@@ -1,4 +1,4 @@
-/** What the dispatch of requests keeps of each request under way. */
+/** The state that `RequestDispatch` keeps of each active request. */
 import type { Either } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../services/errors/common/errorKinds.js';
@@ -11,7 +11,7 @@
 import type { ServerRecord } from '../common/serverRecords.js';
 import type { AttemptRun, BackendAnswer } from './attemptRun.js';
 
-/** A request under way: what it is, by when it must be answered and its trace. */
+/** A request that has no final answer yet, with its deadline, its attempts and its trace. */
 export interface Journey extends WaitingRequest {
   readonly request: CallerRequest;
   readonly options: RequestOptions;
@@ -22,9 +22,9 @@
   avoidedWorkerId: string | undefined;
   queueSpan: TraceSpan | undefined;
   readonly running: RunningAttempt[];
-  /** What has to be done once it has its place, before it is sent; an answer ends it. */
+  /** Runs when the request has its permit, before it is sent; an answer ends the request. */
   prepare: (() => Promise<Either<Failure, BackendAnswer | undefined>>) | undefined;
-  /** While that is under way; the server is undefined once the place was given back. */
+  /** Set while `prepare` runs; the server is undefined once the permit was released. */
   preparing:
     { readonly server: ServerRecord<Journey> | undefined; startedAtMs: number } | undefined;
   isDone: boolean;
--- a/src/entry/node/requestDispatch.ts
+++ b/src/entry/node/requestDispatch.ts
@@ -1,4 +1,4 @@
-/** Drives requests through admission and attempts; all that is decided is in common/. */
+/** Takes requests through admission and attempts; the decisions are made by code in common/. */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../base/common/clock.js';
@@ -27,7 +27,7 @@
 import { SweepTimer } from './sweepTimer.js';
 
 const GAUGE_INTERVAL_MS = 1_000;
-/** What is not yet known of an attempt at its start. */
+/** The mutable state of an attempt at its start. */
 const INITIAL_ATTEMPT_STATE = { isOvertaken: false, isAbandoned: false };
 
 export interface RequestDispatchServices {
@@ -72,7 +72,7 @@
     return this.#activeRequests.size;
   }
 
-  /** Gives everything under way its final answer, at the end of a shutdown's time. */
+  /** Gives all active requests their final answer, when the time for a shutdown is over. */
   giveUpAll(): void {
     this.#activeRequests.forEach((activeRequest) => {
       this.#services.metrics.count('requests_given_up_at_shutdown');
@@ -83,10 +83,10 @@
     });
   }
 
-  /** Serves a request; the result comes once, at the deadline at the latest. */
+  /** Serves a request. The result resolves once, at the deadline at the latest. */
   serve(activeRequest: Journey): Promise<Either<Failure, BackendAnswer>> {
     return new Promise((settle) => {
-      // The record is this class's own from here on.
+      // This class owns the record from here on.
       // eslint-disable-next-line no-param-reassign
       activeRequest.settle = settle;
       this.#activeRequests.add(activeRequest);
@@ -103,7 +103,7 @@
     });
   }
 
-  /** The caller hung up: frees what the request holds, unless it must end by itself. */
+  /** Releases what a request holds whose caller hung up, unless the request must run to its end. */
   #handleHangUp(activeRequest: Journey): void {
     if (activeRequest.isDone) return;
     const { admission, metrics } = this.#services;
@@ -120,9 +120,9 @@
       );
       return;
     }
-    // The request ends when they have, so that what is told of the work is what they found.
+    // The request ends when its attempts have, so that its outcome reflects their results.
     activeRequest.running.forEach((attempt) => {
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       attempt.isAbandoned = true;
       attempt.run.giveUp();
@@ -148,7 +148,7 @@
         return;
       default:
         this.#services.metrics.count('requests_queued');
-        // The record is this class's own.
+        // This class owns the record.
         // eslint-disable-next-line no-param-reassign
         activeRequest.queueSpan = activeRequest.span?.child(Hop.Queue);
         if (decision.displaced === undefined) return;
@@ -169,14 +169,14 @@
     else this.#startPreparing(activeRequest, activeRequest.prepare, server, nowMs);
   }
 
-  /** Holds the place while the request is made ready; the sweep gives it back if that is slow. */
+  /** Holds the permit while `prepare` runs; the sweep releases the permit if that is slow. */
   #startPreparing(
     activeRequest: Journey,
     prepare: NonNullable<Journey['prepare']>,
     server: ServerRecord<Journey>,
     nowMs: number,
   ): void {
-    /* eslint-disable no-param-reassign -- the record is this class's own */
+    /* eslint-disable no-param-reassign -- this class owns the record */
     activeRequest.prepare = undefined;
     activeRequest.preparing = { server, startedAtMs: nowMs };
     /* eslint-enable no-param-reassign */
@@ -199,26 +199,26 @@
     }
     const server = activeRequest.preparing?.server;
     if (server?.worker.isInUse(nowMs) === true) {
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       activeRequest.preparing = undefined;
       this.#attempt(activeRequest, server, undefined, nowMs);
       return;
     }
-    // Its place was given back, or its server began to leave meanwhile.
+    // The permit was released, or the server began to leave, while `prepare` was running.
     this.#releasePreparingPermit(activeRequest, nowMs);
-    /* eslint-disable no-param-reassign -- the record is this class's own */
+    /* eslint-disable no-param-reassign -- this class owns the record */
     activeRequest.preparing = undefined;
     activeRequest.waitingSinceMs = nowMs;
     /* eslint-enable no-param-reassign */
     this.#admit(activeRequest, nowMs);
   }
 
-  /** Gives back the place of a request that is still being made ready. */
+  /** Releases the permit of a request whose `prepare` is still running. */
   #releasePreparingPermit(activeRequest: Journey, nowMs: number): void {
     const { preparing } = activeRequest;
     if (preparing?.server === undefined) return;
-    // The record is this class's own.
+    // This class owns the record.
     // eslint-disable-next-line no-param-reassign
     activeRequest.preparing = { ...preparing, server: undefined };
     this.#releaseUnused(activeRequest, preparing.server, nowMs);
@@ -264,7 +264,7 @@
     void run.result.then((result) => this.#handleEnd(activeRequest, attempt, result));
   }
 
-  /** Gives a place back that was not used after all. */
+  /** Releases a permit that was not used. */
   #releaseUnused(activeRequest: Journey, server: ServerRecord<Journey>, nowMs: number): void {
     const { serviceName } = activeRequest.request;
     const end = { latencyMs: 0, verdict: ServerVerdict.Unused, isServerLeaving: false };
@@ -321,18 +321,18 @@
       return;
     }
     this.#services.metrics.count('request_retries');
-    /* eslint-disable no-param-reassign -- the record is this class's own */
+    /* eslint-disable no-param-reassign -- this class owns the record */
     activeRequest.waitingSinceMs = nowMs;
     activeRequest.avoidedWorkerId = attempt.server.worker.workerId;
     /* eslint-enable no-param-reassign */
     this.#admit(activeRequest, nowMs);
   }
 
-  /** Answers at once and closes the connections of attempts that no longer matter. */
+  /** Settles the request at once, and cancels its remaining attempts. */
   #finish(activeRequest: Journey, result: Either<Failure, BackendAnswer>): void {
     if (activeRequest.isDone) return;
     const { progress, running } = activeRequest;
-    // The record is this class's own.
+    // This class owns the record.
     // eslint-disable-next-line no-param-reassign
     activeRequest.isDone = true;
     this.#activeRequests.delete(activeRequest);
@@ -342,7 +342,7 @@
       result._tag === 'Left' ? left(progress.toReportedFailure(result.left)) : result,
     );
     [...running].forEach((attempt) => {
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       attempt.isOvertaken = result._tag === 'Right';
       if (attempt.isOvertaken && !attempt.run.hasProgress) {
--- a/src/entry/node/requestHandler.ts
+++ b/src/entry/node/requestHandler.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request: its terms, the claim of its idempotency key, its answer. */
+/** Handles a caller's request: reads its options, claims its idempotency key and answers it. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
@@ -38,9 +38,9 @@
 
 type Result = Either<Failure, BackendAnswer>;
 
-/** The entries there are: the platform's list, corrected by what the daemons see of each other. */
+/** The current entries: the platform's list, corrected by what the daemons see of each other. */
 export interface EntryMembers {
-  /** Those that take requests, this one included. */
+  /** The number of entries that take requests, including this one. */
   readonly servingCount: number;
   readonly onDidChangeMembers: Event<void>;
 }
@@ -55,7 +55,7 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly tracing: Tracing;
-  /** The wall clock, which only names the generation of a claim. */
+  /** The wall clock, which is only used for the generation of a claim. */
   readonly wallNowMs: () => number;
 }
 
@@ -96,22 +96,22 @@
     this.#disposables.dispose();
   }
 
-  /** Requests that have no answer yet. */
+  /** The number of requests that have no answer yet. */
   get underWayCount(): number {
     return this.#dispatch.underWayCount;
   }
 
-  /** Gives everything under way its final answer. */
+  /** Gives all active requests their final answer. */
   giveUpAll(): void {
     this.#dispatch.giveUpAll();
   }
 
-  /** Resolves when the answers of idempotent requests are recorded, as far as they can be. */
+  /** Resolves when the writes of recorded answers and released claims have ended. */
   async settle(): Promise<void> {
     await this.#services.claims.settle();
   }
 
-  /** `hangUp` is given when the caller hangs up before the answer. */
+  /** Serves one request; `hangUp` is raised when the caller hangs up before the answer. */
   async handle(request: CallerRequest, hangUp: HangUpSignal): Promise<Result> {
     const { clock, tracing, metrics } = this.#services;
     const startedAtMs = clock.nowMs();
@@ -166,7 +166,7 @@
     return this.#serveClaimed(activeRequest, idempotencyKey);
   }
 
-  /** Sends work that is not idempotent only under the claim of its key. */
+  /** Sends work that is not idempotent only while it holds the claim of its key. */
   #serveClaimed(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
     if (this.#services.claims.isEarly)
       return this.#serveClaimedEarly(activeRequest, idempotencyKey);
@@ -177,7 +177,7 @@
     const claimed = await this.#claimBeforeDeadline(activeRequest, idempotencyKey);
     if (isLeft(claimed)) return claimed;
     if (claimed.right.kind === 'replay') return right(fromRecorded(claimed.right.answer));
-    // The record is still this class's own.
+    // This class still owns the record.
     // eslint-disable-next-line no-param-reassign
     activeRequest.waitingSinceMs = this.#services.clock.nowMs();
     const result = await this.#dispatchChecked(activeRequest);
@@ -185,11 +185,11 @@
     return result;
   }
 
-  /** The claim may come after the request was given up; it is given back then. */
+  /** The claim may be granted after the request has failed; the claim is released then. */
   async #serveClaimedLate(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
     const { claims, wallNowMs } = this.#services;
     let claiming: Promise<Either<Failure, ClaimResult>> | undefined;
-    // The record is still this class's own.
+    // This class still owns the record.
     // eslint-disable-next-line no-param-reassign
     activeRequest.prepare = async () => {
       claiming = claims.claim(
@@ -212,8 +212,8 @@
   }
 
   /**
-   * Claims the key, but keeps the caller waiting no longer than its deadline. A store that
-   * answers late may grant the claim afterwards; it is then given back, for nothing was sent.
+   * Claims the key, but lets the caller wait no longer than its deadline. If a slow store grants
+   * the claim afterwards, the claim is released, because nothing was sent.
    */
   async #claimBeforeDeadline(
     activeRequest: Journey,
@@ -251,7 +251,7 @@
     }
   }
 
-  /** The last check before a caller is told that its work did not run. */
+  /** Dispatches, and checks that a result "not run" is true before the caller gets it. */
   async #dispatchChecked(activeRequest: Journey): Promise<Result> {
     const result = await this.#dispatch.serve(activeRequest);
     if (!isLeft(result) || workOutcomeOf(result.left) !== WorkOutcome.NotRun) return result;
--- a/src/entry/node/routingReader.ts
+++ b/src/entry/node/routingReader.ts
@@ -1,4 +1,4 @@
-/** Keeps the routing table of this entry up to date. */
+/** Keeps this entry's routing table up to date. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import { Emitter } from '../../base/common/event.js';
--- a/src/entry/node/secondAttempts.ts
+++ b/src/entry/node/secondAttempts.ts
@@ -1,4 +1,4 @@
-/** Finds the places of attempts that repeat one under way: hedges, and those past a silence. */
+/** Reserves servers for second attempts: hedges, and replacements of silent connections. */
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import type { Settings } from '../../services/settings/common/settings.js';
 import type { Admission } from '../common/admission.js';
@@ -25,7 +25,7 @@
     this.#settings = settings;
   }
 
-  /** Takes a place and a token of the budget, if a second attempt is due; the caller sends it. */
+  /** Takes a permit and a budget token if a second attempt is due; the caller then sends it. */
   tryReserve(activeRequest: Journey, nowMs: number): SecondAttempt | undefined {
     const [first, second] = activeRequest.running;
     const service = this.#admission.service(activeRequest.request.serviceName);
--- a/src/entry/node/sweepTimer.ts
+++ b/src/entry/node/sweepTimer.ts
@@ -1,11 +1,11 @@
-/** The one timer behind the deadlines, waiting times and silence of all requests. */
+/** The timer for the deadlines, waiting times and second attempts of all requests. */
 import type { Disposable } from '../../base/common/lifecycle.js';
 
 /**
- * How often deadlines, waiting times and silence are looked at. One timer for all requests: a
- * timer each would cost more than the decisions, and nothing here needs a finer grain. It runs
- * while there is something to look at: with nothing under way it took half of an idle entry's
- * processor time.
+ * The interval at which deadlines, waiting times and second attempts are checked. All requests
+ * share one timer: a timer for each would cost more than the decisions, and no decision needs a
+ * finer resolution. The timer runs only while there is something to check, because without active
+ * requests it took half of an idle entry's processor time.
  */
 const SWEEP_INTERVAL_MS = 10;
 
@@ -23,7 +23,7 @@
     this.#sweep = sweep;
   }
 
-  /** Has the next look come, if there is anything to look at; a look under way asks again. */
+  /** Schedules the next sweep if there is anything to check; each sweep arms the timer again. */
   arm(): void {
     if (this.#timer !== undefined || this.#isDisposed || !this.#isNeeded()) return;
     this.#timer = setTimeout(() => {
--- a/src/entry/test/admission.test.ts
+++ b/src/entry/test/admission.test.ts
@@ -17,7 +17,7 @@
 const SUCCESS = { latencyMs: 10, verdict: ServerVerdict.Success, isServerLeaving: false };
 const FAILURE = { latencyMs: 1, verdict: ServerVerdict.Failure, isServerLeaving: false };
 
-/** One entry's admission in virtual time, with all that has been admitted. */
+/** One entry's admission in virtual time, with the admitted and the refused requests. */
 class AdmissionHarness {
   readonly admission: Admission<Waiting>;
 
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Ends the request that is in flight the longest and returns what was sent in its stead. */
+  /** Ends the oldest request in flight and returns the waiting requests that were sent instead. */
   finishOne(end: AttemptOutcome = SUCCESS): readonly Waiting[] {
     const first = this.inFlight.shift();
     if (first === undefined) return [];
@@ -70,10 +70,10 @@
 const times = (count: number, step: (index: number) => void): void =>
   Array.from({ length: count }, (_, index) => index).forEach(step);
 
-describe('the limit on connections', () => {
-  // More entries have come than the settings allow for. Were each to keep its fixed share, the
-  // server would be asked for more connections than it has and would turn requests away.
-  it('shrinks with more entries than the settings say and grows with none', () => {
+describe('the limit on connections to a worker', () => {
+  // There are more entries than the settings allow for. If each kept its fixed share, they would
+  // open more connections than the server accepts, and it would refuse requests.
+  it('shrinks when there are more entries than configured and never grows', () => {
     const inFlightWith = (entryCount: number): number => {
       const harness = new AdmissionHarness(1, { urgent: Urgency.Urgent }, { maximumEntryCount: 8 });
       const routes = new Map([['urgent', [{ ...backendServer(1), slotCount: 64 }]]]);
@@ -88,9 +88,9 @@
 });
 
 describe('admission under saturation', () => {
-  // A burst of low work has taken every place and waits in hundreds. An urgent request that
-  // comes afterwards must be the next to be sent.
-  it('serves the urgent service first, whatever waits', () => {
+  // A burst of low urgency has taken every permit, and hundreds of its requests wait. An urgent
+  // request that comes afterwards must be sent next.
+  it('serves the urgent service first, however many requests of other services wait', () => {
     const harness = new AdmissionHarness(4, { rounds: Urgency.Urgent, plans: Urgency.Low });
     times(100, () => harness.send('plans'));
     harness.send('rounds');
@@ -98,7 +98,7 @@
     expect(next?.serviceName).toBe('rounds');
   });
 
-  it('lets services of equal urgency take turns, however unequal their bursts', () => {
+  it('lets services of equal urgency take turns even when their bursts differ in size', () => {
     const harness = new AdmissionHarness(4, { a: Urgency.Normal, b: Urgency.Normal });
     times(300, () => harness.send('a'));
     times(30, () => harness.send('b'));
@@ -106,9 +106,10 @@
     expect(served.filter((name) => name === 'b').length).toBeGreaterThanOrEqual(18);
   });
 
-  // One caller's storm of retries fills the queue. The few requests of another caller must not
-  // wait behind it, nor be refused for want of room; the storm's newest ones leave instead.
-  it('lets callers take turns, and a storm displaces only its own', () => {
+  // One caller's storm of retries fills the queue. The few requests of another caller must neither
+  // wait behind the storm nor be refused because the queue is full. The newest requests of the
+  // storm are removed instead.
+  it('lets callers take turns and removes only requests of the caller with the storm', () => {
     const harness = new AdmissionHarness(4, { a: Urgency.Normal }, { queueCapacity: 100 });
     times(500, () => harness.send('a', 'storm'));
     times(20, () => harness.send('a', 'quiet'));
@@ -117,7 +118,7 @@
     expect(served.filter((callerId) => callerId === 'quiet')).toHaveLength(20);
   });
 
-  it('refuses at once what could not be served before its deadline', () => {
+  it('refuses a request at once that could not be served before its deadline', () => {
     const harness = new AdmissionHarness(4, { a: Urgency.Normal });
     times(200, () => {
       harness.nowMs += 1;
@@ -132,7 +133,7 @@
     expect(harness.refused).toHaveLength(before + 1);
   });
 
-  it('gives up what has waited too long, and spreads the times to come back', () => {
+  it('rejects requests that have waited too long and spreads their retry delays', () => {
     const harness = new AdmissionHarness(4, { a: Urgency.Normal }, { maximumWaitMs: 500 });
     times(50, () => harness.send('a'));
     harness.nowMs = 500;
@@ -143,9 +144,9 @@
     expect(Math.max(...returns) - Math.min(...returns)).toBeGreaterThan(1_000);
   });
 
-  it('takes no more from a worker than this entry has connections, and counts all services', () => {
+  it('keeps all services together within the connections that this entry has to a worker', () => {
     const harness = new AdmissionHarness(1, { a: Urgency.Normal, b: Urgency.Normal });
-    // Answers that stay fast let the limit grow as far as it may.
+    // Answers that stay fast let the limit grow to its maximum.
     times(5_000, (index) => {
       harness.send(index % 2 === 0 ? 'a' : 'b');
       if (harness.inFlight.length > 6) harness.finishOne();
@@ -155,7 +156,7 @@
   });
 });
 
-describe('servers that fail', () => {
+describe('failing servers', () => {
   const serveEach = (
     harness: AdmissionHarness,
     count: number,
@@ -173,24 +174,24 @@
       health.isSetAside(harness.nowMs),
     ).length;
 
-  // A server that fails at once has the shortest latency and the fewest in flight. Without being
-  // set aside it draws in the traffic of all.
-  it('are set aside and draw in no traffic', () => {
+  // A server that fails at once has the shortest latency and the fewest requests in flight. Unless
+  // it is set aside, it attracts the traffic of all other servers.
+  it('are set aside, so that they attract no traffic', () => {
     const harness = new AdmissionHarness(10, { a: Urgency.Normal });
     serveEach(harness, 200, (workerId) => workerId === 'w3');
     expect(setAsideCount(harness)).toBe(1);
   });
 
-  // All servers fail, since what they all depend on is out. If all were set aside, nothing would
-  // be tried and the few that come back first would be overrun.
-  it('are never set aside in more than the allowed part', () => {
+  // All servers fail because a common dependency is down. If all were set aside, no server would
+  // be tried, and the few that return first would be overloaded.
+  it('are never set aside in a larger proportion than the settings allow', () => {
     const harness = new AdmissionHarness(10, { a: Urgency.Normal });
     serveEach(harness, 900, () => true);
     expect(setAsideCount(harness)).toBeLessThanOrEqual(3);
     expect(setAsideCount(harness)).toBeGreaterThan(0);
   });
 
-  it('are taken back by one request at a time', () => {
+  it('get one request at a time after they were set aside', () => {
     const harness = new AdmissionHarness(2, { a: Urgency.Normal });
     serveEach(harness, 60, (workerId) => workerId === 'w1');
     expect(setAsideCount(harness)).toBe(1);
@@ -202,10 +203,10 @@
   });
 });
 
-describe('what was tried for a request', () => {
+describe('the progress of a request', () => {
   const terms = { maximumAttemptCount: 3, deadlineAtMs: 1_000 };
 
-  it('allows no second start of work that is not idempotent and may have run', () => {
+  it('allows no second attempt at non-idempotent work that may have run', () => {
     const progress = new RequestProgress({ ...terms, isIdempotent: false });
     expect(progress.tryStart()).toBe(true);
     expect(progress.tryStart()).toBe(false);
@@ -216,7 +217,7 @@
     expect(progress.mayRetry(0)).toBe(false);
   });
 
-  it('is never told as not run once something may have run', () => {
+  it('is never reported as "not run" once an attempt may have run', () => {
     const progress = new RequestProgress({ ...terms, isIdempotent: true });
     progress.tryStart();
     progress.noteEnd('lost');
--- a/src/entry/test/brokenSafeguards.test.ts
+++ b/src/entry/test/brokenSafeguards.test.ts
@@ -1,7 +1,7 @@
 /**
- * The judge of `npm run chaos` can fail: each test breaks one safeguard of the request path by a
- * switch that only tests have, and the judge must see what callers would. Without the switch the
- * same steps find nothing.
+ * Shows that the judge of `npm run chaos` can fail. Each test breaks one safeguard of the request
+ * path by a switch that only tests have, and the judge must report the effect on callers. Without
+ * the switch the same steps give no finding.
  */
 import { createConnection, type Socket } from 'node:net';
 
@@ -32,23 +32,23 @@
 const answerOf = (head: string): string => wholeAnswer(JSON.stringify({ url: pathOf(head) }));
 
 interface SafeguardCase {
-  /** The point of the brief. */
+  /** The property that the safeguard protects. */
   readonly property: string;
   readonly fault: string;
-  /** Breaks the safeguard until the test is over. */
+  /** Breaks the safeguard until the end of the test. */
   readonly injectFault: () => EntryOverrides;
   readonly answer: RawAnswer;
   /**
-   * Whether the entry is told to leave, at a moment at which all requests that were begun have
-   * come to the server: what is on its way while a listener closes nobody can answer.
+   * Whether the entry shuts down during the test, at a moment at which all started requests have
+   * arrived at the server. Nobody can answer a request that arrives while a listener closes.
    */
   readonly isLeaving?: boolean;
   readonly expectedFinding: string;
 }
 
 /**
- * Connections that go on after their requests were given up: all use one, and what comes over it
- * is taken for the answer to the request that was sent last.
+ * Connections that stay open after their requests were cancelled. All attempts share one socket,
+ * and all received data counts as the answer to the latest request.
  */
 class SharedSocketConnections extends BackendConnections {
   #socket: Socket | undefined;
@@ -88,7 +88,7 @@
 const CASES: readonly SafeguardCase[] = [
   {
     property: 'every caller receives the whole answer',
-    fault: 'the end of the connection is taken for the end of the answer',
+    fault: 'the end of the connection counts as the end of the answer',
     injectFault: () => {
       const { onResponseStart } = AttemptRun.prototype;
       vi.spyOn(AttemptRun.prototype, 'onResponseStart').mockImplementation(function start(
@@ -116,7 +116,7 @@
   },
   {
     property: 'every caller receives the answer to its own request',
-    fault: 'connections go on after their requests were given up',
+    fault: 'connections stay open after their requests were cancelled',
     injectFault: () => ({ Connections: SharedSocketConnections }),
     answer: (socket, index, head) => {
       setTimeout(() => socket.write(answerOf(head)), index % 3 === 0 ? 20 : 1);
@@ -125,7 +125,7 @@
   },
   {
     property: 'a request marked as non-idempotent runs at most once',
-    fault: 'what was sent and lost does not count',
+    fault: 'an attempt that was sent and lost is ignored',
     injectFault: () => {
       vi.spyOn(RequestProgress.prototype, 'mayHaveRun', 'get').mockReturnValue(false);
       return {};
@@ -138,7 +138,7 @@
   },
   {
     property: 'a refusal that says "not run" means the work did not run',
-    fault: 'an attempt that was sent and lost is noted as not run',
+    fault: 'an attempt that was sent and lost counts as not run',
     injectFault: () => {
       const { noteEnd } = RequestProgress.prototype;
       vi.spyOn(RequestProgress.prototype, 'noteEnd').mockImplementation(function note(
@@ -176,7 +176,7 @@
   },
 ];
 
-/** What the judge finds after the same steps, with or without the switch. */
+/** Returns the judge's findings after the same steps, with or without the switch. */
 const findingsOf = async (
   { answer, isLeaving = false }: SafeguardCase,
   overrides: EntryOverrides,
@@ -204,7 +204,7 @@
     void entry.callerServer.close();
     held.forEach((release) => release());
   };
-  // Two servers, for more places than the caller has requests at a time.
+  // Two servers have more permits than the caller has requests at a time.
   const backends = [new RawBackend(serve), new RawBackend(serve)];
   cleanups.push(
     () => backends.forEach((backend) => backend.close()),
@@ -226,7 +226,7 @@
   return checks.filter(([, paths]) => paths !== '').map(([name]) => name);
 };
 
-describe('the judge of requests can fail', () => {
+describe('the judge of requests finds a broken safeguard', () => {
   CASES.forEach((each) =>
     it(`${each.property}: ${each.fault}`, async () => {
       expect(await findingsOf(each, {})).toEqual([]);
@@ -235,10 +235,10 @@
   );
 });
 
-describe('the invariant in the program', () => {
-  // The choice of servers is broken and takes one that has said it is leaving. The step must be
-  // refused and counted, and the caller told that its request did not run.
-  it('refuses to send to a server that is leaving', async () => {
+describe('the invariant check in the entry', () => {
+  // A broken chooser returns a server that has said that it is leaving. The entry must not send the
+  // request, must count the violation, and must tell the caller that the request did not run.
+  it('prevents sending to a server that is leaving', async () => {
     const leaving = 'snipethread-leaving: true\r\n';
     const backend = new RawBackend((socket) => socket.write(wholeAnswer('whole', leaving)));
     const entry = new EntryHarness(entrySettings(), undefined, {
--- a/src/entry/test/claimExpiry.test.ts
+++ b/src/entry/test/claimExpiry.test.ts
@@ -29,10 +29,10 @@
 };
 
 describe('a claim', () => {
-  // The repeat comes in the next generation, through an entry whose clock is ahead or behind.
-  // It must still find the first claim, whichever of the two clocks is right.
+  // The repeat comes in the next generation, through an entry whose clock is ahead or behind. It
+  // must find the first claim, whichever of the two clocks is right.
   it.each([0, LIFETIME_MS - 1, 1 - LIFETIME_MS])(
-    'is found a lifetime later by a clock off by %d ms',
+    'is found one lifetime later by an entry whose clock is off by %d ms',
     async (offMs) => {
       const table = new FaultyTable();
       expect(await claimAt(table, 'k', NOON_MS)).toBe(true);
@@ -41,9 +41,9 @@
     },
   );
 
-  // An entry runs for days. Claims that no insertion asks for any more must go, those that may
-  // still be asked for must stay, and the table must not grow with the number of orders.
-  it('is removed when its time is long over, and not before', async () => {
+  // An entry runs for days. Claims that no insertion checks any more must be removed, and claims
+  // that an insertion may still check must stay. Otherwise the table grows with every order.
+  it('is removed when no insertion can check it any more, and not before', async () => {
     const table = new FaultyTable();
     const generation = Math.floor(NOON_MS / LIFETIME_MS);
     const write = (distance: number, index: number): void => {
@@ -62,7 +62,7 @@
     const count = (): number =>
       table.standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length;
     for (let step = 0; step < CLAIM_PART_COUNT * 2; step += 1) {
-      // eslint-disable-next-line no-await-in-loop -- steps follow one another
+      // eslint-disable-next-line no-await-in-loop -- steps run in sequence
       await sweeper.sweepNext();
     }
     expect(count()).toBe(900);
--- a/src/entry/test/claimSpans.test.ts
+++ b/src/entry/test/claimSpans.test.ts
@@ -12,9 +12,9 @@
 
 const TRACE = '4bf92f3577b34da6a3ce929d0e0e4736';
 
-// A family's order waits for the claim of its key. In the trace of the request that time showed
-// as a gap: the calls to the table were traces of their own, which nobody could find from it.
-it('the calls of a claim belong to the trace of their request', async () => {
+// An order waits for the claim of its key. Once the calls to the table were traces of their own, so
+// the request's trace showed that time as a gap and gave no way to find the calls.
+it('the table calls of a claim belong to the trace of their request', async () => {
   const tracing = new OpenTelemetryTracing(0, 10, new SeededRandom(1));
   const table = new FaultyTable();
   table.lostAnswerCount = 1;
--- a/src/entry/test/claimTiming.test.ts
+++ b/src/entry/test/claimTiming.test.ts
@@ -19,7 +19,7 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-/** One entry with a view of the table of its own. */
+/** One entry with its own access to the shared table. */
 interface Member {
   readonly entry: EntryHarness;
   readonly table: FaultyTable;
@@ -29,7 +29,7 @@
   readonly one: Member;
   readonly other: Member;
   readonly backend: RawBackend;
-  /** Answers what the backend server holds, which is all but orders under `answer`. */
+  /** Answers the requests that the backend server holds. It holds all requests but orders. */
   readonly answerHeld: () => void;
   readonly claimCount: () => number;
 }
@@ -75,30 +75,30 @@
     'bronze',
   );
 
-/** Takes all places of an entry, so that what comes next has to wait. */
+/** Takes all permits of an entry, so that the next request has to wait. */
 const occupyAllPermits = async ({ entry }: Member, backend: RawBackend): Promise<void> => {
   const arrivedCount = (): number => backend.requests.length + entry.counter('requests_queued');
   for (let index = 0; entry.counter('requests_queued') === 0; index += 1) {
     const before = arrivedCount();
     void entry.call(`/menu${index}`, LONG_TIMEOUT_HEADERS).catch(() => undefined);
-    // The next one follows once this one is at the backend server or waits, so that none comes
-    // after the counter was read.
+    // The next request follows when this one has arrived at the backend server or waits, so that
+    // no request arrives after the counter was read.
     // eslint-disable-next-line no-await-in-loop
     await expect.poll(arrivedCount, { interval: 5 }).toBeGreaterThan(before);
   }
 };
 
-/** Ends at once: nothing reaches the table any more, and nobody is answered. */
+/** Kills an entry: its calls no longer reach the table, and its callers get no answer. */
 const killEntry = ({ entry, table }: Member): void => {
   Object.assign(table, { isOut: true });
   void entry.dispose();
 };
 
 describe('an order whose entry is killed', () => {
-  // All places are taken and the order waits in the entry, which dies. Nothing was sent, so the
-  // caller's repeat through another entry must run. Claimed before it waited, the key would
-  // answer "unknown" for a day.
-  it('runs by its repeat when it had only waited', async () => {
+  // All permits are taken, and the order waits in an entry that is then killed. Nothing was sent,
+  // so the caller's repeat through another entry must run. If the key were claimed before the wait,
+  // the repeat would get "unknown" for a day.
+  it('runs when it is repeated, if it had only waited', async () => {
     const { one, other, backend, claimCount } = await setUp();
     await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
@@ -112,9 +112,9 @@
     void lost;
   });
 
-  // The order was sent and the entry dies before the answer. It may have run, so a repeat must
-  // neither run it again nor be told that it did not.
-  it('stays unknown when it was sent', async () => {
+  // The order was sent, and the entry is killed before the answer. The order may have run, so a
+  // repeat must neither run it again nor be told that it did not run.
+  it('keeps the outcome "unknown" if it was sent', async () => {
     const { one, other, backend } = await setUp(() => {});
     const lost = order(one).catch(() => undefined);
     await expect.poll(() => orderCount(backend)).toBe(1);
@@ -127,9 +127,9 @@
 });
 
 describe('an order whose entry is paused and resumed', () => {
-  // The claim is committed and the entry sleeps before it learns of it. The repeat must be told
-  // "unknown", for the sleeper will send; when it wakes it sends, once.
-  it('runs once when it slept between claim and send', async () => {
+  // The claim is committed, and the entry is paused before it gets the answer. The repeat must get
+  // "unknown", because the paused entry will still send the order. After it resumes it sends once.
+  it('runs once if the entry was paused between claim and send', async () => {
     const { one, other, backend } = await setUp();
     const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
@@ -146,9 +146,9 @@
     expect(orderCount(backend)).toBe(1);
   });
 
-  // The order waits without a claim; meanwhile its caller's repeat has run through another
-  // entry. When its place comes it must not run again; it gets the recorded answer.
-  it('does not run again when it slept while it waited', async () => {
+  // The order waits without a claim while its caller's repeat runs through another entry. When the
+  // order gets its permit it must not run again; its caller gets the recorded answer.
+  it('does not run again if its repeat ran while it waited', async () => {
     const { one, other, backend, answerHeld } = await setUp();
     await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
@@ -163,8 +163,9 @@
     expect(orderCount(backend)).toBe(1);
   });
 
-  // As before, and the store loses its answer to the claim of the sleeper, which reads then.
-  it('does not run again when the answer of its late claim is lost', async () => {
+  // As in the test before, but the store's answer to the late claim is lost, so the entry reads the
+  // rows of the key.
+  it('does not run again if the answer to its late claim is lost', async () => {
     const { one, other, backend, answerHeld } = await setUp();
     await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
@@ -179,8 +180,8 @@
   });
 });
 
-describe('a claim that is slow', () => {
-  it('makes the next ones early, until one is quick again', () => {
+describe('a slow claim', () => {
+  it('makes the next claims early until a claim is fast again', () => {
     const timing = new ClaimTiming();
     expect(timing.isEarly).toBe(false);
     timing.noteClaim(30, true);
@@ -191,9 +192,9 @@
     expect(timing.isEarly).toBe(true);
   });
 
-  // The store hangs. Twenty orders have got places and wait there for their claims, more than
-  // there are places. Requests that need no store must be served meanwhile.
-  it('does not hold the places of requests that need no claim', async () => {
+  // The store hangs. Twenty orders, more than there are permits, get permits and wait for their
+  // claims. Requests that need no store must be served meanwhile.
+  it('does not keep permits from requests that need no claim', async () => {
     const { one, backend, answerHeld } = await setUp();
     const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
--- a/src/entry/test/entryHarness.ts
+++ b/src/entry/test/entryHarness.ts
@@ -1,4 +1,4 @@
-/** One entry over fakes: routes and table in memory, real sockets on both sides. */
+/** One entry with routes and table in memory, and real sockets to callers and servers. */
 import { left, right } from 'fp-ts/lib/Either.js';
 import { request } from 'undici';
 
@@ -40,9 +40,9 @@
   connectionCount: 64,
 });
 
-/** A table whose faults a test switches on. */
+/** A table with faults that a test can switch on. */
 export class FaultyTable implements TableService {
-  /** Entries on one table may have faults of their own. */
+  /** The table behind the faults. Several entries may share it and have different faults. */
   readonly standIn: TableStandIn;
 
   constructor(standIn = new TableStandIn()) {
@@ -51,7 +51,7 @@
 
   isOut = false;
 
-  /** How many more transactions lose their answer after they took effect. */
+  /** The number of further transactions that take effect but whose answer is lost. */
   lostAnswerCount = 0;
 
   /** Runs before the answer of each transaction. */
@@ -79,7 +79,7 @@
   readonly text: string;
 }
 
-/** Parts that tests break to show that something else notices; only tests have these switches. */
+/** Replacements by which tests break a part of the entry. Only tests have these switches. */
 export interface EntryOverrides {
   readonly chooser?: ServerChooser;
   readonly Connections?: typeof BackendConnections;
@@ -153,7 +153,7 @@
     this.origin = `http://127.0.0.1:${await this.callerServer.listen('127.0.0.1', 0)}`;
   }
 
-  /** Sends a request of the service `s` and reads the whole answer. */
+  /** Sends a request to the service `s` and reads the whole answer. */
   async call(
     path: string,
     headers: Record<string, string> = {},
@@ -169,7 +169,7 @@
     return { statusCode, headers: response.headers, text: await response.body.text() };
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Stops at once, as a killed process does. */
   async dispose(): Promise<void> {
     this.#handler.dispose();
     this.#claims.dispose();
@@ -178,6 +178,6 @@
   }
 }
 
-/** What an error answer says about the work. */
+/** The work outcome that an answer states; `answered` when it states none. */
 export const workOutcome = (answer: CallerAnswer): string =>
   String(answer.headers['snipethread-work'] ?? 'answered');
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -21,18 +21,18 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-describe('what becomes of a request whose caller hung up', () => {
+describe('the action for a request whose caller hung up', () => {
   it.each([
     [HangUpStep.LetGo, { isIdempotent: true, isUnderWay: false, isSent: false }],
     [HangUpStep.LetGo, { isIdempotent: false, isUnderWay: false, isSent: false }],
     [HangUpStep.Abort, { isIdempotent: true, isUnderWay: true, isSent: true }],
     [HangUpStep.Abort, { isIdempotent: false, isUnderWay: true, isSent: false }],
     [HangUpStep.LetEnd, { isIdempotent: false, isUnderWay: true, isSent: true }],
-  ])('is to %s: %o', (step, question) => {
+  ])('is %s for %o', (step, question) => {
     expect(hangUpStep(question)).toBe(step);
   });
 
-  it('is never another attempt', () => {
+  it('rules out another attempt', () => {
     const terms = { isIdempotent: true, maximumAttemptCount: 3, deadlineAtMs: 1_000 };
     const progress = new RequestProgress(terms);
     progress.tryStart();
@@ -58,19 +58,22 @@
     return (plans?.inTime ?? 0) / (plans?.offered ?? 1);
   };
 
-  // Impatient callers hang up after 150 ms and send the same again, three times. What they leave
-  // behind would hold the places for which the patient callers of another service wait. The
-  // patient ones must get more answers in time than if the hang-ups went unnoticed, also when
-  // the backend servers work on for connections that were closed.
-  it.each([true, false])('serves the others better (servers notice: %s)', (areNoticing) => {
-    expect(inTimeShare(true, areNoticing)).toBeGreaterThan(inTimeShare(false, areNoticing));
-  });
+  // Impatient callers hang up after 150 ms and send the same request again, three times. The
+  // requests that they leave behind would hold the permits that the patient callers of another
+  // service wait for. The patient callers must get more answers in time than if the entry ignored
+  // hang-ups, even when the backend servers go on working for closed connections.
+  it.each([true, false])(
+    'delays other callers less (servers notice hang-ups: %s)',
+    (areNoticing) => {
+      expect(inTimeShare(true, areNoticing)).toBeGreaterThan(inTimeShare(false, areNoticing));
+    },
+  );
 });
 
-describe('the place of an abandoned attempt', () => {
-  // A caller hangs up after 5 ms and repeats at once, on a server that works on. Each repeat must
-  // not get a place while the one before is likely to be still inside the worker.
-  it('stays taken while its server is likely to work on', () => {
+describe('the permit of an abandoned attempt', () => {
+  // A caller hangs up after 5 ms and repeats at once, and the server goes on working. A repeat must
+  // not get a permit while the request before it is likely to be still inside the worker.
+  it('stays in use while its server is likely to go on working', () => {
     const random = new SeededRandom(7);
     const chooser = new LatencyWeightedOfTwo(random);
     const admission = new Admission<WaitingRequest>(entrySettings(), chooser, random);
@@ -96,7 +99,7 @@
 interface Setup {
   readonly entry: EntryHarness;
   readonly backend: RawBackend;
-  /** Answers what the backend server holds. */
+  /** Answers the requests that the backend server holds. */
   readonly answerHeld: () => void;
 }
 
@@ -116,7 +119,7 @@
   return { entry, backend, answerHeld };
 };
 
-/** Sends a request on a connection of its own, which the test closes to hang up. */
+/** Sends a request on a new connection, which the test closes to hang up. */
 const send = (entry: EntryHarness, head: string): Socket => {
   const socket = createConnection(Number(new URL(entry.origin).port), '127.0.0.1');
   socket.on('error', () => {});
@@ -127,21 +130,21 @@
 };
 
 describe('a caller that hangs up', () => {
-  // All places of the only server are taken and twenty more wait. Their callers hang up, and so
-  // do those whose requests were sent. Nothing may stay behind: the waiting ones are never sent,
-  // the connections of the sent ones are closed, and the next caller is served at once.
-  it('leaves the queue, and its idempotent work is given up', async () => {
+  // All permits of the only server are taken and twenty more requests wait. The callers of the
+  // waiting and of the sent requests hang up. The waiting requests must never be sent, the
+  // connections of the sent ones must be closed, and the next caller must be served at once.
+  it('leaves the queue, and its idempotent work is cancelled', async () => {
     const { entry, backend, answerHeld } = await setUp();
     const sockets = Array.from({ length: 30 }, () => send(entry, 'GET /services/s/left'));
     await expect.poll(() => entry.counter('requests_queued')).toBeGreaterThan(20);
     await expect.poll(() => backend.requests.length + entry.counter('requests_queued')).toBe(30);
     const sentCount = backend.requests.length;
-    // The newest first: places that fall free must not go to those that are about to leave.
+    // The waiting callers hang up first, so that no freed permit goes to one of their requests.
     sockets.slice(sentCount).forEach((socket) => socket.destroy());
     await expect.poll(() => entry.counter('requests_abandoned')).toBe(30 - sentCount);
     sockets.forEach((socket) => socket.destroy());
     await expect.poll(() => entry.counter('requests_abandoned')).toBe(30);
-    // The library opens a new connection in the place of one that was cut; it carries nothing.
+    // undici replaces a connection that was cut by a new one, which carries no request.
     const used = () => [...backend.sockets].filter(({ bytesRead }) => bytesRead > 0);
     await expect.poll(used).toEqual([]);
     const next = entry.call('/next');
@@ -152,9 +155,9 @@
     expect(entry.brokenInvariants).toEqual([]);
   });
 
-  // An order is under way when its caller's line breaks. It must not be cut short: it ends, its
-  // answer is recorded, and the caller's repeat gets that answer; it ran once.
-  it('leaves an order to end, whose repeat gets the recorded answer', async () => {
+  // The caller's connection breaks while its order is running. The order must not be cut short: it
+  // runs to its end once, its answer is recorded, and the caller's repeat gets that answer.
+  it('lets a sent order run to its end, and the repeat gets the recorded answer', async () => {
     const { entry, backend, answerHeld } = await setUp();
     const head = 'POST /services/s/orders HTTP/1.1\r\nidempotency-key: order-17\r\nx: ';
     const socket = send(entry, head);
@@ -171,8 +174,8 @@
     expect(entry.brokenInvariants).toEqual([]);
   });
 
-  // The caller of an order hangs up while its claim is being written. Nothing was sent, so
-  // nothing is sent afterwards, and the key is free for the repeat.
+  // The caller of an order hangs up while the claim is being written. The order must not be sent
+  // afterwards, and its key must be free for the repeat.
   it('frees the key of an order that was not sent', async () => {
     const { entry, backend, answerHeld } = await setUp();
     const waiting: (() => void)[] = [];
--- a/src/entry/test/idempotencyKeys.test.ts
+++ b/src/entry/test/idempotencyKeys.test.ts
@@ -49,7 +49,7 @@
 
 const waitUntil = async (isTrue: () => boolean): Promise<void> => {
   while (!isTrue()) {
-    // eslint-disable-next-line no-await-in-loop -- the test's own timeout bounds it
+    // eslint-disable-next-line no-await-in-loop -- the test's timeout ends the loop
     await new Promise((resolve) => {
       setTimeout(resolve, 5);
     });
@@ -57,8 +57,8 @@
 };
 
 describe('an order with an idempotency key', () => {
-  // The caller's connection breaks after the order ran, so it sends the same order again, through
-  // another entry. It must get the first answer; bronze cast twice is billed twice.
+  // The caller's connection breaks after the order ran, so the caller sends the same order again
+  // through another entry. It must get the first answer: bronze that is cast twice is billed twice.
   it('runs once, and its repeats get the recorded answer through any entry', async () => {
     const { table, backend, addEntry } = await setUp();
     const [one, other] = [await addEntry(), await addEntry()];
@@ -71,9 +71,9 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  // Twenty repeats at a time through two entries, while the first still runs. At most one may be
-  // sent; the others are told that the key is taken.
-  it('runs once when it is repeated at the same moment', async () => {
+  // Twenty copies come at the same time through two entries. At most one may be sent; the callers
+  // of the others are told that the key is taken.
+  it('runs once when it is repeated while it runs', async () => {
     const held: (() => void)[] = [];
     const { backend, addEntry } = await setUp((socket) => {
       held.push(() => socket.write(wholeAnswer('cast')));
@@ -84,7 +84,7 @@
       Array.from({ length: 20 }, async (_, index) => {
         const answer = await order(entries[index % 2] as EntryHarness);
         answeredCount += 1;
-        // Only when all others have their word does the first get its answer.
+        // The order that runs is answered only after all others were refused.
         if (answeredCount === 19) held.splice(0).forEach((release) => release());
         return answer;
       }),
@@ -94,8 +94,9 @@
     expect(answers.filter((answer) => workOutcome(answer) === 'unknown')).toHaveLength(19);
   });
 
-  // The entry dies after its claim was written and before the order is sent; nobody else can
-  // know that it was not sent. A repeat must not run it and must not be told that it did not.
+  // The entry is killed after the claim was written and before the order is sent. Nobody else can
+  // know that the order was not sent, so a repeat must neither run it nor be told that it did not
+  // run.
   it('does not run after its entry was killed between claim and send', async () => {
     const { table, backend, addEntry } = await setUp();
     const [dying, other] = [await addEntry(), await addEntry()];
@@ -113,9 +114,9 @@
     void other.dispose();
   });
 
-  // The store writes the claim and its answer is lost. The entry finds its own claim by reading
+  // The store writes the claim, but its answer is lost. The entry finds its own claim by reading
   // and sends the order once.
-  it('runs once when the store loses its answer to the claim', async () => {
+  it('runs once when the answer to its claim is lost', async () => {
     const { table, backend, addEntry } = await setUp();
     const entry = await addEntry();
     table.lostAnswerCount = 1;
@@ -126,10 +127,10 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  // The claim takes effect, its answer is lost and then the store goes out: the entry cannot
-  // learn whether the key is its own. The order is refused as not run, at once. When the store
-  // is back, the entry takes its own claim away, so that the caller's repeat runs.
-  it('is refused as not run, and can be repeated, when the store is lost in the middle', async () => {
+  // The claim takes effect, its answer is lost, and then the store fails, so the entry cannot find
+  // out whether it holds the key. It refuses the order at once as not run. When the store is back,
+  // the entry removes its own claim, so that the caller's repeat runs.
+  it('is refused as not run, and can be repeated, when the store fails during the claim', async () => {
     const { table, backend, addEntry } = await setUp();
     const entry = await addEntry();
     table.lostAnswerCount = 1;
@@ -147,9 +148,9 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  // The store hangs until its calls time out. The first order waits for that; the following must
-  // be refused at once, with the time to come back.
-  it('is refused at once, with the time to come back, while the store is out', async () => {
+  // Calls to the store hang until they time out. The first order waits for the timeout; the next
+  // ones must be refused at once, with a retry delay.
+  it('is refused at once, with a retry delay, while the store is unavailable', async () => {
     const { table, backend, addEntry } = await setUp();
     const entry = await addEntry();
     table.isOut = true;
@@ -162,14 +163,14 @@
     expect(new Set(answers.map(({ statusCode }) => statusCode))).toEqual(new Set([503]));
     expect(answers.every(({ headers }) => Number(headers['retry-after']) >= 1)).toBe(true);
     expect(backend.requests).toHaveLength(0);
-    // Work that needs no claim goes on.
+    // Requests that need no claim are still served.
     expect((await entry.call('/menu')).statusCode).toBe(200);
     expect(entry.counter('claim_store_failures')).toBeLessThan(20);
   });
 
-  // The store answers the claim only after the caller's time is over. The caller gets its final
-  // answer at its deadline; nothing is sent afterwards, and the claim is given back.
-  it('is given up at its deadline when the store is slow', async () => {
+  // The store answers the claim only after the caller's deadline. The caller must get its final
+  // answer at the deadline, nothing may be sent afterwards, and the claim must be released.
+  it('fails at its deadline when the store is slow', async () => {
     const { table, backend, addEntry } = await setUp();
     const entry = await addEntry();
     const waiting: (() => void)[] = [];
@@ -186,7 +187,7 @@
     expect((await order(entry)).text).toBe('cast 0');
   });
 
-  it('gives the key back when the order surely did not run', async () => {
+  it('releases its key when it certainly did not run', async () => {
     const { table, backend, addEntry } = await setUp((socket, index) => {
       const head = index < 3 ? 'HTTP/1.1 503 No\r\nsnipethread-not-run: true' : 'HTTP/1.1 200 OK';
       socket.write(`${head}\r\ncontent-length: 0\r\n\r\n`);
@@ -198,7 +199,7 @@
     expect(backend.requests).toHaveLength(4);
   });
 
-  it('does not run again after its answer was cut', async () => {
+  it('does not run again after its answer was cut off', async () => {
     const { backend, addEntry } = await setUp((socket) => {
       socket.destroy();
     });
@@ -209,7 +210,7 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  it('tells that it ran when its answer was too large to keep', async () => {
+  it('is reported as "ran" to a repeat when its answer was too large to record', async () => {
     const { table, backend, addEntry } = await setUp((socket) =>
       socket.write(wholeAnswer('x'.repeat(10_000))),
     );
@@ -221,7 +222,7 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  it('refuses another order under the same key', async () => {
+  it('causes another order with the same key to be refused', async () => {
     const { backend, addEntry } = await setUp();
     const entry = await addEntry();
     await order(entry);
--- a/src/entry/test/latencyWindows.test.ts
+++ b/src/entry/test/latencyWindows.test.ts
@@ -8,7 +8,7 @@
 import { LatencyWeightedOfTwo } from '../common/serverChoice.js';
 
 describe('latency windows', () => {
-  it('tell a mean for each server, from when its first request was sent', () => {
+  it('report a mean for each server and the time at which its first request was sent', () => {
     const windows = new LatencyWindows();
     windows.note('w1', 'rounds', 30, 1_000);
     windows.note('w1', 'rounds', 50, 1_010);
@@ -26,7 +26,7 @@
     expect(windows.takeSamples(3_000)).toEqual([]);
   });
 
-  it('hold what admission learns of answers, and nothing of failures', () => {
+  it('contain the latencies of successful attempts and not of failures', () => {
     const random = new SeededRandom(1);
     const settings = settingsSchema.shape.entry.parse({});
     const admission = new Admission(settings, new LatencyWeightedOfTwo(random), random);
@@ -55,9 +55,9 @@
     expect(samples[0]).toMatchObject({ workerId: 'w1', requestCount: 1, startedAtMs: 100 });
   });
 
-  // Where the process has no scheduler nobody takes the samples, while workers come and go for
-  // months. The records must not pile up.
-  it('stay bounded when nobody takes them', () => {
+  // In a process without a scheduler nobody takes the samples, while workers come and go for
+  // months. The number of windows must stay limited.
+  it('stay limited in number when nobody takes the samples', () => {
     const windows = new LatencyWindows();
     for (let index = 0; index < 6_000; index += 1) windows.note(`w${index}`, 'rounds', 1, index);
     expect(windows.takeSamples(7_000)).toHaveLength(5_000);
--- a/src/entry/test/limits.test.ts
+++ b/src/entry/test/limits.test.ts
@@ -28,7 +28,7 @@
   return { entry, backend, port };
 };
 
-/** Sends bytes as they are and collects what comes back until the connection ends. */
+/** Sends raw bytes and collects the received bytes until the connection ends. */
 const sendRaw = (entry: EntryHarness, text: string): Promise<string> =>
   new Promise((resolve) => {
     const socket = createConnection(Number(new URL(entry.origin).port), '127.0.0.1');
@@ -41,11 +41,11 @@
     socket.write(text);
   });
 
-describe('what is beyond the limits', () => {
+describe('a message that the entry does not accept', () => {
   it.each([
     ['an unknown service', '/services/none/a', 404],
-    ['a path of no service', '/elsewhere', 404],
-  ])('%s is refused', async (_name, path, statusCode) => {
+    ['a path without a service', '/elsewhere', 404],
+  ])('is refused: %s', async (_name, path, statusCode) => {
     const { entry, backend } = await start();
     const text = await sendRaw(
       entry,
@@ -57,17 +57,17 @@
   });
 
   it.each([
-    ['no HTTP', 'hello\r\n\r\n'],
+    ['text that is not HTTP', 'hello\r\n\r\n'],
     [
-      'two lengths',
+      'two content lengths',
       'POST /services/s/a HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n',
     ],
     [
-      'a length and chunks',
+      'a content length together with chunks',
       'POST /services/s/a HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n',
     ],
-    ['a huge head', `GET /services/s/a HTTP/1.1\r\nx: ${'y'.repeat(40_000)}\r\n\r\n`],
-  ])('malformed HTTP is refused by the closed list: %s', async (_name, text) => {
+    ['a head that is too large', `GET /services/s/a HTTP/1.1\r\nx: ${'y'.repeat(40_000)}\r\n\r\n`],
+  ])('is refused as a bad request when its HTTP is malformed: %s', async (_name, text) => {
     const { entry, backend } = await start();
     const answer = await sendRaw(entry, text);
     expect(answer).toContain('HTTP/1.1 400');
@@ -79,7 +79,7 @@
   it.each([
     ['with a length', 'content-length: 2000'],
     ['in chunks', 'transfer-encoding: chunked'],
-  ])('a body that is too large is refused: %s', async (_name, framing) => {
+  ])('is refused when its body is too large: %s', async (_name, framing) => {
     const { entry, backend } = await start({ maximumBodyBytes: 1_000 });
     const body = framing.startsWith('content') ? 'x'.repeat(2_000) : `7d0\r\n${'x'.repeat(2_000)}`;
     const head = `POST /services/s/a HTTP/1.1\r\nhost: x\r\nconnection: close\r\n${framing}`;
@@ -90,8 +90,8 @@
   });
 
   // A caller begins a request and sends a byte now and then. It must not hold its connection and
-  // the memory for its body for ever.
-  it('a request that is sent too slowly is refused', async () => {
+  // the memory for its body without a time limit.
+  it('is refused when it is sent too slowly', async () => {
     const { entry, backend } = await start({ receiveTimeoutMs: 300 });
     const head = 'POST /services/s/a HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nhalf';
     const answer = await sendRaw(entry, head);
@@ -100,10 +100,10 @@
     expect(backend.requests).toHaveLength(0);
   });
 
-  // Many callers begin large bodies at once and send them slowly. The entry holds a bounded
-  // number of bytes and refuses the next body before it is read; the memory is free again when
-  // the connections end.
-  it('bodies beyond what may be held at a time are refused unread', async () => {
+  // Many callers start to send large bodies at once and send them slowly. The entry holds a limited
+  // number of bytes and refuses the next body before it is read. The memory is free again when the
+  // connections end.
+  it('is refused unread when the bodies held at a time would exceed the limit', async () => {
     const { entry, backend } = await start({ maximumBodyBytes: 1_000, maximumHeldBytes: 2_500 });
     const head = 'POST /services/s/a HTTP/1.1\r\nhost: x\r\ncontent-length: 1000\r\n\r\n';
     const port = Number(new URL(entry.origin).port);
@@ -121,7 +121,7 @@
     expect(backend.requests.length).toBeGreaterThan(0);
   });
 
-  it('an answer that is too large is an error and its connection is closed', async () => {
+  it('becomes an error for the caller when it is an answer that is too large', async () => {
     const { entry } = await start({ maximumBodyBytes: 1_000 }, (socket) =>
       socket.write(wholeAnswer('x'.repeat(5_000))),
     );
@@ -132,9 +132,9 @@
 });
 
 describe('a backend server that says it is leaving', () => {
-  // The platform's list lags. The server's own word in an answer takes it out at once: it gets
-  // nothing more, and what it has is answered.
-  it('gets no new work from its first such answer on', async () => {
+  // The platform's instance list lags behind. A header in the server's answer must remove the
+  // server at once: it gets no further requests, and the requests that it has are answered.
+  it('gets no new work after its first answer that says so', async () => {
     const leaving = 'snipethread-leaving: true\r\n';
     const quiet = { hedgeBudgetRatio: 0, silenceFloorMs: 4_000 };
     const { entry, backend, port } = await start(quiet, (socket, index) => {
@@ -153,10 +153,10 @@
 });
 
 describe('the connections of a worker', () => {
-  // Eight entries, as many as there may be during a restart, with lists that differ: some have
-  // just lost the server and found it again while requests are in flight. Each bursts. The worker
-  // must never see more connections than it accepts, and the invariant in the program must agree.
-  it('are never more than it accepts, whatever lists the entries have', async () => {
+  // Eight entries, the maximum number during a restart, hold different lists: some lose the server
+  // and find it again while requests are in flight. Each entry sends a burst. The worker must never
+  // get more connections than it accepts, and the entries must report no invariant violation.
+  it('never exceed the number that the worker accepts, even if the lists of the entries differ', async () => {
     const backend = new RawBackend((socket) => {
       setTimeout(() => socket.write(wholeAnswer('whole')), 20);
     });
--- a/src/entry/test/notRun.test.ts
+++ b/src/entry/test/notRun.test.ts
@@ -43,14 +43,14 @@
   socket.write('HTTP/1.1 503 No\r\nsnipethread-not-run: true\r\ncontent-length: 0\r\n\r\n');
 };
 
-describe('the word "not run"', () => {
-  it('is said when no connection opened', async () => {
+describe('the work outcome "not run"', () => {
+  it('is reported when no connection opened', async () => {
     const entry = await startEntry([await closedPort()]);
     const answer = await entry.call('/a', {}, 'POST', 'order');
     expect([answer.statusCode, workOutcome(answer)]).toEqual([503, 'not-run']);
   });
 
-  it('is said when the backend server says so by the agreed header', async () => {
+  it('is reported when the backend server says so by its header', async () => {
     const [backend, port] = await startBackend(refuse);
     const entry = await startEntry([port]);
     const answer = await entry.call('/a', {}, 'POST', 'order');
@@ -58,9 +58,9 @@
     expect(backend.requests.length).toBeGreaterThan(1);
   });
 
-  // A server that answers 503 without the agreed header may have run the work. Its answer goes
-  // to the caller as it is, without a word of the entry about the work.
-  it('is not said for a 503 without the header', async () => {
+  // A server that answers 503 without the header may have run the work. The caller must get that
+  // answer unchanged, without a work outcome from the entry.
+  it('is not reported for a 503 without the header', async () => {
     const [backend, port] = await startBackend((socket) =>
       socket.write('HTTP/1.1 503 No\r\ncontent-length: 4\r\n\r\nbusy'),
     );
@@ -71,10 +71,10 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  // Idempotent work is sent, and the connection is cut: it may have run. The second attempt is
-  // refused by a server that did not run it. Told as not run, the caller would wrongly know that
-  // nothing has happened: the refusal of the second says nothing about the first.
-  it('is not said when a first attempt was cut and a second one was refused', async () => {
+  // Idempotent work is sent and the connection is cut off, so the work may have run. A server then
+  // refuses the second attempt without running it. "Not run" would be wrong for the caller, because
+  // the refusal of the second attempt says nothing about the first.
+  it('is not reported when the first attempt was cut off and the second one refused', async () => {
     const answers = [cut, refuse, refuse];
     const [, port] = await startBackend((socket, index, head) => {
       answers[index]?.(socket, index, head);
@@ -85,8 +85,8 @@
     expect(entry.brokenInvariants).toEqual([]);
   });
 
-  // As before, but by the time of the second attempt the service has no server any more.
-  it('is not said when a first attempt was cut and no server was left', async () => {
+  // As in the test before, but the service has no server any more when the second attempt is due.
+  it('is not reported when the first attempt was cut off and no server was left', async () => {
     const routes: { entry: EntryHarness | undefined } = { entry: undefined };
     const [, port] = await startBackend((socket) => {
       routes.entry?.route('s', []);
@@ -99,7 +99,7 @@
     expect(entry.brokenInvariants).toEqual([]);
   });
 
-  it('is said for a request that waited until its deadline', async () => {
+  it('is reported for a request that waited until its deadline', async () => {
     const [backend, port] = await startBackend(() => {});
     const entry = await startEntry([port]);
     const longTimeoutHeaders = { 'snipethread-timeout-ms': '1500' };
@@ -116,9 +116,9 @@
   });
 });
 
-describe('a request marked as not idempotent', () => {
+describe('a request marked as non-idempotent', () => {
   it.each([
-    ['cut', cut],
+    ['cut off', cut],
     ['never answered', () => {}],
   ] as const)('is sent once when it is %s', async (_name, answer) => {
     const [backend, port] = await startBackend(answer);
@@ -129,7 +129,7 @@
     expect(backend.requests).toHaveLength(1);
   });
 
-  it('is sent to another server while nothing has run', async () => {
+  it('is sent to another server as long as nothing has run', async () => {
     const [backend, port] = await startBackend((socket) => socket.write(wholeAnswer('done')));
     const entry = await startEntry([await closedPort(), port]);
     const answers = await Promise.all(
--- a/src/entry/test/rawBackend.ts
+++ b/src/entry/test/rawBackend.ts
@@ -1,7 +1,7 @@
-/** A backend server made of a bare socket, so that a test decides every byte. */
+/** A backend server on plain sockets, so that a test controls every byte. */
 import { createServer, type Server, type Socket } from 'node:net';
 
-/** Answers one request of a connection; `index` counts the requests of all connections. */
+/** Answers one request on a connection; `index` counts the requests of all connections. */
 export type RawAnswer = (socket: Socket, index: number, head: string) => void;
 
 const HEAD_END = '\r\n\r\n';
@@ -11,7 +11,7 @@
 
   readonly sockets = new Set<Socket>();
 
-  /** The most connections that were open at a time. */
+  /** The highest number of connections that were open at a time. */
   maximumConnections = 0;
 
   readonly #server: Server;
@@ -51,7 +51,7 @@
     this.#server.close();
   }
 
-  /** Where the first whole request ends; zero while it is not whole. */
+  /** The offset at which the first request ends; zero while it is incomplete. */
   static #firstRequestEnd(received: string): number {
     const headEnd = received.indexOf(HEAD_END);
     if (headEnd < 0) return 0;
@@ -61,6 +61,6 @@
   }
 }
 
-/** A whole answer with a length. */
+/** A complete answer with a content length. */
 export const wholeAnswer = (body: string, headers = ''): string =>
   `HTTP/1.1 200 OK\r\ncontent-length: ${body.length}\r\n${headers}\r\n${body}`;
--- a/src/entry/test/silentConnections.test.ts
+++ b/src/entry/test/silentConnections.test.ts
@@ -19,7 +19,7 @@
 
 const DEADLINE_MS = 4_000;
 const LONG_TIMEOUT_HEADERS = { 'snipethread-timeout-ms': String(DEADLINE_MS) };
-/** Of calls to the platform; an answered one must not take so long, however busy the machine. */
+/** Timeout of calls to the platform. An answered call must be faster even on a busy machine. */
 const CALL_TIMEOUT_MS = 2_000;
 const ALL_SILENCES = [Silence.ToServer, Silence.ToClient, Silence.Both] as const;
 
@@ -41,11 +41,11 @@
 };
 
 describe('a connection to a backend server that has gone silent', () => {
-  // Something between the two ends forgets the connection: what is sent on it vanishes and
-  // nothing closes it, while new connections work. The caller's idempotent request lies on the
-  // old one. It must be answered over a new one long before its deadline, and the old one closed.
+  // A device between the two ends drops the state of a connection: data sent on it is lost and
+  // nothing closes it, while new connections work. An idempotent request that was sent on the old
+  // connection must be answered over a new one long before its deadline, and the old one closed.
   it.each(ALL_SILENCES)(
-    'is closed, and its idempotent work answered over a new one: %s',
+    'is closed, and its idempotent request is answered over a new one: %s',
     async (way) => {
       const { entry, relay } = await startWithRelay();
       expect((await entry.call('/a', LONG_TIMEOUT_HEADERS)).text).toBe('whole');
@@ -60,7 +60,7 @@
     },
   );
 
-  it('leaves work that is not idempotent unknown at its deadline, and closes', async () => {
+  it('is closed at the deadline of non-idempotent work, whose outcome is "unknown"', async () => {
     const { entry, relay } = await startWithRelay();
     await entry.call('/a');
     relay.silenceAll(Silence.Both);
@@ -71,13 +71,13 @@
     expect(entry.counter('request_retries')).toBe(0);
   });
 
-  // A server that is merely slow must not lose its connection: cut off and begun anew, work that
-  // takes longer than the bound would never end. The second attempt is as slow as the first, so
-  // the first one is answered and wins.
-  it('is told from a slow server, whose first attempt is answered', async () => {
+  // The connection to a server that is merely slow must not be closed: if work that takes longer
+  // than the silence bound were cut off and started again, it would never end. The second attempt
+  // is as slow as the first, so the first one is answered first.
+  it('is not confused with a slow server, which answers the first attempt', async () => {
     const { entry } = await startWithRelay();
     await entry.call('/a', LONG_TIMEOUT_HEADERS);
-    // On a busy machine the first call alone may have taken long enough for a second attempt.
+    // On a busy machine the first call may already have taken long enough for a second attempt.
     const countBefore = entry.counter('second_attempts');
     const wonBefore = entry.counter('second_attempts_won');
     const answer = await entry.call('/slow', LONG_TIMEOUT_HEADERS);
@@ -88,9 +88,10 @@
 });
 
 describe('a connection to the table that has gone silent', () => {
-  // The same between the daemon and the platform. The call that lies on it fails by its own
-  // timeout, as a transaction whose outcome is unknown; the next one goes over a new connection.
-  it.each(ALL_SILENCES)('costs one call: %s', async (way) => {
+  // The same fault between the daemon and the platform. The call on the silent connection must fail
+  // by its timeout, as a transaction with an unknown outcome. The next call must use a new
+  // connection.
+  it.each(ALL_SILENCES)('makes only one call fail: %s', async (way) => {
     const platform = new PlatformServer(1);
     const relay = new SilentRelay(await platform.listen());
     const origin = `http://127.0.0.1:${await relay.listen()}`;
@@ -112,8 +113,8 @@
 });
 
 describe('a connection to the object store or to the instance list that has gone silent', () => {
-  // As with the table: the call that lies on it fails by its own timeout, the connection is
-  // closed, and the next call goes over a new one.
+  // As with the table: the call on the silent connection must fail by its timeout, the connection
+  // must be closed, and the next call must use a new one.
   interface PlatformCall {
     readonly connectionCount: number;
     readonly isAnswered: () => Promise<boolean>;
@@ -139,7 +140,7 @@
   };
 
   it.each(ALL_SILENCES.flatMap((way) => Object.keys(CLIENTS).map((name) => [name, way] as const)))(
-    'costs the calls on it: %s, %s',
+    'makes only the calls on it fail: %s, %s',
     async (name, way) => {
       const platform = new PlatformServer(1);
       const relay = new SilentRelay(await platform.listen());
@@ -161,12 +162,12 @@
     },
   );
 
-  // What is sent to open a connection vanishes. undici ends a call that waits for its connection
-  // only when the opening ends, whatever the call's own timeout: without a limit of ours that is
-  // after ten seconds, more than the test's own time. Then the way is open again.
+  // The packets that open a connection are lost. undici ends a call that waits for its connection
+  // only when the connection attempt ends, whatever the call's timeout. Without a connect timeout
+  // set here that takes ten seconds, more than this test allows. Later connections open again.
   const OPENING_TEST_TIMEOUT_MS = 8_000;
   it.each(Object.keys(CLIENTS))(
-    'costs the calls while it opens: %s',
+    'makes only the calls fail that wait for it to open: %s',
     async (name) => {
       const platform = new PlatformServer(1);
       const client = CLIENTS[name]?.(`http://127.0.0.1:${await platform.listen()}`) as PlatformCall;
--- a/src/entry/test/wholeAnswers.test.ts
+++ b/src/entry/test/wholeAnswers.test.ts
@@ -26,7 +26,7 @@
     socket.end(text);
   };
 
-/** Comes back after each refusal that says "not run", as a caller may. */
+/** Repeats the call after each refusal with the outcome "not run", as a caller may. */
 const callUntilServed = async (
   entry: EntryHarness,
   path: string,
@@ -36,21 +36,21 @@
   return isRefused ? callUntilServed(entry, path) : answer;
 };
 
-/** Work that is not idempotent is never repeated, so each cut shows as it is. */
+/** Sends non-idempotent work, which is never repeated, so that the caller sees each cut-off. */
 const callOnce = (entry: EntryHarness, path = '/a') => entry.call(path, {}, 'POST', 'order');
 
-describe('an answer that is cut', () => {
-  // The caller must see an error, never a short success. The server sends the beginning of an
-  // answer and its connection ends, as it does when its process dies. What marks the end of the
-  // answer differs: a length, chunks, or only the end of the connection.
+describe('an answer that is cut off', () => {
+  // The server sends the beginning of an answer and its connection ends, as when its process dies.
+  // The caller must get an error, never a success with a part of the answer. The answers mark their
+  // end in different ways: by a length, by chunks, or only by the end of the connection.
   it.each([
-    ['before its head is whole', 'HTTP/1.1 200 OK\r\ncontent-le'],
+    ['before its head is complete', 'HTTP/1.1 200 OK\r\ncontent-le'],
     ['in the body, with a length', 'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf'],
     ['between chunks', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n'],
-    ['in a chunk', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n8\r\nhalf'],
-    ['where only the connection marks its end', 'HTTP/1.1 200 OK\r\n\r\nhalf'],
-    ['where HTTP/1.0 marks no end', 'HTTP/1.0 200 OK\r\nconnection: close\r\n\r\nhalf'],
-  ])('is an error whose work is unknown: %s', async (_name, text) => {
+    ['within a chunk', 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n8\r\nhalf'],
+    ['with an end marked only by the connection', 'HTTP/1.1 200 OK\r\n\r\nhalf'],
+    ['with no marked end in HTTP/1.0', 'HTTP/1.0 200 OK\r\nconnection: close\r\n\r\nhalf'],
+  ])('is an error with the work outcome "unknown": %s', async (_name, text) => {
     const { entry, backend } = await start(endAfter(text));
     const answer = await callOnce(entry);
     expect(answer.statusCode).toBe(502);
@@ -59,7 +59,7 @@
     expect(entry.brokenInvariants).toEqual([]);
   });
 
-  it('is tried again for idempotent work', async () => {
+  it('is retried for idempotent work', async () => {
     const { entry } = await start((socket, index) => {
       if (index === 0) socket.end('HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf');
       else socket.write(wholeAnswer('whole'));
@@ -69,10 +69,10 @@
   });
 });
 
-describe('an answer with more bytes than it states', () => {
-  // The server states four bytes and sends more. The caller gets the four; what comes after them
-  // must not be read as the answer to the next request on the connection.
-  it('is cut to its length, and the rest meets no other request', async () => {
+describe('an answer with more bytes than its declared length', () => {
+  // The server declares a length and sends more bytes. The caller gets the declared length; the
+  // other bytes must not be read as the answer to the next request on the connection.
+  it('is cut to its length, and the rest reaches no other request', async () => {
     const { entry } = await start((socket, index, head) => {
       const extra = index === 0 ? wholeAnswer('stray') : '';
       const [, path] = head.split(' ');
@@ -86,8 +86,8 @@
     expect(texts).toEqual(['own /a0', 'own /a1', 'own /a2', 'own /a3', 'own /a4']);
   });
 
-  // As before, but the stray answer comes a moment later, on the idle connection.
-  it('closes the connection when a stray answer comes while it is idle', async () => {
+  // As in the test before, but the extra answer comes a moment later, on the idle connection.
+  it('is not taken for the next answer when the extra bytes come on the idle connection', async () => {
     const { entry } = await start((socket, index) => {
       socket.write(wholeAnswer(`own${index}`));
       if (index === 0) setTimeout(() => socket.write(wholeAnswer('stray')), 20);
@@ -101,9 +101,9 @@
 });
 
 describe('a late answer', () => {
-  // The caller's time runs out and the server answers afterwards. The next request must not
-  // receive that answer: the connection that carried the first is closed.
-  it('reaches neither the next request nor anybody else', async () => {
+  // The server answers after the caller's deadline. The next request must not receive that answer;
+  // the connection of the first request is closed.
+  it('reaches no other request', async () => {
     const held: (() => void)[] = [];
     const { entry, backend } = await start((socket, _index, head) => {
       const [, path = ''] = head.split(' ');
@@ -122,9 +122,9 @@
     expect(backend.maximumConnections).toBeLessThanOrEqual(2);
   });
 
-  // Many requests at a time, answered in the reverse order of their arrival. Each caller must
-  // get what belongs to its own path.
-  it('out of order goes to its own caller', async () => {
+  // Many requests at a time are answered in the reverse order of their arrival. Each caller must
+  // get the answer to its own request.
+  it('reaches its own caller when the order of answers is reversed', async () => {
     const waiting: (() => void)[] = [];
     const answerAll = (): void =>
       waiting
@@ -142,35 +142,38 @@
   });
 });
 
-describe('an answer before the request was read', () => {
-  // The server answers on the first bytes of a large body and reads no more; it then closes, or
-  // keeps the connection open. The answer is either whole or an error, and the unread rest of
-  // the body must not be taken for a request.
-  it.each([true, false])('is whole or an error (closes: %s)', async (isClosing) => {
-    const sockets: Socket[] = [];
-    const early = createServer((socket) => {
-      sockets.push(socket);
-      socket.on('error', () => {});
-      socket.once('data', () => {
-        socket.pause();
-        socket.write(wholeAnswer('early'));
-        if (isClosing) setTimeout(() => socket.resetAndDestroy(), 50);
+describe('an answer that comes before the request was read', () => {
+  // The server answers the first bytes of a large body and reads no more. It then either closes the
+  // connection or keeps it open. The caller must get the complete answer or an error, and the
+  // unread rest of the body must not be taken for a request.
+  it.each([true, false])(
+    'is complete or an error (server closes the connection: %s)',
+    async (isClosing) => {
+      const sockets: Socket[] = [];
+      const early = createServer((socket) => {
+        sockets.push(socket);
+        socket.on('error', () => {});
+        socket.once('data', () => {
+          socket.pause();
+          socket.write(wholeAnswer('early'));
+          if (isClosing) setTimeout(() => socket.resetAndDestroy(), 50);
+        });
       });
-    });
-    await new Promise<void>((resolve) => {
-      early.listen(0, '127.0.0.1', resolve);
-    });
-    cleanups.push(() => {
-      sockets.forEach((socket) => socket.destroy());
-      early.close();
-    });
-    const entry = new EntryHarness();
-    cleanups.push(() => entry.dispose());
-    entry.route('s', [backendServer((early.address() as { port: number }).port)]);
-    await entry.listen();
-    const answer = await entry.call('/a', {}, 'POST', 'x'.repeat(1_000_000));
-    const isWhole = answer.statusCode === 200 && answer.text === 'early';
-    expect(isWhole || workOutcome(answer) === 'unknown').toBe(true);
-    expect(sockets).toHaveLength(1);
-  });
+      await new Promise<void>((resolve) => {
+        early.listen(0, '127.0.0.1', resolve);
+      });
+      cleanups.push(() => {
+        sockets.forEach((socket) => socket.destroy());
+        early.close();
+      });
+      const entry = new EntryHarness();
+      cleanups.push(() => entry.dispose());
+      entry.route('s', [backendServer((early.address() as { port: number }).port)]);
+      await entry.listen();
+      const answer = await entry.call('/a', {}, 'POST', 'x'.repeat(1_000_000));
+      const isWhole = answer.statusCode === 200 && answer.text === 'early';
+      expect(isWhole || workOutcome(answer) === 'unknown').toBe(true);
+      expect(sockets).toHaveLength(1);
+    },
+  );
 });
