--- a/src/entry/common/abandonedPermits.ts
+++ b/src/entry/common/abandonedPermits.ts
@@ -1,4 +1,4 @@
-/** Permits that stay in use for a while after their callers hung up. */
+/** Keeps permits in use for a while after the callers of their requests hung up. */
 import type { WaitingRequest } from './fairQueue.js';
 import type { ServerRecord } from './serverRecords.js';
 
--- a/src/entry/common/admission.ts
+++ b/src/entry/common/admission.ts
@@ -42,8 +42,8 @@
  *
  * Each request that is sent holds a permit on its server until it ends. A request is sent at once
  * while its service is below its limit. The limit counts the requests of all services on the same
- * workers, so that two services together do not exceed the limit that each of them has alone.
- * Otherwise the request waits here. A freed permit goes to the most urgent waiting service, and
+ * workers, so that two services together do not exceed the limit that each of them has alone. At
+ * the limit a request waits here. A freed permit goes to the most urgent waiting service, and
  * services of equal urgency take turns, so that work of low urgency does not get ahead of urgent
  * work inside a worker.
  *
@@ -147,8 +147,8 @@
   /**
    * Returns a server with a permit for a second attempt at a running request, past the queue. A
    * hedge gets one only while the service is below its limit and no service on its workers waits,
-   * so that saturated servers get no extra work. An attempt that replaces a silent connection is
-   * not held to that; the retry budget bounds these.
+   * so that saturated servers get no extra work. These conditions do not apply to
+   * an attempt that replaces a silent connection; the retry budget limits such attempts.
    */
   tryAdmitExtra(
     serviceName: string,
@@ -183,20 +183,20 @@
   finish(
     serviceName: string,
     server: ServerRecord<Waiting>,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
     nowMs: number,
   ): readonly Dispatched<Waiting>[] {
     const service = this.#registry.service(serviceName);
-    if (service !== undefined) this.#feedback.note(service, server, end, nowMs);
+    if (service !== undefined) this.#feedback.note(service, server, outcome, nowMs);
     const { worker } = server;
-    if (end.isServerLeaving) worker.leavingUntilMs = nowMs + this.#settings.leavingHoldMs;
-    if (end.verdict !== ServerVerdict.Abandoned) return this.#releasePermit(server, nowMs);
+    if (outcome.isServerLeaving) worker.leavingUntilMs = nowMs + this.#settings.leavingHoldMs;
+    if (outcome.verdict !== ServerVerdict.Abandoned) return this.#releasePermit(server, nowMs);
     const holdMs = Math.max(
       MINIMUM_ABANDONED_HOLD_MS,
       ABANDONED_HOLD_MEDIANS * (service?.limit.medianMs ?? 0),
     );
-    if (end.latencyMs >= holdMs) return this.#releasePermit(server, nowMs);
-    this.#abandonedPermits.hold(server, nowMs + holdMs - end.latencyMs);
+    if (outcome.latencyMs >= holdMs) return this.#releasePermit(server, nowMs);
+    this.#abandonedPermits.hold(server, nowMs + holdMs - outcome.latencyMs);
     return [];
   }
 
--- a/src/entry/common/serverFeedback.ts
+++ b/src/entry/common/serverFeedback.ts
@@ -35,19 +35,22 @@
   note(
     service: ServiceRecord<Waiting>,
     server: ServerRecord<Waiting>,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
     nowMs: number,
   ): void {
-    if (end.verdict === ServerVerdict.Unused) return;
-    if (end.verdict === ServerVerdict.Overtaken || end.verdict === ServerVerdict.Abandoned) {
-      server.latency.noteAtLeast(end.latencyMs, nowMs);
+    if (outcome.verdict === ServerVerdict.Unused) return;
+    if (
+      outcome.verdict === ServerVerdict.Overtaken ||
+      outcome.verdict === ServerVerdict.Abandoned
+    ) {
+      server.latency.noteAtLeast(outcome.latencyMs, nowMs);
       return;
     }
-    if (end.verdict === ServerVerdict.Success) {
-      server.latency.note(end.latencyMs, nowMs);
-      this.latencyWindows.note(server.worker.workerId, service.name, end.latencyMs, nowMs);
+    if (outcome.verdict === ServerVerdict.Success) {
+      server.latency.note(outcome.latencyMs, nowMs);
+      this.latencyWindows.note(server.worker.workerId, service.name, outcome.latencyMs, nowMs);
       server.health.noteSuccess();
-      if (service.limit.note(end.latencyMs, service.occupiedCount)) {
+      if (service.limit.note(outcome.latencyMs, service.occupiedCount)) {
         service.servicesNotLessUrgent.forEach((each) => each.refreshEffectiveLimit());
       }
       return;
--- a/src/entry/common/serverRecords.ts
+++ b/src/entry/common/serverRecords.ts
@@ -119,8 +119,9 @@
   /**
    * A service may use the highest limit per slot of the services on the same workers that are no
    * more urgent, in proportion to its own slots. All of them see the same workers but adapt their
-   * limits separately. Otherwise a service with a lower limit would get no permit, hence no
-   * answers, and its limit would never rise again; work of low urgency would shut out urgent work.
+   * limits separately. Without this rule a service with a lower limit would get no permits, hence
+   * no answers, and its limit would never rise again; work of low urgency would shut out urgent
+   * work.
    */
   refreshEffectiveLimit(): void {
     const limitPerSlot = this.servicesNotMoreUrgent.reduce(
--- a/src/entry/common/serviceRegistry.ts
+++ b/src/entry/common/serviceRegistry.ts
@@ -45,8 +45,8 @@
 
   /**
    * Applies new routes and keeps the records of servers that stay. The number of entries comes from
-   * a list that lags behind. It changes the share that is always granted; the limit on connections
-   * it can only lower, compared with the limit that follows from the settings.
+   * a list that lags behind. This number changes the share of slots that is always granted. It can
+   * only lower the limit on connections, compared with the limit that follows from the settings.
    */
   updateRoutes(
     routes: RoutingTable,
--- a/src/entry/node/requestDispatch.ts
+++ b/src/entry/node/requestDispatch.ts
@@ -103,7 +103,7 @@
     });
   }
 
-  /** Releases what a request holds whose caller hung up, unless the request must run to its end. */
+  /** Releases what an abandoned request holds, unless the request must run to its end. */
   #handleHangUp(activeRequest: Journey): void {
     if (activeRequest.isDone) return;
     const { admission, metrics } = this.#services;
@@ -267,8 +267,8 @@
   /** Releases a permit that was not used. */
   #releaseUnused(activeRequest: Journey, server: ServerRecord<Journey>, nowMs: number): void {
     const { serviceName } = activeRequest.request;
-    const end = { latencyMs: 0, verdict: ServerVerdict.Unused, isServerLeaving: false };
-    this.#sendAll(this.#services.admission.finish(serviceName, server, end, nowMs), nowMs);
+    const outcome = { latencyMs: 0, verdict: ServerVerdict.Unused, isServerLeaving: false };
+    this.#sendAll(this.#services.admission.finish(serviceName, server, outcome, nowMs), nowMs);
   }
 
   #sendAll(dispatched: readonly Dispatched<Journey>[], nowMs: number): void {
@@ -281,14 +281,14 @@
     span?.end({ end: result.end });
     activeRequest.running.splice(activeRequest.running.indexOf(attempt), 1);
     activeRequest.progress.noteEnd(result.end);
-    const end = {
+    const outcome = {
       latencyMs: nowMs - startedAtMs,
       verdict: attemptVerdict(attempt, result),
       isServerLeaving: result.isServerLeaving,
     };
-    if (end.isServerLeaving) this.#services.metrics.count('servers_said_leaving');
+    if (outcome.isServerLeaving) this.#services.metrics.count('servers_said_leaving');
     const { serviceName } = activeRequest.request;
-    const dispatched = this.#services.admission.finish(serviceName, server, end, nowMs);
+    const dispatched = this.#services.admission.finish(serviceName, server, outcome, nowMs);
     this.#sweepTimer.arm();
     this.#finishOrRetry(activeRequest, attempt, result, nowMs);
     this.#sendAll(dispatched, nowMs);
--- a/src/entry/test/admission.test.ts
+++ b/src/entry/test/admission.test.ts
@@ -57,11 +57,11 @@
   }
 
   /** Ends the oldest request in flight and returns the waiting requests that were sent instead. */
-  finishOne(end: AttemptOutcome = SUCCESS): readonly Waiting[] {
+  finishOne(outcome: AttemptOutcome = SUCCESS): readonly Waiting[] {
     const first = this.inFlight.shift();
     if (first === undefined) return [];
     const { waiting, server } = first;
-    const next = this.admission.finish(waiting.serviceName, server, end, this.nowMs);
+    const next = this.admission.finish(waiting.serviceName, server, outcome, this.nowMs);
     this.inFlight.push(...next);
     return next.map((dispatched) => dispatched.waiting);
   }
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -89,8 +89,8 @@
       return decision.kind === 'admitted' ? [decision.server, ...placesTaken(nowMs)] : [];
     };
     const places = placesTaken(0);
-    const end = { latencyMs: 5, verdict: ServerVerdict.Abandoned, isServerLeaving: false };
-    places.forEach((server) => expect(admission.finish('s', server, end, 5)).toEqual([]));
+    const outcome = { latencyMs: 5, verdict: ServerVerdict.Abandoned, isServerLeaving: false };
+    places.forEach((server) => expect(admission.finish('s', server, outcome, 5)).toEqual([]));
     expect(admission.sweep(39).dispatched).toEqual([]);
     expect(admission.sweep(40).dispatched).toHaveLength(1);
   });
--- a/src/entry/test/latencyWindows.test.ts
+++ b/src/entry/test/latencyWindows.test.ts
@@ -47,8 +47,8 @@
     [ServerVerdict.Success, ServerVerdict.Failure].forEach((verdict) => {
       const decision = admission.admit('rounds', waiting, 100);
       if (decision.kind !== 'admitted') throw new Error('not admitted');
-      const end = { latencyMs: 40, verdict, isServerLeaving: false };
-      admission.finish('rounds', decision.server, end, 140);
+      const outcome = { latencyMs: 40, verdict, isServerLeaving: false };
+      admission.finish('rounds', decision.server, outcome, 140);
     });
     const samples = admission.latencyWindows.takeSamples(200);
     expect(samples).toHaveLength(1);
