--- a/src/entry/common/hangUp.ts
+++ b/src/entry/common/hangUp.ts
@@ -13,7 +13,7 @@
 export interface HangUpState {
   readonly isIdempotent: boolean;
   /** Whether an attempt is running. */
-  readonly isUnderWay: boolean;
+  readonly isAttemptRunning: boolean;
   /** Whether a byte of a running attempt may have been sent. */
   readonly isSent: boolean;
 }
@@ -28,7 +28,7 @@
  * short, its outcome could not be recorded under its key, and the caller's repeat would get the
  * outcome "unknown".
  */
-export const hangUpStep = ({ isIdempotent, isUnderWay, isSent }: HangUpState): HangUpStep => {
-  if (!isUnderWay) return HangUpStep.LetGo;
+export const hangUpStep = ({ isIdempotent, isAttemptRunning, isSent }: HangUpState): HangUpStep => {
+  if (!isAttemptRunning) return HangUpStep.LetGo;
   return isIdempotent || !isSent ? HangUpStep.Abort : HangUpStep.LetEnd;
 };
--- a/src/entry/common/requestProgress.ts
+++ b/src/entry/common/requestProgress.ts
@@ -67,7 +67,7 @@
   noteHangUp(isSent: boolean): HangUpStep {
     this.#isAbandoned = true;
     const { isIdempotent } = this.#options;
-    return hangUpStep({ isIdempotent, isUnderWay: this.#runningCount > 0, isSent });
+    return hangUpStep({ isIdempotent, isAttemptRunning: this.#runningCount > 0, isSent });
   }
 
   /** Whether another attempt is allowed, apart from the retry budget. */
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -23,11 +23,11 @@
 
 describe('the action for a request whose caller hung up', () => {
   it.each([
-    [HangUpStep.LetGo, { isIdempotent: true, isUnderWay: false, isSent: false }],
-    [HangUpStep.LetGo, { isIdempotent: false, isUnderWay: false, isSent: false }],
-    [HangUpStep.Abort, { isIdempotent: true, isUnderWay: true, isSent: true }],
-    [HangUpStep.Abort, { isIdempotent: false, isUnderWay: true, isSent: false }],
-    [HangUpStep.LetEnd, { isIdempotent: false, isUnderWay: true, isSent: true }],
+    [HangUpStep.LetGo, { isIdempotent: true, isAttemptRunning: false, isSent: false }],
+    [HangUpStep.LetGo, { isIdempotent: false, isAttemptRunning: false, isSent: false }],
+    [HangUpStep.Abort, { isIdempotent: true, isAttemptRunning: true, isSent: true }],
+    [HangUpStep.Abort, { isIdempotent: false, isAttemptRunning: true, isSent: false }],
+    [HangUpStep.LetEnd, { isIdempotent: false, isAttemptRunning: true, isSent: true }],
   ])('is %s for %o', (step, question) => {
     expect(hangUpStep(question)).toBe(step);
   });
@@ -84,13 +84,13 @@
       waitingSinceMs: 0,
       avoidedWorkerId: undefined,
     });
-    const placesTaken = (nowMs: number): ServerRecord[] => {
+    const acquireAllPermits = (nowMs: number): ServerRecord[] => {
       const decision = admission.admit('s', waiting(), nowMs);
-      return decision.kind === 'admitted' ? [decision.server, ...placesTaken(nowMs)] : [];
+      return decision.kind === 'admitted' ? [decision.server, ...acquireAllPermits(nowMs)] : [];
     };
-    const places = placesTaken(0);
+    const permits = acquireAllPermits(0);
     const outcome = { latencyMs: 5, verdict: ServerVerdict.Abandoned, isServerLeaving: false };
-    places.forEach((server) => expect(admission.finish('s', server, outcome, 5)).toEqual([]));
+    permits.forEach((server) => expect(admission.finish('s', server, outcome, 5)).toEqual([]));
     expect(admission.sweep(39).dispatched).toEqual([]);
     expect(admission.sweep(40).dispatched).toHaveLength(1);
   });
