--- a/src/scheduler/common/assigning.ts
+++ b/src/scheduler/common/assigning.ts
@@ -1,4 +1,4 @@
-/** Gives queued work to workers: fills up services first, then batch tasks by urgency. */
+/** Assigns queued work to workers: missing service replicas first, then batch tasks by urgency. */
 import {
   type ServiceDocument,
   Urgency,
@@ -27,8 +27,8 @@
 import { allShards, teamUsageOf } from './quotaRound.js';
 import { attemptKey } from './workerView.js';
 
-/** What evicting each task would lose, as far as workers tell it, by attempt. */
-const unsavedWorkMs = (state: CellState): ReadonlyMap<string, number> => {
+/** The work that evicting a task would lose, by attempt key, for tasks whose worker reports it. */
+const unsavedWorkByAttempt = (state: CellState): ReadonlyMap<string, number> => {
   const unsaved = new Map<string, number>();
   state.workers.forEach(({ report }) =>
     report?.tasks.forEach((task) => {
@@ -38,7 +38,7 @@
   return unsaved;
 };
 
-/** What a round's assigning works on; the capacity is worked out only once it is needed. */
+/** The state of the assigning step of one round. Computes the free capacity only when needed. */
 class AssigningRound {
   readonly state: CellState;
 
@@ -56,8 +56,8 @@
 
   #capacity: FreeCapacity | undefined;
 
-  /** Shards of which a task found no worker with room. */
-  readonly roomless = new Set<string>();
+  /** Shards with a task for which no worker had room. */
+  readonly shardIdsWithoutRoom = new Set<string>();
 
   #preemption: PreemptionPlan | undefined;
 
@@ -85,7 +85,7 @@
     return this.#capacity;
   }
 
-  /** Asks for room for a task that found none and must not wait for others to end. */
+  /** Requests preemption for a task that found no room and must not wait for other tasks to end. */
   makeRoom(size: Resources): void {
     this.#preemption ??= new PreemptionPlan(
       this.capacity.candidates,
@@ -96,9 +96,11 @@
     this.#preemption.makeRoom(size);
   }
 
-  /** A task whose worker cannot tell may lose all that it was to do. */
+  /**
+   * The work that evicting a task would lose: all of it if its worker does not report the amount.
+   */
   #lostWorkMs(assignment: Assignment): number {
-    this.#unsavedWorkMs ??= unsavedWorkMs(this.state);
+    this.#unsavedWorkMs ??= unsavedWorkByAttempt(this.state);
     return this.#unsavedWorkMs.get(attemptKey(assignment)) ?? assignment.workMs;
   }
 
@@ -155,7 +157,7 @@
   checkpoint: task.checkpoint,
 });
 
-const servedElsewhere = (state: CellState, serviceName: string): number =>
+const countServersElsewhere = (state: CellState, serviceName: string): number =>
   [...state.endpointView.rows.values()]
     .flatMap(({ servers }) => servers)
     .filter((server) => server.serviceName === serviceName).length;
@@ -167,25 +169,26 @@
 ): number => {
   const view = round.state.configuration?.view;
   if (view === undefined) return 0;
-  const wanted = replicaShare(view, round.state.cell, service.replicaCount);
-  const elsewhereCount = servedElsewhere(round.state, service.name);
+  const wantedCount = replicaShare(view, round.state.cell, service.replicaCount);
+  const elsewhereCount = countServersElsewhere(round.state, service.name);
   const size = serviceSize(round.state, service);
   const replicas = [...existing];
   let assignedCount = 0;
-  while (replicas.length < wanted) {
+  while (replicas.length < wantedCount) {
     const request = { size, isSpread: true };
-    // What no zone serves is missing to callers; the rest others keep until it is served here.
+    // A replica can wait if other zones serve it in the meantime. One that no zone serves is
+    // missing for callers.
     const canWait = replicas.length + elsewhereCount >= service.replicaCount;
-    const near = round.capacity.candidatesWithReplicaCounts(replicas, canWait);
+    const nearCandidates = round.capacity.candidatesWithReplicaCounts(replicas, canWait);
     const chosen = round.policy.choose(
       request,
-      round.slowdownPredictor.forService(service.name, near),
+      round.slowdownPredictor.forService(service.name, nearCandidates),
     );
     if (chosen === undefined) {
-      for (let count = replicas.length; count < wanted; count += 1) round.makeRoom(size);
+      for (let count = replicas.length; count < wantedCount; count += 1) round.makeRoom(size);
       return assignedCount;
     }
-    // Tasks of a service are interchangeable, so each gets an id that was never used before.
+    // Replicas of a service are interchangeable, so each gets an id that was never used before.
     const taskId = `${service.name}@${round.operationId}.${assignedCount}`;
     const assignment = serviceAssignment(service, size, taskId, chosen);
     round.assign(chosen.rack, assignment);
@@ -198,39 +201,40 @@
 const isBackedOff = (round: AssigningRound, row: WorkRow, task: BatchTask): boolean =>
   round.nowMs < (round.state.retryAtMs.get(batchTaskId(row.jobId, task.index)) ?? 0);
 
-const assignShard = (round: AssigningRound, use: TeamUsage, row: WorkRow): number => {
+const assignShard = (round: AssigningRound, teamUse: TeamUsage, row: WorkRow): number => {
   const size = batchSize(round.state, row);
   const request = { size, isSpread: false };
   const failedOn = round.state.workerHealth.failedOn(row.shardId);
   let assignedCount = 0;
-  let hasRoom = true;
+  let canAssignMore = true;
   const tasks = row.tasks.map((task) => {
-    if (!hasRoom || task.state !== BatchTaskState.Queued || isBackedOff(round, row, task)) {
+    if (!canAssignMore || task.state !== BatchTaskState.Queued || isBackedOff(round, row, task)) {
       return task;
     }
-    if (!use.isWithinQuota(row.team, row.size)) {
-      hasRoom = false;
+    if (!teamUse.isWithinQuota(row.team, row.size)) {
+      canAssignMore = false;
       return task;
     }
     const isUrgent = row.urgency === Urgency.Urgent;
-    const all = round.capacity.candidatesAvoiding(failedOn, request, !isUrgent);
+    const allCandidates = round.capacity.candidatesAvoiding(failedOn, request, !isUrgent);
     const candidates = round.slowdownPredictor.forBatch(
       row.team,
       size.processorMillis,
-      all,
+      allCandidates,
       isUrgent,
     );
     const chosen = round.policy.choose(request, candidates);
     if (chosen === undefined) {
-      // Work of another kind may have a place where this one is kept away from a service.
-      if (candidates.length === all.length) round.capacity.noteTooLarge(size);
-      round.roomless.add(row.shardId);
-      hasRoom = isUrgent;
-      if (hasRoom) round.makeRoom(size);
+      // If the predictor ruled out workers to protect a service, other kinds of work may still fit
+      // there, so the size is not noted as too large.
+      if (candidates.length === allCandidates.length) round.capacity.noteTooLarge(size);
+      round.shardIdsWithoutRoom.add(row.shardId);
+      canAssignMore = isUrgent;
+      if (canAssignMore) round.makeRoom(size);
       return task;
     }
     round.assign(chosen.rack, batchAssignment(row, task, size, chosen));
-    use.add(row.team, row.size);
+    teamUse.add(row.team, row.size);
     assignedCount += 1;
     return { ...task, state: BatchTaskState.Assigned };
   });
@@ -238,18 +242,18 @@
   return assignedCount;
 };
 
-const hasQueued = (row: WorkRow): boolean =>
+const hasQueuedTask = (row: WorkRow): boolean =>
   row.tasks.some((task) => task.state === BatchTaskState.Queued);
 
 const assignBatch = (round: AssigningRound, parts: QuotaParts): number => {
   const { draft, state } = round;
   const queued = allShards(draft).filter(
-    (row) => hasQueued(row) && !draft.cancelledJobIds.has(row.jobId),
+    (row) => hasQueuedTask(row) && !draft.cancelledJobIds.has(row.jobId),
   );
   if (queued.length === 0) return 0;
-  const use = teamUsageOf(state, draft, parts);
-  return orderedShards(queued, use).reduce(
-    (count, row) => (round.isFull ? count : count + assignShard(round, use, row)),
+  const teamUse = teamUsageOf(state, draft, parts);
+  return orderedShards(queued, teamUse).reduce(
+    (count, row) => (round.isFull ? count : count + assignShard(round, teamUse, row)),
     0,
   );
 };
@@ -259,24 +263,24 @@
 ): ReadonlyMap<string, readonly Assignment[]> => {
   const groups = new Map<string, Assignment[]>();
   replicas.forEach((replica) => {
-    const known = groups.get(replica.serviceName);
-    if (known === undefined) groups.set(replica.serviceName, [replica]);
-    else known.push(replica);
+    const group = groups.get(replica.serviceName);
+    if (group === undefined) groups.set(replica.serviceName, [replica]);
+    else group.push(replica);
   });
   return groups;
 };
 
-export interface Assigned {
+export interface AssignmentResult {
   readonly count: number;
-  /** Attempts that have to leave for urgent work, as keys. */
+  /** Keys of the attempts that are preempted for urgent work or a service. */
   readonly preempted: ReadonlySet<string>;
-  /** Shards of which a task found no worker with room. */
-  readonly roomless: ReadonlySet<string>;
-  /** What is left on the workers; worked out when asked for. */
+  /** Shards with a task for which no worker had room. */
+  readonly shardIdsWithoutRoom: ReadonlySet<string>;
+  /** The capacity left on the workers; computed on the first call. */
   readonly capacity: () => FreeCapacity;
 }
 
-/** Assigns what fits and tells what has to make room. */
+/** Assigns the queued work that fits, and selects the attempts to preempt for the rest. */
 export const assignQueuedWork = (
   state: CellState,
   rows: CellRows,
@@ -285,7 +289,7 @@
   policy: PlacementPolicy,
   operationId: string,
   nowMs: number,
-): Assigned => {
+): AssignmentResult => {
   const round = new AssigningRound(state, rows, draft, policy, operationId, nowMs);
   const replicas = groupedByService(draft.replicas);
   const services = [...(state.configuration?.view.services.values() ?? [])].sort(
@@ -296,6 +300,11 @@
     0,
   );
   const batchCount = assignBatch(round, parts);
-  const { preempted, roomless } = round;
-  return { count: serviceCount + batchCount, preempted, roomless, capacity: () => round.capacity };
+  const { preempted, shardIdsWithoutRoom } = round;
+  return {
+    count: serviceCount + batchCount,
+    preempted,
+    shardIdsWithoutRoom,
+    capacity: () => round.capacity,
+  };
 };
--- a/src/scheduler/common/fleet/fleetOrder.ts
+++ b/src/scheduler/common/fleet/fleetOrder.ts
@@ -1,23 +1,28 @@
-/** In which order waiting tasks are given room. */
+/** Determines the order in which waiting tasks are placed. */
 import {
   findQueueByName,
   type FleetConfiguration,
 } from '../../../services/fleet/common/fleetConfiguration.js';
 import type { Step, Submission } from '../../../services/submissions/common/submission.js';
-import { countOnce, isInterrupted, taskProcessorMs, type TaskRecord } from './taskRecords.js';
+import {
+  countInSizeBalance,
+  isInterrupted,
+  taskProcessorMs,
+  type TaskRecord,
+} from './taskRecords.js';
 import type { TaskGroup } from './waitingTasks.js';
 
-/** An answer after this many times the objective is worth nothing to its caller. */
+/** A result that takes longer than this many times the objective is worthless to its caller. */
 const WORTHLESS_FACTOR = 3;
 /** The share of a submission's value that does not depend on its amount of work. */
 const FIXED_VALUE_SHARE = 0.3;
-/** A task that has waited for this share of the time that it can wait is held up by a backlog. */
+/** A task that has waited for this share of its slack is considered held up by a backlog. */
 const HELD_UP_SHARE = 0.15;
 
-/** What is left to do from the start of each step on, by the callers' estimates. */
-const chainsOf = (submission: Submission): readonly number[] => {
+/** For each step, the longest chain of work that starts with it, by the callers' estimates. */
+const computeChainsMs = (submission: Submission): readonly number[] => {
   const chains = submission.steps.map(({ estimateMs }) => estimateMs);
-  // Steps name earlier ones only, so that those that follow are known when their turn comes.
+  // Steps depend only on earlier steps, so a step's successors are complete when it is reached.
   for (let index = submission.steps.length - 1; index >= 0; index -= 1) {
     const { after } = submission.steps[index] as Step;
     after.forEach((earlier) => {
@@ -28,35 +33,35 @@
   return chains;
 };
 
-/** Chains of submissions that wait; each is asked for in every round. */
-const knownChains = new WeakMap<Submission, readonly number[]>();
+/** Cached chains of waiting submissions, because every round needs them. */
+const chainCache = new WeakMap<Submission, readonly number[]>();
 
-const chainsFor = (submission: Submission): readonly number[] => {
-  const known = knownChains.get(submission);
+const chainsMsOf = (submission: Submission): readonly number[] => {
+  const known = chainCache.get(submission);
   if (known !== undefined) return known;
-  const chains = chainsOf(submission);
-  knownChains.set(submission, chains);
+  const chains = computeChainsMs(submission);
+  chainCache.set(submission, chains);
   return chains;
 };
 
-/** The longest chain of work by the callers' estimates. */
+/** The duration of the submission's longest chain of work, by the callers' estimates. */
 export const chainEstimateMs = (submission: Submission): number =>
-  Math.max(0, ...chainsFor(submission));
+  Math.max(0, ...chainsMsOf(submission));
 
-/** What callers still have of a task that is started now. */
-const Use = { InTime: 0, Late: 1, None: 2 } as const;
-type Use = (typeof Use)[keyof typeof Use];
+/** How useful the result of a task that starts now is to its caller. */
+const Usefulness = { InTime: 0, Late: 1, None: 2 } as const;
+type Usefulness = (typeof Usefulness)[keyof typeof Usefulness];
 
-/** Persistent tasks that have run before, batch tasks, and persistent tasks that have not run yet. */
+/** Persistent tasks that have run before, batch tasks, and persistent tasks that are new. */
 const TaskClass = { Interrupted: 0, Batch: 1, New: 2 } as const;
 type TaskClass = (typeof TaskClass)[keyof typeof TaskClass];
 
 interface Rank {
-  readonly use: Use;
+  readonly usefulness: Usefulness;
   readonly priority: number;
   readonly taskClass: TaskClass;
   readonly isHeldUp: boolean;
-  /** Whether a place is reserved for the submission, as too few of its size are served. */
+  /** Whether the submission has a reservation because too few of its size are served. */
   readonly isReserved: boolean;
   /** The value of the submission per unit of remaining work. */
   readonly valueDensity: number;
@@ -69,14 +74,16 @@
   readonly rank: Rank;
 }
 
-const useOf = (task: TaskRecord, objectiveMs: number, nowMs: number): Use => {
-  if (task.step.isPersistent) return Use.InTime;
+const usefulnessOf = (task: TaskRecord, objectiveMs: number, nowMs: number): Usefulness => {
+  if (task.step.isPersistent) return Usefulness.InTime;
   const { submission, learntAtMs } = task.submission;
-  const endsAtMs = nowMs + (chainsFor(submission)[task.stepIndex] ?? 0);
-  if (endsAtMs <= learntAtMs + objectiveMs) return Use.InTime;
-  // By its own estimate alone: chains are rough, and work that is nearly done is not given up.
+  const endsAtMs = nowMs + (chainsMsOf(submission)[task.stepIndex] ?? 0);
+  if (endsAtMs <= learntAtMs + objectiveMs) return Usefulness.InTime;
+  // Only the task's own estimate counts: chains are imprecise, and work near its end is not dropped.
   const ownEndMs = nowMs + task.step.estimateMs;
-  return ownEndMs <= learntAtMs + WORTHLESS_FACTOR * objectiveMs ? Use.Late : Use.None;
+  return ownEndMs <= learntAtMs + WORTHLESS_FACTOR * objectiveMs
+    ? Usefulness.Late
+    : Usefulness.None;
 };
 
 const taskClassOf = (task: TaskRecord): TaskClass => {
@@ -87,16 +94,16 @@
 const valueDensity = ({ submission, occurrence }: TaskRecord): number => {
   const { processorMs, queueWork } = submission;
   const openCounts = submission.occurrences.get(occurrence)?.openCounts ?? [];
-  let leftMs = 0;
+  let remainingMs = 0;
   submission.submission.steps.forEach((step, index) => {
-    leftMs += (openCounts[index] ?? 0) * taskProcessorMs(step);
+    remainingMs += (openCounts[index] ?? 0) * taskProcessorMs(step);
   });
   const meanMs = queueWork.processorMs / Math.max(1, queueWork.count);
   const value = FIXED_VALUE_SHARE * meanMs + (1 - FIXED_VALUE_SHARE) * processorMs;
-  return value / Math.max(1, leftMs);
+  return value / Math.max(1, remainingMs);
 };
 
-/** A task that waits for so long is held up by a backlog. */
+/** The waiting time from which a task counts as held up by a backlog. */
 const heldUpAfterMs = (chainMs: number, objectiveMs: number): number =>
   HELD_UP_SHARE * (objectiveMs - chainMs);
 
@@ -106,7 +113,7 @@
   const chainMs = chainEstimateMs(submission);
   const objectiveMs = (queue?.objectiveStretch ?? 1) * chainMs + (queue?.objectiveMs ?? 0);
   return {
-    use: useOf(task, objectiveMs, nowMs),
+    usefulness: usefulnessOf(task, objectiveMs, nowMs),
     priority: queue?.priority ?? 0,
     taskClass: taskClassOf(task),
     isHeldUp: nowMs - task.waitingSinceMs >= heldUpAfterMs(chainMs, objectiveMs),
@@ -115,38 +122,39 @@
   };
 };
 
-/** Reserves service for large submissions of which too few are served, the best ranked first. */
+/** Gives reservations to large submissions if too few of their size are served, in rank order. */
 const reserveForLarge = (ranked: readonly RankedGroup[]): readonly RankedGroup[] =>
-  ranked.map((one) => {
-    const { first, rank } = one;
+  ranked.map((rankedGroup) => {
+    const { first, rank } = rankedGroup;
     const { submission } = first;
     const { balance } = submission.queueWork;
-    if (first.step.isPersistent) return one;
-    if (rank.isHeldUp) countOnce(submission);
-    if (submission.isReserved && rank.use === Use.None) {
+    if (first.step.isPersistent) return rankedGroup;
+    if (rank.isHeldUp) countInSizeBalance(submission);
+    if (submission.isReserved && rank.usefulness === Usefulness.None) {
       submission.isReserved = false;
       balance.release(submission.sizeClass);
     } else if (!submission.isReserved) {
-      const isDue = rank.isHeldUp && rank.use === Use.InTime;
+      const isDue = rank.isHeldUp && rank.usefulness === Usefulness.InTime;
       submission.isReserved = isDue && balance.reserve(submission.sizeClass);
     }
-    return { ...one, rank: { ...rank, isReserved: submission.isReserved } };
+    return { ...rankedGroup, rank: { ...rank, isReserved: submission.isReserved } };
   });
 
-const byRank = (left: RankedGroup, right: RankedGroup): number => {
-  const [one, other] = [left.rank, right.rank];
+const compareRanks = (left: RankedGroup, right: RankedGroup): number => {
+  const [rank, otherRank] = [left.rank, right.rank];
   const [task, otherTask] = [left.first, right.first];
   return (
-    Number(other.taskClass === TaskClass.Interrupted) -
-      Number(one.taskClass === TaskClass.Interrupted) ||
-    Number(one.use === Use.None) - Number(other.use === Use.None) ||
-    one.priority - other.priority ||
-    one.use - other.use ||
-    one.taskClass - other.taskClass ||
-    Number(other.isReserved) - Number(one.isReserved) ||
-    other.valueDensity - one.valueDensity ||
+    Number(otherRank.taskClass === TaskClass.Interrupted) -
+      Number(rank.taskClass === TaskClass.Interrupted) ||
+    Number(rank.usefulness === Usefulness.None) -
+      Number(otherRank.usefulness === Usefulness.None) ||
+    rank.priority - otherRank.priority ||
+    rank.usefulness - otherRank.usefulness ||
+    rank.taskClass - otherRank.taskClass ||
+    Number(otherRank.isReserved) - Number(rank.isReserved) ||
+    otherRank.valueDensity - rank.valueDensity ||
     task.submission.order - otherTask.submission.order ||
-    task.place - otherTask.place
+    task.position - otherTask.position
   );
 };
 
@@ -160,13 +168,15 @@
 }
 
 /**
- * Made for bursts that exceed the room for seconds. What can no longer be of use to its caller
- * goes behind what can, and what will be late in any case behind what of its urgency can still be
- * in time: in the order of arrival one burst makes everything after it late as well, until the
- * backlog is gone. Among equals, the highest value per unit of remaining work comes first, which
- * leaves few submissions unfinished in a backlog. That alone would starve the largest ones, so
- * that they come first while too few of them are served. Persistent tasks never release their
- * room and come after batch tasks, except for interrupted ones, whose users are without service.
+ * Handles bursts that exceed the fleet's capacity for seconds. In order of arrival, one burst would
+ * make everything after it late as well until the backlog is gone.
+ *
+ * Tasks whose result is worthless by now come last. Within a priority, tasks that will be late come
+ * after tasks that can still be in time. After that, the highest value per unit of remaining work
+ * comes first, which leaves few submissions unfinished in a backlog. This alone would starve the
+ * largest submissions, so they get reservations and come first while too few of them are served.
+ * Persistent tasks come after batch tasks because they never release their room. Interrupted
+ * persistent tasks come before everything else because their users are without service.
  */
 export class UtilityOrder implements QueueOrder {
   sort(
@@ -180,6 +190,8 @@
         ? []
         : [{ group, first, rank: toRank(first, configuration, nowMs) }];
     });
-    return [...reserveForLarge(ranked.sort(byRank))].sort(byRank).map(({ group }) => group);
+    return [...reserveForLarge(ranked.sort(compareRanks))]
+      .sort(compareRanks)
+      .map(({ group }) => group);
   }
 }
--- a/src/scheduler/common/fleet/fleetRound.ts
+++ b/src/scheduler/common/fleet/fleetRound.ts
@@ -1,18 +1,20 @@
-/** Gives waiting tasks room on workers. */
+/** Places waiting tasks on workers. */
 import type { FleetConfiguration } from '../../../services/fleet/common/fleetConfiguration.js';
-import { newRun } from './runKeeper.js';
+import { newRun } from './runTracker.js';
 import { isInterrupted, type TaskRecord, type TaskRun } from './taskRecords.js';
 import { type RoundInput, UsableWorkers } from './usableWorkers.js';
 import type { TaskGroup } from './waitingTasks.js';
 import { type WaitCounts, WaitReason } from './waitReport.js';
 import { type PlacementChoice, WorkerSearch } from './workerSearch.js';
 
-/** Run numbers that one epoch may use of a task before they meet those of the next. */
+/** How many run numbers of a task one epoch can use before they overlap with the next epoch's. */
 const RUNS_PER_EPOCH = 1_000;
-/** Starts of one round; more would hold up the answers that come in meanwhile. */
+/**
+ * The maximum number of starts in one round. More would delay the answers that come in meanwhile.
+ */
 export const MAXIMUM_STARTS = 150;
 
-/** How much one round may do; what is left over comes in the next one. */
+/** Limits on the work of one round. The rest is left to the next round. */
 export interface RoundLimits {
   readonly startCount: number;
   readonly ratingCount: number;
@@ -28,15 +30,19 @@
 const NOTHING_PLACED: RoundOutcome = { waits: new Map(), startCount: 0, ratingCount: 0 };
 
 /**
- * Rises over all owners: a worker refuses a run that is not higher than one it has stopped or
- * ended, and an owner does not know which numbers its predecessor used on workers out of reach.
+ * Returns a run number that is higher than any that this or a former owner has used for the tasks.
+ * A worker refuses a run whose number is not higher than that of a run it has stopped or ended, and
+ * an owner does not know which numbers its predecessor used on workers that it cannot reach.
  */
 export const nextRunNumber = (tasks: readonly TaskRecord[], epoch: number): number =>
   Math.max((epoch - 1) * RUNS_PER_EPOCH, ...tasks.map(({ lastRun }) => lastRun)) + 1;
 
-/** Gives a task room on a worker; the start is sent once the assignment is stored. */
+/**
+ * Assigns a task to a worker and takes its room there. The start is sent after the assignment is
+ * stored.
+ */
 export const assignRun = (
-  { book }: Pick<RoundInput, 'book'>,
+  { registry }: Pick<RoundInput, 'registry'>,
   task: TaskRecord,
   number: number,
   { view, percent }: PlacementChoice,
@@ -44,12 +50,12 @@
 ): TaskRun => {
   const run = newRun(task, number, view.id, nowMs, percent);
   view.addRun(run);
-  book.noteRun(run);
-  book.markUnrecorded(task.submission);
+  registry.addRun(run);
+  registry.markUnrecorded(task.submission);
   return run;
 };
 
-class Round {
+class PlacementRound {
   readonly #input: RoundInput;
 
   readonly #configuration: FleetConfiguration;
@@ -77,7 +83,7 @@
     this.#limits = limits;
     this.#nowMs = nowMs;
     this.#usable = new UsableWorkers(input, nowMs);
-    input.misses.begin(this.#usable.all);
+    input.misses.beginRound(this.#usable.all);
   }
 
   place(group: TaskGroup): void {
@@ -88,19 +94,19 @@
     const due = [...group.tasks].filter(({ notBeforeMs }) => notBeforeMs <= this.#nowMs);
     const [first] = due;
     if (first === undefined) return;
-    const leftCount = first.step.isGang
+    const unplacedCount = first.step.isGang
       ? this.#placeGang(first, group.key, due.length)
-      : this.#placeSingly(due, group.key);
-    if (leftCount === 0) return;
+      : this.#placeEach(due, group.key);
+    if (unplacedCount === 0) return;
     const reason = this.#isRoundFull ? WaitReason.RoundFull : WaitReason.NoRoom;
-    this.#addWaits(reason, leftCount);
+    this.#addWaits(reason, unplacedCount);
   }
 
   get #isRoundFull(): boolean {
-    return this.#hasAllStarts || this.ratingCount >= this.#limits.ratingCount;
+    return this.#isStartLimitReached || this.ratingCount >= this.#limits.ratingCount;
   }
 
-  get #hasAllStarts(): boolean {
+  get #isStartLimitReached(): boolean {
     return this.placed.length >= this.#limits.startCount;
   }
 
@@ -108,43 +114,46 @@
     this.waits.set(reason, (this.waits.get(reason) ?? 0) + count);
   }
 
-  /** Returns how many of the tasks, all of one step, were not placed. */
-  #placeSingly(due: readonly TaskRecord[], key: string): number {
+  /** Places tasks of one step. Returns how many were not placed. */
+  #placeEach(due: readonly TaskRecord[], key: string): number {
     const [first] = due as [TaskRecord];
-    const opened = first.submission.occurrences.get(first.occurrence);
-    if (opened === undefined) return due.length;
+    const occurrence = first.submission.occurrences.get(first.occurrence);
+    if (occurrence === undefined) return due.length;
     const { misses } = this.#input;
     const { serviceName, views, context } = this.#usable.poolOf(first, this.#configuration);
-    const candidates = misses.candidates(opened, key, serviceName, views, this.#nowMs);
+    const candidates = misses.candidates(occurrence, key, serviceName, views, this.#nowMs);
     const search = new WorkerSearch(candidates, context, this.#nowMs);
     const placedCount = this.#placeBySearch(due, search);
     this.ratingCount += search.ratingCount;
-    const leftCount = due.length - placedCount;
-    if (leftCount > 0 && !this.#hasAllStarts) misses.note(opened, key, this.#nowMs);
-    return leftCount;
+    const unplacedCount = due.length - placedCount;
+    if (unplacedCount > 0 && !this.#isStartLimitReached)
+      misses.recordMiss(occurrence, key, this.#nowMs);
+    return unplacedCount;
   }
 
-  /** Returns how many of the tasks were placed before no room was found or the round was full. */
+  /** Places tasks until no room is found or the round is full. Returns how many were placed. */
   #placeBySearch(due: readonly TaskRecord[], search: WorkerSearch): number {
     const { epoch } = this.#input;
-    const firstLeftIndex = due.findIndex((task) => {
-      const choice = this.#hasAllStarts ? undefined : search.next(task);
-      if (choice !== undefined) this.#take(task, nextRunNumber([task], epoch), choice);
+    const firstUnplacedIndex = due.findIndex((task) => {
+      const choice = this.#isStartLimitReached ? undefined : search.next(task);
+      if (choice !== undefined) this.#assign(task, nextRunNumber([task], epoch), choice);
       return choice === undefined;
     });
-    return firstLeftIndex < 0 ? due.length : firstLeftIndex;
+    return firstUnplacedIndex < 0 ? due.length : firstUnplacedIndex;
   }
 
-  /** All members at once or none: a part of a gang would hold room and do no work. */
+  /**
+   * Places all members of a gang or none, because part of a gang would take room and do no work.
+   */
   #placeGang(task: TaskRecord, key: string, dueCount: number): number {
-    const opened = task.submission.occurrences.get(task.occurrence);
-    const members = opened?.tasks[task.stepIndex] ?? [];
-    const { book, misses, epoch } = this.#input;
-    if (opened === undefined || members.some((member) => !book.waiting.has(member)))
+    const occurrence = task.submission.occurrences.get(task.occurrence);
+    const members = occurrence?.tasks[task.stepIndex] ?? [];
+    const { registry, misses, epoch } = this.#input;
+    if (occurrence === undefined || members.some((member) => !registry.waiting.has(member)))
       return dueCount;
     const { serviceName, views, context } = this.#usable.poolOf(task, this.#configuration);
-    const changed = misses.candidates(opened, key, serviceName, views, this.#nowMs);
-    if (changed.length === 0) return dueCount;
+    const changedViews = misses.candidates(occurrence, key, serviceName, views, this.#nowMs);
+    if (changedViews.length === 0) return dueCount;
     const run = nextRunNumber(members, epoch);
     const racks = task.step.prefersOneRack
       ? [...new Set(views.map((view) => view.entry.rack))]
@@ -152,48 +161,48 @@
     const groups = racks.map((rack) => views.filter((view) => view.entry.rack === rack));
     const isPlaced = [...groups, views].some((group) => {
       const search = new WorkerSearch(group, context, this.#nowMs);
-      const isWhole = this.#placeAll(members, run, search);
+      const isComplete = this.#placeAll(members, run, search);
       this.ratingCount += search.ratingCount;
-      return isWhole;
+      return isComplete;
     });
-    if (!isPlaced) misses.note(opened, key, this.#nowMs);
+    if (!isPlaced) misses.recordMiss(occurrence, key, this.#nowMs);
     return isPlaced ? 0 : dueCount;
   }
 
   #placeAll(members: readonly TaskRecord[], run: number, search: WorkerSearch): boolean {
-    const taken: TaskRun[] = [];
-    const isWhole = members.every((member) => {
+    const assigned: TaskRun[] = [];
+    const isComplete = members.every((member) => {
       const choice = search.next(member);
       if (choice === undefined) return false;
-      taken.push(this.#take(member, run, choice));
+      assigned.push(this.#assign(member, run, choice));
       return true;
     });
-    if (!isWhole) taken.forEach((one) => this.#giveBack(one));
-    return isWhole;
+    if (!isComplete) assigned.forEach((assignedRun) => this.#unassign(assignedRun));
+    return isComplete;
   }
 
-  #take(task: TaskRecord, number: number, choice: PlacementChoice): TaskRun {
+  #assign(task: TaskRecord, number: number, choice: PlacementChoice): TaskRun {
     const run = assignRun(this.#input, task, number, choice, this.#nowMs);
     this.placed.push(run);
     return run;
   }
 
-  #giveBack(run: TaskRun): void {
+  #unassign(run: TaskRun): void {
     this.#input.views.get(run.workerId)?.removeRun(run);
-    this.#input.book.noteRunGone(run, this.#nowMs);
+    this.#input.registry.removeRun(run, this.#nowMs);
     this.placed.splice(this.placed.indexOf(run), 1);
   }
 }
 
-/** Interrupted tasks have groups of their own, which an order is to put first. */
+/** Interrupted tasks are in groups of their own. A queue order has to put these groups first. */
 const isOfInterrupted = ({ tasks }: TaskGroup): boolean => {
   const [first] = tasks;
   return first !== undefined && isInterrupted(first);
 };
 
 /**
- * Gives tasks that wait room on workers; their starts are sent once the assignments are stored.
- * `afterInterrupted` is called once those that were interrupted have had their turn.
+ * Places waiting tasks on workers. Their starts are sent after the assignments are stored. Calls
+ * `afterInterrupted` after the round has tried to place the interrupted tasks.
  */
 export const placeWaiting = (
   input: RoundInput,
@@ -202,12 +211,12 @@
   nowMs: number,
 ): RoundOutcome => {
   const { configuration } = input.operator;
-  if (configuration === undefined || input.book.waiting.size === 0) {
+  if (configuration === undefined || input.registry.waiting.size === 0) {
     afterInterrupted();
     return NOTHING_PLACED;
   }
-  const round = new Round(input, configuration, limits, nowMs);
-  const groups = input.policy.order.sort(input.book.waiting.groups, configuration, nowMs);
+  const round = new PlacementRound(input, configuration, limits, nowMs);
+  const groups = input.policy.order.sort(input.registry.waiting.groups, configuration, nowMs);
   const firstOtherIndex = groups.findIndex((group) => !isOfInterrupted(group));
   const interruptedCount = firstOtherIndex < 0 ? groups.length : firstOtherIndex;
   groups.slice(0, interruptedCount).forEach((group) => round.place(group));
--- a/src/scheduler/common/fleet/loadEstimate.ts
+++ b/src/scheduler/common/fleet/loadEstimate.ts
@@ -1,23 +1,23 @@
 /**
- * What headroom the tasks of one step would have on one worker without batch work beside them.
- * Their load swings within seconds, so that a level and its slope are followed (a Kalman filter of
- * two states), and how low the level gets is remembered.
+ * Estimates the headroom (level) that the tasks of one step would have on one worker without batch
+ * work. Their load changes within seconds, so a Kalman filter with two states tracks the level and
+ * its slope. The lowest recent level is tracked as well.
  */
 
-/** Variance of the slope's change in a second: a load that swings by half within ten seconds. */
+/** Process noise of the slope, for a load that changes by half within ten seconds. */
 const SLOPE_VARIANCE_PER_S = 0.09;
 const LEVEL_VARIANCE_PER_S = 0.01;
-const FIRST_LEVEL_VARIANCE = 1;
-const FIRST_SLOPE_VARIANCE = 0.1;
-/** The lowest level is remembered for one to two of these, longer than loads usually swing. */
+const INITIAL_LEVEL_VARIANCE = 1;
+const INITIAL_SLOPE_VARIANCE = 0.1;
+/** The lowest level covers one to two of these windows, longer than a usual period of a load. */
 const LOW_WINDOW_MS = 15_000;
-/** A load that has not been followed for so long may not have been at its highest yet. */
-const WATCHED_MS = 12_000;
-/** A pause in the figures after which the slope tells nothing any more. */
-const LONGEST_STEP_S = 2;
+/** A load observed for a shorter time may not have reached its highest point yet. */
+const LOW_RELIABLE_AFTER_MS = 12_000;
+/** After a longer gap between samples, the slope is not extrapolated further. */
+const MAXIMUM_STEP_S = 2;
 const MS_PER_S = 1_000;
 
-/** One figure: the headroom, how much it scatters, and what batch work takes of it. */
+/** A headroom reading with its variance, and the headroom loss caused by batch work. */
 export interface LoadReading {
   readonly headroom: number;
   readonly variance: number;
@@ -25,8 +25,8 @@
   readonly lossVariance: number;
 }
 
-/** How far a reading is from what was expected, and how far it was expected to be. */
-export interface Surprise {
+/** The difference between a reading and its forecast, and the expected variance of it. */
+export interface Innovation {
   readonly excess: number;
   readonly variance: number;
 }
@@ -40,16 +40,17 @@
 
   #slope = 0;
 
-  #levelVariance = FIRST_LEVEL_VARIANCE;
+  #levelVariance = INITIAL_LEVEL_VARIANCE;
 
   #crossVariance = 0;
 
-  #slopeVariance = FIRST_SLOPE_VARIANCE;
+  #slopeVariance = INITIAL_SLOPE_VARIANCE;
 
-  /** The lowest levels of this window and of the one before. */
+  /** The lowest level of the current window. */
   #low: number;
 
-  #lowBefore = Number.POSITIVE_INFINITY;
+  /** The lowest level of the previous window. */
+  #previousLow = Number.POSITIVE_INFINITY;
 
   #windowStartedAtMs: number;
 
@@ -61,25 +62,25 @@
     this.#windowStartedAtMs = nowMs;
   }
 
-  /** The lowest level of late. */
+  /** The lowest recent level. */
   get low(): number {
-    return Math.min(this.#low, this.#lowBefore);
+    return Math.min(this.#low, this.#previousLow);
   }
 
-  /** Whether it has been followed long enough for `low` to tell something. */
-  isWatched(nowMs: number): boolean {
-    return nowMs - this.#firstSeenAtMs >= WATCHED_MS;
+  /** Whether the load has been observed long enough for `low` to be meaningful. */
+  hasReliableLow(nowMs: number): boolean {
+    return nowMs - this.#firstSeenAtMs >= LOW_RELIABLE_AFTER_MS;
   }
 
-  /** The level expected after a while, no lower than it has been of late. */
+  /** The level expected in `aheadMs`, but no lower than the lowest recent level. */
   levelAfter(aheadMs: number): number {
     const expected = this.#level + (this.#slope * aheadMs) / MS_PER_S;
     return Math.max(expected, Math.min(this.low, this.#level));
   }
 
-  /** Moves the estimate on to `nowMs`. */
+  /** Advances the estimate to `nowMs`. */
   advance(nowMs: number): void {
-    const seconds = Math.min(LONGEST_STEP_S, (nowMs - this.#seenAtMs) / MS_PER_S);
+    const seconds = Math.min(MAXIMUM_STEP_S, (nowMs - this.#seenAtMs) / MS_PER_S);
     this.#seenAtMs = nowMs;
     this.#level += this.#slope * seconds;
     this.#levelVariance +=
@@ -90,23 +91,23 @@
     this.#slopeVariance += SLOPE_VARIANCE_PER_S * seconds;
     if (nowMs - this.#windowStartedAtMs < LOW_WINDOW_MS) return;
     this.#windowStartedAtMs = nowMs;
-    this.#lowBefore = this.#low;
+    this.#previousLow = this.#low;
     this.#low = this.#level;
   }
 
-  /** Where the figures tell nothing, the level is taken to stay where it is. */
-  stopSwing(): void {
+  /** Assumes a constant level while the samples carry no information. */
+  resetSlope(): void {
     this.#slope = 0;
   }
 
-  surprise(reading: LoadReading): Surprise {
+  innovation(reading: LoadReading): Innovation {
     const excess = reading.headroom - (this.#level - reading.loss);
     const variance = this.#levelVariance + reading.variance + reading.lossVariance;
     return { excess, variance };
   }
 
-  /** Takes its part of a surprise. */
-  correct({ excess, variance }: Surprise): void {
+  /** Corrects the level and the slope by the forecast error of a reading. */
+  correct({ excess, variance }: Innovation): void {
     const levelGain = this.#levelVariance / variance;
     const slopeGain = this.#crossVariance / variance;
     this.#level = Math.max(0, this.#level + levelGain * excess);
--- a/src/scheduler/common/fleet/submissionBook.ts
+++ b/src/scheduler/common/fleet/submissionRegistry.ts
@@ -1,4 +1,4 @@
-/** All submissions that have not ended, with the tasks that wait and what is yet to be stored. */
+/** The owner's submissions in memory, with their waiting tasks and the changes yet to be stored. */
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import {
   runsOfSteps,
@@ -9,8 +9,7 @@
 import { SizeBalance } from './sizeBalance.js';
 import {
   allOccurrencesDone,
-  begunOccurrenceCount,
-  countOnce,
+  countInSizeBalance,
   type InheritedRun,
   isOpen,
   isStepReady,
@@ -21,16 +20,17 @@
   type OccurrenceRecord,
   parseTaskName,
   type QueueWork,
+  startedOccurrenceCount,
   type SubmissionRecord,
   type TaskRecord,
   type TaskRun,
 } from './taskRecords.js';
 import { WaitingTasks } from './waitingTasks.js';
 
-/** How long a task that failed waits: long enough that a sick worker does not use its tries up. */
-const FAILED_RETRY_MS = 200;
+/** Delay before a failed task is retried, so that a faulty worker does not use up its attempts. */
+const FAILED_RETRY_DELAY_MS = 200;
 
-/** A task of a submission that a former owner gave to a worker. */
+/** A task that a former owner assigned to a worker. */
 export interface InheritedTask {
   readonly task: TaskRecord;
   readonly inherited: InheritedRun;
@@ -41,15 +41,15 @@
   balance: new SizeBalance(),
 });
 
-const noteOver = (record: SubmissionRecord): void => {
+const recordEndInSizeBalance = (record: SubmissionRecord): void => {
   const { queueWork, sizeClass, isReserved } = record;
   if (record.state === SubmissionState.Complete) {
-    countOnce(record);
-    queueWork.balance.noteComplete(sizeClass, isReserved);
+    countInSizeBalance(record);
+    queueWork.balance.recordComplete(sizeClass, isReserved);
   } else if (isReserved) queueWork.balance.release(sizeClass);
 };
 
-export class SubmissionBook {
+export class SubmissionRegistry {
   readonly #records = new Map<string, SubmissionRecord>();
 
   readonly #cancelledIds = new Set<string>();
@@ -61,11 +61,11 @@
   /** Submissions with runs that are not in their stored assignments. */
   readonly #unrecorded = new Set<SubmissionRecord>();
 
-  /** Tasks that former owners gave to workers and that no worker's list has been asked for yet. */
+  /** Tasks that former owners assigned to workers and that `takeInherited` has yet to return. */
   #inherited: InheritedTask[] = [];
 
   /** Submissions with occurrences that are not open yet. */
-  readonly #timed = new Set<SubmissionRecord>();
+  readonly #recurring = new Set<SubmissionRecord>();
 
   readonly #queueWorks = new Map<string, QueueWork>();
 
@@ -87,7 +87,7 @@
     return this.#records.has(id);
   }
 
-  /** Takes in a stored submission; a second time changes nothing. */
+  /** Adds a stored submission; does nothing if it is already known. */
   add(
     submission: Submission,
     progress: Progress | undefined,
@@ -107,27 +107,27 @@
     queueWork.processorMs += record.processorMs;
     this.#records.set(submission.id, record);
     if (!isOpen(record)) {
-      noteOver(record);
+      recordEndInSizeBalance(record);
       return;
     }
     if (this.#cancelledIds.has(submission.id)) {
       this.#end(record, SubmissionState.Cancelled);
       return;
     }
-    if (submission.occurrenceCount === 0) this.#open(record, 0, nowMs);
-    else this.#addTimed(record, nowMs);
+    if (submission.occurrenceCount === 0) this.#openOccurrence(record, 0, nowMs);
+    else this.#addRecurring(record, nowMs);
   }
 
-  /** What a former owner has begun goes on, also if it is not due by this process's time of day. */
-  #addTimed(record: SubmissionRecord, nowMs: number): void {
-    this.#timed.add(record);
-    while (record.nextOccurrence < begunOccurrenceCount(record)) {
-      this.#open(record, record.nextOccurrence, nowMs);
+  /** Opens what a former owner has started, even if it is not due by this process's wall clock. */
+  #addRecurring(record: SubmissionRecord, nowMs: number): void {
+    this.#recurring.add(record);
+    while (record.nextOccurrence < startedOccurrenceCount(record)) {
+      this.#openOccurrence(record, record.nextOccurrence, nowMs);
       record.nextOccurrence += 1;
     }
   }
 
-  /** Cancels a submission, also one that is not known yet. Returns the runs to be stopped. */
+  /** Cancels a submission, even one that is not known yet. Returns the runs to stop. */
   cancel(id: string): readonly TaskRun[] {
     this.#cancelledIds.add(id);
     const record = this.#records.get(id);
@@ -135,23 +135,23 @@
     return this.#end(record, SubmissionState.Cancelled);
   }
 
-  /** Opens the occurrences that are due by the time of day. */
-  openDue(wallNowMs: number, nowMs: number): void {
-    this.#timed.forEach((record) => {
+  /** Opens the occurrences that are due by the wall clock. */
+  openDueOccurrences(wallNowMs: number, nowMs: number): void {
+    this.#recurring.forEach((record) => {
       const { submission } = record;
       const count = runsOfSteps(submission);
       while (record.nextOccurrence < count) {
         const dueWallMs =
           submission.firstDueWallMs + record.nextOccurrence * submission.occurrenceIntervalMs;
         if (wallNowMs < dueWallMs) return;
-        this.#open(record, record.nextOccurrence, nowMs);
+        this.#openOccurrence(record, record.nextOccurrence, nowMs);
         record.nextOccurrence += 1;
       }
-      this.#timed.delete(record);
+      this.#recurring.delete(record);
     });
   }
 
-  /** The task of a name, when its submission is open and its occurrence has begun. */
+  /** Returns the task with this name, or undefined if its occurrence has not been opened. */
   find(name: string): TaskRecord | undefined {
     const address = parseTaskName(name);
     if (address === undefined) return undefined;
@@ -159,22 +159,22 @@
     return opened?.tasks[address.stepIndex]?.[address.index];
   }
 
-  /** A run has been given to a worker, or has been found on one. */
-  noteRun(run: TaskRun): void {
+  /** Records a run that has been assigned to a worker or found on one. */
+  addRun(run: TaskRun): void {
     const { task } = run;
     task.runs.push(run);
     task.lastRun = Math.max(task.lastRun, run.run);
     this.#waiting.delete(task);
   }
 
-  /** Takes the tasks that may still run where former owners started them. */
+  /** Returns and clears the tasks that may still run on workers that former owners chose. */
   takeInherited(): readonly InheritedTask[] {
     const taken = this.#inherited;
     this.#inherited = [];
     return taken;
   }
 
-  /** The first task is known to have started. */
+  /** Marks a submission as running when its first task is known to have started. */
   noteStarted(record: SubmissionRecord): void {
     if (record.hasStarted) return;
     record.hasStarted = true;
@@ -183,17 +183,17 @@
     this.#dirty.add(record);
   }
 
-  /** A run is over; the task waits again unless it has ended well or its submission is over. */
-  noteRunGone(run: TaskRun, nowMs: number): void {
+  /** Removes a run that is over. Its task waits again unless it is done or its submission ended. */
+  removeRun(run: TaskRun, nowMs: number): void {
     const { task } = run;
     const index = task.runs.indexOf(run);
     if (index >= 0) task.runs.splice(index, 1);
-    this.#queue(task, nowMs);
+    this.#enqueue(task, nowMs);
   }
 
   /**
-   * Takes in an end that a worker lists, before the run itself is taken off. Returns other runs
-   * that are to be stopped: copies of a task that is done, or all of a submission that failed.
+   * Handles a run end that a worker lists; called before the run is removed. Returns the runs to
+   * stop: copies of a task that is done.
    */
   noteEnd(task: TaskRecord, run: number, end: RunEnd, nowMs: number): readonly TaskRun[] {
     if (task.step.isPersistent || !isOpen(task.submission) || task.isDone) return [];
@@ -202,14 +202,14 @@
     return [];
   }
 
-  /** What has been stored needs no further write; called with what a transaction carried. */
+  /** Takes submissions whose progress is yet to be stored, for the next transaction. */
   takeDirty(limit: number): readonly SubmissionRecord[] {
     const taken = [...this.#dirty].slice(0, limit);
     taken.forEach((record) => this.#dirty.delete(record));
     return taken;
   }
 
-  /** Those of the submissions that are yet to be stored. */
+  /** Takes those of the submissions whose progress is yet to be stored. */
   takeDirtyOf(records: readonly SubmissionRecord[]): readonly SubmissionRecord[] {
     return records.filter((record) => this.#dirty.delete(record));
   }
@@ -228,7 +228,7 @@
     if (isOpen(record)) this.#unrecorded.add(record);
   }
 
-  /** How many submissions without occurrences wait for their first start, by queue. */
+  /** Counts the submissions that wait for their first start, by queue. */
   waitingCounts(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     this.#records.forEach((record) => {
@@ -239,34 +239,34 @@
     return counts;
   }
 
-  /** Fails a submission of which a task has used up its attempts. Returns the runs to stop. */
+  /** Fails a submission after a task has used up its attempts. Returns the runs to stop. */
   fail(record: SubmissionRecord): readonly TaskRun[] {
     return isOpen(record) ? this.#end(record, SubmissionState.Failed) : [];
   }
 
-  #open(record: SubmissionRecord, occurrence: number, nowMs: number): void {
+  #openOccurrence(record: SubmissionRecord, occurrence: number, nowMs: number): void {
     const opened = openOccurrence(record, occurrence, nowMs);
     opened.tasks.flat().forEach((task) => this.#noteInherited(task));
-    opened.tasks.forEach((_, stepIndex) => this.#queueStep(opened, stepIndex, nowMs));
+    opened.tasks.forEach((_, stepIndex) => this.#enqueueStep(opened, stepIndex, nowMs));
     this.#finishOccurrence(record, opened);
   }
 
   #noteInherited(task: TaskRecord): void {
     if (task.isDone) return;
-    const runs = task.submission.inheritedRuns.get(task.place) ?? [];
-    // Also where the run is over by now: the task has been interrupted and is no new one.
+    const runs = task.submission.inheritedRuns.get(task.position) ?? [];
+    // Runs that are over count as well: their task has been interrupted and is not a new one.
     task.lastRun = Math.max(task.lastRun, ...runs.map(({ run }) => run));
     const mayRun = ({ run, workerId }: InheritedRun): boolean =>
       workerId !== NO_WORKER_ID && !task.failedRuns.includes(run);
     runs.filter(mayRun).forEach((inherited) => this.#inherited.push({ task, inherited }));
   }
 
-  #queueStep(opened: OccurrenceRecord, stepIndex: number, nowMs: number): void {
+  #enqueueStep(opened: OccurrenceRecord, stepIndex: number, nowMs: number): void {
     if (!isStepReady(opened, stepIndex)) return;
-    opened.tasks[stepIndex]?.forEach((task) => this.#queue(task, nowMs));
+    opened.tasks[stepIndex]?.forEach((task) => this.#enqueue(task, nowMs));
   }
 
-  #queue(task: TaskRecord, nowMs: number): void {
+  #enqueue(task: TaskRecord, nowMs: number): void {
     const opened = task.submission.occurrences.get(task.occurrence);
     const isReady = opened !== undefined && isStepReady(opened, task.stepIndex);
     if (!isReady || task.isDone || task.runs.length > 0 || !isOpen(task.submission)) return;
@@ -278,14 +278,14 @@
   #noteDone(task: TaskRecord, nowMs: number): readonly TaskRun[] {
     const opened = task.submission.occurrences.get(task.occurrence);
     const tasks = task.step.isGang ? (opened?.tasks[task.stepIndex] ?? []) : [task];
-    const others = tasks.flatMap((one) => this.#markDone(one, opened));
+    const remainingRuns = tasks.flatMap((member) => this.#markDone(member, opened));
     this.#dirty.add(task.submission);
     if (opened !== undefined && opened.openCounts[task.stepIndex] === 0) {
-      opened.tasks.forEach((_, stepIndex) => this.#queueStep(opened, stepIndex, nowMs));
+      opened.tasks.forEach((_, stepIndex) => this.#enqueueStep(opened, stepIndex, nowMs));
       this.#finishOccurrence(task.submission, opened);
     }
     // The members of a gang end by themselves; only copies have to be stopped.
-    return task.step.isGang ? [] : others;
+    return task.step.isGang ? [] : remainingRuns;
   }
 
   #markDone(task: TaskRecord, opened: OccurrenceRecord | undefined): readonly TaskRun[] {
@@ -310,17 +310,17 @@
     const members = task.step.isGang ? (opened?.tasks[task.stepIndex] ?? []) : [task];
     if (members.some(({ failedRuns }) => failedRuns.includes(run))) return [];
     task.failedRuns.push(run);
-    task.notBeforeMs = nowMs + FAILED_RETRY_MS;
+    task.notBeforeMs = nowMs + FAILED_RETRY_DELAY_MS;
     this.#dirty.add(task.submission);
     return [];
   }
 
   #end(record: SubmissionRecord, state: SubmissionState): readonly TaskRun[] {
     record.state = state;
-    noteOver(record);
+    recordEndInSizeBalance(record);
     this.#dirty.add(record);
     this.#unrecorded.delete(record);
-    this.#timed.delete(record);
+    this.#recurring.delete(record);
     const tasks = [...record.occurrences.values()].flatMap((opened) => opened.tasks.flat());
     tasks.forEach((task) => this.#waiting.delete(task));
     return tasks.flatMap((task) => task.runs);
--- a/src/scheduler/common/fleet/usableWorkers.ts
+++ b/src/scheduler/common/fleet/usableWorkers.ts
@@ -1,4 +1,4 @@
-/** Which workers tasks may be started on, and what stands against the others. */
+/** Determines which workers tasks may start on, and the obstacles on the others. */
 import {
   findQueueByName,
   type FleetConfiguration,
@@ -13,12 +13,12 @@
 import { PlacementObstacle } from './placementObstacle.js';
 import type { RoomMisses } from './roomMisses.js';
 import type { Roster } from './roster.js';
-import type { SubmissionBook } from './submissionBook.js';
+import type { SubmissionRegistry } from './submissionRegistry.js';
 import type { TaskRecord } from './taskRecords.js';
 
-/** What a round of placing goes by. */
+/** The inputs of a placement round. */
 export interface RoundInput {
-  readonly book: SubmissionBook;
+  readonly registry: SubmissionRegistry;
   readonly views: ReadonlyMap<string, FleetWorkerView>;
   readonly operator: OperatorState;
   readonly health: WorkerHealth;
@@ -30,26 +30,26 @@
   readonly misses: RoomMisses;
 }
 
-/** Why no task may be started on the worker now; undefined if tasks may be. */
-const useObstacle = (
+/** Returns why no task may start on the worker now, or undefined if tasks may. */
+const findWorkerObstacle = (
   view: FleetWorkerView,
   { timing, roster, operator }: RoundInput,
   nowMs: number,
 ): PlacementObstacle | undefined => {
   if (!view.isListed || !view.isEntryCurrent) return PlacementObstacle.Unlisted;
   if (view.entry.isDraining) return PlacementObstacle.Draining;
-  const isKnown = view.knowsClock && !view.isReborn && !view.isSilent;
+  const isKnown = view.knowsClock && !view.isNewProcess && !view.isSilent;
   if (!isKnown || !view.isFresh(timing, nowMs)) return PlacementObstacle.Unanswered;
-  if (view.mayForgetEnds || view.strayCount > 0) return PlacementObstacle.Unsettled;
+  if (view.mayForgetEnds || view.unknownRunCount > 0) return PlacementObstacle.Unsettled;
   if (!roster.isUnlimited(view.id)) return PlacementObstacle.LeasesLimited;
   return operator.withdrawnZones.has(view.entry.availabilityZone)
     ? PlacementObstacle.ZoneWithdrawn
     : undefined;
 };
 
-/** Whether tasks may be started on the worker now. */
+/** Whether tasks may start on the worker now. */
 export const isUsable = (view: FleetWorkerView, input: RoundInput, nowMs: number): boolean =>
-  useObstacle(view, input, nowMs) === undefined;
+  findWorkerObstacle(view, input, nowMs) === undefined;
 
 /** The usable workers of one service. */
 export interface ServicePool {
@@ -58,7 +58,7 @@
   readonly context: RatingContext;
 }
 
-/** What is worked out once for all tasks that are to be placed at `nowMs`. */
+/** The usable workers at `nowMs`, computed once for all tasks that are placed then. */
 export class UsableWorkers {
   readonly all: readonly FleetWorkerView[];
 
@@ -82,7 +82,7 @@
     });
   }
 
-  /** The workers that may run the task, by the configuration in force. */
+  /** The usable workers of the service that runs the task, by the configuration in force. */
   poolOf(task: TaskRecord, configuration: FleetConfiguration): ServicePool {
     const { submission } = task.submission;
     const queue = findQueueByName(configuration, submission.queueName);
@@ -102,7 +102,7 @@
   }
 }
 
-/** What stands against each worker for a task that waits; workers that would take it are left out. */
+/** Counts the obstacles of a waiting task, one for each worker that would not take it. */
 export const obstaclesOf = (
   task: TaskRecord,
   input: RoundInput,
@@ -112,12 +112,12 @@
   const { configuration } = input.operator;
   if (configuration === undefined) return counts;
   const { serviceName, context } = new UsableWorkers(input, nowMs).poolOf(task, configuration);
-  const mayBeSlow = allowsReducedPace(task, nowMs);
+  const allowsSlowStart = allowsReducedPace(task, nowMs);
   const obstacleOf = (view: FleetWorkerView): PlacementObstacle | undefined => {
-    const obstacle = useObstacle(view, input, nowMs);
+    const obstacle = findWorkerObstacle(view, input, nowMs);
     if (obstacle !== undefined) return obstacle;
     if (view.entry.serviceName !== serviceName) return PlacementObstacle.OtherService;
-    const rating = rateWorker(task, view, mayBeSlow, context, nowMs);
+    const rating = rateWorker(task, view, allowsSlowStart, context, nowMs);
     return isObstacle(rating) ? rating : undefined;
   };
   input.views.forEach((view) => {
--- a/src/scheduler/node/cellTask.ts
+++ b/src/scheduler/node/cellTask.ts
@@ -1,4 +1,4 @@
-/** Runs the state machine of one cell: owns its timer, its table calls and worker clients. */
+/** Runs the state machine of one cell. Owns its timer, its table calls and its worker clients. */
 import type { Clock } from '../../base/common/clock.js';
 import { type Disposable, DisposableStore } from '../../base/common/lifecycle.js';
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
@@ -115,11 +115,11 @@
         this.#handle(call.toEvent(await this.#client(call.workerId).command(call.command)()));
         break;
       default:
-        this.#note(effect);
+        this.#record(effect);
     }
   }
 
-  #note(effect: CellEffect): void {
+  #record(effect: CellEffect): void {
     const { log, metrics } = this.#services;
     const { cell } = this.#options;
     if (effect.kind === 'count' && effect.amount > 0) {
--- a/src/scheduler/test/fleet/fleetNotes.test.ts
+++ b/src/scheduler/test/fleet/decisionLog.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
-import { type FleetNote, FleetNotes } from '../../common/fleet/fleetNotes.js';
+import { type DecisionLogEntry, DecisionLog } from '../../common/fleet/decisionLog.js';
 import type { TaskRecord } from '../../common/fleet/taskRecords.js';
 import { PlacementObstacle } from '../../common/fleet/placementObstacle.js';
 import { WaitReason } from '../../common/fleet/waitReport.js';
@@ -10,41 +10,41 @@
 
 const ID = '00000000000000a2';
 
-describe('what the scheduler tells the log', () => {
-  it('has each end of a burst in it, in a few lines', () => {
+describe('the log of ended tasks', () => {
+  it('reports every end of a burst in a few lines', () => {
     // A thousand tasks on fifty workers end within a second. One line for each list of a worker
-    // would reach the log's limit and leave out the lines on submissions that were accepted.
-    const notes = new FleetNotes();
+    // would reach the log's rate limit, which would then drop the lines about accepted submissions.
+    const decisionLog = new DecisionLog();
     const lines: string[] = [];
-    const take = (nowMs: number): void =>
-      notes.drain(3, nowMs).forEach(({ fields }) => lines.push(String(fields.ends)));
+    const collect = (nowMs: number): void =>
+      decisionLog.drain(3, nowMs).forEach(({ fields }) => lines.push(String(fields.ends)));
     for (let index = 0; index < 1_000; index += 1) {
       const taskName = `00000000000000a1.0.0.${index}`;
       const ended = { sequence: index, taskName, run: 1, end: RunEnd.Done, checkpoint: '' };
-      notes.addEnds(`worker-${index % 50}`, [ended], index);
-      take(index);
+      decisionLog.addEnds(`worker-${index % 50}`, [ended], index);
+      collect(index);
     }
-    take(1_200);
+    collect(1_200);
     expect(lines.length).toBeLessThanOrEqual(6);
-    const told = lines.join(' ').split(' ');
-    expect(told).toHaveLength(1_000);
-    expect(told).toContain('00000000000000a1.0.0.999#1@worker-49=done');
+    const reported = lines.join(' ').split(' ');
+    expect(reported).toHaveLength(1_000);
+    expect(reported).toContain('00000000000000a1.0.0.999#1@worker-49=done');
   });
 });
 
-describe('what the scheduler tells of waiting', () => {
-  it('names the oldest task and why tasks are not placed, once a second at most', () => {
-    const notes = new FleetNotes();
+describe('the log of waiting tasks', () => {
+  it('names the oldest task and why tasks are not placed, at most once a second', () => {
+    const decisionLog = new DecisionLog();
     const waiting = [
       { name: 'younger', waitingSinceMs: 900, step: STEP },
       { name: 'oldest', waitingSinceMs: 100, step: STEP },
     ] as unknown as TaskRecord[];
     const counts = new Map([[WaitReason.NoRoom, 2]]);
     const obstacles = new Map([[PlacementObstacle.NoProcessors, 3]]);
-    const lines: FleetNote[] = [];
+    const lines: DecisionLogEntry[] = [];
     for (let nowMs = 1_000; nowMs <= 3_000; nowMs += 10) {
-      notes.addWaits(waiting, counts, () => obstacles, nowMs);
-      lines.push(...notes.drain(3, nowMs));
+      decisionLog.addWaits(waiting, counts, () => obstacles, nowMs);
+      lines.push(...decisionLog.drain(3, nowMs));
     }
     expect(lines).toHaveLength(2);
     expect(lines[0]).toEqual({
@@ -60,7 +60,7 @@
     });
   });
 
-  it('tells for each worker why it does not take a task', async () => {
+  it('counts the workers by the obstacle that keeps tasks off them', async () => {
     const world = new FleetWorld(3, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1', 'worker-2'].forEach((id) => world.addWorker(id));
     world.addScheduler();
@@ -75,15 +75,15 @@
   });
 });
 
-describe('what the scheduler tells of lost runs', () => {
-  it('has how fresh its knowledge of the worker was', async () => {
+describe('the log of lost runs', () => {
+  it('reports the time since the last answer of the worker and the rest of its leases', async () => {
     const world = new FleetWorld(3, () => ({ workMs: 90_000, end: RunEnd.Done }));
     ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
     world.addScheduler();
     await world.runFor(1_500);
     world.submit(submissionOf(ID, [STEP]));
     await world.runFor(400);
-    world.removeWorker(world.runsOf(`${ID}.0.0.0`)[0] as string);
+    world.removeWorker(world.workersRunning(`${ID}.0.0.0`)[0] as string);
     await world.runFor(8_000);
     const [lost] = world.logged.filter(({ event }) => event === 'runs-lost');
     expect(lost?.fields.answeredAgoMs).toBeGreaterThan(6_000);
--- a/src/scheduler/test/fleet/handOver.test.ts
+++ b/src/scheduler/test/fleet/handOver.test.ts
@@ -7,29 +7,29 @@
 import { STEP, submissionOf } from './fleetFixtures.js';
 import { FleetWorld } from './fleetWorld.js';
 
-const LASTING_ID = '00000000000000c2';
-const LASTING_STEP = { ...STEP, isPersistent: true };
-/** A lease, the slack of clocks and calls, and the time in which a worker is found to be gone. */
+const PERSISTENT_ID = '00000000000000c2';
+const PERSISTENT_STEP = { ...STEP, isPersistent: true };
+/** Covers a lease, the slack of clocks and calls, and the time to detect that a worker is gone. */
 const LEASE_AND_SLACK_MS = 7_000;
-/** For how long a task that lasts may be away while there is room for it. */
+/** The longest time that a persistent task may be away while there is room for it. */
 const LONGEST_ABSENCE_MS = 9_000;
 const BATCH_MS = 1_000;
-/** More than the room beside the tasks that last carries. */
+/** Short enough that batch tasks come faster than they fit beside the persistent tasks. */
 const BACKLOG_INTERVAL_MS = 60;
 
 const taskNames = (taskCount: number): readonly string[] =>
-  Array.from({ length: taskCount }, (_, index) => `${LASTING_ID}.0.0.${index}`);
+  Array.from({ length: taskCount }, (_, index) => `${PERSISTENT_ID}.0.0.${index}`);
 
 const worldOf = async (workerCount: number, taskCount: number): Promise<FleetWorld> => {
   const world = new FleetWorld(5, (taskName) => ({
-    workMs: taskName.startsWith(LASTING_ID) ? 90_000 : BATCH_MS,
+    workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : BATCH_MS,
     end: RunEnd.Done,
   }));
   for (let index = 0; index < workerCount; index += 1) world.addWorker(`worker-${index}`);
   [0, 1].forEach(() => world.addScheduler());
   world.faults.doHeldCallsHang = true;
   await world.runFor(1_500);
-  world.submit(submissionOf(LASTING_ID, [{ ...LASTING_STEP, taskCount }]));
+  world.submit(submissionOf(PERSISTENT_ID, [{ ...PERSISTENT_STEP, taskCount }]));
   await world.runFor(2_000);
   return world;
 };
@@ -39,19 +39,19 @@
   world.submit(submissionOf(id, [{ ...STEP, estimateMs: 1_000 }]));
 };
 
-/** Keeps more batch work coming than there is room for. */
+/** Submits more batch work than there is room for. */
 const addBacklog = (world: FleetWorld): void => {
   if (world.nowMs % BACKLOG_INTERVAL_MS === 0) submitBatch(world);
 };
 
 const stopOwner = (world: FleetWorld): void => {
-  const owner = world.seats.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
+  const owner = world.schedulerSlots.findIndex(({ scheduler }) => scheduler?.epoch !== undefined);
   world.stopScheduler(owner);
   world.startScheduler(owner);
 };
 
 const isAway = (world: FleetWorld, taskName: string): boolean =>
-  world.runsOf(taskName).length === 0;
+  world.workersRunning(taskName).length === 0;
 
 const untilMet = async (
   world: FleetWorld,
@@ -61,17 +61,20 @@
   const untilMs = world.nowMs + 20_000;
   while (!isMet() && world.nowMs < untilMs) {
     eachTick();
-    // eslint-disable-next-line no-await-in-loop -- looks as time goes by
+    // eslint-disable-next-line no-await-in-loop -- polls in virtual time
     await world.runFor(10);
   }
 };
 
-/** For how long a task is away whose worker ends `beforeMs` before a hand-over during a commit. */
-const awayAcrossHandOverMs = async (phaseMs: number, beforeMs: number): Promise<number> => {
+/**
+ * Returns for how long a task is away if its worker ends `beforeMs` before the owner hands over
+ * with a commit in flight.
+ */
+const awayAcrossHandoverMs = async (phaseMs: number, beforeMs: number): Promise<number> => {
   const world = await worldOf(3, 1);
   const [taskName] = taskNames(1) as [string];
   await world.runFor(2_000 + phaseMs);
-  world.removeWorker(world.runsOf(taskName)[0] as string);
+  world.removeWorker(world.workersRunning(taskName)[0] as string);
   const sinceMs = world.nowMs;
   await world.runFor(beforeMs);
   world.faults.transactionMs = 600;
@@ -80,12 +83,12 @@
   stopOwner(world);
   world.faults.transactionMs = 2;
   await untilMet(world, () => !isAway(world, taskName));
-  expect(world.judge.broken).toEqual([]);
+  expect(world.invariants.broken).toEqual([]);
   return world.nowMs - sinceMs;
 };
 
-/** Loses a worker with two of six tasks under a backlog; returns once its leases are over. */
-const lostUnderBacklog = async (): Promise<FleetWorld> => {
+/** Loses a worker with two of six tasks under a backlog. Returns when its leases have ended. */
+const loseWorkerUnderBacklog = async (): Promise<FleetWorld> => {
   const world = await worldOf(3, 6);
   await untilMet(
     world,
@@ -102,7 +105,7 @@
   return world;
 };
 
-/** Runs under the backlog until all tasks that last are back, and returns how long that took. */
+/** Runs under the backlog until all persistent tasks are back, and returns how long that took. */
 const untilBackMs = async (world: FleetWorld): Promise<number> => {
   const sinceMs = world.nowMs;
   const isBack = (): boolean => taskNames(6).every((taskName) => !isAway(world, taskName));
@@ -115,28 +118,28 @@
 describe('an owner that hands the fleet over', () => {
   afterEach(() => vi.unstubAllGlobals());
 
-  it('leaves no task away for longer than the leases of its worker when a commit is under way', async () => {
+  it('leaves no task away for longer than the leases of its worker if a commit is in flight', async () => {
     let longestMs = 0;
     for (let phaseMs = 0; phaseMs < 1_600; phaseMs += 200) {
       // eslint-disable-next-line no-await-in-loop -- one world after the other
-      longestMs = Math.max(longestMs, await awayAcrossHandOverMs(phaseMs, 2_000));
+      longestMs = Math.max(longestMs, await awayAcrossHandoverMs(phaseMs, 2_000));
     }
     expect(longestMs).toBeLessThan(LEASE_AND_SLACK_MS);
   });
 
-  it('repeats what gets no answer, so that its successor learns how long leases last', async () => {
+  it('repeats a release without an answer, so that its successor learns when leases end', async () => {
     const fleet = new BusyFleet(3, () => 2_000);
-    fleet.world.stubTimers();
+    fleet.simulator.stubTimers();
     const { loop, task } = fleet.addDaemon('first', FREE);
-    await fleet.world.runUntil(4_000);
+    await fleet.simulator.runUntil(4_000);
     let lostCount = 0;
     fleet.isTransactionLost = ({ operationId }) => {
       const isLost = operationId.endsWith(':release') && lostCount < 1;
       if (isLost) lostCount += 1;
       return isLost;
     };
-    void fleet.world.as(loop, () => task.release(2_000));
-    await fleet.world.runUntil(6_000);
+    void fleet.simulator.runOn(loop, () => task.release(2_000));
+    await fleet.simulator.runUntil(6_000);
     const { rows } = fleet.table.read({ keys: [cellOwnerKey('fleet'), ROSTER_KEY], prefixes: [] });
     const [owner, roster] = rows.map((row) => row.value) as [CellOwnerRow, RosterRow];
     expect(owner.ownerId).toBe('');
@@ -144,10 +147,10 @@
   });
 });
 
-describe('tasks that last and wait when the owner changes', () => {
-  it('do not wait behind batch work as if they had never run, also if others found a place', async () => {
+describe('interrupted persistent tasks that wait while the owner changes', () => {
+  it('are placed before new batch work, even if some of them were placed before the change', async () => {
     const backAfterMs = async (waitingCount: number): Promise<number> => {
-      const world = await lostUnderBacklog();
+      const world = await loseWorkerUnderBacklog();
       const awayCount = (): number =>
         taskNames(6).filter((taskName) => isAway(world, taskName)).length;
       await untilMet(
@@ -158,7 +161,7 @@
       expect(awayCount()).toBe(waitingCount);
       stopOwner(world);
       const backMs = await untilBackMs(world);
-      expect(world.judge.broken).toEqual([]);
+      expect(world.invariants.broken).toEqual([]);
       return backMs;
     };
     const longestMs = Math.max(await backAfterMs(2), await backAfterMs(1));
--- a/src/scheduler/test/fleet/zoneCut.ts
+++ b/src/scheduler/test/fleet/zoneCut.ts
@@ -1,7 +1,10 @@
-/** Cuts an availability zone off from the others and from the table; all in it works on. */
+/**
+ * Simulates a network partition that cuts an availability zone off from the other zones and from
+ * the table. Everything in the zone continues to run.
+ */
 import type { FleetWorld } from './fleetWorld.js';
 
-/** The table drops the entry of a worker that has been silent for so long. */
+/** The table drops the entry of a worker that has been silent for this long. */
 export const ENTRY_EXPIRY_MS = 3_300;
 
 export class ZoneCut {
@@ -15,12 +18,12 @@
     this.#world = world;
     this.#workerIds = new Set(workerIds);
     this.#seatIndexes = new Set(seatIndexes);
-    world.seats.forEach((seat, index) => {
+    world.schedulerSlots.forEach((slot, index) => {
       const isInside = this.#seatIndexes.has(index);
-      seat.isCutFromTable = isInside;
+      slot.isCutFromTable = isInside;
       [...world.workers.keys()]
         .filter((id) => this.#workerIds.has(id) !== isInside)
-        .forEach((id) => seat.unreachableWorkers.add(id));
+        .forEach((id) => slot.unreachableWorkers.add(id));
     });
   }
 
@@ -29,9 +32,9 @@
   }
 
   heal(): void {
-    this.#world.seats.forEach((seat) => {
-      seat.isCutFromTable = false;
-      seat.unreachableWorkers.clear();
+    this.#world.schedulerSlots.forEach((slot) => {
+      slot.isCutFromTable = false;
+      slot.unreachableWorkers.clear();
     });
     this.#workerIds.forEach((id) => this.#world.listedWorkers.add(id));
   }
