--- a/bench/requests/heapGrowth.ts
+++ b/bench/requests/heapGrowth.ts
@@ -65,7 +65,8 @@
     };
     const decision = admission.admit('rounds', waiting, nowMs);
     if (decision.kind === 'admitted') begin(decision.server, waiting.deadlineAtMs);
-    else if (decision.kind === 'queued' && count % 3 === 0) admission.leave('rounds', waiting);
+    else if (decision.kind === 'queued' && count % 3 === 0)
+      admission.removeWaiting('rounds', waiting);
     if (decision.kind === 'admitted' && held.length < IN_FLIGHT_COUNT && count % 8 === 0) return;
     const first = held.shift();
     first?.progress.noteEnd(AttemptEnd.Answered);
--- a/bench/requests/loadModel.ts
+++ b/bench/requests/loadModel.ts
@@ -6,10 +6,10 @@
 import type { RandomSource } from '../../src/base/common/random.js';
 import { SeededRandom } from '../../src/base/common/random.js';
 import { Admission, type AdmissionSettings } from '../../src/entry/common/admission.js';
-import { ExtraReason, ServerVerdict } from '../../src/entry/common/admissionDecision.js';
+import { SecondAttemptReason, ServerVerdict } from '../../src/entry/common/admissionDecision.js';
 import { AttemptEnd } from '../../src/entry/common/attempt.js';
 import type { WaitingRequest } from '../../src/entry/common/fairQueue.js';
-import { HangUpStep } from '../../src/entry/common/hangUp.js';
+import { HangUpAction } from '../../src/entry/common/hangUp.js';
 import { RequestProgress } from '../../src/entry/common/requestProgress.js';
 import type { BackendServer, RoutingTable } from '../../src/entry/common/routing.js';
 import { secondAttemptReason } from '../../src/entry/common/secondAttempt.js';
@@ -44,7 +44,7 @@
 interface Flight {
   readonly server: ServerRecord<VirtualRequest>;
   readonly startedAtMs: number;
-  readonly extra: ExtraReason | undefined;
+  readonly extra: SecondAttemptReason | undefined;
   isGivenUp: boolean;
   /** Ends the work on a server that notices that its connection was closed. */
   cancel: () => void;
@@ -224,8 +224,8 @@
 
   #letGo(request: VirtualRequest): void {
     const step = request.progress.noteHangUp(true);
-    if (step === HangUpStep.LetGo)
-      request.entry.admission.leave(request.traffic.serviceName, request);
+    if (step === HangUpAction.Dequeue)
+      request.entry.admission.removeWaiting(request.traffic.serviceName, request);
     const { flights } = request;
     const cancels = flights.map(({ cancel }) => cancel);
     this.#close(request, ServerVerdict.Abandoned);
@@ -243,7 +243,11 @@
     }
   }
 
-  #send(request: VirtualRequest, server: ServerRecord<VirtualRequest>, extra?: ExtraReason): void {
+  #send(
+    request: VirtualRequest,
+    server: ServerRecord<VirtualRequest>,
+    extra?: SecondAttemptReason,
+  ): void {
     const flight: Flight = {
       server,
       startedAtMs: this.#time.nowMs,
@@ -280,7 +284,7 @@
     if (request.isDone) return;
     if (isAnswer) {
       const service = request.entry.admission.service(request.traffic.serviceName);
-      if (flight.extra === ExtraReason.Hedge) service?.hedgeBudget.noteWin();
+      if (flight.extra === SecondAttemptReason.Hedge) service?.hedgeBudget.noteWin();
       this.#answer(request);
       return;
     }
@@ -372,15 +376,15 @@
         maximumAttemptCount: MAXIMUM_ATTEMPT_COUNT,
         ageMs: this.#time.nowMs - first.startedAtMs,
         hasProgress: false,
-        highLatencyMs: service.limit.highMs,
+        p95LatencyMs: service.limit.p95Ms,
       },
       { silenceFloorMs: SILENCE_FLOOR_MS },
     );
     if (reason === undefined) return;
-    const budget = reason === ExtraReason.Silence ? service.budget : service.hedgeBudget;
+    const budget = reason === SecondAttemptReason.Silence ? service.budget : service.hedgeBudget;
     if (!budget.hasToken) return;
     const { nowMs } = this.#time;
-    const server = admission.tryAdmitExtra(service.name, first.server, reason, nowMs);
+    const server = admission.tryAdmitSecondAttempt(service.name, first.server, reason, nowMs);
     if (server === undefined) return;
     budget.trySpend();
     if (request.isMeasured) this.#result.secondAttemptCount += 1;
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -9,9 +9,9 @@
 import { LatencyWeightedOfTwo } from '../../entry/common/serverChoice.js';
 import { BackendConnections } from '../../entry/node/backendConnections.js';
 import { CallerServer } from '../../entry/node/callerServer.js';
-import { ClaimKeeper } from '../../entry/node/claimKeeper.js';
+import { ClaimManager } from '../../entry/node/claimManager.js';
 import { ClaimSweeper } from '../../entry/node/claimSweeper.js';
-import type { Journey } from '../../entry/node/journey.js';
+import type { ActiveRequest } from '../../entry/node/activeRequest.js';
 import { RequestHandler } from '../../entry/node/requestHandler.js';
 import { RoutingReader } from '../../entry/node/routingReader.js';
 import { OperatorQueries } from '../../operator/node/operatorQueries.js';
@@ -102,9 +102,9 @@
       );
       const connections = own.add(new BackendConnections(entry, metrics));
       const chooser = new LatencyWeightedOfTwo(random);
-      const admission = new Admission<Journey>(entry, chooser, random);
+      const admission = new Admission<ActiveRequest>(entry, chooser, random);
       latencies = admission.latencyWindows;
-      const claims = own.add(new ClaimKeeper(table, clock, metrics, entry));
+      const claims = own.add(new ClaimManager(table, clock, metrics, entry));
       own.add(
         new ClaimSweeper(table, metrics, entry.claimLifetimeMs, Date.now, randomInt(SEED_LIMIT)),
       );
@@ -202,7 +202,7 @@
     timer.abort();
     await timeout;
     await this.#handler?.settle();
-    const cutOffCount = this.#handler?.underWayCount ?? 0;
+    const cutOffCount = this.#handler?.activeCount ?? 0;
     if (cutOffCount > 0) this.#log.error('cut-off-at-shutdown', { cutOffCount });
     await Promise.race([this.#operatorServer.close(), delay(OPERATOR_CLOSE_MS)]);
     this.#disposables.dispose();
--- a/src/entry/common/admission.ts
+++ b/src/entry/common/admission.ts
@@ -7,7 +7,7 @@
   type AdmissionDecision,
   AdmissionKind,
   type Dispatched,
-  ExtraReason,
+  SecondAttemptReason,
   type AttemptOutcome,
   type Rejected,
   ServerVerdict,
@@ -150,17 +150,17 @@
    * so that saturated servers get no extra work. These conditions do not apply to
    * an attempt that replaces a silent connection; the retry budget limits such attempts.
    */
-  tryAdmitExtra(
+  tryAdmitSecondAttempt(
     serviceName: string,
     avoidedServer: ServerRecord<Waiting>,
-    reason: ExtraReason,
+    reason: SecondAttemptReason,
     nowMs: number,
   ): ServerRecord<Waiting> | undefined {
     const service = this.#registry.service(serviceName);
     if (service === undefined) return undefined;
     const isBusy =
       !service.hasCapacity || service.servicesNotMoreUrgent.some(({ queue }) => queue.length > 0);
-    if (reason === ExtraReason.Hedge && isBusy) return undefined;
+    if (reason === SecondAttemptReason.Hedge && isBusy) return undefined;
     const { workerId } = avoidedServer.worker;
     const server = this.#chooser.choose(service.servers, nowMs, workerId);
     if (server !== undefined) Admission.#acquirePermit(server);
@@ -168,7 +168,7 @@
   }
 
   /** Removes a waiting request that nobody wants any more; false when it does not wait. */
-  leave(serviceName: string, waiting: Waiting): boolean {
+  removeWaiting(serviceName: string, waiting: Waiting): boolean {
     return this.#registry.service(serviceName)?.queue.remove(waiting) ?? false;
   }
 
--- a/src/entry/common/admissionDecision.ts
+++ b/src/entry/common/admissionDecision.ts
@@ -51,5 +51,5 @@
 }
 
 /** The reason for a second attempt at a running request. */
-export const ExtraReason = { Hedge: 'hedge', Silence: 'silence' } as const;
-export type ExtraReason = (typeof ExtraReason)[keyof typeof ExtraReason];
+export const SecondAttemptReason = { Hedge: 'hedge', Silence: 'silence' } as const;
+export type SecondAttemptReason = (typeof SecondAttemptReason)[keyof typeof SecondAttemptReason];
--- a/src/entry/common/concurrencyLimit.ts
+++ b/src/entry/common/concurrencyLimit.ts
@@ -82,7 +82,7 @@
    * The smoothed 95th percentile of the latency, which one answer in twenty exceeds. Before the
    * first full window it is the highest latency so far, and zero before the first answer.
    */
-  get highMs(): number {
+  get p95Ms(): number {
     if (this.#p95Ms > 0) return this.#p95Ms;
     return this.#window.subarray(0, this.#windowLength).reduce((most, ms) => Math.max(most, ms), 0);
   }
--- a/src/entry/common/hangUp.ts
+++ b/src/entry/common/hangUp.ts
@@ -1,14 +1,14 @@
 /** Decides on a request whose caller hung up before its answer. */
 
-export const HangUpStep = {
+export const HangUpAction = {
   /** No attempt is running: the request leaves the queue and is never sent. */
-  LetGo: 'let-go',
+  Dequeue: 'let-go',
   /** The running attempts are cancelled and their connections closed. */
   Abort: 'abort',
   /** The request was sent and must run to its end; it keeps its permit until then. */
-  LetEnd: 'let-end',
+  LetFinish: 'let-end',
 } as const;
-export type HangUpStep = (typeof HangUpStep)[keyof typeof HangUpStep];
+export type HangUpAction = (typeof HangUpAction)[keyof typeof HangUpAction];
 
 export interface HangUpState {
   readonly isIdempotent: boolean;
@@ -28,7 +28,11 @@
  * short, its outcome could not be recorded under its key, and the caller's repeat would get the
  * outcome "unknown".
  */
-export const hangUpStep = ({ isIdempotent, isAttemptRunning, isSent }: HangUpState): HangUpStep => {
-  if (!isAttemptRunning) return HangUpStep.LetGo;
-  return isIdempotent || !isSent ? HangUpStep.Abort : HangUpStep.LetEnd;
+export const hangUpAction = ({
+  isIdempotent,
+  isAttemptRunning,
+  isSent,
+}: HangUpState): HangUpAction => {
+  if (!isAttemptRunning) return HangUpAction.Dequeue;
+  return isIdempotent || !isSent ? HangUpAction.Abort : HangUpAction.LetFinish;
 };
--- a/src/entry/common/requestProgress.ts
+++ b/src/entry/common/requestProgress.ts
@@ -7,7 +7,7 @@
   WorkOutcome,
 } from '../../services/errors/common/errorKinds.js';
 import { AttemptEnd } from './attempt.js';
-import { type HangUpStep, hangUpStep } from './hangUp.js';
+import { type HangUpAction, hangUpAction } from './hangUp.js';
 
 export interface ProgressOptions {
   readonly isIdempotent: boolean;
@@ -64,10 +64,10 @@
   }
 
   /** Decides on a request whose caller hung up; the request is not retried after this. */
-  noteHangUp(isSent: boolean): HangUpStep {
+  noteHangUp(isSent: boolean): HangUpAction {
     this.#isAbandoned = true;
     const { isIdempotent } = this.#options;
-    return hangUpStep({ isIdempotent, isAttemptRunning: this.#runningCount > 0, isSent });
+    return hangUpAction({ isIdempotent, isAttemptRunning: this.#runningCount > 0, isSent });
   }
 
   /** Whether another attempt is allowed, apart from the retry budget. */
--- a/src/entry/common/secondAttempt.ts
+++ b/src/entry/common/secondAttempt.ts
@@ -1,5 +1,5 @@
 /** Decides when a running request gets a second, concurrent attempt. */
-import { ExtraReason } from './admissionDecision.js';
+import { SecondAttemptReason } from './admissionDecision.js';
 
 export interface RunningRequest {
   readonly isIdempotent: boolean;
@@ -9,7 +9,7 @@
   /** Whether any byte of the answer has arrived. */
   readonly hasProgress: boolean;
   /** The 95th percentile of the service's latency; zero while unknown. */
-  readonly highLatencyMs: number;
+  readonly p95LatencyMs: number;
 }
 
 export interface SecondAttemptSettings {
@@ -30,13 +30,13 @@
 export const secondAttemptReason = (
   running: RunningRequest,
   settings: SecondAttemptSettings,
-): ExtraReason | undefined => {
-  const { ageMs, highLatencyMs } = running;
+): SecondAttemptReason | undefined => {
+  const { ageMs, p95LatencyMs } = running;
   if (!running.isIdempotent || running.hasProgress) return undefined;
   if (running.attemptCount >= running.maximumAttemptCount) return undefined;
-  if (ageMs >= Math.max(settings.silenceFloorMs, highLatencyMs * SILENCE_FACTOR)) {
-    return ExtraReason.Silence;
+  if (ageMs >= Math.max(settings.silenceFloorMs, p95LatencyMs * SILENCE_FACTOR)) {
+    return SecondAttemptReason.Silence;
   }
-  const isHedged = highLatencyMs > 0 && ageMs >= highLatencyMs * HEDGE_FACTOR;
-  return isHedged ? ExtraReason.Hedge : undefined;
+  const isHedged = p95LatencyMs > 0 && ageMs >= p95LatencyMs * HEDGE_FACTOR;
+  return isHedged ? SecondAttemptReason.Hedge : undefined;
 };
--- a/src/entry/node/journey.ts
+++ b/src/entry/node/activeRequest.ts
@@ -3,7 +3,7 @@
 
 import type { Failure } from '../../services/errors/common/errorKinds.js';
 import type { TraceSpan } from '../../services/tracing/common/tracing.js';
-import type { ExtraReason } from '../common/admissionDecision.js';
+import type { SecondAttemptReason } from '../common/admissionDecision.js';
 import type { CallerRequest, RequestOptions } from '../common/callerRequest.js';
 import type { WaitingRequest } from '../common/fairQueue.js';
 import type { HangUpSignal } from '../common/hangUpSignal.js';
@@ -12,7 +12,7 @@
 import type { AttemptRun, BackendAnswer } from './attemptRun.js';
 
 /** A request that has no final answer yet, with its deadline, its attempts and its trace. */
-export interface Journey extends WaitingRequest {
+export interface ActiveRequest extends WaitingRequest {
   readonly request: CallerRequest;
   readonly options: RequestOptions;
   readonly progress: RequestProgress;
@@ -26,16 +26,16 @@
   prepare: (() => Promise<Either<Failure, BackendAnswer | undefined>>) | undefined;
   /** Set while `prepare` runs; the server is undefined once the permit was released. */
   preparing:
-    { readonly server: ServerRecord<Journey> | undefined; startedAtMs: number } | undefined;
+    { readonly server: ServerRecord<ActiveRequest> | undefined; startedAtMs: number } | undefined;
   isDone: boolean;
   settle: (result: Either<Failure, BackendAnswer>) => void;
 }
 
 export interface RunningAttempt {
-  readonly server: ServerRecord<Journey>;
+  readonly server: ServerRecord<ActiveRequest>;
   readonly run: AttemptRun;
   readonly startedAtMs: number;
-  readonly secondAttemptReason: ExtraReason | undefined;
+  readonly secondAttemptReason: SecondAttemptReason | undefined;
   readonly span: TraceSpan | undefined;
   isOvertaken: boolean;
   isAbandoned: boolean;
--- a/src/entry/node/attemptVerdict.ts
+++ b/src/entry/node/attemptVerdict.ts
@@ -2,7 +2,7 @@
 import { ServerVerdict } from '../common/admissionDecision.js';
 import { AttemptEnd } from '../common/attempt.js';
 import type { AttemptResult } from './attemptRun.js';
-import type { RunningAttempt } from './journey.js';
+import type { RunningAttempt } from './activeRequest.js';
 
 const FIRST_SERVER_ERROR = 500;
 
--- a/src/entry/node/claimKeeper.ts
+++ b/src/entry/node/claimManager.ts
@@ -65,7 +65,7 @@
     .update(body ?? new Uint8Array())
     .digest('base64');
 
-export class ClaimKeeper implements Disposable {
+export class ClaimManager implements Disposable {
   readonly #table: TableService;
 
   readonly #clock: Clock;
--- a/src/entry/node/requestDispatch.ts
+++ b/src/entry/node/requestDispatch.ts
@@ -12,17 +12,17 @@
 import {
   AdmissionKind,
   type Dispatched,
-  ExtraReason,
+  SecondAttemptReason,
   ServerVerdict,
 } from '../common/admissionDecision.js';
 import { MAXIMUM_CLAIM_HOLD_MS } from '../common/claims.js';
-import { HangUpStep } from '../common/hangUp.js';
+import { HangUpAction } from '../common/hangUp.js';
 import type { ServerRecord, ServiceRecord } from '../common/serverRecords.js';
 import { toAttemptRequest } from './attemptRequest.js';
 import type { AttemptResult, BackendAnswer } from './attemptRun.js';
 import { attemptVerdict } from './attemptVerdict.js';
 import type { BackendConnections } from './backendConnections.js';
-import type { Journey, RunningAttempt } from './journey.js';
+import type { ActiveRequest, RunningAttempt } from './activeRequest.js';
 import { SecondAttempts } from './secondAttempts.js';
 import { SweepTimer } from './sweepTimer.js';
 
@@ -31,7 +31,7 @@
 const INITIAL_ATTEMPT_STATE = { isOvertaken: false, isAbandoned: false };
 
 export interface RequestDispatchServices {
-  readonly admission: Admission<Journey>;
+  readonly admission: Admission<ActiveRequest>;
   readonly connections: BackendConnections;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -42,7 +42,7 @@
 
   readonly #settings: Settings['entry'];
 
-  readonly #activeRequests = new Set<Journey>();
+  readonly #activeRequests = new Set<ActiveRequest>();
 
   readonly #disposables = new DisposableStore();
 
@@ -68,7 +68,7 @@
     this.#disposables.dispose();
   }
 
-  get underWayCount(): number {
+  get activeCount(): number {
     return this.#activeRequests.size;
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Serves a request. The result resolves once, at the deadline at the latest. */
-  serve(activeRequest: Journey): Promise<Either<Failure, BackendAnswer>> {
+  serve(activeRequest: ActiveRequest): Promise<Either<Failure, BackendAnswer>> {
     return new Promise((settle) => {
       // This class owns the record from here on.
       // eslint-disable-next-line no-param-reassign
@@ -104,16 +104,16 @@
   }
 
   /** Releases what an abandoned request holds, unless the request must run to its end. */
-  #handleHangUp(activeRequest: Journey): void {
+  #handleHangUp(activeRequest: ActiveRequest): void {
     if (activeRequest.isDone) return;
     const { admission, metrics } = this.#services;
     const step = activeRequest.progress.noteHangUp(
       activeRequest.running.some(({ run }) => run.isSent),
     );
     metrics.count('requests_abandoned', { step });
-    if (step === HangUpStep.LetEnd) return;
-    if (step === HangUpStep.LetGo) {
-      admission.leave(activeRequest.request.serviceName, activeRequest);
+    if (step === HangUpAction.LetFinish) return;
+    if (step === HangUpAction.Dequeue) {
+      admission.removeWaiting(activeRequest.request.serviceName, activeRequest);
       this.#finish(
         activeRequest,
         left(activeRequest.progress.finalFailure(this.#services.clock.nowMs())),
@@ -129,11 +129,11 @@
     });
   }
 
-  #serviceOf(activeRequest: Journey): ServiceRecord<Journey> | undefined {
+  #serviceOf(activeRequest: ActiveRequest): ServiceRecord<ActiveRequest> | undefined {
     return this.#services.admission.service(activeRequest.request.serviceName);
   }
 
-  #admit(activeRequest: Journey, nowMs: number): void {
+  #admit(activeRequest: ActiveRequest, nowMs: number): void {
     const decision = this.#services.admission.admit(
       activeRequest.request.serviceName,
       activeRequest,
@@ -158,9 +158,9 @@
   }
 
   #send(
-    activeRequest: Journey,
-    server: ServerRecord<Journey>,
-    secondAttemptReason: ExtraReason | undefined,
+    activeRequest: ActiveRequest,
+    server: ServerRecord<ActiveRequest>,
+    secondAttemptReason: SecondAttemptReason | undefined,
     nowMs: number,
   ): void {
     activeRequest.queueSpan?.end();
@@ -171,9 +171,9 @@
 
   /** Holds the permit while `prepare` runs; the sweep releases the permit if that is slow. */
   #startPreparing(
-    activeRequest: Journey,
-    prepare: NonNullable<Journey['prepare']>,
-    server: ServerRecord<Journey>,
+    activeRequest: ActiveRequest,
+    prepare: NonNullable<ActiveRequest['prepare']>,
+    server: ServerRecord<ActiveRequest>,
     nowMs: number,
   ): void {
     /* eslint-disable no-param-reassign -- this class owns the record */
@@ -184,7 +184,7 @@
   }
 
   #handlePrepared(
-    activeRequest: Journey,
+    activeRequest: ActiveRequest,
     prepared: Either<Failure, BackendAnswer | undefined>,
   ): void {
     if (activeRequest.isDone) return;
@@ -215,7 +215,7 @@
   }
 
   /** Releases the permit of a request whose `prepare` is still running. */
-  #releasePreparingPermit(activeRequest: Journey, nowMs: number): void {
+  #releasePreparingPermit(activeRequest: ActiveRequest, nowMs: number): void {
     const { preparing } = activeRequest;
     if (preparing?.server === undefined) return;
     // This class owns the record.
@@ -225,9 +225,9 @@
   }
 
   #attempt(
-    activeRequest: Journey,
-    server: ServerRecord<Journey>,
-    secondAttemptReason: ExtraReason | undefined,
+    activeRequest: ActiveRequest,
+    server: ServerRecord<ActiveRequest>,
+    secondAttemptReason: SecondAttemptReason | undefined,
     nowMs: number,
   ): void {
     const { request, progress } = activeRequest;
@@ -248,7 +248,7 @@
       return;
     }
     const span = activeRequest.span?.child(Hop.Attempt, { worker: server.worker.workerId });
-    const isFreshWanted = secondAttemptReason === ExtraReason.Silence;
+    const isFreshWanted = secondAttemptReason === SecondAttemptReason.Silence;
     const run = this.#services.connections.attempt(
       toAttemptRequest(request, server.server, span, isFreshWanted),
     );
@@ -265,17 +265,21 @@
   }
 
   /** Releases a permit that was not used. */
-  #releaseUnused(activeRequest: Journey, server: ServerRecord<Journey>, nowMs: number): void {
+  #releaseUnused(
+    activeRequest: ActiveRequest,
+    server: ServerRecord<ActiveRequest>,
+    nowMs: number,
+  ): void {
     const { serviceName } = activeRequest.request;
     const outcome = { latencyMs: 0, verdict: ServerVerdict.Unused, isServerLeaving: false };
     this.#sendAll(this.#services.admission.finish(serviceName, server, outcome, nowMs), nowMs);
   }
 
-  #sendAll(dispatched: readonly Dispatched<Journey>[], nowMs: number): void {
+  #sendAll(dispatched: readonly Dispatched<ActiveRequest>[], nowMs: number): void {
     dispatched.forEach(({ waiting, server }) => this.#send(waiting, server, undefined, nowMs));
   }
 
-  #handleEnd(activeRequest: Journey, attempt: RunningAttempt, result: AttemptResult): void {
+  #handleEnd(activeRequest: ActiveRequest, attempt: RunningAttempt, result: AttemptResult): void {
     const nowMs = this.#services.clock.nowMs();
     const { server, startedAtMs, span } = attempt;
     span?.end({ end: result.end });
@@ -295,7 +299,7 @@
   }
 
   #finishOrRetry(
-    activeRequest: Journey,
+    activeRequest: ActiveRequest,
     attempt: RunningAttempt,
     result: AttemptResult,
     nowMs: number,
@@ -306,7 +310,7 @@
         this.#services.metrics.count('second_attempts_won', {
           reason: attempt.secondAttemptReason,
         });
-        if (attempt.secondAttemptReason === ExtraReason.Hedge)
+        if (attempt.secondAttemptReason === SecondAttemptReason.Hedge)
           this.#serviceOf(activeRequest)?.hedgeBudget.noteWin();
       }
       this.#finish(activeRequest, right(result.answer));
@@ -329,7 +333,7 @@
   }
 
   /** Settles the request at once, and cancels its remaining attempts. */
-  #finish(activeRequest: Journey, result: Either<Failure, BackendAnswer>): void {
+  #finish(activeRequest: ActiveRequest, result: Either<Failure, BackendAnswer>): void {
     if (activeRequest.isDone) return;
     const { progress, running } = activeRequest;
     // This class owns the record.
@@ -372,7 +376,7 @@
     });
   }
 
-  #sweepPreparing(activeRequest: Journey, nowMs: number): void {
+  #sweepPreparing(activeRequest: ActiveRequest, nowMs: number): void {
     const { preparing } = activeRequest;
     if (preparing === undefined) return;
     if (nowMs >= activeRequest.deadlineAtMs) {
--- a/src/entry/node/requestHandler.ts
+++ b/src/entry/node/requestHandler.ts
@@ -31,8 +31,8 @@
 import { RequestProgress } from '../common/requestProgress.js';
 import type { BackendAnswer } from './attemptRun.js';
 import type { BackendConnections } from './backendConnections.js';
-import type { ClaimKeeper, ClaimResult, HeldClaim } from './claimKeeper.js';
-import type { Journey } from './journey.js';
+import type { ClaimManager, ClaimResult, HeldClaim } from './claimManager.js';
+import type { ActiveRequest } from './activeRequest.js';
 import { RequestDispatch } from './requestDispatch.js';
 import type { RoutingReader } from './routingReader.js';
 
@@ -47,9 +47,9 @@
 
 export interface RequestHandlerServices {
   readonly routing: Pick<RoutingReader, 'routes' | 'onDidChange'>;
-  readonly admission: Admission<Journey>;
+  readonly admission: Admission<ActiveRequest>;
   readonly connections: BackendConnections;
-  readonly claims: ClaimKeeper;
+  readonly claims: ClaimManager;
   readonly configuration: Pick<ConfigurationService, 'current'>;
   readonly entries: EntryMembers;
   readonly clock: Clock;
@@ -97,8 +97,8 @@
   }
 
   /** The number of requests that have no answer yet. */
-  get underWayCount(): number {
-    return this.#dispatch.underWayCount;
+  get activeCount(): number {
+    return this.#dispatch.activeCount;
   }
 
   /** Gives all active requests their final answer. */
@@ -144,7 +144,7 @@
       maximumAttemptCount: this.#settings.maximumAttemptCount,
       deadlineAtMs,
     });
-    const activeRequest: Journey = {
+    const activeRequest: ActiveRequest = {
       request,
       options,
       progress,
@@ -167,13 +167,13 @@
   }
 
   /** Sends work that is not idempotent only while it holds the claim of its key. */
-  #serveClaimed(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
+  #serveClaimed(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
     if (this.#services.claims.isEarly)
       return this.#serveClaimedEarly(activeRequest, idempotencyKey);
     return this.#serveClaimedLate(activeRequest, idempotencyKey);
   }
 
-  async #serveClaimedEarly(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
+  async #serveClaimedEarly(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
     const claimed = await this.#claimBeforeDeadline(activeRequest, idempotencyKey);
     if (isLeft(claimed)) return claimed;
     if (claimed.right.kind === 'replay') return right(fromRecorded(claimed.right.answer));
@@ -186,7 +186,7 @@
   }
 
   /** The claim may be granted after the request has failed; the claim is released then. */
-  async #serveClaimedLate(activeRequest: Journey, idempotencyKey: string): Promise<Result> {
+  async #serveClaimedLate(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
     const { claims, wallNowMs } = this.#services;
     let claiming: Promise<Either<Failure, ClaimResult>> | undefined;
     // This class still owns the record.
@@ -216,7 +216,7 @@
    * the claim afterwards, the claim is released, because nothing was sent.
    */
   async #claimBeforeDeadline(
-    activeRequest: Journey,
+    activeRequest: ActiveRequest,
     idempotencyKey: string,
   ): Promise<Either<Failure, ClaimResult>> {
     const { claims, clock, wallNowMs } = this.#services;
@@ -240,7 +240,7 @@
     return left(failure(ErrorKind.DeadlineExceeded, 'the store gave no claim before the deadline'));
   }
 
-  #endClaim(held: HeldClaim, result: Result, activeRequest: Journey): void {
+  #endClaim(held: HeldClaim, result: Result, activeRequest: ActiveRequest): void {
     const { claims } = this.#services;
     if (!isLeft(result)) claims.recordAnswer(held, toRecorded(result.right));
     else if (
@@ -252,7 +252,7 @@
   }
 
   /** Dispatches, and checks that a result "not run" is true before the caller gets it. */
-  async #dispatchChecked(activeRequest: Journey): Promise<Result> {
+  async #dispatchChecked(activeRequest: ActiveRequest): Promise<Result> {
     const result = await this.#dispatch.serve(activeRequest);
     if (!isLeft(result) || workOutcomeOf(result.left) !== WorkOutcome.NotRun) return result;
     if (!activeRequest.progress.mayHaveRun) return result;
--- a/src/entry/node/secondAttempts.ts
+++ b/src/entry/node/secondAttempts.ts
@@ -2,31 +2,31 @@
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import type { Settings } from '../../services/settings/common/settings.js';
 import type { Admission } from '../common/admission.js';
-import { ExtraReason } from '../common/admissionDecision.js';
+import { SecondAttemptReason } from '../common/admissionDecision.js';
 import { secondAttemptReason } from '../common/secondAttempt.js';
 import type { ServerRecord } from '../common/serverRecords.js';
-import type { Journey } from './journey.js';
+import type { ActiveRequest } from './activeRequest.js';
 
 export interface SecondAttempt {
-  readonly server: ServerRecord<Journey>;
-  readonly reason: ExtraReason;
+  readonly server: ServerRecord<ActiveRequest>;
+  readonly reason: SecondAttemptReason;
 }
 
 export class SecondAttempts {
-  readonly #admission: Admission<Journey>;
+  readonly #admission: Admission<ActiveRequest>;
 
   readonly #metrics: Metrics;
 
   readonly #settings: Settings['entry'];
 
-  constructor(admission: Admission<Journey>, metrics: Metrics, settings: Settings['entry']) {
+  constructor(admission: Admission<ActiveRequest>, metrics: Metrics, settings: Settings['entry']) {
     this.#admission = admission;
     this.#metrics = metrics;
     this.#settings = settings;
   }
 
   /** Takes a permit and a budget token if a second attempt is due; the caller then sends it. */
-  tryReserve(activeRequest: Journey, nowMs: number): SecondAttempt | undefined {
+  tryReserve(activeRequest: ActiveRequest, nowMs: number): SecondAttempt | undefined {
     const [first, second] = activeRequest.running;
     const service = this.#admission.service(activeRequest.request.serviceName);
     if (first === undefined || second !== undefined || service === undefined) return undefined;
@@ -37,14 +37,14 @@
         maximumAttemptCount: this.#settings.maximumAttemptCount,
         ageMs: nowMs - first.startedAtMs,
         hasProgress: first.run.hasProgress,
-        highLatencyMs: service.limit.highMs,
+        p95LatencyMs: service.limit.p95Ms,
       },
       this.#settings,
     );
     if (reason === undefined) return undefined;
-    const budget = reason === ExtraReason.Silence ? service.budget : service.hedgeBudget;
+    const budget = reason === SecondAttemptReason.Silence ? service.budget : service.hedgeBudget;
     if (!budget.hasToken) return undefined;
-    const server = this.#admission.tryAdmitExtra(service.name, first.server, reason, nowMs);
+    const server = this.#admission.tryAdmitSecondAttempt(service.name, first.server, reason, nowMs);
     if (server === undefined) return undefined;
     budget.trySpend();
     this.#metrics.count('second_attempts', { reason });
--- a/src/entry/test/claimExpiry.test.ts
+++ b/src/entry/test/claimExpiry.test.ts
@@ -9,7 +9,7 @@
   CLAIM_PREFIX,
   claimKey,
 } from '../../services/workload/common/claimRow.js';
-import { ClaimKeeper } from '../node/claimKeeper.js';
+import { ClaimManager } from '../node/claimManager.js';
 import { ClaimSweeper } from '../node/claimSweeper.js';
 import { FaultyTable } from './entryHarness.js';
 
@@ -21,10 +21,10 @@
 
 const claimAt = async (table: FaultyTable, key: string, wallMs: number): Promise<boolean> => {
   const settings = { claimLifetimeMs: LIFETIME_MS, maximumRecordedBytes: 100 };
-  const keeper = new ClaimKeeper(table, systemClock, silentMetrics, settings);
-  disposables.push(keeper);
+  const claims = new ClaimManager(table, systemClock, silentMetrics, settings);
+  disposables.push(claims);
   const request = { serviceName: 's', method: 'POST', path: '/', headers: {}, body: undefined };
-  const claimed = await keeper.claim(request, key, wallMs);
+  const claimed = await claims.claim(request, key, wallMs);
   return isRight(claimed) && claimed.right.kind === 'held';
 };
 
--- a/src/entry/test/claimSpans.test.ts
+++ b/src/entry/test/claimSpans.test.ts
@@ -7,7 +7,7 @@
 import { TracedTableService } from '../../services/table/common/tracedTableService.js';
 import { Hop } from '../../services/tracing/common/tracing.js';
 import { OpenTelemetryTracing } from '../../services/tracing/node/openTelemetryTracing.js';
-import { ClaimKeeper } from '../node/claimKeeper.js';
+import { ClaimManager } from '../node/claimManager.js';
 import { entrySettings, FaultyTable } from './entryHarness.js';
 
 const TRACE = '4bf92f3577b34da6a3ce929d0e0e4736';
@@ -19,7 +19,7 @@
   const table = new FaultyTable();
   table.lostAnswerCount = 1;
   const traced = new TracedTableService(table, tracing);
-  const claims = new ClaimKeeper(traced, systemClock, silentMetrics, entrySettings());
+  const claims = new ClaimManager(traced, systemClock, silentMetrics, entrySettings());
   const span = tracing.startTrace(Hop.Entry, `00-${TRACE}-00f067aa0ba902b7-01`);
   const order = { serviceName: 's', method: 'POST', path: '/orders', headers: {}, body: undefined };
   const claimed = await claims.claim(order, 'order-17', 0, span);
--- a/src/entry/test/entryHarness.ts
+++ b/src/entry/test/entryHarness.ts
@@ -16,8 +16,8 @@
 import { LatencyWeightedOfTwo, type ServerChooser } from '../common/serverChoice.js';
 import { BackendConnections } from '../node/backendConnections.js';
 import { CallerServer } from '../node/callerServer.js';
-import { ClaimKeeper } from '../node/claimKeeper.js';
-import type { Journey } from '../node/journey.js';
+import { ClaimManager } from '../node/claimManager.js';
+import type { ActiveRequest } from '../node/activeRequest.js';
 import { RequestHandler } from '../node/requestHandler.js';
 
 export const entrySettings = (changes: Partial<Settings['entry']> = {}): Settings['entry'] => {
@@ -102,7 +102,7 @@
 
   readonly #connections: BackendConnections;
 
-  readonly #claims: ClaimKeeper;
+  readonly #claims: ClaimManager;
 
   constructor(
     settings = entrySettings(),
@@ -119,10 +119,10 @@
     const { Connections = BackendConnections, chooser = new LatencyWeightedOfTwo(random) } =
       overrides;
     this.#connections = new Connections(settings, metrics);
-    this.#claims = new ClaimKeeper(table, systemClock, metrics, settings);
+    this.#claims = new ClaimManager(table, systemClock, metrics, settings);
     const services = {
       routing: { routes: this.#routes, onDidChange: this.#didChange.event },
-      admission: new Admission<Journey>(settings, chooser, random),
+      admission: new Admission<ActiveRequest>(settings, chooser, random),
       connections: this.#connections,
       claims: this.#claims,
       configuration: { current: undefined },
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -9,7 +9,7 @@
 import { Admission } from '../common/admission.js';
 import { ServerVerdict } from '../common/admissionDecision.js';
 import type { WaitingRequest } from '../common/fairQueue.js';
-import { HangUpStep, hangUpStep } from '../common/hangUp.js';
+import { HangUpAction, hangUpAction } from '../common/hangUp.js';
 import { RequestProgress } from '../common/requestProgress.js';
 import { LatencyWeightedOfTwo } from '../common/serverChoice.js';
 import type { ServerRecord } from '../common/serverRecords.js';
@@ -23,20 +23,20 @@
 
 describe('the action for a request whose caller hung up', () => {
   it.each([
-    [HangUpStep.LetGo, { isIdempotent: true, isAttemptRunning: false, isSent: false }],
-    [HangUpStep.LetGo, { isIdempotent: false, isAttemptRunning: false, isSent: false }],
-    [HangUpStep.Abort, { isIdempotent: true, isAttemptRunning: true, isSent: true }],
-    [HangUpStep.Abort, { isIdempotent: false, isAttemptRunning: true, isSent: false }],
-    [HangUpStep.LetEnd, { isIdempotent: false, isAttemptRunning: true, isSent: true }],
+    [HangUpAction.Dequeue, { isIdempotent: true, isAttemptRunning: false, isSent: false }],
+    [HangUpAction.Dequeue, { isIdempotent: false, isAttemptRunning: false, isSent: false }],
+    [HangUpAction.Abort, { isIdempotent: true, isAttemptRunning: true, isSent: true }],
+    [HangUpAction.Abort, { isIdempotent: false, isAttemptRunning: true, isSent: false }],
+    [HangUpAction.LetFinish, { isIdempotent: false, isAttemptRunning: true, isSent: true }],
   ])('is %s for %o', (step, question) => {
-    expect(hangUpStep(question)).toBe(step);
+    expect(hangUpAction(question)).toBe(step);
   });
 
   it('rules out another attempt', () => {
     const terms = { isIdempotent: true, maximumAttemptCount: 3, deadlineAtMs: 1_000 };
     const progress = new RequestProgress(terms);
     progress.tryStart();
-    expect(progress.noteHangUp(true)).toBe(HangUpStep.Abort);
+    expect(progress.noteHangUp(true)).toBe(HangUpAction.Abort);
     progress.noteEnd('timed-out');
     expect(progress.mayRetry(0)).toBe(false);
     expect(progress.finalFailure(0)).toMatchObject({ kind: 'caller-left', workOutcome: 'unknown' });
