--- a/src/scheduler/common/cellLease.ts
+++ b/src/scheduler/common/cellLease.ts
@@ -1,9 +1,9 @@
 /**
- * Who schedules a cell. The owner raises a heartbeat counter in the table; another daemon takes
- * over after it has seen the counter stand still for a whole lease on its own clock, or for a
- * shorter time once the heartbeat is older than a lease on the table's clock. Clocks of different
- * machines are never compared. Every write of an owner is conditional on the version
- * of the owner row, so a former owner that wakes up from a pause can commit nothing.
+ * The lease that decides which daemon schedules a cell. The owner increments a heartbeat counter
+ * in the table. Another daemon takes over after it has seen the counter unchanged for a whole lease
+ * on its own clock, or for a shorter time if the heartbeat is older than a lease on the table's
+ * clock. Clocks of different machines are never compared. Every write of an owner is conditional on
+ * the version of the owner row, so a former owner that resumes after a pause cannot commit.
  */
 import {
   ABSENT_VERSION,
@@ -26,43 +26,50 @@
 import {
   type CellLeaseTiming,
   nextRenewalAtMs,
-  takeableAtMs,
-  toldDelayMs,
+  takeoverAllowedAtMs,
+  publishedDelayMs,
   type WatchedOwner,
-} from './leasePatience.js';
+} from './cellLeaseTiming.js';
 
-/** The pause after a failed call; a whole heartbeat would be most of a watcher's patience. */
-const FAILED_CALL_PAUSE_MS = 200;
+/**
+ * Delay after a failed call. A whole heartbeat interval would use up most of the time that watchers
+ * wait.
+ */
+const FAILED_CALL_RETRY_DELAY_MS = 200;
 
-/** The table's clock as last read, with when that was on this daemon's clock. */
+/** The table's clock as last read, with the times of the read on this daemon's clock. */
 interface TableClock {
   readonly tableMs: number;
-  /** When the answer was taken in: the table's clock was at least as far by then. */
+  /** When the answer was processed. The table's clock showed at least `tableMs` then. */
   readonly readAtMs: number;
-  /** When it was asked for: the table's clock was no further then. */
+  /** When the call was sent. The table's clock showed at most `tableMs` then. */
   readonly askedAtMs: number;
 }
 
 /** What one daemon knows of a cell's lease. */
 export interface CellLease extends WatchedOwner {
   readonly cell: string;
-  /** Names this life of this process; a restarted daemon is another owner. */
+  /** Identifies this run of the process. A restarted daemon is a different owner. */
   readonly selfId: string;
   readonly isOwner: boolean;
   readonly epoch: number;
   readonly ownerRowVersion: number;
-  /** What the owner row says of leases granted before its epoch. */
+  /** The leases granted before this epoch, as recorded in the owner row. */
   readonly formerLeases: readonly FormerLeases[];
   readonly heartbeatRowVersion: number;
   readonly heartbeatCounter: number;
-  /** When, on the table's clock, the heartbeat that was read was sent at the latest, if it tells. */
+  /**
+   * The latest time on the table's clock at which the heartbeat that was read was sent, if known.
+   */
   readonly heartbeatSentTableMs: number | undefined;
-  /** When the last heartbeat known to be committed was sent. */
-  readonly heldAtMs: number;
-  /** When the first of the acquisitions without an answer was sent; any of them may be stored. */
+  /** When the last heartbeat that is known to be committed was sent. */
+  readonly lastHeartbeatSentAtMs: number;
+  /** When the first of the unanswered acquisitions was sent. Any of them may have committed. */
   readonly acquiringSinceMs: number | undefined;
   readonly tableClock: TableClock | undefined;
-  /** Undefined until a heartbeat tells of it or this daemon starts it. */
+  /**
+   * Undefined until this daemon reads the clock from a heartbeat or starts it as the first owner.
+   */
   readonly cellClock: CellClock | undefined;
   readonly nextStepAtMs: number;
   readonly isStepInFlight: boolean;
@@ -71,7 +78,7 @@
 export const LeaseStepKind = { Watch: 'watch', Acquire: 'acquire', Renew: 'renew' } as const;
 export type LeaseStepKind = (typeof LeaseStepKind)[keyof typeof LeaseStepKind];
 
-/** A table call the lease asks for; at most one is in flight. */
+/** A table call that the lease needs. At most one is in flight. */
 export type LeaseStep =
   | { readonly kind: typeof LeaseStepKind.Watch; readonly request: ReadRequest }
   | {
@@ -91,7 +98,7 @@
   heartbeatCounter: 0,
   heartbeatSentTableMs: undefined,
   unchangedSinceMs: nowMs,
-  heldAtMs: Number.NEGATIVE_INFINITY,
+  lastHeartbeatSentAtMs: Number.NEGATIVE_INFINITY,
   acquiringSinceMs: undefined,
   overdueSinceMs: undefined,
   leastDelayMs: undefined,
@@ -103,17 +110,18 @@
 
 const nextHeartbeat = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): HeartbeatRow => {
   const counter = lease.heartbeatCounter + 1;
-  const leastDelayMs = toldDelayMs(lease, timing);
+  const leastDelayMs = publishedDelayMs(lease, timing);
   const cellMs = lease.cellClock === undefined ? 0 : toCellMs(lease.cellClock, nowMs);
-  const told = {
+  const heartbeat = {
     counter,
     ...(leastDelayMs !== undefined && { leastDelayMs }),
-    ...(timing.isClockKept === true && { cellMs: Math.floor(cellMs) }),
+    ...(timing.writesCellClock === true && { cellMs: Math.floor(cellMs) }),
   };
-  if (lease.tableClock === undefined) return told;
-  // Counted from the sending: by an answer taken in late the heartbeat would look older than it is.
+  if (lease.tableClock === undefined) return heartbeat;
+  // Adds the time since the clock was requested. With the time since an answer that was processed
+  // late, the heartbeat would look older than it is.
   const { tableMs, askedAtMs } = lease.tableClock;
-  return { ...told, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
+  return { ...heartbeat, sentAtTableMs: Math.floor(tableMs + nowMs - askedAtMs) };
 };
 
 const toOwnerRow = (
@@ -163,10 +171,13 @@
   },
 });
 
-/** The owner id of a cell that its last owner has given up. */
+/** The owner id of a cell whose last owner has released it. */
 const NO_OWNER_ID = '';
 
-/** What an owner writes that ends in order, so that another need not wait for its lease. */
+/**
+ * The transaction by which an owner that shuts down releases the cell, so that another daemon need
+ * not wait for the lease to expire.
+ */
 export const releaseTransaction = (lease: CellLease, operationId: string): Transaction => ({
   operationId,
   conditions: [{ key: cellOwnerKey(lease.cell), version: lease.ownerRowVersion }],
@@ -183,7 +194,7 @@
   request: { keys: [cellOwnerKey(lease.cell), cellHeartbeatKey(lease.cell)], prefixes: [] },
 });
 
-/** The next table call, if one is due. `hasWatched` tells a first look from a later one. */
+/** The next table call, if one is due. A daemon takes over only after it has read the heartbeat. */
 export const nextLeaseStep = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -192,15 +203,16 @@
   formerLeases: readonly FormerLeases[] = [],
 ): { readonly lease: CellLease; readonly step: LeaseStep } | undefined => {
   if (lease.isStepInFlight) return undefined;
-  const hasWatched = lease.heartbeatRowVersion >= ABSENT_VERSION;
+  const hasReadHeartbeat = lease.heartbeatRowVersion >= ABSENT_VERSION;
   const hasOwner = lease.ownerRowVersion !== ABSENT_VERSION;
-  const isTakeable = !lease.isOwner && hasWatched && nowMs >= takeableAtMs(lease, hasOwner, timing);
-  // One that is overdue is not left for another heartbeat.
-  if (nowMs < lease.nextStepAtMs && !(isTakeable && lease.overdueSinceMs !== undefined))
+  const isTakeoverAllowed =
+    !lease.isOwner && hasReadHeartbeat && nowMs >= takeoverAllowedAtMs(lease, hasOwner, timing);
+  // An overdue lease is taken over at once, without waiting for the next heartbeat interval.
+  if (nowMs < lease.nextStepAtMs && !(isTakeoverAllowed && lease.overdueSinceMs !== undefined))
     return undefined;
   const inFlight = { ...lease, isStepInFlight: true };
   if (lease.isOwner) return { lease: inFlight, step: renewStep(lease, timing, operationId, nowMs) };
-  if (isTakeable) {
+  if (isTakeoverAllowed) {
     const step = acquireStep(lease, timing, operationId, formerLeases, nowMs);
     const acquiringSinceMs = lease.acquiringSinceMs ?? nowMs;
     return { lease: { ...inFlight, formerLeases, acquiringSinceMs }, step };
@@ -208,7 +220,7 @@
   return { lease: inFlight, step: watchStep(lease) };
 };
 
-const rested = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): CellLease => ({
+const withStepFinished = (lease: CellLease, timing: CellLeaseTiming, nowMs: number): CellLease => ({
   ...lease,
   isStepInFlight: false,
   nextStepAtMs: nowMs + timing.heartbeatIntervalMs,
@@ -222,7 +234,7 @@
 ): TableClock | undefined =>
   tableNowMs === undefined ? lease.tableClock : { tableMs: tableNowMs, readAtMs: nowMs, askedAtMs };
 
-/** The clock goes on from when this daemon first saw the heartbeat that tells of it. */
+/** The cell clock continues from when this daemon first saw the heartbeat that carries it. */
 const cellClockOf = (heartbeat: HeartbeatRow | undefined, nowMs: number): CellClock | undefined =>
   heartbeat?.cellMs === undefined ? undefined : { cellMs: heartbeat.cellMs, asOfMs: nowMs };
 
@@ -235,7 +247,7 @@
   tableNowMs !== undefined &&
   tableNowMs - heartbeat.sentAtTableMs >= ageMs;
 
-/** Takes in the owner and heartbeat rows that a watcher has read. */
+/** Applies the owner and heartbeat rows that a watcher has read. */
 export const withLeaseRows = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -255,8 +267,8 @@
   const isOverdue = isOlderThan(heartbeat, tableNowMs, timing.leaseMs);
   const overdueBeforeMs = isUnchanged ? lease.overdueSinceMs : undefined;
   return {
-    ...rested(lease, timing, nowMs),
-    // Found to be the owner: an acquisition whose answer was lost had taken effect.
+    ...withStepFinished(lease, timing, nowMs),
+    // If this daemon is the owner, an acquisition whose answer was lost has committed.
     isOwner,
     epoch: owner?.epoch ?? 0,
     ownerRowVersion: ownerRow?.version ?? ABSENT_VERSION,
@@ -266,8 +278,10 @@
     heartbeatCounter: heartbeat?.counter ?? 0,
     heartbeatSentTableMs: heartbeat?.sentAtTableMs,
     unchangedSinceMs: isUnchanged ? lease.unchangedSinceMs : nowMs,
-    // Others count from the heartbeat that the acquisition wrote, not from this reading.
-    heldAtMs: isOwner ? (lease.acquiringSinceMs ?? sentAtMs) : lease.heldAtMs,
+    // Other daemons count from the heartbeat that the acquisition wrote, not from this read.
+    lastHeartbeatSentAtMs: isOwner
+      ? (lease.acquiringSinceMs ?? sentAtMs)
+      : lease.lastHeartbeatSentAtMs,
     overdueSinceMs: isOverdue ? (overdueBeforeMs ?? nowMs) : undefined,
     leastDelayMs: heartbeat?.leastDelayMs,
     tableClock: tableClockOf(lease, tableNowMs, sentAtMs, nowMs),
@@ -275,7 +289,7 @@
   };
 };
 
-/** Takes in a committed acquisition or renewal that was sent at `sentAtMs`. */
+/** Applies a committed acquisition or renewal that was sent at `sentAtMs`. */
 export const withLeaseCommitted = (
   lease: CellLease,
   timing: CellLeaseTiming,
@@ -287,7 +301,7 @@
   const isAcquired = kind === LeaseStepKind.Acquire;
   const dueAtMs = isAcquired ? sentAtMs : lease.nextStepAtMs;
   return {
-    ...rested(lease, timing, nowMs),
+    ...withStepFinished(lease, timing, nowMs),
     nextStepAtMs: nextRenewalAtMs(dueAtMs, timing, sentAtMs, nowMs),
     isOwner: true,
     epoch: isAcquired ? lease.epoch + 1 : lease.epoch,
@@ -296,44 +310,47 @@
     heartbeatRowVersion: version,
     heartbeatCounter: lease.heartbeatCounter + 1,
     unchangedSinceMs: nowMs,
-    heldAtMs: sentAtMs,
+    lastHeartbeatSentAtMs: sentAtMs,
     acquiringSinceMs: undefined,
     overdueSinceMs: undefined,
-    leastDelayMs: toldDelayMs(lease, timing),
+    leastDelayMs: publishedDelayMs(lease, timing),
     tableClock: tableClockOf(lease, tableNowMs, sentAtMs, nowMs),
     cellClock: lease.cellClock ?? { cellMs: 0, asOfMs: nowMs },
   };
 };
 
-/** Takes in a conflict: somebody else owns the cell or has been quicker. */
+/** Applies a conflict: another daemon owns the cell or acquired it first. */
 export const withLeaseLost = (
   lease: CellLease,
   timing: CellLeaseTiming,
   nowMs: number,
 ): CellLease => ({
-  ...rested(lease, timing, nowMs),
+  ...withStepFinished(lease, timing, nowMs),
   isOwner: false,
-  // The next look counts as the first, so the whole lease has to pass again.
+  // The next read counts as the first one, so the whole lease has to pass again.
   heartbeatRowVersion: -1,
   unchangedSinceMs: nowMs,
 });
 
-/** For an owner that has yielded and still stands in the row: it may only take the cell anew. */
+/** Applies a yield. The daemon is still in the owner row but has to acquire the cell again. */
 export const withLeaseGivenUp = (lease: CellLease): CellLease => ({
   ...lease,
   isOwner: false,
   isReleased: true,
 });
 
-/** Takes in a failed call. An owner stays owner: while the table is out nobody can take over. */
+/**
+ * Applies a failed call. An owner stays owner, because nobody can take over while the table is
+ * down.
+ */
 export const withLeaseCallFailed = (
   lease: CellLease,
   timing: CellLeaseTiming,
   nowMs: number,
 ): CellLease => ({
-  ...rested(lease, timing, nowMs),
-  nextStepAtMs: nowMs + Math.min(FAILED_CALL_PAUSE_MS, timing.heartbeatIntervalMs),
-  // A lost acquisition may have raised the epoch, so the rows must be read again.
+  ...withStepFinished(lease, timing, nowMs),
+  nextStepAtMs: nowMs + Math.min(FAILED_CALL_RETRY_DELAY_MS, timing.heartbeatIntervalMs),
+  // An acquisition whose answer was lost may have raised the epoch, so the rows are read again.
   heartbeatRowVersion: lease.isOwner ? lease.heartbeatRowVersion : -1,
   unchangedSinceMs: lease.isOwner ? lease.unchangedSinceMs : nowMs,
 });
--- a/src/scheduler/common/cellRows.ts
+++ b/src/scheduler/common/cellRows.ts
@@ -34,19 +34,22 @@
   /** Work rows by shard id. */
   readonly work: ReadonlyMap<string, WorkRow>;
   readonly endpoints: EndpointRow;
-  /** What the cell tells the other cells. */
+  /** The row that the cell publishes for the other cells. */
   readonly exchange: ExchangeRow;
-  /** Workers that must not be granted a lease while they stand here, see `unreachedWorkers.ts`. */
+  /**
+   * When the leases of unreached workers have ended on the cell clock, by worker id. A worker
+   * listed here must not be granted a lease; see `unreachedWorkers.ts`.
+   */
   readonly unreached: ReadonlyMap<string, number>;
   readonly cancelledJobIds: ReadonlySet<string>;
   /** The jobs that each confirmed plan cancelled, by plan id. */
   readonly cancellations: ReadonlyMap<string, CancellationRow>;
-  /** Row versions by key; a key that is missing has version zero. */
+  /** Row versions by key. A missing key has version zero. */
   readonly versions: ReadonlyMap<string, number>;
   /**
-   * The ledger by worker, across racks: a worker that was moved to another rack still has the
-   * assignments of its old one. Commands and rounds would otherwise search all of the cell's
-   * assignments for each worker.
+   * The assignments of the ledger by worker, across racks: a worker that moved to another rack
+   * keeps the assignments in the row of its old rack. The index saves commands and rounds a search
+   * through all of the cell's assignments for each worker.
    */
   readonly assignmentsByWorker: ReadonlyMap<string, readonly Assignment[]>;
 }
@@ -60,8 +63,8 @@
 const isSameList = (left: readonly Assignment[], right: readonly Assignment[]): boolean =>
   left.length === right.length && left.every((assignment, index) => assignment === right[index]);
 
-/** Groups the ledger by worker and keeps the lists of `before` that did not change. */
-export const byWorker = (
+/** Groups the ledger's assignments by worker. Reuses the lists of `before` that did not change. */
+export const groupByWorker = (
   ledger: ReadonlyMap<string, LedgerRow>,
   before: ReadonlyMap<string, readonly Assignment[]>,
 ): ReadonlyMap<string, readonly Assignment[]> => {
@@ -81,23 +84,23 @@
   );
 };
 
-const replicaMemo = new WeakMap<LedgerRow, readonly Assignment[]>();
+const replicasCache = new WeakMap<LedgerRow, readonly Assignment[]>();
 
 /**
- * Assignments of services in a ledger row. Rows are immutable and few change in a round, so the
- * answer is kept with the row: rounds come ten times a second and look at all racks.
+ * Returns the service assignments of a ledger row. The result is cached by row, because rows are
+ * immutable, few change in a round, and a round visits all racks ten times a second.
  */
 export const replicasIn = (row: LedgerRow): readonly Assignment[] => {
-  const known = replicaMemo.get(row);
-  if (known !== undefined) return known;
+  const cached = replicasCache.get(row);
+  if (cached !== undefined) return cached;
   const replicas = row.assignments.filter(
     ({ taskClass }) => taskClass === TaskClass.LatencyCritical,
   );
-  replicaMemo.set(row, replicas);
+  replicasCache.set(row, replicas);
   return replicas;
 };
 
-/** What the owner reads when it takes the cell over or has lost track of it. */
+/** Prefixes of the rows that the owner reads after a takeover or when its rows are in doubt. */
 export const cellPrefixes = (cell: string): readonly string[] => [
   ledgerPrefix(cell),
   workPrefix(cell),
@@ -109,7 +112,7 @@
   cellUnreachedKey(cell),
 ];
 
-const parsedUnder = <Row>(
+const parseRowsUnder = <Row>(
   rows: readonly TableRow[],
   prefix: string,
   parse: (value: JsonValue) => Row,
@@ -130,9 +133,9 @@
     : new Map(Object.entries(unreachedRowSchema.parse(row.value).leasesOverCellMs));
 
 /**
- * Reads the rows of a cell. Rows that have the version known before are taken over without being
- * parsed: each submission has the owner read its cell again, and parsing some 2,500 assignments
- * twice a second would take more of a processor than all the rest of scheduling.
+ * Parses the rows of a cell. Rows whose version did not change since `before` are reused without
+ * parsing: parsing some 2,500 assignments twice a second would take more processor time than all
+ * other scheduling work.
  */
 export const toCellRows = (
   cell: string,
@@ -140,7 +143,7 @@
   before: CellRows | undefined,
 ): CellRows => {
   const isKnown = (row: TableRow): boolean => before?.versions.get(row.key) === row.version;
-  const parsed = <Row>(
+  const parseChanged = <Row>(
     prefix: string,
     known: ReadonlyMap<string, Row> | undefined,
     parse: (value: JsonValue) => Row,
@@ -155,16 +158,16 @@
     );
   const exchangeRow = rows.find((row) => row.key === exchangeKey(cell));
   const endpointRow = rows.find((row) => row.key === endpointKey(cell));
-  const cancellations = parsed(cancellationPrefix(cell), before?.cancellations, (value) =>
+  const cancellations = parseChanged(cancellationPrefix(cell), before?.cancellations, (value) =>
     cancellationRowSchema.parse(value),
   );
-  const ledger = parsed(ledgerPrefix(cell), before?.ledger, (value) =>
+  const ledger = parseChanged(ledgerPrefix(cell), before?.ledger, (value) =>
     ledgerRowSchema.parse(value),
   );
   return {
     ledger,
-    assignmentsByWorker: byWorker(ledger, before?.assignmentsByWorker ?? new Map()),
-    work: parsed(workPrefix(cell), before?.work, (value) => workRowSchema.parse(value)),
+    assignmentsByWorker: groupByWorker(ledger, before?.assignmentsByWorker ?? new Map()),
+    work: parseChanged(workPrefix(cell), before?.work, (value) => workRowSchema.parse(value)),
     endpoints:
       endpointRow === undefined ? { servers: [] } : endpointRowSchema.parse(endpointRow.value),
     exchange: exchangeRow === undefined ? {} : exchangeRowSchema.parse(exchangeRow.value),
@@ -176,8 +179,9 @@
 };
 
 /**
- * Adds rows that submitters and cancelling operators have written, all other rows being known.
- * Undefined when one of `keys` is not among the rows read or is of another kind.
+ * Adds work and cancellation rows that submitters and operators have written; all other rows keep
+ * their state of `before`. Returns undefined if one of `keys` is missing from `rows` or is the key
+ * of another kind of row.
  */
 export const withArrivedRows = (
   cell: string,
@@ -189,8 +193,8 @@
   const arrived = rows.filter(({ key }) => keys.includes(key));
   const isUnknown = ({ key }: TableRow): boolean => !prefixes.some((one) => key.startsWith(one));
   if (arrived.length < new Set(keys).size || arrived.some(isUnknown)) return undefined;
-  const work = parsedUnder(arrived, workPrefix(cell), (value) => workRowSchema.parse(value));
-  const cancelled = parsedUnder(arrived, cancellationPrefix(cell), (value) =>
+  const work = parseRowsUnder(arrived, workPrefix(cell), (value) => workRowSchema.parse(value));
+  const cancelled = parseRowsUnder(arrived, cancellationPrefix(cell), (value) =>
     cancellationRowSchema.parse(value),
   );
   const versions = new Map(before.versions);
@@ -208,16 +212,16 @@
   };
 };
 
-/** What the other cells tell. */
-export const toExchangeElsewhere = (
+/** Parses the exchange rows of all cells but `cell`. */
+export const toOtherCellsExchange = (
   cell: string,
   rows: readonly TableRow[],
 ): ReadonlyMap<string, ExchangeRow> => {
-  const byCell = parsedUnder(rows, EXCHANGE_PREFIX, (value) => exchangeRowSchema.parse(value));
+  const byCell = parseRowsUnder(rows, EXCHANGE_PREFIX, (value) => exchangeRowSchema.parse(value));
   return new Map([...byCell].filter(([other]) => other !== cell));
 };
 
-/** True when nothing of the shard is left to do. */
+/** True if all tasks of the shard have ended. */
 export const isWorkFinished = (row: WorkRow): boolean => row.tasks.every(isEnded);
 
 export const allAssignments = (rows: CellRows): readonly Assignment[] =>
--- a/src/scheduler/test/newCellOwner.test.ts
+++ b/src/scheduler/test/newCellOwner.test.ts
@@ -2,11 +2,11 @@
 
 import { serviceKey } from '../../services/configuration/common/documents.js';
 import { endpointKey, type EndpointRow } from '../../services/workload/common/workRows.js';
-import { expectNoHarm, shard, SIZE, startCell, submit } from './cellFixtures.js';
+import { expectNoViolations, shard, SIZE, startCell, submit } from './cellFixtures.js';
 import { CELL } from './virtualCell.js';
 
 describe('a new owner of a cell', () => {
-  it('does not withdraw services from entry points whose workers it has not heard of yet', () => {
+  it('keeps endpoints published whose workers have not reported to it yet', () => {
     const cell = startCell(2, { workerCount: 12 });
     const service = { name: 'rounds', team: 'kitchen', replicaCount: 24, size: SIZE };
     cell.writeRow(serviceKey('rounds'), { ...service, urgency: 'urgent' });
@@ -17,15 +17,15 @@
     };
     expect(published()).toBe(24);
     Object.assign(cell.owner() ?? {}, { isAlive: false });
-    let least = published();
+    let minimumPublished = published();
     for (let tick = 0; tick < 400; tick += 1) {
       cell.runFor(25);
-      least = Math.min(least, published());
+      minimumPublished = Math.min(minimumPublished, published());
     }
-    expect(least).toBe(24);
+    expect(minimumPublished).toBe(24);
   });
 
-  it('withdraws the services of a worker that answers no owner for a whole lease', () => {
+  it('removes the endpoints of a worker that answers no owner for a whole lease', () => {
     const cell = startCell(2, { workerCount: 12 });
     const service = { name: 'rounds', team: 'kitchen', replicaCount: 24, size: SIZE };
     cell.writeRow(serviceKey('rounds'), { ...service, urgency: 'urgent' });
@@ -36,24 +36,24 @@
       return servers.filter(({ workerId }) => workerId === 'w0').length;
     };
     expect(publishedOnW0()).toBeGreaterThan(0);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     Object.assign(cell.owner() ?? {}, { isAlive: false });
     cell.runFor(5_000 + cell.timing.workerLeaseMs);
     expect(publishedOnW0()).toBe(0);
   });
 
-  it('does not wait anew for a lost worker, however many owners follow', () => {
+  it('does not wait again for a lost worker after each change of owner', () => {
     const cell = startCell(2);
     for (let index = 0; index < 10; index += 1) cell.addDaemon(`e${index}`);
     submit(cell, shard(48, 30_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
-    cell.relist('w0', null);
+    cell.unreachableWorkers.add('w0');
+    cell.updateInstance('w0', null);
     for (let round = 0; round < 8; round += 1) {
       Object.assign(cell.owner() ?? {}, { isAlive: false });
       cell.runFor(30_000);
     }
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
