--- a/src/entry/test/rawBackend.ts
+++ b/src/entry/test/rawBackend.ts
@@ -1,7 +1,7 @@
-/** A backend server made of a bare socket, so that a test decides every byte. */
+/** A backend server on plain sockets, so that a test controls every byte. */
 import { createServer, type Server, type Socket } from 'node:net';
 
-/** Answers one request of a connection; `index` counts the requests of all connections. */
+/** Answers one request on a connection; `index` counts the requests of all connections. */
 export type RawAnswer = (socket: Socket, index: number, head: string) => void;
 
 const HEAD_END = '\r\n\r\n';
@@ -11,21 +11,25 @@
 
   readonly sockets = new Set<Socket>();
 
-  /** The most connections that were open at a time. */
-  mostConnections = 0;
+  /** The highest number of connections that were open at a time. */
+  maximumConnections = 0;
 
   readonly #server: Server;
 
   constructor(answer: RawAnswer) {
     this.#server = createServer((socket) => {
       this.sockets.add(socket);
-      this.mostConnections = Math.max(this.mostConnections, this.sockets.size);
+      this.maximumConnections = Math.max(this.maximumConnections, this.sockets.size);
       socket.on('close', () => this.sockets.delete(socket));
       socket.on('error', () => {});
       let received = '';
       socket.on('data', (chunk) => {
         received += chunk.toString('latin1');
-        for (let end = RawBackend.#end(received); end > 0; end = RawBackend.#end(received)) {
+        for (
+          let end = RawBackend.#firstRequestEnd(received);
+          end > 0;
+          end = RawBackend.#firstRequestEnd(received)
+        ) {
           const head = received.slice(0, received.indexOf(HEAD_END));
           received = received.slice(end);
           this.requests.push(head);
@@ -47,8 +51,8 @@
     this.#server.close();
   }
 
-  /** Where the first whole request ends; zero while it is not whole. */
-  static #end(received: string): number {
+  /** The offset at which the first request ends; zero while it is incomplete. */
+  static #firstRequestEnd(received: string): number {
     const headEnd = received.indexOf(HEAD_END);
     if (headEnd < 0) return 0;
     const length = /content-length: (\d+)/iu.exec(received.slice(0, headEnd))?.[1] ?? '0';
@@ -57,6 +61,6 @@
   }
 }
 
-/** A whole answer with a length. */
+/** A complete answer with a content length. */
 export const wholeAnswer = (body: string, headers = ''): string =>
   `HTTP/1.1 200 OK\r\ncontent-length: ${body.length}\r\n${headers}\r\n${body}`;
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -1,4 +1,4 @@
-/** Records of the tasks of one submission, as the scheduler keeps them in memory. */
+/** The scheduler's in-memory records of a submission, its tasks and their runs. */
 import {
   type Submission,
   SubmissionState,
@@ -11,44 +11,44 @@
 import type { SizeBalance, SizeClass } from './sizeBalance.js';
 
 export const RunState = {
-  /** Has room on its worker; the start is sent once the assignment is stored. */
+  /** Capacity on the worker is taken; the start is sent once the assignment is stored. */
   Assigned: 'assigned',
   /** The start has been sent and has no answer yet. */
   Starting: 'starting',
-  /** The start got no answer: it may have been carried out, or may yet be. */
+  /** The start got no answer: the worker may have carried it out, or may still do so. */
   Unanswered: 'unanswered',
   Running: 'running',
-  /** A stop is wanted; the run keeps its room until the worker no longer lists it. */
+  /** The run is to be stopped; it keeps its capacity until the worker no longer lists it. */
   Stopping: 'stopping',
 } as const;
 export type RunState = (typeof RunState)[keyof typeof RunState];
 
-/** One run of a task on one worker. Its room is taken for as long as the record exists. */
+/** One run of a task on one worker. It takes capacity there as long as the record exists. */
 export interface TaskRun {
   readonly task: TaskRecord;
   readonly run: number;
   readonly workerId: string;
   state: RunState;
-  /** When the last order about the run was answered; a list asked for earlier may lack it. */
+  /** When the last order about the run was answered; a list requested earlier may lack the run. */
   settledAtMs: number;
   startedAtMs: number;
   isStopInFlight: boolean;
   isStopConfirmed: boolean;
   workedPercent: number;
-  /** What the worker listed of it first. */
+  /** The progress that the worker first listed for the run, and when. */
   firstListed: { readonly percent: number; readonly atMs: number } | undefined;
   /** Since when `workedPercent` has not changed. */
-  percentSinceMs: number;
+  percentUnchangedSinceMs: number;
   recentFigure: number;
-  /** How far the tail of a serving task is from its target, smoothed; see `headroom.ts`. */
+  /** How far the tail latency of a serving task is from its target, smoothed; see `headroom.ts`. */
   headroom: number;
-  /** Since when the tail is likely over its target. */
-  overSinceMs: number | undefined;
+  /** Since when the tail latency has likely been over its target. */
+  overTargetSinceMs: number | undefined;
   pacePercent: number;
-  /** The pace planned at placement, or the highest one set since. */
+  /** The pace planned at placement, or the highest pace set since then. */
   plannedPercent: number;
   /** When the pace was last lowered. */
-  pacedSinceMs: number;
+  paceLoweredAtMs: number;
 }
 
 export interface TaskRecord {
@@ -57,8 +57,8 @@
   readonly stepIndex: number;
   readonly index: number;
   readonly step: Step;
-  /** The task's place among all tasks of all occurrences; names it in the stored progress. */
-  readonly place: number;
+  /** Position among all tasks of all occurrences; identifies the task in the stored progress. */
+  readonly position: number;
   readonly name: string;
   isDone: boolean;
   readonly runs: TaskRun[];
@@ -77,7 +77,7 @@
   readonly openCounts: number[];
 }
 
-/** A run of a former owner, as its assignment is stored. */
+/** A run that a former owner assigned, as read from the stored assignments. */
 export interface InheritedRun {
   readonly workerId: string;
   readonly run: number;
@@ -92,16 +92,17 @@
 
 export interface SubmissionRecord {
   readonly submission: Submission;
-  /** Rises in the order in which the scheduler learnt of submissions. */
+  /** Increases in the order in which the scheduler learnt of the submissions. */
   readonly order: number;
   readonly occurrences: Map<number, OccurrenceRecord>;
-  readonly initial: Progress;
-  /** Occurrences of which every task has ended well. */
+  /** The progress that was stored when the record was created. */
+  readonly initialProgress: Progress;
+  /** Occurrences whose tasks are all done. */
   readonly finishedOccurrences: Set<number>;
   nextOccurrence: number;
   state: SubmissionState;
   hasStarted: boolean;
-  /** Runs that former owners may have started, by the task's place. */
+  /** Runs that former owners may have started, by the position of their task. */
   readonly inheritedRuns: ReadonlyMap<number, readonly InheritedRun[]>;
   learntAtMs: number;
   /** Estimated processor time of all tasks of one occurrence. */
@@ -109,9 +110,9 @@
   /** Totals over the submissions of its queue. */
   readonly queueWork: QueueWork;
   readonly sizeClass: SizeClass;
-  /** Whether its queue's balance of sizes counts it. */
-  isCounted: boolean;
-  /** Comes first in its queue, as too few of its size are served. */
+  /** Whether the size balance of its queue counts it. */
+  isInSizeBalance: boolean;
+  /** Whether it comes first in its queue because too few submissions of its size are served. */
   isReserved: boolean;
 }
 
@@ -122,7 +123,7 @@
   index: number,
 ): string => `${id}.${occurrence}.${stepIndex}.${index}`;
 
-/** Names the tasks of one step in one occurrence. */
+/** Identifies one step in one occurrence of a submission. */
 export const stepName = ({ submission, occurrence, stepIndex }: TaskRecord): string =>
   `${submission.submission.id}.${occurrence}.${stepIndex}`;
 
@@ -133,7 +134,7 @@
   readonly index: number;
 }
 
-/** The parts of a task's name, or undefined for what is no task's name. */
+/** Returns the parts of a task's name, or undefined if the text is not a task's name. */
 export const parseTaskName = (name: string): TaskAddress | undefined => {
   const [id, ...rest] = name.split('.');
   const [occurrence, stepIndex, index] = rest.map(Number);
@@ -153,16 +154,16 @@
 
 export const NO_ASSIGNMENTS: Assignments = {};
 
-/** Stands in stored assignments for the worker of a task that lasts and waits to start again. */
+/** The id under which stored assignments list persistent tasks that wait to start again. */
 export const NO_WORKER_ID = '';
 
 const toInheritedRuns = (assignments: Assignments): SubmissionRecord['inheritedRuns'] => {
   const runs = new Map<number, InheritedRun[]>();
   Object.entries(assignments).forEach(([workerId, pairs]) => {
     for (let index = 0; index + 1 < pairs.length; index += 2) {
-      const place = pairs[index] as number;
+      const position = pairs[index] as number;
       const run = pairs[index + 1] as number;
-      runs.set(place, [...(runs.get(place) ?? []), { workerId, run }]);
+      runs.set(position, [...(runs.get(position) ?? []), { workerId, run }]);
     }
   });
   return runs;
@@ -188,7 +189,7 @@
     submission,
     order,
     occurrences: new Map(),
-    initial: progress,
+    initialProgress: progress,
     finishedOccurrences: new Set(),
     nextOccurrence: 0,
     state: progress.state,
@@ -198,39 +199,39 @@
     processorMs,
     queueWork,
     sizeClass: queueWork.balance.classify(processorMs),
-    isCounted: false,
+    isInSizeBalance: false,
     isReserved: false,
   };
 };
 
-/** Counts the submission in its queue's balance of sizes. */
-export const countOnce = (record: SubmissionRecord): void => {
-  if (record.isCounted) return;
-  record.isCounted = true;
+/** Counts the submission in the size balance of its queue, once. */
+export const countInSizeBalance = (record: SubmissionRecord): void => {
+  if (record.isInSizeBalance) return;
+  record.isInSizeBalance = true;
   record.queueWork.balance.count(record.sizeClass);
 };
 
 const tasksOfOccurrence = (submission: Submission): number =>
   submission.steps.reduce((sum, step) => sum + step.taskCount, 0);
 
-/** Occurrences of which the stored progress or assignments name a task, and those before them. */
-export const begunOccurrenceCount = (record: SubmissionRecord): number => {
-  const { submission, initial, inheritedRuns } = record;
-  const failedPlaces = Object.keys(initial.failedRuns).map(Number);
-  const places = [...initial.done, ...failedPlaces, ...inheritedRuns.keys()];
-  const last = places.reduce((highest, place) => Math.max(highest, place), -1);
+/** Counts the occurrences up to the last one with a task in the stored progress or assignments. */
+export const startedOccurrenceCount = (record: SubmissionRecord): number => {
+  const { submission, initialProgress, inheritedRuns } = record;
+  const failedPositions = Object.keys(initialProgress.failedRuns).map(Number);
+  const positions = [...initialProgress.done, ...failedPositions, ...inheritedRuns.keys()];
+  const last = positions.reduce((highest, position) => Math.max(highest, position), -1);
   return Math.ceil((last + 1) / Math.max(1, tasksOfOccurrence(submission)));
 };
 
-/** Makes the tasks of an occurrence, with what is stored of them. */
+/** Creates the task records of an occurrence from its stored progress. */
 export const openOccurrence = (
   record: SubmissionRecord,
   occurrence: number,
   nowMs: number,
 ): OccurrenceRecord => {
-  const { submission, initial } = record;
-  const done = new Set(initial.done);
-  let place = occurrence * tasksOfOccurrence(submission);
+  const { submission, initialProgress } = record;
+  const done = new Set(initialProgress.done);
+  let position = occurrence * tasksOfOccurrence(submission);
   const tasks = submission.steps.map((step, stepIndex) =>
     Array.from({ length: step.taskCount }, (_, index): TaskRecord => {
       const task: TaskRecord = {
@@ -239,17 +240,17 @@
         stepIndex,
         index,
         step,
-        place,
+        position,
         name: taskName(submission.id, occurrence, stepIndex, index),
-        isDone: done.has(place),
+        isDone: done.has(position),
         runs: [],
         lastRun: 0,
-        failedRuns: [...(initial.failedRuns[place] ?? [])],
+        failedRuns: [...(initialProgress.failedRuns[position] ?? [])],
         checkpoint: '',
         notBeforeMs: nowMs,
         waitingSinceMs: nowMs,
       };
-      place += 1;
+      position += 1;
       return task;
     }),
   );
@@ -259,7 +260,7 @@
   return opened;
 };
 
-/** Whether all tasks of the steps that a step waits for have ended well. */
+/** Whether all tasks of the steps that this step waits for are done. */
 export const isStepReady = (opened: OccurrenceRecord, stepIndex: number): boolean => {
   const step = opened.tasks[stepIndex]?.[0]?.step;
   return step !== undefined && step.after.every((earlier) => opened.openCounts[earlier] === 0);
@@ -270,26 +271,26 @@
 export const allOccurrencesDone = (record: SubmissionRecord): boolean =>
   record.finishedOccurrences.size >= runsOfSteps(record.submission);
 
-/** What a run takes of the worker's room: a filler's processors are not counted. */
+/** The capacity that a run takes on its worker; a filler's processors are not counted. */
 export const countedSize = (step: Step): Resources =>
   step.isFiller ? { ...step.size, processorMillis: 0 } : step.size;
 
-/** The progress as it is stored. */
+/** Returns the progress in its stored form. */
 export const toProgress = (record: SubmissionRecord): Progress => {
-  const done = new Set(record.initial.done);
+  const done = new Set(record.initialProgress.done);
   const failedRuns: Record<string, number[]> = {};
-  Object.entries(record.initial.failedRuns).forEach(([place, runs]) => {
-    failedRuns[place] = [...runs];
+  Object.entries(record.initialProgress.failedRuns).forEach(([position, runs]) => {
+    failedRuns[position] = [...runs];
   });
   record.occurrences.forEach(({ tasks }) =>
     tasks.flat().forEach((task) => {
-      if (task.isDone) done.add(task.place);
+      if (task.isDone) done.add(task.position);
       if (task.failedRuns.length > 0 && !task.step.isPersistent) {
-        failedRuns[task.place] = task.failedRuns;
+        failedRuns[task.position] = task.failedRuns;
       }
     }),
   );
-  // What has ended needs no list of its tasks any more: the state says it all.
+  // For a submission that has ended, the state is enough; its tasks are not listed.
   const isFinal = isFinalState(record.state);
   return {
     state: record.state,
@@ -298,15 +299,15 @@
   };
 };
 
-/** Whether the task waits although its users have been served before. */
+/** Whether a persistent task that has run before is not running, so that users lack its service. */
 export const isInterrupted = ({ step, runs, lastRun }: TaskRecord): boolean =>
   step.isPersistent && runs.length === 0 && lastRun > 0;
 
-/** The assignments as they are stored. */
+/** Returns the assignments in their stored form. */
 export const toAssignments = (record: SubmissionRecord): Assignments => {
   const assignments: Record<string, number[]> = {};
-  const add = (workerId: string, { place }: TaskRecord, run: number): void => {
-    assignments[workerId] = [...(assignments[workerId] ?? []), place, run];
+  const add = (workerId: string, { position }: TaskRecord, run: number): void => {
+    assignments[workerId] = [...(assignments[workerId] ?? []), position, run];
   };
   record.occurrences.forEach(({ tasks }) =>
     tasks.flat().forEach((task) => {
@@ -317,7 +318,7 @@
   return assignments;
 };
 
-/** Failed runs of a task, or of the whole gang that it belongs to. */
+/** Counts the failed runs of a task, or of its whole gang if it belongs to one. */
 export const failureCount = (task: TaskRecord): number => {
   if (!task.step.isGang) return task.failedRuns.length;
   const opened = task.submission.occurrences.get(task.occurrence);
--- a/src/scheduler/common/staleness.ts
+++ b/src/scheduler/common/staleness.ts
@@ -1,10 +1,10 @@
-/** Which workers' messages and whether the round have to be worked out anew after a change. */
+/** Marks the round and worker commands as stale after a change, so that they are computed again. */
 import type { CellRows } from './cellRows.js';
 import type { CellState } from './cellState.js';
 import { surplusTaskIds } from './wantedEvictions.js';
 import type { WorkerView } from './workerView.js';
 
-/** Has every worker's message and the round worked out anew. */
+/** Marks the round and the commands of all workers as stale. */
 export const withAllStale = (state: CellState): CellState => ({
   ...state,
   isRoundStale: true,
@@ -12,26 +12,28 @@
   workers: new Map(
     [...state.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      view.isMessageStale ? view : { ...view, isMessageStale: true },
+      view.isCommandStale ? view : { ...view, isCommandStale: true },
     ]),
   ),
 });
 
-/** Has the messages worked out anew of those workers whose assignments changed. */
+/**
+ * Applies new rows. Marks the round and the commands of workers whose assignments changed as stale.
+ */
 export const withNewRows = (state: CellState, rows: CellRows): CellState => {
-  const before = state.lastRows?.assignmentsByWorker;
+  const before = state.lastKnownRows?.assignmentsByWorker;
   const isSame = (workerId: string): boolean =>
     before !== undefined && before.get(workerId) === rows.assignmentsByWorker.get(workerId);
   const workers = new Map(
     [...state.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      isSame(id) ? view : { ...view, isMessageStale: true },
+      isSame(id) ? view : { ...view, isCommandStale: true },
     ]),
   );
   const unreachedWorkerIds = new Set(rows.unreached.keys());
   const next = {
     ...state,
-    ...{ rows, lastRows: rows, unreachedWorkerIds, workers },
+    ...{ rows, lastKnownRows: rows, unreachedWorkerIds, workers },
     isRoundStale: true,
   };
   const surplus = surplusTaskIds(next);
@@ -39,5 +41,8 @@
   return { ...next, surplusTaskIds: surplus };
 };
 
-/** After a conflict or a lost answer nothing may depend on the rows until they are read again. */
+/**
+ * Drops the rows after a conflict or a lost answer, so that nothing depends on them until they are
+ * read again.
+ */
 export const withRowsInDoubt = (state: CellState): CellState => ({ ...state, rows: undefined });
--- a/src/scheduler/common/workerCommands.ts
+++ b/src/scheduler/common/workerCommands.ts
@@ -1,4 +1,4 @@
-/** Derives the message to a worker from the committed ledger and the worker's last report. */
+/** Derives the command to a worker from the committed ledger and the worker's last report. */
 import {
   type StartRequest,
   type TaskAttempt,
@@ -13,7 +13,7 @@
 import { isEvictionWanted } from './wantedEvictions.js';
 import {
   attemptKey,
-  type QuietRenewal,
+  type RepeatableRenewal,
   reportedTask,
   startKey,
   type WorkerView,
@@ -21,13 +21,13 @@
 } from './workerView.js';
 
 export interface PlannedCommand {
-  /** Undefined when there is nothing to say. */
+  /** Undefined if there is nothing to send. */
   readonly command: WorkerCommand | undefined;
   readonly view: WorkerView;
 }
 
-/** Until the first report nothing can be asked but who the worker is. */
-const firstContact = (state: CellState): WorkerCommand => ({
+/** An empty command. Before the first report it only asks a worker for its incarnation. */
+const emptyCommand = (state: CellState): WorkerCommand => ({
   incarnation: '',
   cellEpoch: state.lease.epoch,
   renewals: [],
@@ -38,10 +38,10 @@
 });
 
 /**
- * Nothing starts on what is stale. A start needs a recent proof that the zone is in use: the
- * configuration read, or the commit that named the zone's row. The start itself is good only
- * until an instant on the worker's clock counted from its last report. A withdrawal accepted
- * after the proof is thus followed by no start later than the two spans together.
+ * True if starts are allowed. A start needs a recent proof that the zone is in use: a configuration
+ * read, or a commit that required the version of the zone row. In addition, each start is valid
+ * only up to a time on the worker's clock, counted from its last report. Tasks can therefore start
+ * after an accepted withdrawal for at most the sum of both durations.
  */
 export const isStartAllowed = (state: CellState, nowMs: number): boolean => {
   if (state.withdrawnSinceMs !== undefined || state.configuration === undefined) return false;
@@ -67,13 +67,14 @@
 
 const toAttempt = ({ taskId, attempt }: TaskAttempt): TaskAttempt => ({ taskId, attempt });
 
-/** What a transaction in flight takes off the worker: it is neither started nor renewed. */
-const isLeaving = (state: CellState, assignment: Assignment): boolean =>
+/** True if a transaction in flight drops the assignment. It is then neither started nor renewed. */
+const isBeingDropped = (state: CellState, assignment: Assignment): boolean =>
   state.pending?.kind === 'commit' && state.pending.droppedAttempts.has(attemptKey(assignment));
 
 /**
- * Starts of committed attempts that the worker has not reported. An attempt that a transaction
- * in flight takes back is left out: the next attempt could run elsewhere as soon as it commits.
+ * Committed attempts to start: those that the worker has not reported. An attempt that a
+ * transaction in flight drops is left out, because the next attempt may run elsewhere once it
+ * commits.
  */
 const wantedStarts = (
   state: CellState,
@@ -85,22 +86,23 @@
     (assignment) =>
       reportedTask(view, assignment) === undefined &&
       !evicted.has(assignment) &&
-      !isLeaving(state, assignment),
+      !isBeingDropped(state, assignment),
   );
 
 /**
- * Renewals go by the last rows known for certain, also while a lost answer leaves them in doubt:
- * with the table out for minutes the tasks would lapse otherwise. This is safe, since a task
- * that the lost transaction took off the worker has surely ended there and cannot be renewed.
+ * The assignments whose leases are renewed, from the last known rows. They are used even after a
+ * lost answer, because otherwise the tasks' leases would lapse while the table is down for minutes.
+ * This is safe: a task that the lost transaction dropped has already ended on the worker, so its
+ * lease cannot be renewed.
  */
 const renewableAssignments = (state: CellState, workerId: string): readonly Assignment[] => {
-  const rows = state.rows ?? state.lastRows;
+  const rows = state.rows ?? state.lastKnownRows;
   return rows === undefined ? [] : assignmentsOf(rows, workerId);
 };
 
 /**
- * Throttles that the worker does not report to be in force. Going by its report, a message that
- * was lost is repeated, and a worker that forgot a throttle is told again.
+ * Throttles that the worker does not report as active. Comparing with the report repeats a throttle
+ * whose command was lost or that the worker has forgotten.
  */
 const wantedThrottles = (
   state: CellState,
@@ -109,13 +111,13 @@
   evicted: ReadonlySet<Assignment>,
 ): WorkerCommand['throttles'] => {
   const shares = state.interference.controls.get(view.instance.id)?.shares;
-  // Switched off, it takes back what was throttled while it was on.
-  const otherwise = state.timing.interference.isEnabled ? undefined : 1;
-  const leaving = new Set([...evicted].map(attemptKey));
+  // If interference control is disabled, throttles that it set before are removed.
+  const defaultShare = state.timing.interference.isEnabled ? undefined : 1;
+  const evictedKeys = new Set([...evicted].map(attemptKey));
   return report.tasks.flatMap((task) => {
     const key = attemptKey(task);
-    const processorShare = shares?.get(key) ?? otherwise;
-    if (task.state !== WorkerTaskState.Running || leaving.has(key)) return [];
+    const processorShare = shares?.get(key) ?? defaultShare;
+    if (task.state !== WorkerTaskState.Running || evictedKeys.has(key)) return [];
     if (processorShare === undefined || processorShare === (task.processorShare ?? 1)) return [];
     return [{ ...toAttempt(task), processorShare }];
   });
@@ -140,27 +142,29 @@
   const leaseUntilWorkerMs = report.workerNowMs + state.timing.workerLeaseMs;
   const startBeforeWorkerMs = report.workerNowMs + state.timing.startValidityMs;
   const wanted = wantedStarts(state, view, current, evicted);
-  const mayGrant = !state.unreachedWorkerIds.has(view.instance.id);
-  const starts = mayGrant && isStartAllowed(state, nowMs) ? wanted : [];
-  const listed = new Set(assignments.map(attemptKey));
-  const strays =
-    rows === undefined ? [] : report.tasks.filter((task) => !listed.has(attemptKey(task)));
+  const mayGrantLeases = !state.unreachedWorkerIds.has(view.instance.id);
+  const starts = mayGrantLeases && isStartAllowed(state, nowMs) ? wanted : [];
+  const assignedKeys = new Set(assignments.map(attemptKey));
+  const unassignedTasks =
+    rows === undefined ? [] : report.tasks.filter((task) => !assignedKeys.has(attemptKey(task)));
   const unrecorded = rows === undefined ? new Set() : unrecordedFinishes(rows, view);
-  const runningStrays = strays.filter((task) => task.state === WorkerTaskState.Running);
-  // A stored bound of the worker's leases has to be taken back before any is granted.
-  const renewals = mayGrant ? renewableAssignments(state, view.instance.id) : [];
+  const runningUnassigned = unassignedTasks.filter(
+    (task) => task.state === WorkerTaskState.Running,
+  );
+  // No lease is granted while the worker's lease bound is stored in the unreached row.
+  const renewals = mayGrantLeases ? renewableAssignments(state, view.instance.id) : [];
   const command = {
     incarnation: report.incarnation,
     cellEpoch: state.lease.epoch,
     renewals: renewals
-      .filter((one) => isOfIncarnation(one) && isRunning(one) && !isLeaving(state, one))
+      .filter((one) => isOfIncarnation(one) && isRunning(one) && !isBeingDropped(state, one))
       .map((assignment) => ({ ...toAttempt(assignment), leaseUntilWorkerMs })),
     starts: starts.map((assignment) =>
       toStart(assignment, startBeforeWorkerMs, leaseUntilWorkerMs),
     ),
-    evictions: [...[...evicted].filter(isRunning), ...runningStrays].map(toAttempt),
+    evictions: [...[...evicted].filter(isRunning), ...runningUnassigned].map(toAttempt),
     throttles: wantedThrottles(state, view, report, evicted),
-    acknowledgements: strays
+    acknowledgements: unassignedTasks
       .filter((task) => task.state !== WorkerTaskState.Running && !unrecorded.has(task.taskId))
       .map(toAttempt),
   };
@@ -168,57 +172,58 @@
 };
 
 /**
- * The attempts of a message that does nothing but renew all that the worker has been given, with
- * what they were worked out from; undefined for any other message.
+ * The attempts of a command that only renews all of the worker's assignments, with the inputs that
+ * they were computed from. Undefined for any other command.
  */
-const toQuiet = (
+const toRepeatableRenewal = (
   state: CellState,
   view: WorkerView,
   { incarnation, renewals, throttles }: WorkerCommand,
   keys: ReadonlySet<string>,
-): QuietRenewal | undefined => {
+): RepeatableRenewal | undefined => {
   const assignments = state.rows?.assignmentsByWorker.get(view.instance.id);
   if (assignments === undefined || keys.size + throttles.length > 0) return undefined;
-  const isAll = renewals.length === assignments.length && renewals.length === view.tasks.size;
-  if (!isAll) return undefined;
+  const renewsAll = renewals.length === assignments.length && renewals.length === view.tasks.size;
+  if (!renewsAll) return undefined;
   return { assignments, tasks: view.tasks, incarnation, attempts: renewals.map(toAttempt) };
 };
 
 /**
- * The renewal that repeats the last message, when surely nothing else is to be said. Made for 123
- * workers that are each told once a second what they were told before: to work it out took a third
- * of all deciding. The assignments and the report's tasks are the very same objects. Whatever else
- * a message depends on either marks it as stale (the list of instances, the configuration, a start
- * held back) or is ruled out here: a withdrawn zone with its drain time, surplus replicas, work that
- * makes room or is cancelled, and attempts that a transaction under way takes off. A new reason to
- * say something belongs into one of the two.
+ * Returns a command that repeats the last renewal if nothing else can be due; otherwise undefined.
+ * With 123 workers that each get the same renewal once a second, computing the commands took a
+ * third of the decision time.
+ *
+ * The assignments and the report's tasks must be the same objects as before. Every other input of a
+ * command either marks it as stale (the instance list, the configuration, a withheld start) or is
+ * checked here: a withdrawn zone with its drain time, surplus replicas, preempted or cancelled
+ * work, and attempts that a transaction in flight drops. A new input must do one of the two.
  */
-const quietCommand = (
+const repeatRenewal = (
   state: CellState,
   view: WorkerView,
   report: WorkerReport,
 ): WorkerCommand | undefined => {
-  const { quiet } = view;
-  if (quiet === undefined || view.isMessageStale || state.withdrawnSinceMs !== undefined) {
+  const { repeatableRenewal: repeatable } = view;
+  if (repeatable === undefined || view.isCommandStale || state.withdrawnSinceMs !== undefined) {
     return undefined;
   }
-  // A worker that forgets a throttle does so without any other change in its report.
+  // A worker may forget a throttle without any other change in its report.
   const shares = state.interference.controls.get(view.instance.id)?.shares.values() ?? [];
   const isThrottling = [...shares].some((share) => share < 1);
   const cancelledCount = state.rows?.cancelledJobIds.size ?? 0;
-  const otherCount = state.surplusTaskIds.size + state.preempted.size + cancelledCount;
-  if (isThrottling || otherCount > 0) return undefined;
+  const changeCount = state.surplusTaskIds.size + state.preempted.size + cancelledCount;
+  if (isThrottling || changeCount > 0) return undefined;
   if (state.pending?.kind === 'commit' && state.pending.droppedAttempts.size > 0) return undefined;
   const isSame =
-    state.rows?.assignmentsByWorker.get(view.instance.id) === quiet.assignments &&
-    view.tasks === quiet.tasks &&
-    report.incarnation === quiet.incarnation;
+    state.rows?.assignmentsByWorker.get(view.instance.id) === repeatable.assignments &&
+    view.tasks === repeatable.tasks &&
+    report.incarnation === repeatable.incarnation;
   if (!isSame) return undefined;
   const leaseUntilWorkerMs = report.workerNowMs + state.timing.workerLeaseMs;
   return {
-    ...firstContact(state),
+    ...emptyCommand(state),
     incarnation: report.incarnation,
-    renewals: quiet.attempts.map(({ taskId, attempt }) => ({
+    renewals: repeatable.attempts.map(({ taskId, attempt }) => ({
       taskId,
       attempt,
       leaseUntilWorkerMs,
@@ -226,8 +231,8 @@
   };
 };
 
-/** Starts, evictions, throttles and acknowledgements as keys, to tell what was not told yet. */
-const newsKeys = (command: WorkerCommand): ReadonlySet<string> =>
+/** Keys of the starts, evictions, throttles and acknowledgements, to find those not sent yet. */
+const instructionKeys = (command: WorkerCommand): ReadonlySet<string> =>
   new Set([
     ...command.starts.map(startKey),
     ...command.evictions.map((attempt) => `evict ${attemptKey(attempt)}`),
@@ -235,36 +240,39 @@
     ...command.acknowledgements.map((attempt) => `forget ${attemptKey(attempt)}`),
   ]);
 
-/** True while the owner may renew leases although it cannot reach the table. */
-const mayRenew = (state: CellState, nowMs: number): boolean =>
-  nowMs - state.lease.heldAtMs <= state.timing.maximumRenewalWithoutTableMs;
+/** True while the owner may renew leases without having reached the table. */
+const mayRenewLeases = (state: CellState, nowMs: number): boolean =>
+  nowMs - state.lease.lastHeartbeatSentAtMs <= state.timing.maximumRenewalWithoutTableMs;
 
-/** The view after `command` was sent: what it grants bounds when the worker may be given up. */
-const withSent = (
+/**
+ * The time bounds in the view after `command` was sent. They determine when the worker may be given
+ * up.
+ */
+const boundsAfterSending = (
   state: CellState,
   view: WorkerView,
   report: WorkerReport,
   command: WorkerCommand,
-): Pick<WorkerView, 'leasesOverAtMs' | 'startsGoodUntilWorkerMs'> => {
+): Pick<WorkerView, 'leasesOverAtMs' | 'startsValidUntilWorkerMs'> => {
   const grantsLease = command.renewals.length + command.starts.length > 0;
-  // The report was made before it was received, so a lease counted from it ends by then.
+  // The report was made before it was received, so a lease counted from the report ends by then.
   const grantedUntilMs = view.reportedAtMs + withDriftMargin(state.timing.workerLeaseMs);
   const startBeforeWorkerMs = report.workerNowMs + state.timing.startValidityMs;
   return {
     leasesOverAtMs: grantsLease
       ? Math.max(view.leasesOverAtMs, grantedUntilMs)
       : view.leasesOverAtMs,
-    startsGoodUntilWorkerMs:
+    startsValidUntilWorkerMs:
       command.starts.length > 0
-        ? Math.max(view.startsGoodUntilWorkerMs, startBeforeWorkerMs)
-        : view.startsGoodUntilWorkerMs,
+        ? Math.max(view.startsValidUntilWorkerMs, startBeforeWorkerMs)
+        : view.startsValidUntilWorkerMs,
   };
 };
 
 /**
- * The next message to one worker: at each renewal, and at once when there is news. Made for a
- * cell of 123 workers with some 140 events a second: a worker about which nothing has changed
- * costs two comparisons, not a search through the ledger.
+ * Plans the next command to a worker: at each renewal, and at once if there is a new instruction.
+ * A cell of 123 workers has some 140 events a second, so a worker without changes costs only two
+ * comparisons instead of a search through the ledger.
  */
 export const planCommand = (
   state: CellState,
@@ -273,31 +281,34 @@
 ): PlannedCommand | undefined => {
   if (view.isCommandInFlight) return undefined;
   const isRenewalDue = nowMs - view.commandSentAtMs >= state.timing.workerRenewalIntervalMs;
-  if ((!isRenewalDue && !view.isMessageStale) || !mayRenew(state, nowMs)) return undefined;
+  if ((!isRenewalDue && !view.isCommandStale) || !mayRenewLeases(state, nowMs)) return undefined;
   const sent = { ...view, commandSentAtMs: nowMs, isCommandInFlight: true };
   const { report } = view;
   if (report === undefined) {
-    return isRenewalDue ? { command: firstContact(state), view: sent } : undefined;
+    return isRenewalDue ? { command: emptyCommand(state), view: sent } : undefined;
   }
-  const repeated = quietCommand(state, view, report);
+  const repeated = repeatRenewal(state, view, report);
   if (repeated !== undefined) {
-    return { command: repeated, view: { ...sent, ...withSent(state, view, report, repeated) } };
+    return {
+      command: repeated,
+      view: { ...sent, ...boundsAfterSending(state, view, report, repeated) },
+    };
   }
   const { command, withheldCount } = commandFor(state, view, report, nowMs);
-  // With the rows in doubt nothing but renewals is sent, so what is due has to be found again.
-  const isMessageStale = withheldCount > 0 || state.rows === undefined;
-  const keys = newsKeys(command);
-  if (!isRenewalDue && [...keys].every((key) => view.toldKeys.has(key))) {
-    return { command: undefined, view: { ...view, isMessageStale, quiet: undefined } };
+  // While the rows are in doubt only renewals are sent, so the command has to be computed again.
+  const isCommandStale = withheldCount > 0 || state.rows === undefined;
+  const keys = instructionKeys(command);
+  if (!isRenewalDue && [...keys].every((key) => view.sentKeys.has(key))) {
+    return { command: undefined, view: { ...view, isCommandStale, repeatableRenewal: undefined } };
   }
   return {
     command,
     view: {
       ...sent,
-      ...withSent(state, view, report, command),
-      isMessageStale,
-      toldKeys: keys,
-      quiet: toQuiet(state, view, command, keys),
+      ...boundsAfterSending(state, view, report, command),
+      isCommandStale,
+      sentKeys: keys,
+      repeatableRenewal: toRepeatableRenewal(state, view, command, keys),
     },
   };
 };
--- a/src/scheduler/test/fleet/randomFaults.ts
+++ b/src/scheduler/test/fleet/randomFaults.ts
@@ -1,4 +1,4 @@
-/** Faults of random runs, drawn from the seed of the world that they disturb. */
+/** Injects random faults into a simulated fleet, drawn from the fleet's random source. */
 import { CheckIns } from './checkIns.js';
 import type { FleetWorld } from './fleetWorld.js';
 import { noFaults } from './worldFaults.js';
@@ -7,14 +7,14 @@
 const LONGEST_CUT_MS = 9_000;
 const LONGEST_RESTART_MS = 1_000;
 const LONGEST_LAPSE_MS = 12_000;
-/** An entry that is back within this time belongs to a worker that was there all along. */
+/** An entry that is back within this time belongs to a worker that never went away. */
 const SHORT_LAPSE_MS = 2_000;
 
-export const disturb = (world: FleetWorld): void => {
+export const injectBasicFault = (world: FleetWorld): void => {
   const { random } = world;
-  const worker = `worker-${random.nextIndex(4)}`;
-  const seat = random.nextIndex(3);
-  const model = world.workers.get(worker);
+  const workerId = `worker-${random.nextIndex(4)}`;
+  const slotIndex = random.nextIndex(3);
+  const model = world.workers.get(workerId);
   switch (random.nextIndex(12)) {
     case 0:
       model?.crash();
@@ -23,17 +23,17 @@
       if (model?.isUp === false) model.restart(world.nowMs);
       break;
     case 2:
-      world.cutWorkers.add(worker);
+      world.cutWorkers.add(workerId);
       break;
     case 3:
     case 4:
       world.cutWorkers.clear();
       break;
     case 5:
-      world.killScheduler(seat);
+      world.killScheduler(slotIndex);
       break;
     case 6:
-      if (world.seats[seat]?.scheduler === undefined) world.startScheduler(seat);
+      if (world.schedulerSlots[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
       break;
     case 7:
       Object.assign(world.faults, { isTableDown: !world.faults.isTableDown });
@@ -45,13 +45,15 @@
       Object.assign(world.faults, { lostAnswerShare: random.nextFraction() * 0.3 });
       break;
     case 10:
-      Object.assign(world.seats[seat] ?? {}, { isCutFromTable: random.nextIndex(2) === 0 });
+      Object.assign(world.schedulerSlots[slotIndex] ?? {}, {
+        isCutFromTable: random.nextIndex(2) === 0,
+      });
       break;
     default:
   }
 };
 
-/** Takes a worker away for good, in order or not, and puts a new one in its place. */
+/** Removes a worker for good, drained before or not, and adds a new one. */
 export const replaceWorker = async (world: FleetWorld, round: number): Promise<void> => {
   const ids = [...world.listedWorkers];
   const id = ids[world.random.nextIndex(ids.length)] as string;
@@ -66,8 +68,8 @@
 const LONGEST_STAY_MS = 5_000;
 const LONGEST_LINGER_MS = 4_000;
 
-/** A worker says how long it stays, and leaves some time after that; a new one comes at once. */
-export const replaceByPlan = (world: FleetWorld, round: number): void => {
+/** A worker announces how long it stays and leaves later than that; a new one joins at once. */
+export const drainAndReplaceWorker = (world: FleetWorld, round: number): void => {
   const { random, drainingWorkers } = world;
   const ids = [...world.listedWorkers].filter((id) => !drainingWorkers.has(id));
   const id = ids[random.nextIndex(ids.length)];
@@ -76,12 +78,12 @@
   world.addWorker(`next-${round}`);
 };
 
-/** Lets owners change in order and not, one soon after the other. */
-export const changeOwners = (world: FleetWorld): void => {
-  const seat = world.random.nextIndex(world.seats.length);
-  if (world.seats[seat]?.scheduler === undefined) world.startScheduler(seat);
-  else if (world.random.nextIndex(2) === 0) world.stopScheduler(seat);
-  else world.killScheduler(seat);
+/** Starts, stops or kills a random scheduler, so that the owner changes gracefully or abruptly. */
+export const toggleScheduler = (world: FleetWorld): void => {
+  const slotIndex = world.random.nextIndex(world.schedulerSlots.length);
+  if (world.schedulerSlots[slotIndex]?.scheduler === undefined) world.startScheduler(slotIndex);
+  else if (world.random.nextIndex(2) === 0) world.stopScheduler(slotIndex);
+  else world.killScheduler(slotIndex);
 };
 
 export const heal = (world: FleetWorld): void => {
@@ -91,28 +93,28 @@
   world.workers.forEach((model) => {
     if (!model.isUp && world.listedWorkers.has(model.id)) model.restart(world.nowMs);
   });
-  world.seats.forEach((seat, index) => {
-    Object.assign(seat, { isCutFromTable: false });
-    if (seat.scheduler === undefined) world.startScheduler(index);
+  world.schedulerSlots.forEach((slot, index) => {
+    Object.assign(slot, { isCutFromTable: false });
+    if (slot.scheduler === undefined) world.startScheduler(index);
   });
 };
 
-/** Cuts, restarts and lapses of entries, beside all other faults. */
-export class ZoneFaults {
+/** Injects network cuts, worker restarts and lapses of worker entries, besides all other faults. */
+export class FaultInjector {
   readonly #world: FleetWorld;
 
   readonly #checkIns: CheckIns;
 
-  readonly #cutOff = new Set<string>();
+  readonly #cutOffWorkerIds = new Set<string>();
 
   #cut: ZoneCut | undefined;
 
   constructor(world: FleetWorld) {
     this.#world = world;
-    this.#checkIns = new CheckIns(world, (id) => !this.#cutOff.has(id));
+    this.#checkIns = new CheckIns(world, (id) => !this.#cutOffWorkerIds.has(id));
   }
 
-  disturb(): void {
+  injectRandomFault(): void {
     const { random, faults } = this.#world;
     switch (random.nextIndex(10)) {
       case 0:
@@ -125,7 +127,7 @@
         break;
       case 4:
         this.lapse(
-          this.#anyWorker(),
+          this.#randomWorkerId(),
           random.nextIndex(2) === 0
             ? random.nextIndex(SHORT_LAPSE_MS)
             : random.nextIndex(LONGEST_LAPSE_MS),
@@ -139,34 +141,34 @@
         });
         break;
       case 6:
-        changeOwners(this.#world);
+        toggleScheduler(this.#world);
         break;
       default:
-        disturb(this.#world);
+        injectBasicFault(this.#world);
     }
   }
 
-  /** Does nothing while another cut lasts. */
+  /** Cuts off the given workers and schedulers; does nothing while another cut lasts. */
   cut(
     workerIds: readonly string[],
-    seatIndexes: readonly number[],
+    schedulerIndexes: readonly number[],
     doCutsRefuse: boolean,
     durationMs: number,
   ): void {
     if (this.#cut !== undefined) return;
     Object.assign(this.#world.faults, { doCutsRefuse });
-    const cut = new ZoneCut(this.#world, workerIds, seatIndexes);
+    const cut = new ZoneCut(this.#world, workerIds, schedulerIndexes);
     this.#cut = cut;
-    workerIds.forEach((id) => this.#cutOff.add(id));
+    workerIds.forEach((id) => this.#cutOffWorkerIds.add(id));
     this.#world.time.later(durationMs, () => {
       if (this.#cut !== cut) return;
       cut.heal();
       this.#cut = undefined;
-      this.#cutOff.clear();
+      this.#cutOffWorkerIds.clear();
     });
   }
 
-  /** Ends the worker's process; the next one begins after `durationMs`. */
+  /** Ends the worker's process; the next one starts after `durationMs`. */
   restart(workerId: string, durationMs: number): void {
     const { workers, time } = this.#world;
     const worker = workers.get(workerId);
@@ -183,30 +185,30 @@
   heal(): void {
     this.#cut?.heal();
     this.#cut = undefined;
-    this.#cutOff.clear();
+    this.#cutOffWorkerIds.clear();
     heal(this.#world);
     const { workers, nowMs } = this.#world;
     workers.forEach((worker) => worker.isUp || worker.restart(nowMs));
   }
 
-  #anyWorker(): string {
+  #randomWorkerId(): string {
     const ids = [...this.#world.workers.keys()];
     return ids[this.#world.random.nextIndex(ids.length)] as string;
   }
 
-  /** Cuts off each worker and each scheduler with even odds, for some seconds. */
+  /** Cuts off each worker and each scheduler with a probability of one half, for some seconds. */
   #cutZone(): void {
     if (this.#cut !== undefined) return;
-    const { random, workers, seats } = this.#world;
+    const { random, workers, schedulerSlots } = this.#world;
     const isInside = (): boolean => random.nextIndex(2) === 0;
     const workerIds = [...workers.keys()].filter(isInside);
-    const seatIndexes = [...seats.keys()].filter(isInside);
+    const schedulerIndexes = [...schedulerSlots.keys()].filter(isInside);
     const doCutsRefuse = random.nextIndex(3) > 0;
-    this.cut(workerIds, seatIndexes, doCutsRefuse, random.nextIndex(LONGEST_CUT_MS));
+    this.cut(workerIds, schedulerIndexes, doCutsRefuse, random.nextIndex(LONGEST_CUT_MS));
   }
 
   #restartSoon(): void {
-    const id = this.#anyWorker();
+    const id = this.#randomWorkerId();
     this.restart(id, this.#world.random.nextIndex(LONGEST_RESTART_MS));
   }
 }
