--- a/src/operator/node/planService.ts
+++ b/src/operator/node/planService.ts
@@ -271,9 +271,7 @@
     const read = await this.#services.table.read({ keys, prefixes: [] })();
     if (isLeft(read)) return undefined;
     const changes = read.right.rows.map((row) => changeRowSchema.parse(row.value));
-    const lastChange = changes.filter((change) => change.keys.includes(key)).at(-1);
-    return (
-      lastChange && `version ${lastChange.version} of ${lastChange.author}: ${lastChange.summary}`
-    );
+    const latest = changes.filter((change) => change.keys.includes(key)).at(-1);
+    return latest && `version ${latest.version} of ${latest.author}: ${latest.summary}`;
   }
 }
