--- a/tools/generate/openApi.ts
+++ b/tools/generate/openApi.ts
@@ -39,27 +39,31 @@
     retryAfterMs: z.number(),
   }),
 );
-const errors = {
+const errorResponses = {
   '4xx': { description: 'refused', ...errorBodySchema },
   '5xx': { description: 'failed, or come back later', ...errorBodySchema },
 };
 
-const operatorRoute = (summary: string, answer: JsonSchema, body?: z.ZodType): FastifySchema => ({
+const operatorRoute = (
+  summary: string,
+  responseSchema: JsonSchema,
+  body?: z.ZodType,
+): FastifySchema => ({
   summary,
   tags: ['operators'],
   security: [{ operatorToken: [] }],
   ...(body === undefined ? {} : { body: toSchema(body) }),
-  response: { 200: { description: summary, ...answer }, ...errors },
+  response: { 200: { description: summary, ...responseSchema }, ...errorResponses },
 });
 
-const list: JsonSchema = { type: 'array', items: { type: 'object' } };
-const object: JsonSchema = { type: 'object' };
-const openRoute = (summary: string): FastifySchema => ({ summary, tags: ['health'] });
+const listSchema: JsonSchema = { type: 'array', items: { type: 'object' } };
+const objectSchema: JsonSchema = { type: 'object' };
+const healthRoute = (summary: string): FastifySchema => ({ summary, tags: ['health'] });
 
 const SCHEMAS: Readonly<Record<string, FastifySchema>> = {
-  'GET /healthz': openRoute('Whether the process answers'),
-  'GET /readyz': openRoute('Whether the daemon wants traffic; 503 while it does not'),
-  'GET /metrics': openRoute('Metrics in the Prometheus text format'),
+  'GET /healthz': healthRoute('Whether the process answers'),
+  'GET /readyz': healthRoute('Whether the daemon wants traffic; 503 while it does not'),
+  'GET /metrics': healthRoute('Metrics in the Prometheus text format'),
   'POST /v1/plans': operatorRoute(
     'State an intent and get the plan; nothing changes',
     toSchema(planSchema),
@@ -68,32 +72,32 @@
   'GET /v1/plans/:id': operatorRoute('A plan', toSchema(planSchema)),
   'GET /v1/plans/:id/progress': operatorRoute(
     'How far what a plan asked for has come about',
-    object,
+    objectSchema,
   ),
   'POST /v1/plans/:id/confirm': operatorRoute(
     'Carry out the plan that was shown',
     toSchema(planSchema),
     confirmBodySchema,
   ),
-  'GET /v1/services': operatorRoute('All services', list),
-  'GET /v1/services/:id': operatorRoute('A service and its tasks', object),
-  'GET /v1/zones': operatorRoute('All availability zones', list),
-  'GET /v1/zones/:id': operatorRoute('An availability zone', object),
-  'GET /v1/workers': operatorRoute('All workers, and which of them drain', list),
-  'GET /v1/workers/:id': operatorRoute('A worker and its tasks', object),
-  'GET /v1/quotas': operatorRoute('All quotas and what services take of them', list),
-  'GET /v1/quotas/:id': operatorRoute('The quota of a team', object),
-  'GET /v1/plans': operatorRoute('Plans of the last hours, without their steps', list),
-  'GET /v1/policy': operatorRoute('The limits that plans must keep', object),
-  'GET /v1/instances': operatorRoute('All instances, as last listed and as seen', list),
-  'GET /v1/instances/:id': operatorRoute('An instance, as last listed and as seen', object),
-  'GET /v1/version': operatorRoute('The configuration in force here', object),
-  'GET /v1/history': operatorRoute('Accepted changes', list),
-  'GET /v1/tasks': operatorRoute('Tasks assigned to workers', list),
-  'GET /v1/tasks/:id': operatorRoute('A task and where it runs', object),
-  'GET /v1/jobs': operatorRoute('All jobs', list),
-  'GET /v1/jobs/:id': operatorRoute('A job and how far it is', object),
-  'GET /v1/traces/:id': operatorRoute('Spans of a recent trace', list),
+  'GET /v1/services': operatorRoute('All services', listSchema),
+  'GET /v1/services/:id': operatorRoute('A service and its tasks', objectSchema),
+  'GET /v1/zones': operatorRoute('All availability zones', listSchema),
+  'GET /v1/zones/:id': operatorRoute('An availability zone', objectSchema),
+  'GET /v1/workers': operatorRoute('All workers, and which of them drain', listSchema),
+  'GET /v1/workers/:id': operatorRoute('A worker and its tasks', objectSchema),
+  'GET /v1/quotas': operatorRoute('All quotas and what services take of them', listSchema),
+  'GET /v1/quotas/:id': operatorRoute('The quota of a team', objectSchema),
+  'GET /v1/plans': operatorRoute('Plans of the last hours, without their steps', listSchema),
+  'GET /v1/policy': operatorRoute('The limits that plans must keep', objectSchema),
+  'GET /v1/instances': operatorRoute('All instances, as last listed and as seen', listSchema),
+  'GET /v1/instances/:id': operatorRoute('An instance, as last listed and as seen', objectSchema),
+  'GET /v1/version': operatorRoute('The configuration in force here', objectSchema),
+  'GET /v1/history': operatorRoute('Accepted changes', listSchema),
+  'GET /v1/tasks': operatorRoute('Tasks assigned to workers', listSchema),
+  'GET /v1/tasks/:id': operatorRoute('A task and where it runs', objectSchema),
+  'GET /v1/jobs': operatorRoute('All jobs', listSchema),
+  'GET /v1/jobs/:id': operatorRoute('A job and how far it is', objectSchema),
+  'GET /v1/traces/:id': operatorRoute('Spans of a recent trace', listSchema),
 };
 
 const optionalHeader = (description: string): JsonSchema => ({ type: 'string', description });
@@ -110,10 +114,10 @@
       [TRACEPARENT_HEADER]: optionalHeader('W3C trace context'),
     },
   },
-  response: { '2xx': { description: "the backend server's whole answer" }, ...errors },
+  response: { '2xx': { description: "the backend server's whole answer" }, ...errorResponses },
 };
 
-const describe = (method: string | string[], url: string): FastifySchema => {
+const toRouteSchema = (method: string | string[], url: string): FastifySchema => {
   if (url.startsWith('/services/')) return CALLER_SCHEMA;
   const schema = SCHEMAS[`${String(method)} ${url}`];
   if (schema === undefined)
@@ -149,7 +153,7 @@
       },
       components: { securitySchemes: { operatorToken: { type: 'http', scheme: 'bearer' } } },
     },
-    transform: ({ url, route }) => ({ schema: describe(route.method, route.url), url }),
+    transform: ({ url, route }) => ({ schema: toRouteSchema(route.method, route.url), url }),
   });
   addRoutes(server);
   // The schemas are added by the transformation, so nothing is compiled from them here.
--- a/tools/test/sourceText.ts
+++ b/tools/test/sourceText.ts
@@ -2,21 +2,21 @@
 import { readdir, readFile } from 'node:fs/promises';
 
 /** All of `src/` and the adapter but tests and the paths that hold one of the given parts. */
-export const sourceText = async (leftOut: readonly string[]): Promise<string> => {
+export const sourceText = async (excludedParts: readonly string[]): Promise<string> => {
   const roots = ['src', 'platform'];
-  const found = await Promise.all(
+  const pathsByRoot = await Promise.all(
     roots.map(async (root) =>
       (await readdir(root, { recursive: true })).map((path) => `${root}/${path}`),
     ),
   );
-  const wanted = found
+  const sourcePaths = pathsByRoot
     .flat()
     .filter(
       (path) =>
         path.endsWith('.ts') &&
         !path.includes('/test/') &&
-        !leftOut.some((part) => path.includes(part)),
+        !excludedParts.some((part) => path.includes(part)),
     );
-  const texts = await Promise.all(wanted.map((path) => readFile(path, 'utf8')));
+  const texts = await Promise.all(sourcePaths.map((path) => readFile(path, 'utf8')));
   return texts.join('\n');
 };
