--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,13 +1,13 @@
 /**
- * Builds the daemon for the users' platform into `target/`: one file, a loader, and V8's cache of
- * its code, made under the flags of the run, without which V8 rejects it.
+ * Builds the daemon for the users' platform into `target/`: the bundle, a loader and V8's code
+ * cache. The cache is made under the daemon's own flags, because V8 rejects it under others.
  */
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, mkdirSync } from 'node:fs';
 
 import { build } from 'esbuild';
 
-/** The same as in deploy/system.toml. */
+/** Must equal the flags in deploy/system.toml. */
 const FLAGS = ['--max-old-space-size=160', '--max-semi-space-size=4'];
 
 mkdirSync('target', { recursive: true });
@@ -24,5 +24,7 @@
 });
 copyFileSync('tools/release/loader.cjs', 'target/snipethread.cjs');
 copyFileSync('tools/release/codeCache.cjs', 'target/codeCache.cjs');
-const made = spawnSync(process.execPath, [...FLAGS, 'target/codeCache.cjs'], { stdio: 'inherit' });
-process.exit(made.status ?? 1);
+const cacheRun = spawnSync(process.execPath, [...FLAGS, 'target/codeCache.cjs'], {
+  stdio: 'inherit',
+});
+process.exit(cacheRun.status ?? 1);
--- a/tools/generate/generatedFiles.ts
+++ b/tools/generate/generatedFiles.ts
@@ -1,4 +1,4 @@
-/** Every generated file with its text, the pages before formatting. */
+/** The text of every generated file by path. Pages are not yet formatted. */
 import { logPage } from './logPage.js';
 import { metricsPage } from './metricsPage.js';
 import { openApiDescription } from './openApi.js';
--- a/tools/generate/logPage.ts
+++ b/tools/generate/logPage.ts
@@ -1,4 +1,4 @@
-/** The page of all lines of the log, from their closed list. */
+/** Generates the page of all log events from `LOG_EVENTS`. */
 import { LOG_EVENTS } from '../../src/services/log/common/logEvents.js';
 
 export const logPage = (): string =>
--- a/tools/generate/metricsPage.ts
+++ b/tools/generate/metricsPage.ts
@@ -1,4 +1,4 @@
-/** The page of all metrics, from their closed list. */
+/** Generates the page of all metrics from `METRICS`. */
 import { METRICS, MetricKind } from '../../src/services/metrics/common/metricList.js';
 
 const SUFFIXES: Readonly<Record<MetricKind, string>> = {
--- a/tools/generate/settingsSchema.ts
+++ b/tools/generate/settingsSchema.ts
@@ -1,9 +1,9 @@
-/** The JSON Schema and the table of the settings, from the schema that the daemon checks with. */
+/** Generates the settings' JSON Schema and page from the schema that the daemon validates with. */
 import { z } from 'zod';
 
 import { settingsSchema } from '../../src/services/settings/common/settings.js';
 
-/** The part of a JSON Schema that the table of settings is made from. */
+/** The fields of a JSON Schema that the settings table uses. */
 interface SchemaNode {
   readonly type?: string;
   readonly properties?: Readonly<Record<string, SchemaNode>>;
@@ -12,7 +12,7 @@
   readonly required?: readonly string[];
 }
 
-/** For editors: what may stand in a settings file, defaults left out of what is required. */
+/** The JSON Schema of a settings file, for editors. A setting with a default is not required. */
 export const settingsJsonSchema = (): object => ({
   title: 'Settings of snipethreadd',
   ...z.toJSONSchema(settingsSchema, { io: 'input' }),
--- a/tools/release/codeCache.cjs
+++ b/tools/release/codeCache.cjs
@@ -1,9 +1,9 @@
-/** Makes the code cache: starts the daemon on loopback beside a store that is not there. */
+/** Writes the code cache after a short run of the daemon on loopback with an unreachable store. */
 const { mkdtempSync, rmSync, writeFileSync } = require('node:fs');
 const { tmpdir } = require('node:os');
 const { join } = require('node:path');
 
-/** Until the listeners are open and the first calls have failed. */
+/** Long enough for the listeners to open and the first store calls to fail. */
 const RUN_MS = 1_500;
 
 const folder = mkdtempSync(join(tmpdir(), 'snipethread-cache-'));
@@ -22,7 +22,7 @@
 writeFileSync(settingsFile, JSON.stringify(settings));
 process.argv[2] = settingsFile;
 
-// eslint-disable-next-line import-x/no-unresolved, import-x/extensions -- stands here once built
+// eslint-disable-next-line import-x/no-unresolved, import-x/extensions -- the build copies it here
 const { script, cacheFile } = require('./snipethread.cjs');
 
 setTimeout(() => {
--- a/tools/release/loader.cjs
+++ b/tools/release/loader.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts the bundled daemon with V8's code cache. Compiling the bundle took most of a start on a
- * quarter of a core, which every crash and rolling restart pays. A cache that V8 rejects, being
- * made under other flags or another version, costs only the time that it would have saved.
+ * Starts the bundled daemon with V8's code cache. Without it, compiling the bundle takes most of
+ * the startup time on a quarter of a core, after each crash and rolling restart. V8 rejects a
+ * cache made under other flags or by another version; the daemon then compiles the bundle.
  */
 const { existsSync, readFileSync } = require('node:fs');
 const { wrap } = require('node:module');
@@ -18,5 +18,5 @@
 }
 script.runInThisContext()(module.exports, require, module, filename, __dirname);
 
-// The build takes the cache after a short run, when what a start needs has been compiled.
+// `codeCache.cjs` writes the cache after a short run, when V8 has compiled the startup code.
 module.exports = { script, cacheFile };
--- a/tools/runTests.mjs
+++ b/tools/runTests.mjs
@@ -1,19 +1,21 @@
 /**
- * Runs vitest and passes over just those failures that KNOWN-RED.txt lists, which it prints.
- * A line there begins with the test's full name or a command, followed by ` | ` and the rest.
+ * Runs vitest, ignores exactly the failures that KNOWN-RED.txt lists, and prints that list. A line
+ * there begins with the test's full name or a command, followed by ` | ` and the remarks.
  */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-const MAXIMUM_KNOWN = 3;
+const MAXIMUM_KNOWN_COUNT = 3;
 
 const knownLines = readFileSync('KNOWN-RED.txt', 'utf8')
   .split('\n')
   .filter((line) => line.trim() !== '' && !line.startsWith('#'));
-if (knownLines.length > MAXIMUM_KNOWN) {
-  console.error(`KNOWN-RED.txt lists ${knownLines.length} tests; at most ${MAXIMUM_KNOWN} may be`);
+if (knownLines.length > MAXIMUM_KNOWN_COUNT) {
+  console.error(
+    `KNOWN-RED.txt lists ${knownLines.length} tests; at most ${MAXIMUM_KNOWN_COUNT} may be`,
+  );
   process.exit(1);
 }
 const knownNames = new Set(knownLines.map((line) => line.split(' | ')[0].trim()));
@@ -48,15 +50,15 @@
 const brokenFiles = report.testResults.filter(
   (file) => file.status === 'failed' && file.assertionResults.length === 0,
 );
-const isOddFailure = run.status !== 0 && failed.length === 0;
+const isRunnerFailure = run.status !== 0 && failed.length === 0;
 knownLines.forEach((line) => console.log(`known red: ${line}`));
 [...knownNames]
   .filter((name) => tests.some((test) => test.fullName === name && test.status === 'passed'))
   .forEach((name) => console.log(`listed as red but passes now: ${name}`));
 unexpected.forEach((name) => console.error(`failed: ${name}`));
-if (isOddFailure) console.error('the runner failed beside the tests; see its errors above');
+if (isRunnerFailure) console.error('the runner failed beside the tests; see its errors above');
 brokenFiles.forEach((file) => console.error(`could not run: ${file.name}`));
 console.log(
   `${tests.filter((test) => test.status === 'passed').length} passed, ${unexpected.length} failed`,
 );
-process.exit(unexpected.length > 0 || brokenFiles.length > 0 || isOddFailure ? 1 : 0);
+process.exit(unexpected.length > 0 || brokenFiles.length > 0 || isRunnerFailure ? 1 : 0);
--- a/tools/stats.mjs
+++ b/tools/stats.mjs
@@ -1,10 +1,10 @@
-/** Counts lines that are neither blank nor comment: `npm run stats`. */
+/** Counts the lines that are neither blank nor comments: `npm run stats`. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 
 const ROOTS = ['src', 'platform', 'standIns', 'bench', 'soak', 'tools'];
 
-/** What a product file is for; the first pattern that matches counts. */
+/** The purposes of product files by path; the first matching pattern decides. */
 const PURPOSES = [
   ['membership', /^src\/(peers|services\/instanceList)\//u],
   ['membership', /^src\/scheduler\/(common\/cellLease|node\/cellTasks)/u],
--- a/tools/test/eventLoopTurns.ts
+++ b/tools/test/eventLoopTurns.ts
@@ -1,7 +1,7 @@
 /**
- * Lets the event loop turn after each test. A file whose tests run in virtual time does nothing
- * else: on a slow machine it kept the loop for over a minute, the runner's own messages were given
- * up as unanswered, and the run failed with every test passed.
+ * Yields to the event loop after each test. Tests in virtual time never yield by themselves: on a
+ * slow machine, one file blocked the loop for over a minute, so vitest's own messages timed out
+ * and the run failed although every test passed.
  */
 import { setImmediate as turn } from 'node:timers/promises';
 
--- a/tools/test/generatedFiles.test.ts
+++ b/tools/test/generatedFiles.test.ts
@@ -6,7 +6,7 @@
 import { generatedFiles } from '../generate/generatedFiles.js';
 
 describe('generated files', () => {
-  it('are as `npm run generate` writes them', async () => {
+  it('match the output of `npm run generate`', async () => {
     const files = Object.entries(await generatedFiles());
     const checks = files.map(async ([path, text]) => {
       const isPage = path.endsWith('.md');
--- a/tools/test/runTests.test.ts
+++ b/tools/test/runTests.test.ts
@@ -8,8 +8,8 @@
 const RUNNER = resolve('tools/runTests.mjs');
 const TESTS = `
 import { expect, test } from 'vitest';
-test('stands', () => expect(1).toBe(1));
-test('falls', () => expect(1).toBe(2));
+test('passes always', () => expect(1).toBe(1));
+test('fails always', () => expect(1).toBe(2));
 `;
 
 let folder = '';
@@ -36,24 +36,24 @@
 };
 
 describe('the test runner', () => {
-  it('fails for a failure that is not listed and names it', async () => {
+  it('fails on an unlisted failure and names the test', async () => {
     const { exitCode, output } = await runWith('# none\n');
     expect(exitCode).toBe(1);
-    expect(output).toContain('failed: falls');
+    expect(output).toContain('failed: fails always');
   });
 
-  it('passes over just the listed failure and prints its line', async () => {
-    const { exitCode, output } = await runWith('falls | off by one | issue 0\n');
+  it('ignores a listed failure and prints its line', async () => {
+    const { exitCode, output } = await runWith('fails always | off by one | issue 0\n');
     expect(exitCode).toBe(0);
-    expect(output).toContain('known red: falls | off by one | issue 0');
+    expect(output).toContain('known red: fails always | off by one | issue 0');
   });
 
-  it('says when a listed test passes now', async () => {
-    const { output } = await runWith('falls | a | b\nstands | a | b\n');
-    expect(output).toContain('listed as red but passes now: stands');
+  it('reports a listed test that passes again', async () => {
+    const { output } = await runWith('fails always | a | b\npasses always | a | b\n');
+    expect(output).toContain('listed as red but passes now: passes always');
   });
 
-  it('refuses more than three listed failures', async () => {
+  it('rejects a list of more than three failures', async () => {
     expect((await runWith('a | x\nb | x\nc | x\nd | x\n')).exitCode).toBe(1);
   });
 });
--- a/tools/test/sourceText.ts
+++ b/tools/test/sourceText.ts
@@ -1,7 +1,7 @@
-/** The program's own text, for tests that hold lists against what is used. */
+/** The program's source text, for tests that compare a list of names with the names in use. */
 import { readdir, readFile } from 'node:fs/promises';
 
-/** All of `src/` and the adapter but tests and the paths that hold one of the given parts. */
+/** The text of `src/` and `platform/`, without tests and paths that contain an excluded part. */
 export const sourceText = async (excludedParts: readonly string[]): Promise<string> => {
   const roots = ['src', 'platform'];
   const pathsByRoot = await Promise.all(
