--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -23,15 +23,17 @@
   traceCost,
 ];
 
-const [wanted, ...args] = process.argv.slice(2);
-const chosen = BENCHMARKS.filter(({ name }) => wanted === undefined || name === wanted);
-if (chosen.length === 0) {
+const [requestedName, ...args] = process.argv.slice(2);
+const selectedBenchmarks = BENCHMARKS.filter(
+  ({ name }) => requestedName === undefined || name === requestedName,
+);
+if (selectedBenchmarks.length === 0) {
   process.stderr.write(
-    `no benchmark ${wanted ?? ''}; there are: ${BENCHMARKS.map(({ name }) => name).join(', ')}\n`,
+    `no benchmark ${requestedName ?? ''}; there are: ${BENCHMARKS.map(({ name }) => name).join(', ')}\n`,
   );
   process.exitCode = 2;
 }
-const allWithinBounds = await chosen.reduce(async (before, benchmark) => {
+const allWithinBounds = await selectedBenchmarks.reduce(async (before, benchmark) => {
   const isWithinBounds = await before;
   return (await benchmark.run(args)) && isWithinBounds;
 }, Promise.resolve(true));
--- a/bench/bounds.ts
+++ b/bench/bounds.ts
@@ -7,8 +7,10 @@
 /** The bounds of one benchmark by name, from `bench/bounds.json` under the package's root. */
 export const readBounds = async (benchmark: string): Promise<Readonly<Record<string, number>>> => {
   const text = await readFile('bench/bounds.json', 'utf8');
-  const all = JSON.parse(text) as Readonly<Record<string, Readonly<Record<string, number>>>>;
-  const bounds = all[benchmark];
+  const boundsByBenchmark = JSON.parse(text) as Readonly<
+    Record<string, Readonly<Record<string, number>>>
+  >;
+  const bounds = boundsByBenchmark[benchmark];
   if (bounds === undefined) throw new Error(`bench/bounds.json holds nothing for ${benchmark}`);
   return bounds;
 };
--- a/bench/colocation/batchArrivals.ts
+++ b/bench/colocation/batchArrivals.ts
@@ -78,10 +78,10 @@
 
   #drawKind(): KindTruth {
     const { kinds } = this.#size;
-    let left = this.#random.nextFraction();
+    let remainingShare = this.#random.nextFraction();
     const drawn = kinds.find(({ share }) => {
-      left -= share;
-      return left <= 0;
+      remainingShare -= share;
+      return remainingShare <= 0;
     });
     return drawn ?? (kinds[0] as KindTruth);
   }
--- a/bench/colocation/colocation.ts
+++ b/bench/colocation/colocation.ts
@@ -13,7 +13,7 @@
 } from '../../src/scheduler/common/placement.js';
 import type { Benchmark } from '../benchmark.js';
 import { readBounds } from '../bounds.js';
-import { type ColocationFigures, ColocationRun, type ColocationWay } from './colocationRun.js';
+import { type ColocationFigures, ColocationRun, type ColocationVariant } from './colocationRun.js';
 import { AMMAN, BAJIO, type ColocationSize } from './truth.js';
 
 const SEEDS = [11, 12] as const;
@@ -46,7 +46,7 @@
   evictionSlowdown: 0.13,
 };
 
-const BASELINES: readonly ColocationWay[] = [
+const BASELINES: readonly ColocationVariant[] = [
   {
     name: 'first fit by declared size',
     policy: new FirstFitPolicy(),
@@ -76,7 +76,7 @@
 const evictionRatio = ({ evictionCount, neededEvictionCount }: ColocationFigures): number =>
   evictionCount === 0 ? 1 : evictionCount / Math.max(1, neededEvictionCount);
 
-const line = (name: string, figures: ColocationFigures): string =>
+const formatFigures = (name: string, figures: ColocationFigures): string =>
   [
     `  ${name.padEnd(28)}`,
     `p99 beside no batch ${figures.p99Ratio.toFixed(3)}`,
@@ -85,14 +85,18 @@
     `zone leaves and returns ${figures.zoneRatio.toFixed(3)}, beside own pace ${figures.zoneToOwnPace.toFixed(3)}`,
   ].join(' | ');
 
-const runOne = (size: ColocationSize, way: ColocationWay, seed: number): ColocationFigures => {
-  const figures = new ColocationRun(size, way, TOLERATED_SLOWDOWN, seed).run();
-  process.stdout.write(`${line(`${way.name}, seed ${seed}`, figures)}\n`);
+const runOne = (
+  size: ColocationSize,
+  variant: ColocationVariant,
+  seed: number,
+): ColocationFigures => {
+  const figures = new ColocationRun(size, variant, TOLERATED_SLOWDOWN, seed).run();
+  process.stdout.write(`${formatFigures(`${variant.name}, seed ${seed}`, figures)}\n`);
   return figures;
 };
 
 /** Shares are averaged, evictions summed. */
-const together = (all: readonly ColocationFigures[]): ColocationFigures => {
+const combineFigures = (all: readonly ColocationFigures[]): ColocationFigures => {
   const sum = (of: (figures: ColocationFigures) => number): number =>
     all.reduce((total, figures) => total + of(figures), 0);
   return {
@@ -125,10 +129,10 @@
     ...lowest.map(([figure, value]) => ({ key: `minimum${figure}`, value, isHighest: false })),
   ].map(({ key, value, isHighest }) => {
     const bound = bounds[`${name}.${key}`] ?? Number.NaN;
-    const isHeld = isHighest ? value <= bound : value >= bound;
-    const mark = isHeld ? 'ok     ' : 'CROSSED';
+    const isWithinBound = isHighest ? value <= bound : value >= bound;
+    const mark = isWithinBound ? 'ok     ' : 'CROSSED';
     process.stdout.write(`  ${mark} ${name} ${key} ${value.toFixed(3)} (bound ${bound})\n`);
-    return isHeld;
+    return isWithinBound;
   });
   return verdicts.every(Boolean);
 };
@@ -138,15 +142,15 @@
   const bounds = await readBounds('colocation');
   const verdicts = SIZES.map(({ size, policy }) => {
     process.stdout.write(`${size.name}: ${size.workerCount} workers in 3 zones; virtual time\n`);
-    if (mode !== 'bounds') BASELINES.forEach((way) => runOne(size, way, SEEDS[0]));
-    const way = {
+    if (mode !== 'bounds') BASELINES.forEach((variant) => runOne(size, variant, SEEDS[0]));
+    const variant = {
       name: 'product',
       policy: new SpreadAndPackPolicy(),
       isSizeLearnt: true,
       interference: policy,
     };
-    const figures = together(SEEDS.map((seed) => runOne(size, way, seed)));
-    process.stdout.write(`${line('product, both seeds', figures)}\n`);
+    const figures = combineFigures(SEEDS.map((seed) => runOne(size, variant, seed)));
+    process.stdout.write(`${formatFigures('product, both seeds', figures)}\n`);
     return checkBounds(size.name, figures, bounds);
   });
   return verdicts.every(Boolean);
--- a/bench/colocation/colocationRun.ts
+++ b/bench/colocation/colocationRun.ts
@@ -19,10 +19,10 @@
 import { VirtualTime } from '../virtualTime.js';
 import { CellDriver, DEFAULT_CELL_TIMING } from '../scheduling/cellDriver.js';
 import { BatchArrivals } from './batchArrivals.js';
-import { IdealPool, type IdealRoom, trueMillis } from './idealPool.js';
+import { IdealPool, type WorkerRoom, trueMillis } from './idealPool.js';
 import { LatencyMeter } from './latencyMeter.js';
 import { ModelWorker } from './modelWorker.js';
-import { Tail } from './tail.js';
+import { LatencyTail } from './latencyTail.js';
 import { type ColocationSize, loadAt, type ServiceTruth } from './truth.js';
 import { WARM_UP_MS, WorkMeter, ZONE_LEAVES_MS, ZONE_RETURNS_MS } from './workMeter.js';
 
@@ -35,7 +35,7 @@
 
 const END_MS = 480_000;
 
-export interface ColocationWay {
+export interface ColocationVariant {
   readonly name: string;
   readonly policy: PlacementPolicy;
   readonly isSizeLearnt: boolean;
@@ -59,7 +59,7 @@
 export class ColocationRun {
   readonly #size: ColocationSize;
 
-  readonly #way: ColocationWay;
+  readonly #variant: ColocationVariant;
 
   readonly #arrivals: BatchArrivals;
 
@@ -71,22 +71,27 @@
 
   readonly #cells: ReadonlyMap<string, CellDriver>;
 
-  readonly #meter: LatencyMeter;
+  readonly #latencyMeter: LatencyMeter;
 
-  readonly #tails = new Map<string, Tail>();
+  readonly #tails = new Map<string, LatencyTail>();
 
   readonly #ideal: IdealPool;
 
-  readonly #work = new WorkMeter();
+  readonly #workMeter = new WorkMeter();
 
   #version = 0;
 
-  constructor(size: ColocationSize, way: ColocationWay, toleratedSlowdown: number, seed: number) {
+  constructor(
+    size: ColocationSize,
+    variant: ColocationVariant,
+    toleratedSlowdown: number,
+    seed: number,
+  ) {
     this.#size = size;
-    this.#way = way;
+    this.#variant = variant;
     this.#ideal = new IdealPool(size.capacity.processorMillis, toleratedSlowdown - 1);
     this.#arrivals = new BatchArrivals(size, new SeededRandom(seed));
-    this.#meter = new LatencyMeter(new SeededRandom(seed + 1));
+    this.#latencyMeter = new LatencyMeter(new SeededRandom(seed + 1));
     this.#workers = new Map(
       Array.from({ length: size.workerCount }, (_, index) => {
         const zone = ZONES[index % ZONES.length] as string;
@@ -94,12 +99,12 @@
         return [worker.id, worker];
       }),
     );
-    size.services.forEach(({ name }) => this.#tails.set(name, new Tail()));
-    const timing = { ...DEFAULT_CELL_TIMING, interference: way.interference };
+    size.services.forEach(({ name }) => this.#tails.set(name, new LatencyTail()));
+    const timing = { ...DEFAULT_CELL_TIMING, interference: variant.interference };
     this.#cells = new Map(
       ZONES.map((zone) => [
         zone,
-        new CellDriver(zone, timing, way.policy, {
+        new CellDriver(zone, timing, variant.policy, {
           table: this.#table,
           nowMs: () => this.#time.nowMs,
           schedule: (delayMs, run) => this.#time.after(delayMs, run),
@@ -112,7 +117,7 @@
   run(): ColocationFigures {
     this.#writeConfiguration();
     const instances = [...this.#workers.values()].map((worker, index) =>
-      this.#instance(worker, index),
+      this.#toInstance(worker, index),
     );
     this.#cells.forEach((cell) => {
       cell.handle({ kind: 'instances', workers: instances });
@@ -132,11 +137,11 @@
       workers.reduce((total, worker) => total + of(worker), 0);
     return {
       p99Ratio: Math.max(...[...this.#tails.values()].map(({ p99Ratio }) => p99Ratio)),
-      throughputRatio: this.#work.throughputRatio,
+      throughputRatio: this.#workMeter.throughputRatio,
       evictionCount: sum(({ progress }) => progress.evictionCount),
       neededEvictionCount: sum(({ progress }) => progress.neededEvictionCount),
-      zoneRatio: this.#work.zoneRatio,
-      zoneToOwnPace: this.#work.zoneToOwnPace,
+      zoneRatio: this.#workMeter.zoneRatio,
+      zoneToOwnPace: this.#workMeter.zoneToOwnPace,
     };
   }
 
@@ -145,7 +150,7 @@
     this.#submitDue();
     this.#markShortages();
     let doneMs = 0;
-    const rooms: IdealRoom[] = [];
+    const rooms: WorkerRoom[] = [];
     this.#workers.forEach((worker) => {
       const before = worker.progress.processorMs;
       worker.advance(nowMs, STEP_MS);
@@ -156,19 +161,20 @@
       rooms.push({ freeMillis, services: worker.services });
     });
     const idealMs = this.#ideal.advance(rooms, nowMs, STEP_MS);
-    const shareLeft = rooms.length / this.#workers.size;
-    this.#work.count({ doneMs, idealMs, shareLeft }, nowMs, STEP_MS);
+    const remainingShare = rooms.length / this.#workers.size;
+    this.#workMeter.count({ doneMs, idealMs, remainingShare }, nowMs, STEP_MS);
   }
 
   #markShortages(): void {
     const zoneCount = this.#withdrawnZone === undefined ? ZONES.length : ZONES.length - 1;
-    const share = Math.floor(this.#size.replicaCount / zoneCount) * this.#size.services.length;
+    const expectedCount =
+      Math.floor(this.#size.replicaCount / zoneCount) * this.#size.services.length;
     ZONES.forEach((zone) => {
       const workers = [...this.#workers.values()].filter((one) => one.availabilityZone === zone);
       const runningCount = workers.reduce((sum, { services }) => sum + services.length, 0);
       workers.forEach((one) => {
         const worker = one;
-        worker.isShortOfReplicas = runningCount < share;
+        worker.isShortOfReplicas = runningCount < expectedCount;
       });
     });
   }
@@ -179,13 +185,13 @@
     worker.services.forEach((service) => {
       const requestCount = (ColocationRun.#rate(service, nowMs) * STEP_MS) / MS_PER_SECOND;
       const slowdown = worker.slowdown(service, nowMs);
-      this.#meter.add(worker.id, service, slowdown, requestCount, nowMs);
+      this.#latencyMeter.add(worker.id, service, slowdown, requestCount, nowMs);
       if (nowMs >= WARM_UP_MS) this.#tails.get(service.name)?.add(slowdown, requestCount);
     });
   }
 
   #sendSamples(): void {
-    const samples = this.#meter.takeSamples(this.#time.nowMs);
+    const samples = this.#latencyMeter.takeSamples(this.#time.nowMs);
     this.#time.after(SAMPLE_DELAY_MS, () =>
       this.#cells.forEach((cell) => cell.handle({ kind: 'latency-measured', samples })),
     );
@@ -201,7 +207,7 @@
       const zone = row.shardId.slice(row.jobId.length + 1);
       row.tasks.forEach(() => {
         this.#ideal.submit(kind);
-        this.#work.submit(
+        this.#workMeter.submit(
           (trueMillis(kind) * kind.declaredWorkMs * kind.workRatio) / MS_PER_SECOND,
         );
       });
@@ -213,8 +219,8 @@
   }
 
   get #withdrawnZone(): string | undefined {
-    const isOut = this.#time.nowMs >= ZONE_LEAVES_MS && this.#time.nowMs < ZONE_RETURNS_MS;
-    return isOut ? ZONES[0] : undefined;
+    const isWithdrawn = this.#time.nowMs >= ZONE_LEAVES_MS && this.#time.nowMs < ZONE_RETURNS_MS;
+    return isWithdrawn ? ZONES[0] : undefined;
   }
 
   #setZone(state: ZoneState): void {
@@ -246,7 +252,7 @@
         urgency: 'urgent',
       },
     ]);
-    const policy = { ...DEFAULT_POLICY, isSizeLearnt: this.#way.isSizeLearnt };
+    const policy = { ...DEFAULT_POLICY, isSizeLearnt: this.#variant.isSizeLearnt };
     this.#write([
       ...zones,
       ...services,
@@ -263,7 +269,7 @@
     });
   }
 
-  #instance(worker: ModelWorker, index: number): WorkerInstance {
+  #toInstance(worker: ModelWorker, index: number): WorkerInstance {
     return {
       kind: 'worker',
       id: worker.id,
--- a/bench/colocation/idealPool.ts
+++ b/bench/colocation/idealPool.ts
@@ -7,7 +7,7 @@
 import { type KindTruth, loadAt, type ServiceTruth } from './truth.js';
 
 /** One worker as the ideal sees it. */
-export interface IdealRoom {
+export interface WorkerRoom {
   readonly freeMillis: number;
   readonly services: readonly ServiceTruth[];
 }
@@ -16,11 +16,11 @@
   remainingMs: number;
 }
 
-interface Room {
+interface RemainingRoom {
   freeMillis: number;
   readonly services: readonly ServiceTruth[];
   /** The slowdown that each service here may still take. */
-  readonly leftSlowdowns: number[];
+  readonly remainingSlowdowns: number[];
 }
 
 export const trueMillis = (kind: KindTruth): number =>
@@ -45,46 +45,46 @@
   }
 
   /** Lets the workers do what they can in `elapsedMs`; returns processor-milliseconds done. */
-  advance(workers: readonly IdealRoom[], nowMs: number, elapsedMs: number): number {
+  advance(workers: readonly WorkerRoom[], nowMs: number, elapsedMs: number): number {
     const rooms = workers.map(({ freeMillis, services }) => ({
       freeMillis,
       services,
-      leftSlowdowns: services.map(() => this.#toleratedSlowdown),
+      remainingSlowdowns: services.map(() => this.#toleratedSlowdown),
     }));
     // What hurts most has the fewest places, so it chooses first.
     const kinds = [...this.#tasks.keys()].sort(
       (left, right) =>
-        this.#harm(right, rooms, nowMs) - this.#harm(left, rooms, nowMs) ||
+        this.#totalPressure(right, rooms, nowMs) - this.#totalPressure(left, rooms, nowMs) ||
         (left.name < right.name ? -1 : 1),
     );
     return kinds.reduce((doneMs, kind) => doneMs + this.#run(kind, rooms, nowMs, elapsedMs), 0);
   }
 
-  #harm(kind: KindTruth, rooms: readonly Room[], nowMs: number): number {
+  #totalPressure(kind: KindTruth, rooms: readonly RemainingRoom[], nowMs: number): number {
     return rooms.reduce((sum, room) => sum + this.#worstPressure(kind, room, nowMs), 0);
   }
 
   /** The slowdown by one thousandth of a processor of the kind. */
-  #pressures(kind: KindTruth, { services }: Room, nowMs: number): readonly number[] {
+  #pressures(kind: KindTruth, { services }: RemainingRoom, nowMs: number): readonly number[] {
     return services.map(
       ({ name }) => (loadAt(nowMs) * kind.pressure(name, nowMs)) / this.#capacityMillis,
     );
   }
 
-  #worstPressure(kind: KindTruth, room: Room, nowMs: number): number {
+  #worstPressure(kind: KindTruth, room: RemainingRoom, nowMs: number): number {
     return Math.max(0, ...this.#pressures(kind, room, nowMs));
   }
 
-  #run(kind: KindTruth, rooms: readonly Room[], nowMs: number, elapsedMs: number): number {
+  #run(kind: KindTruth, rooms: readonly RemainingRoom[], nowMs: number, elapsedMs: number): number {
     const tasks = this.#tasks.get(kind) ?? [];
     const wantedMillis = tasks.length * trueMillis(kind);
-    const grantedMillis = this.#take(kind, rooms, wantedMillis, nowMs);
-    let leftMillis = grantedMillis;
+    const grantedMillis = this.#allocate(kind, rooms, wantedMillis, nowMs);
+    let unusedMillis = grantedMillis;
     let doneMs = 0;
     tasks.forEach((one) => {
       const task = one;
-      const millis = Math.min(trueMillis(kind), leftMillis);
-      leftMillis -= millis;
+      const millis = Math.min(trueMillis(kind), unusedMillis);
+      unusedMillis -= millis;
       const stepMs = Math.min(task.remainingMs, (elapsedMs * millis) / trueMillis(kind));
       task.remainingMs -= stepMs;
       doneMs += (stepMs * trueMillis(kind)) / 1_000;
@@ -97,8 +97,13 @@
   }
 
   /** Takes up to `wantedMillis` of the rooms, first where the kind hurts least. */
-  #take(kind: KindTruth, rooms: readonly Room[], wantedMillis: number, nowMs: number): number {
-    let takenMillis = 0;
+  #allocate(
+    kind: KindTruth,
+    rooms: readonly RemainingRoom[],
+    wantedMillis: number,
+    nowMs: number,
+  ): number {
+    let allocatedMillis = 0;
     [...rooms]
       .sort(
         (left, right) =>
@@ -108,16 +113,19 @@
         const room = one;
         const pressures = this.#pressures(kind, room, nowMs);
         const limits = pressures.map((pressure, index) =>
-          pressure === 0 ? Number.POSITIVE_INFINITY : (room.leftSlowdowns[index] ?? 0) / pressure,
+          pressure === 0
+            ? Number.POSITIVE_INFINITY
+            : (room.remainingSlowdowns[index] ?? 0) / pressure,
         );
-        const millis = Math.min(wantedMillis - takenMillis, room.freeMillis, ...limits);
+        const millis = Math.min(wantedMillis - allocatedMillis, room.freeMillis, ...limits);
         if (millis <= 0) return;
-        takenMillis += millis;
+        allocatedMillis += millis;
         room.freeMillis -= millis;
         pressures.forEach((pressure, index) => {
-          room.leftSlowdowns[index] = (room.leftSlowdowns[index] ?? 0) - pressure * millis;
+          room.remainingSlowdowns[index] =
+            (room.remainingSlowdowns[index] ?? 0) - pressure * millis;
         });
       });
-    return takenMillis;
+    return allocatedMillis;
   }
 }
--- a/bench/colocation/latencyMeter.ts
+++ b/bench/colocation/latencyMeter.ts
@@ -1,7 +1,7 @@
 /** What the entry beside a cell's owner measures of servers: few requests, told late. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { LatencySample } from '../../src/services/worker/common/latencySamples.js';
-import { LATENCY_DEVIATION } from './tail.js';
+import { LATENCY_DEVIATION } from './latencyTail.js';
 import { loadAt, type ServiceTruth } from './truth.js';
 
 /** Each of so many entries sees an equal part of the requests. */
--- a/bench/colocation/tail.ts
+++ b/bench/colocation/latencyTail.ts
@@ -22,7 +22,7 @@
 /** The spread of one request's latency beside its mean. */
 export const LATENCY_DEVIATION = Math.sqrt(Math.exp(SIGMA * SIGMA) - 1);
 
-export class Tail {
+export class LatencyTail {
   readonly #counts = new Map<number, number>();
 
   #total = 0;
@@ -35,8 +35,8 @@
 
   /** The p99 of all requests beside that of requests which nothing slows down. */
   get p99Ratio(): number {
-    const alone = Tail.#quantile((latency) => normalCdf(Math.log(latency) / SIGMA));
-    return Tail.#quantile((latency) => this.#shareBelow(latency)) / alone;
+    const unslowed = LatencyTail.#quantile((latency) => normalCdf(Math.log(latency) / SIGMA));
+    return LatencyTail.#quantile((latency) => this.#shareBelow(latency)) / unslowed;
   }
 
   #shareBelow(latency: number): number {
--- a/bench/colocation/modelWorker.ts
+++ b/bench/colocation/modelWorker.ts
@@ -33,7 +33,7 @@
   leaseUntilMs: number;
   processorShare: number;
   throttledAtMs: number;
-  shareBefore: number;
+  previousShare: number;
   doneMs: number;
   savedMs: number;
   checkpoint: string | null;
@@ -68,15 +68,20 @@
   readonly #size: ColocationSize;
 
   /** The slowdown of a service that evictions are judged by. */
-  readonly #tolerated: number;
+  readonly #toleratedSlowdown: number;
 
   readonly #tasks = new Map<string, ModelTask>();
 
-  constructor(id: string, availabilityZone: string, size: ColocationSize, tolerated: number) {
+  constructor(
+    id: string,
+    availabilityZone: string,
+    size: ColocationSize,
+    toleratedSlowdown: number,
+  ) {
     this.id = id;
     this.availabilityZone = availabilityZone;
     this.#size = size;
-    this.#tolerated = tolerated;
+    this.#toleratedSlowdown = toleratedSlowdown;
   }
 
   /** The services that a replica of runs here. */
@@ -93,15 +98,15 @@
   }
 
   /** How many times slower than alone a service answers here, all batch throttled to `floor`. */
-  slowdown(service: ServiceTruth, nowMs: number, floor = 1): number {
+  slowdown(service: ServiceTruth, nowMs: number, shareLimit = 1): number {
     const { processorMillis } = this.#size.capacity;
     const pressure = this.#batch.reduce((sum, { kind, processorShare }) => {
-      const share = Math.min(floor, processorShare);
-      const felt = kind.rigidShare + (1 - kind.rigidShare) * share;
+      const share = Math.min(shareLimit, processorShare);
+      const effectiveShare = kind.rigidShare + (1 - kind.rigidShare) * share;
       const use = (kind.declared.processorMillis * kind.useRatio) / processorMillis;
-      return sum + kind.pressure(service.name, nowMs) * use * felt;
+      return sum + kind.pressure(service.name, nowMs) * use * effectiveShare;
     }, 0);
-    const wanted = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, floor);
+    const wanted = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, shareLimit);
     const overload = Math.max(0, wanted / processorMillis - 1);
     return 1 + loadAt(nowMs) * pressure + OVERLOAD_SLOWDOWN * overload;
   }
@@ -179,7 +184,7 @@
       leaseUntilMs: request.leaseUntilWorkerMs,
       processorShare: 1,
       throttledAtMs: nowMs,
-      shareBefore: 0,
+      previousShare: 0,
       doneMs,
       savedMs: doneMs,
       checkpoint: request.checkpoint,
@@ -189,7 +194,7 @@
   #throttle(throttle: TaskAttempt & { readonly processorShare: number }, nowMs: number): void {
     const task = this.#tasks.get(ModelWorker.#key(throttle));
     if (task === undefined || task.processorShare === throttle.processorShare) return;
-    task.shareBefore = task.processorShare;
+    task.previousShare = task.processorShare;
     task.processorShare = throttle.processorShare;
     task.throttledAtMs = nowMs;
   }
@@ -200,7 +205,9 @@
     if (task.kind !== undefined) {
       const lostMs = task.doneMs - task.savedMs;
       this.progress.processorMs -= (lostMs * ModelWorker.#trueMillis(task.kind)) / 1_000;
-      const isSlow = this.services.some((one) => this.slowdown(one, nowMs, 0) > this.#tolerated);
+      const isSlow = this.services.some(
+        (one) => this.slowdown(one, nowMs, 0) > this.#toleratedSlowdown,
+      );
       const isUnavoidable = this.isWithdrawn || this.isShortOfReplicas;
       if (!isUnavoidable) this.progress.evictionCount += 1;
       if (!isUnavoidable && isSlow) this.progress.neededEvictionCount += 1;
@@ -220,7 +227,7 @@
   static #toReport(task: ModelTask, nowMs: number): WorkerTaskReport {
     const { request, kind, state, checkpoint, leaseUntilMs } = task;
     const share =
-      nowMs - task.throttledAtMs < USAGE_LAG_MS ? task.shareBefore : task.processorShare;
+      nowMs - task.throttledAtMs < USAGE_LAG_MS ? task.previousShare : task.processorShare;
     const { service } = task;
     const serviceMillis = (service?.declared.processorMillis ?? 0) * (service?.useRatio ?? 0);
     // By the truth, not by what was committed, which may be of a size learnt from these reports.
--- a/bench/colocation/workMeter.ts
+++ b/bench/colocation/workMeter.ts
@@ -17,7 +17,7 @@
   readonly doneMs: number;
   readonly idealMs: number;
   /** The share of all processors whose zone is in use. */
-  readonly shareLeft: number;
+  readonly remainingShare: number;
 }
 
 interface Sums {
@@ -26,7 +26,7 @@
   aroundZone: number;
 }
 
-const noSums = (): Sums => ({ total: 0, beforeZone: 0, aroundZone: 0 });
+const zeroSums = (): Sums => ({ total: 0, beforeZone: 0, aroundZone: 0 });
 
 const add = (sums: Sums, amountMs: number, nowMs: number): void => {
   const changed = sums;
@@ -36,11 +36,11 @@
 };
 
 export class WorkMeter {
-  readonly #done = noSums();
+  readonly #done = zeroSums();
 
-  readonly #ideal = noSums();
+  readonly #ideal = zeroSums();
 
-  readonly #ownPace = noSums();
+  readonly #expected = zeroSums();
 
   /** Work offered that the own pace has not done yet; the product's open work when the zone leaves. */
   #openMs = 0;
@@ -49,14 +49,16 @@
     this.#openMs += workMs;
   }
 
-  count({ doneMs, idealMs, shareLeft }: StepWork, nowMs: number, elapsedMs: number): void {
+  count({ doneMs, idealMs, remainingShare }: StepWork, nowMs: number, elapsedMs: number): void {
     add(this.#done, doneMs, nowMs);
     add(this.#ideal, idealMs, nowMs);
     // Nobody works at what has not been offered, so the pace pauses where the queue is empty.
-    const paceMs =
-      nowMs < ZONE_LEAVES_MS ? doneMs : Math.min(this.#openMs, this.#rate * shareLeft * elapsedMs);
-    this.#openMs -= paceMs;
-    add(this.#ownPace, paceMs, nowMs);
+    const expectedMs =
+      nowMs < ZONE_LEAVES_MS
+        ? doneMs
+        : Math.min(this.#openMs, this.#rateBeforeZoneLoss * remainingShare * elapsedMs);
+    this.#openMs -= expectedMs;
+    add(this.#expected, expectedMs, nowMs);
   }
 
   get throughputRatio(): number {
@@ -68,11 +70,11 @@
   }
 
   get zoneToOwnPace(): number {
-    return this.#done.aroundZone / this.#ownPace.aroundZone;
+    return this.#done.aroundZone / this.#expected.aroundZone;
   }
 
   /** Processors at work before the zone left; a whole wave of the services' load. */
-  get #rate(): number {
+  get #rateBeforeZoneLoss(): number {
     return this.#done.beforeZone / (ZONE_LEAVES_MS - WARM_UP_MS);
   }
 }
--- a/bench/configuration/configuration.ts
+++ b/bench/configuration/configuration.ts
@@ -7,34 +7,47 @@
 
 const DAY_MS = 86_400_000;
 const CHANGES_PER_DAY = 1_300;
-const USUAL = { changeCount: 100, meanGapMs: DAY_MS / CHANGES_PER_DAY };
-const BURST = { changeCount: 50, meanGapMs: 1_200 };
-const SLOW = { minimumDelayMs: 200, maximumDelayMs: 780 };
+const USUAL_RATE = { changeCount: 100, meanGapMs: DAY_MS / CHANGES_PER_DAY };
+const BURST_RATE = { changeCount: 50, meanGapMs: 1_200 };
+const SLOW_STORE = { minimumDelayMs: 200, maximumDelayMs: 780 };
 
 const SCENARIOS: readonly Scenario[] = [
-  { name: '7 daemons', daemonCount: 7, hasPeers: true, behaviour: {}, ...USUAL },
-  { name: '7, burst', daemonCount: 7, hasPeers: true, behaviour: {}, ...BURST },
-  { name: '7, no peers', daemonCount: 7, hasPeers: false, behaviour: {}, ...USUAL },
-  { name: '7, burst, no peers', daemonCount: 7, hasPeers: false, behaviour: {}, ...BURST },
-  { name: '7, slow store', daemonCount: 7, hasPeers: true, behaviour: SLOW, ...USUAL },
-  { name: '7, slow store, no peers', daemonCount: 7, hasPeers: false, behaviour: SLOW, ...USUAL },
-  { name: '70 daemons', daemonCount: 70, hasPeers: true, behaviour: {}, ...USUAL, changeCount: 20 },
+  { name: '7 daemons', daemonCount: 7, hasPeers: true, behaviour: {}, ...USUAL_RATE },
+  { name: '7, burst', daemonCount: 7, hasPeers: true, behaviour: {}, ...BURST_RATE },
+  { name: '7, no peers', daemonCount: 7, hasPeers: false, behaviour: {}, ...USUAL_RATE },
+  { name: '7, burst, no peers', daemonCount: 7, hasPeers: false, behaviour: {}, ...BURST_RATE },
+  { name: '7, slow store', daemonCount: 7, hasPeers: true, behaviour: SLOW_STORE, ...USUAL_RATE },
+  {
+    name: '7, slow store, no peers',
+    daemonCount: 7,
+    hasPeers: false,
+    behaviour: SLOW_STORE,
+    ...USUAL_RATE,
+  },
+  {
+    name: '70 daemons',
+    daemonCount: 70,
+    hasPeers: true,
+    behaviour: {},
+    ...USUAL_RATE,
+    changeCount: 20,
+  },
   {
     name: '70, no peers',
     daemonCount: 70,
     hasPeers: false,
     behaviour: {},
-    ...USUAL,
+    ...USUAL_RATE,
     changeCount: 20,
   },
-  { name: '70, burst', daemonCount: 70, hasPeers: true, behaviour: {}, ...BURST },
+  { name: '70, burst', daemonCount: 70, hasPeers: true, behaviour: {}, ...BURST_RATE },
 ];
 
-const say = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
-const inForceLine = (name: string, figures: InForceFigures): string => {
+const formatInForce = (name: string, figures: InForceFigures): string => {
   const { p50Ms, p99Ms, maxMs } = figures;
   const reads = figures.readsPerDaemonPerSecond.toFixed(2);
   const rows = figures.rowsPerDaemonPerSecond.toFixed(2);
@@ -45,7 +58,7 @@
 
 /** Scenarios that CI runs too; all are in virtual time, but the others take too long for it. */
 const BOUNDED_SCENARIOS: readonly Scenario[] = SCENARIOS.filter(
-  ({ daemonCount, meanGapMs }) => daemonCount === 7 && meanGapMs === BURST.meanGapMs,
+  ({ daemonCount, meanGapMs }) => daemonCount === 7 && meanGapMs === BURST_RATE.meanGapMs,
 );
 
 /** `bounds` as an argument runs just what is the same on every machine. */
@@ -58,21 +71,21 @@
     const scenario = scenarios[index] as Scenario;
     // eslint-disable-next-line no-await-in-loop -- one at a time
     const figures = await measureInForce(scenario);
-    say(inForceLine(scenario.name, figures));
+    printLine(formatInForce(scenario.name, figures));
     isWithinBounds &&= figures.maxMs <= (bounds.maximumInForceMs ?? 0);
     isWithinBounds &&= figures.bytesPerDaemonPerSecond <= (bounds.maximumBytesPerSecond ?? 0);
   }
   (await measurePlanReads()).forEach(({ name, rowCount, characterCount }) => {
-    say(`plan ${name}: reads ${rowCount} rows, ${characterCount} characters`);
+    printLine(`plan ${name}: reads ${rowCount} rows, ${characterCount} characters`);
     isWithinBounds &&= rowCount <= (bounds.maximumPlanRows ?? 0);
     isWithinBounds &&= characterCount <= (bounds.maximumPlanCharacters ?? 0);
   });
   if (isBoundsOnly) return isWithinBounds;
-  const plans = await measurePlanning();
-  plans.forEach(({ name, p50Ms, maxMs, usualHoldMs, longestHoldMs }) => {
+  const planningFigures = await measurePlanning();
+  planningFigures.forEach(({ name, p50Ms, maxMs, medianBlockMs, longestBlockMs }) => {
     const durations = `p50 ${p50Ms.toFixed(1)} max ${maxMs.toFixed(1)} ms`;
-    const hold = `longest hold p50 ${usualHoldMs.toFixed(1)} max ${longestHoldMs.toFixed(1)} ms`;
-    say(`plan ${name}: ${durations}, ${hold}`);
+    const longestBlock = `longest hold p50 ${medianBlockMs.toFixed(1)} max ${longestBlockMs.toFixed(1)} ms`;
+    printLine(`plan ${name}: ${durations}, ${longestBlock}`);
     isWithinBounds &&= p50Ms <= (bounds.maximumPlanMs ?? 0);
   });
   return isWithinBounds;
--- a/bench/configuration/fleet.ts
+++ b/bench/configuration/fleet.ts
@@ -62,11 +62,11 @@
   };
 };
 
-export const ledgerRows = (all: readonly WorkerInstance[]): readonly RowWrite[] => {
+export const ledgerRows = (instances: readonly WorkerInstance[]): readonly RowWrite[] => {
   const racks = new Map<string, unknown[]>();
   const count = SERVICE_COUNT * REPLICA_COUNT + BATCH_TASK_COUNT;
   Array.from({ length: count }, (_, index) => index).forEach((index) => {
-    const worker = all[index % all.length] as WorkerInstance;
+    const worker = instances[index % instances.length] as WorkerInstance;
     const key = ledgerKey(worker.availabilityZone, worker.rack);
     racks.set(key, [...(racks.get(key) ?? []), assignmentOf(index, worker)]);
   });
@@ -74,11 +74,11 @@
 };
 
 /** The jobs' own rows of the same tasks. */
-export const workRows = (all: readonly WorkerInstance[]): readonly RowWrite[] => {
+export const workRows = (instances: readonly WorkerInstance[]): readonly RowWrite[] => {
   const shards = new Map<string, { key: string; index: number; tasks: unknown[] }>();
   const count = SERVICE_COUNT * REPLICA_COUNT + BATCH_TASK_COUNT;
   for (let index = SERVICE_COUNT * REPLICA_COUNT; index < count; index += 1) {
-    const { availabilityZone } = all[index % all.length] as WorkerInstance;
+    const { availabilityZone } = instances[index % instances.length] as WorkerInstance;
     const key = workKey(availabilityZone, toShardId(jobIdOf(index), availabilityZone));
     const shard = shards.get(key) ?? { key, index, tasks: [] };
     const task = { index, state: 'assigned', attempt: 1, checkpoint: null };
@@ -88,8 +88,8 @@
   return [...shards.values()].map(({ key, index, tasks }) => {
     const jobId = jobIdOf(index);
     const shardId = key.slice(key.lastIndexOf('/') + 1);
-    const terms = { team: teamOf(index), size: SIZE, urgency: 'normal', workMs: 60_000 };
-    return { key, value: { shardId, jobId, ...terms, tasks } as never };
+    const jobFields = { team: teamOf(index), size: SIZE, urgency: 'normal', workMs: 60_000 };
+    return { key, value: { shardId, jobId, ...jobFields, tasks } as never };
   });
 };
 
--- a/bench/configuration/inForce.ts
+++ b/bench/configuration/inForce.ts
@@ -19,8 +19,8 @@
 import { silentLog } from '../../src/services/log/common/log.js';
 import { silentMetrics } from '../../src/services/metrics/common/metrics.js';
 
-const INTERVAL_MS = 600;
-const HEARTBEAT_MS = 1_000;
+const POLL_INTERVAL_MS = 600;
+const HEARTBEAT_INTERVAL_MS = 1_000;
 const HINT_DELAY_MS = 2;
 const START_MS = 5_000;
 const SETTLE_MS = 5_000;
@@ -94,22 +94,22 @@
       () => new ConfigurationFollower(table, time, silentLog, silentMetrics),
     );
     this.followers.forEach((follower) => {
-      const look = async (): Promise<void> => {
+      const poll = async (): Promise<void> => {
         await follower.refresh();
-        time.after(INTERVAL_MS, () => void look());
+        time.after(POLL_INTERVAL_MS, () => void poll());
       };
-      time.after(random.nextFraction() * INTERVAL_MS, () => void look());
+      time.after(random.nextFraction() * POLL_INTERVAL_MS, () => void poll());
     });
     if (!scenario.hasPeers) return;
     instances.forEach(({ id }, index) => {
       const peers = chosenPeers(instances, id).map((peer) => Number(peer.id.slice(1)));
-      this.#beat(index, peers, random.nextFraction() * HEARTBEAT_MS);
+      this.#startHeartbeats(index, peers, random.nextFraction() * HEARTBEAT_INTERVAL_MS);
     });
   }
 
-  #beat(index: number, peers: readonly number[], firstMs: number): void {
+  #startHeartbeats(index: number, peers: readonly number[], firstDelayMs: number): void {
     const own = this.followers[index] as ConfigurationFollower;
-    const tell = (): void => {
+    const sendHints = (): void => {
       const version = own.current?.version ?? 0;
       peers.forEach((peer) => {
         const follower = this.followers[peer] as ConfigurationFollower;
@@ -118,12 +118,12 @@
         });
       });
     };
-    own.onDidChange(tell);
-    const beat = (): void => {
-      tell();
-      this.#time.after(HEARTBEAT_MS, beat);
+    own.onDidChange(sendHints);
+    const sendHeartbeat = (): void => {
+      sendHints();
+      this.#time.after(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
     };
-    this.#time.after(firstMs, beat);
+    this.#time.after(firstDelayMs, sendHeartbeat);
   }
 }
 
@@ -131,7 +131,7 @@
   build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000, useWebAssembly: false });
 
 /** Records, for each version, when the last daemon has it in force. */
-const recordLast = (
+const recordLastInForce = (
   fleet: Fleet,
   time: VirtualTime,
   acceptedAtMs: readonly number[],
@@ -139,15 +139,15 @@
   const histogram = createHistogram();
   const remaining = acceptedAtMs.map(() => fleet.followers.length);
   fleet.followers.forEach((follower) => {
-    let known = follower.current?.version ?? 0;
+    let knownVersion = follower.current?.version ?? 0;
     follower.onDidChange(({ version }) => {
-      for (let passed = known + 1; passed <= version; passed += 1) {
-        remaining[passed] = (remaining[passed] ?? fleet.followers.length) - 1;
-        if (remaining[passed] === 0) {
-          histogram.recordValue(Math.max(1, time.nowMs() - (acceptedAtMs[passed] ?? 0)));
+      for (let reached = knownVersion + 1; reached <= version; reached += 1) {
+        remaining[reached] = (remaining[reached] ?? fleet.followers.length) - 1;
+        if (remaining[reached] === 0) {
+          histogram.recordValue(Math.max(1, time.nowMs() - (acceptedAtMs[reached] ?? 0)));
         }
       }
-      known = version;
+      knownVersion = version;
     });
   });
   return histogram;
@@ -161,7 +161,7 @@
   const fleet = new Fleet(time, table, random, scenario);
   await time.runUntil(START_MS);
   const acceptedAtMs = [0, 0];
-  const histogram = recordLast(fleet, time, acceptedAtMs);
+  const histogram = recordLastInForce(fleet, time, acceptedAtMs);
   const before = { ...table.truth.counts, byteCount: table.readByteCount };
   for (let version = 2; version < scenario.changeCount + 2; version += 1) {
     const state = version % 2 === 0 ? 'withdrawn' : 'in-use';
@@ -170,8 +170,10 @@
     });
     acceptedAtMs[version] = time.nowMs();
     // The daemon that confirmed the plan knows of it first.
-    const confirming = fleet.followers[version % scenario.daemonCount] as ConfigurationFollower;
-    if (scenario.hasPeers) void confirming.refresh(version);
+    const confirmingFollower = fleet.followers[
+      version % scenario.daemonCount
+    ] as ConfigurationFollower;
+    if (scenario.hasPeers) void confirmingFollower.refresh(version);
     const gapMs = -Math.log(1 - random.nextFraction()) * scenario.meanGapMs;
     // eslint-disable-next-line no-await-in-loop -- changes come one after the other
     await time.runUntil(time.nowMs() + gapMs);
--- a/bench/configuration/planReads.ts
+++ b/bench/configuration/planReads.ts
@@ -17,16 +17,16 @@
   harness.instances = instances;
   const writes = [...documentRows(), ...ledgerRows(instances), ...workRows(instances)];
   harness.table.truth.transact({ operationId: 'fill', conditions: [], writes });
-  const plans = harness.daemon();
+  const planService = harness.daemon();
   // The first plan of a process also loads the configuration.
-  await harness.plan(plans, { intent: 'set-policy', policy: {} });
+  await harness.plan(planService, { intent: 'set-policy', policy: {} });
   const figures: PlanReads[] = [];
   for (let index = 0; index < INTENTS.length; index += 1) {
     const [name, toIntent] = INTENTS[index] as (typeof INTENTS)[number];
     const rowsBefore = harness.table.truth.counts.readRowCount;
     const charactersBefore = harness.table.readByteCount;
     // eslint-disable-next-line no-await-in-loop -- one plan at a time
-    const plan = await harness.settle(plans.plan(toIntent(0), 'bench'));
+    const plan = await harness.settle(planService.plan(toIntent(0), 'bench'));
     if (isLeft(plan)) throw new Error(`${name}: ${plan.left.message}`);
     figures.push({
       name,
--- a/bench/configuration/planning.ts
+++ b/bench/configuration/planning.ts
@@ -30,12 +30,12 @@
   readonly p50Ms: number;
   readonly maxMs: number;
   /** The longest that the event loop stood still during a plan: the middle one and the worst. */
-  readonly usualHoldMs: number;
-  readonly longestHoldMs: number;
+  readonly medianBlockMs: number;
+  readonly longestBlockMs: number;
 }
 
 /** Measures how long the event loop stands still until it is told to stop. */
-const watchHolds = (): (() => number) => {
+const watchEventLoop = (): (() => number) => {
   let longestMs = 0;
   let isStopped = false;
   const watch = async (): Promise<void> => {
@@ -56,66 +56,66 @@
 };
 
 /** The figures but for the first rounds, which are for the compiler, in order. */
-const settled = (figures: readonly number[]): readonly number[] =>
+const sortWithoutWarmUp = (figures: readonly number[]): readonly number[] =>
   figures.slice(WARM_UP_COUNT).sort((one, other) => one - other);
 
 const median = (sorted: readonly number[]): number =>
   sorted[Math.floor(sorted.length / 2)] as number;
 
-type Work = () => Promise<Either<Failure, unknown>>;
+type TimedAction = () => Promise<Either<Failure, unknown>>;
 
 /** What is measured, made ready round by round; making it ready is not measured. */
-type Preparation = readonly [string, (round: number) => Promise<Work> | Work];
+type PlanningCase = readonly [string, (round: number) => Promise<TimedAction> | TimedAction];
 
-const measure = async ([name, prepare]: Preparation): Promise<PlanningFigures> => {
+const measure = async ([name, prepare]: PlanningCase): Promise<PlanningFigures> => {
   const durationsMs: number[] = [];
-  const holdsMs: number[] = [];
+  const blocksMs: number[] = [];
   for (let round = 0; round < REPEAT_COUNT; round += 1) {
     // eslint-disable-next-line no-await-in-loop -- one plan at a time
-    const work = await prepare(round);
-    const stop = watchHolds();
+    const runAction = await prepare(round);
+    const stop = watchEventLoop();
     const startMs = systemClock.nowMs();
     // eslint-disable-next-line no-await-in-loop
-    const result = await work();
+    const result = await runAction();
     durationsMs.push(systemClock.nowMs() - startMs);
-    holdsMs.push(stop());
+    blocksMs.push(stop());
     if (isLeft(result)) throw new Error(`${name}: ${result.left.message}`);
     // eslint-disable-next-line no-await-in-loop
     await delay(20);
   }
-  const [durations, holds] = [settled(durationsMs), settled(holdsMs)];
+  const [durations, blocks] = [sortWithoutWarmUp(durationsMs), sortWithoutWarmUp(blocksMs)];
   return {
     name,
     p50Ms: median(durations),
     maxMs: durations.at(-1) as number,
-    usualHoldMs: median(holds),
-    longestHoldMs: holds.at(-1) as number,
+    medianBlockMs: median(blocks),
+    longestBlockMs: blocks.at(-1) as number,
   };
 };
 
-const planned = async (plans: PlanService, intent: Intent): Promise<Plan> => {
-  const plan = await plans.plan(intent, 'bench');
+const createPlan = async (planService: PlanService, intent: Intent): Promise<Plan> => {
+  const plan = await planService.plan(intent, 'bench');
   if (isLeft(plan)) throw new Error(plan.left.message);
   return plan.right;
 };
 
 /** Plans of every kind; then jobs of 10,000 tasks confirmed, and plans to cancel those. */
-const preparations = (plans: PlanService): readonly Preparation[] => [
-  ...INTENTS.map(([name, toIntent]): Preparation => [
+const toPlanningCases = (planService: PlanService): readonly PlanningCase[] => [
+  ...INTENTS.map(([name, toIntent]): PlanningCase => [
     name,
-    (round) => () => plans.plan(toIntent(round), 'bench'),
+    (round) => () => planService.plan(toIntent(round), 'bench'),
   ]),
   [
     'confirmation of 10,000 tasks',
     async (round) => {
-      const { planId, digest } = await planned(plans, largeJob(`confirmed-${round}`));
-      return () => plans.confirm({ planId, digest, author: 'bench' });
+      const { planId, digest } = await createPlan(planService, largeJob(`confirmed-${round}`));
+      return () => planService.confirm({ planId, digest, author: 'bench' });
     },
   ],
   [
     'cancel-jobs, of 10,000 tasks',
     (round) => () =>
-      plans.plan({ intent: 'cancel-jobs', jobIds: [`team-1.confirmed-${round}`] }, 'bench'),
+      planService.plan({ intent: 'cancel-jobs', jobIds: [`team-1.confirmed-${round}`] }, 'bench'),
   ],
 ];
 
@@ -148,7 +148,7 @@
     await fill(table, [...documentRows(), ...ledgerRows(instances), ...workRows(instances)]);
     const configuration = new ConfigurationFollower(table, systemClock, silentLog, silentMetrics);
     await configuration.refresh();
-    const plans = new PlanService(
+    const planService = new PlanService(
       {
         table,
         configuration,
@@ -163,15 +163,15 @@
       },
       { planLifetimeMs: 60_000, confirmTimeoutMs: 10_000 },
     );
-    const stop = watchHolds();
+    const stop = watchEventLoop();
     await delay(1_000);
-    const restMs = stop();
-    const rest = { p50Ms: 0, maxMs: 0, usualHoldMs: restMs, longestHoldMs: restMs };
-    const figures: PlanningFigures[] = [{ name: 'nothing (a second of rest)', ...rest }];
-    const all = preparations(plans);
-    for (let index = 0; index < all.length; index += 1) {
+    const idleBlockMs = stop();
+    const idle = { p50Ms: 0, maxMs: 0, medianBlockMs: idleBlockMs, longestBlockMs: idleBlockMs };
+    const figures: PlanningFigures[] = [{ name: 'nothing (a second of rest)', ...idle }];
+    const planningCases = toPlanningCases(planService);
+    for (let index = 0; index < planningCases.length; index += 1) {
       // eslint-disable-next-line no-await-in-loop -- one at a time, or they hold each other up
-      figures.push(await measure(all[index] as Preparation));
+      figures.push(await measure(planningCases[index] as PlanningCase));
     }
     return figures;
   } finally {
--- a/bench/passThrough/load.ts
+++ b/bench/passThrough/load.ts
@@ -34,7 +34,7 @@
   const latency = build({ numberOfSignificantValueDigits: 3, useWebAssembly: false });
   const startedAtMs = systemClock.nowMs();
   let failureCount = 0;
-  const lane = async (): Promise<void> => {
+  const sendInSequence = async (): Promise<void> => {
     for (let sentAtMs = startedAtMs; sentAtMs < startedAtMs + durationMs;) {
       // eslint-disable-next-line no-await-in-loop -- a lane sends one request at a time
       const answer = await pool.request({ method: 'POST', path, headers: REQUEST_HEADERS, body });
@@ -46,7 +46,7 @@
       sentAtMs = nowMs;
     }
   };
-  await Promise.all(Array.from({ length: CONNECTION_COUNT }, lane));
+  await Promise.all(Array.from({ length: CONNECTION_COUNT }, sendInSequence));
   const elapsedMs = systemClock.nowMs() - startedAtMs;
   await pool.close();
   return {
--- a/bench/passThrough/passThrough.ts
+++ b/bench/passThrough/passThrough.ts
@@ -17,48 +17,48 @@
 const WARM_UP_MS = 2_000;
 const SETTLING_MS = 5_000;
 
-const WAYS = ['direct', 'bare', 'daemon'] as const;
-type Way = (typeof WAYS)[number];
+const VARIANTS = ['direct', 'bare', 'daemon'] as const;
+type Variant = (typeof VARIANTS)[number];
 
 /** One way's round, with the processor time of the process in the middle for each request. */
-interface WayResult extends LoadResult {
+interface VariantResult extends LoadResult {
   readonly processorMicroseconds: number;
 }
-type Round = Readonly<Record<Way, WayResult>>;
+type Round = Readonly<Record<Variant, VariantResult>>;
 
 interface Target {
   readonly origin: string;
   readonly pid: number;
 }
 
-const say = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
 const median = (values: readonly number[]): number =>
   [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0;
 
-const medianOf = (rounds: readonly Round[], way: Way, field: keyof WayResult): number =>
-  median(rounds.map((round) => round[way][field]));
+const medianOf = (rounds: readonly Round[], variant: Variant, field: keyof VariantResult): number =>
+  median(rounds.map((round) => round[variant][field]));
 
-interface Measured {
+interface Measurements {
   readonly rounds: readonly Round[];
   readonly idleMegabytes: number;
   readonly loadedMegabytes: number;
 }
 
-const runRounds = async (targets: Readonly<Record<Way, Target>>): Promise<readonly Round[]> => {
-  const runWay = async (way: Way, durationMs: number): Promise<WayResult> => {
-    const { origin, pid } = targets[way];
+const runRounds = async (targets: Readonly<Record<Variant, Target>>): Promise<readonly Round[]> => {
+  const runVariant = async (variant: Variant, durationMs: number): Promise<VariantResult> => {
+    const { origin, pid } = targets[variant];
     const usedBeforeMs = await processorMs(pid);
     const result = await runLoad(origin, `/services/${SERVICE_NAME}/echo`, durationMs);
     const usedMs = (await processorMs(pid)) - usedBeforeMs;
     return { ...result, processorMicroseconds: (usedMs * 1_000) / result.requestCount };
   };
   const runRound = async (durationMs: number): Promise<Round> => {
-    const direct = await runWay('direct', durationMs);
-    const bare = await runWay('bare', durationMs);
-    return { direct, bare, daemon: await runWay('daemon', durationMs) };
+    const direct = await runVariant('direct', durationMs);
+    const bare = await runVariant('bare', durationMs);
+    return { direct, bare, daemon: await runVariant('daemon', durationMs) };
   };
   await runRound(WARM_UP_MS);
   const rounds: Round[] = [];
@@ -69,7 +69,7 @@
   return rounds;
 };
 
-const measure = async (children: ChildProcesses): Promise<Measured> => {
+const measure = async (children: ChildProcesses): Promise<Measurements> => {
   const backend = await children.start(
     'bench/passThrough/backendProcess.js',
     [String(WORKER_COUNT)],
@@ -94,39 +94,43 @@
   return { rounds, idleMegabytes, loadedMegabytes: peak.peakMegabytes };
 };
 
-const report = ({ rounds }: Measured): void => {
-  say(`${CONNECTION_COUNT} connections, ${ROUND_COUNT} rounds of ${ROUND_MS} ms each, medians`);
-  WAYS.forEach((way) => {
-    const rate = Math.round(medianOf(rounds, way, 'requestsPerSecond'));
-    const p50 = medianOf(rounds, way, 'p50Ms').toFixed(2);
-    const p99 = medianOf(rounds, way, 'p99Ms').toFixed(2);
-    const processor = Math.round(medianOf(rounds, way, 'processorMicroseconds'));
-    say(
-      `${way.padEnd(6)}  ${rate} requests/s  p50 ${p50} ms  p99 ${p99} ms  ${processor} µs of processor each`,
+const report = ({ rounds }: Measurements): void => {
+  printLine(
+    `${CONNECTION_COUNT} connections, ${ROUND_COUNT} rounds of ${ROUND_MS} ms each, medians`,
+  );
+  VARIANTS.forEach((variant) => {
+    const rate = Math.round(medianOf(rounds, variant, 'requestsPerSecond'));
+    const p50 = medianOf(rounds, variant, 'p50Ms').toFixed(2);
+    const p99 = medianOf(rounds, variant, 'p99Ms').toFixed(2);
+    const processor = Math.round(medianOf(rounds, variant, 'processorMicroseconds'));
+    printLine(
+      `${variant.padEnd(6)}  ${rate} requests/s  p50 ${p50} ms  p99 ${p99} ms  ${processor} µs of processor each`,
     );
   });
 };
 
-const isWithinBounds = async (measured: Measured): Promise<boolean> => {
+const isWithinBounds = async (measured: Measurements): Promise<boolean> => {
   const { rounds, idleMegabytes, loadedMegabytes } = measured;
   const bounds = await readBounds('pass-through');
   const ratios = rounds.map(
     ({ daemon, bare }) => daemon.requestsPerSecond / bare.requestsPerSecond,
   );
-  const failures = rounds.flatMap((round) => WAYS.map((way) => round[way].failureCount));
+  const failures = rounds.flatMap((round) =>
+    VARIANTS.map((variant) => round[variant].failureCount),
+  );
   const failureCount = failures.reduce((sum, count) => sum + count, 0);
   const ratio = median(ratios);
   const { minimumRatioToBare = 0, maximumIdleMegabytes = 0, maximumLoadedMegabytes = 0 } = bounds;
-  say(
+  printLine(
     `daemon / bare  ${ratio.toFixed(3)} (rounds ${Math.min(...ratios).toFixed(3)} to ${Math.max(...ratios).toFixed(3)}), bound ${minimumRatioToBare}`,
   );
   const processorRatio =
     medianOf(rounds, 'bare', 'processorMicroseconds') /
     medianOf(rounds, 'daemon', 'processorMicroseconds');
-  say(`processor time, bare / daemon  ${processorRatio.toFixed(3)}`);
-  say(`resident idle  ${idleMegabytes.toFixed(1)} MB, bound ${maximumIdleMegabytes}`);
-  say(`resident peak  ${loadedMegabytes.toFixed(1)} MB, bound ${maximumLoadedMegabytes}`);
-  say(`requests without a whole answer  ${failureCount}`);
+  printLine(`processor time, bare / daemon  ${processorRatio.toFixed(3)}`);
+  printLine(`resident idle  ${idleMegabytes.toFixed(1)} MB, bound ${maximumIdleMegabytes}`);
+  printLine(`resident peak  ${loadedMegabytes.toFixed(1)} MB, bound ${maximumLoadedMegabytes}`);
+  printLine(`requests without a whole answer  ${failureCount}`);
   return (
     ratio >= minimumRatioToBare &&
     idleMegabytes <= maximumIdleMegabytes &&
--- a/bench/passThrough/system.ts
+++ b/bench/passThrough/system.ts
@@ -20,7 +20,7 @@
 const HOST = '127.0.0.1';
 const ZONE = 'zone-a';
 const TOKEN = 'bench-operator';
-const READY_TRIES = 150;
+const READY_ATTEMPT_COUNT = 150;
 const READY_INTERVAL_MS = 100;
 /** So many connections that the daemon's share of a worker's never bounds the load. */
 const UNBOUNDED_CONNECTION_COUNT = 1_024;
@@ -58,13 +58,13 @@
   return answer;
 };
 
-const carryOut = async (origin: string, intent: unknown): Promise<void> => {
+const planAndConfirm = async (origin: string, intent: unknown): Promise<void> => {
   const plan = (await call(`${origin}/v1/plans`, { intent })) as { planId: string; digest: string };
   await call(`${origin}/v1/plans/${plan.planId}/confirm`, { digest: plan.digest });
 };
 
 const waitForTasks = async (origin: string): Promise<void> => {
-  for (let index = 0; index < READY_TRIES; index += 1) {
+  for (let index = 0; index < READY_ATTEMPT_COUNT; index += 1) {
     // eslint-disable-next-line no-await-in-loop -- waits for the service to come up
     const tasks = (await call(`${origin}/v1/tasks`)) as readonly unknown[];
     if (tasks.length >= WORKER_COUNT) return;
@@ -118,10 +118,10 @@
   );
   await rm(folder, { recursive: true });
   const operatorOrigin = `http://${HOST}:${Number(daemon.ready.operatorsPort)}`;
-  await carryOut(operatorOrigin, { intent: 'use-zone', zone: ZONE, region: 'bench' });
+  await planAndConfirm(operatorOrigin, { intent: 'use-zone', zone: ZONE, region: 'bench' });
   const service = { name: SERVICE_NAME, team: 'bench', replicaCount: WORKER_COUNT, size: SIZE };
   const intent = { intent: 'create-service', service: { ...service, urgency: 'normal' } };
-  await carryOut(operatorOrigin, intent);
+  await planAndConfirm(operatorOrigin, intent);
   await waitForTasks(operatorOrigin);
   const callerOrigin = `http://${HOST}:${Number(daemon.ready.callersPort)}`;
   return { callerOrigin, pid: daemon.child.pid ?? 0 };
--- a/bench/peers/peers.ts
+++ b/bench/peers/peers.ts
@@ -18,7 +18,7 @@
 const SETTLE_MS = 3_000;
 const MEASURED_MS = 10_000;
 const MS_PER_SECOND = 1_000;
-const COUNTS = [7, 70] as const;
+const DAEMON_COUNTS = [7, 70] as const;
 const TABLE = 'http://127.0.0.1:9';
 
 const configuration: ConfigurationService = {
@@ -28,7 +28,7 @@
   refresh: () => Promise.resolve(),
 };
 
-class CountedBytes implements Metrics {
+class SentBytesMetrics implements Metrics {
   byteCount = 0;
 
   count(name: string, _labels = {}, amount = 1): void {
@@ -54,7 +54,7 @@
 const measure = async (daemonCount: number): Promise<number> => {
   const instances: Instance[] = [];
   const directory = { instances, onDidChange: new Emitter<readonly Instance[]>().event };
-  const bytes = new CountedBytes();
+  const bytes = new SentBytesMetrics();
   const services: PeerService[] = [];
   for (let index = 0; index < daemonCount; index += 1) {
     const id = `entry-${String(index).padStart(8, '0')}`;
@@ -80,26 +80,28 @@
   const before = bytes.byteCount;
   const startedAtMs = systemClock.nowMs();
   await delay(MEASURED_MS);
-  const sentCount = bytes.byteCount - before;
+  const sentByteCount = bytes.byteCount - before;
   const seconds = (systemClock.nowMs() - startedAtMs) / MS_PER_SECOND;
   services.forEach((service) => service.dispose());
-  return sentCount / seconds / daemonCount;
+  return sentByteCount / seconds / daemonCount;
 };
 
 const run = async (): Promise<boolean> => {
   const bounds = await readBounds('peers');
   const figures: number[] = [];
-  for (let index = 0; index < COUNTS.length; index += 1) {
+  for (let index = 0; index < DAEMON_COUNTS.length; index += 1) {
     // eslint-disable-next-line no-await-in-loop -- one fleet at a time
-    const bytesPerSecond = await measure(COUNTS[index] as number);
+    const bytesPerSecond = await measure(DAEMON_COUNTS[index] as number);
     figures.push(bytesPerSecond);
     process.stdout.write(
-      `${COUNTS[index]} daemons: each sends ${bytesPerSecond.toFixed(0)} bytes a second to peers\n`,
+      `${DAEMON_COUNTS[index]} daemons: each sends ${bytesPerSecond.toFixed(0)} bytes a second to peers\n`,
     );
   }
-  const [few = 0, many = 0] = figures;
-  process.stdout.write(`ten times the daemons, ${(many / few).toFixed(2)} times the bytes\n`);
-  return many / few <= (bounds.maximumRatioOfTenfold ?? 0);
+  const [smallFleetRate = 0, largeFleetRate = 0] = figures;
+  process.stdout.write(
+    `ten times the daemons, ${(largeFleetRate / smallFleetRate).toFixed(2)} times the bytes\n`,
+  );
+  return largeFleetRate / smallFleetRate <= (bounds.maximumRatioOfTenfold ?? 0);
 };
 
 export const peers: Benchmark = { name: 'peers', run };
--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -19,9 +19,9 @@
   readonly meanMs: number;
   readonly callerId?: string;
   /** After how long without an answer its callers hang up and send the same again at once. */
-  readonly patienceMs?: number;
+  readonly callerTimeoutMs?: number;
   /** How often they do so before they stay away. */
-  readonly repeatCount?: number;
+  readonly resendCount?: number;
 }
 
 export interface Scenario {
@@ -34,13 +34,13 @@
   /** Offered work as a share of what all slots can do. */
   readonly utilisation: (nowMs: number) => number;
   /** Factor on a worker's service times. */
-  readonly slowness?: (worker: number, nowMs: number) => number;
+  readonly serviceTimeFactor?: (worker: number, nowMs: number) => number;
   /** Whether the worker refuses connections at once. */
   readonly isFailing?: (worker: number, nowMs: number) => boolean;
   /** Whether backend servers end work whose connection was closed. */
-  readonly areServersNoticing?: boolean;
+  readonly areServersCancelling?: boolean;
   /** Zones whose workers are out of the routes, by number. */
-  readonly isZoneOut?: (zone: number, nowMs: number) => boolean;
+  readonly isZoneWithdrawn?: (zone: number, nowMs: number) => boolean;
   readonly isEntryDead?: (entry: number, nowMs: number) => boolean;
   /** The chance of an entry to get a request, against the others. */
   readonly entryWeight?: (entry: number) => number;
@@ -59,16 +59,16 @@
   traffic.reduce((sum, { share, meanMs }) => sum + share * meanMs, 0);
 
 const pickTraffic = (traffic: readonly Traffic[], random: RandomSource): Traffic => {
-  let rest = random.nextFraction();
-  const found = traffic.find(({ share }) => {
-    rest -= share;
-    return rest < 0;
+  let remainingShare = random.nextFraction();
+  const picked = traffic.find(({ share }) => {
+    remainingShare -= share;
+    return remainingShare < 0;
   });
-  return found ?? (traffic[0] as Traffic);
+  return picked ?? (traffic[0] as Traffic);
 };
 
 /** Draws the arrivals of a scenario; the same seed gives the same ones to every policy. */
-export const arrive = (
+export const generateArrivals = (
   scenario: Scenario,
   time: VirtualTime,
   random: RandomSource,
@@ -79,8 +79,8 @@
   const next = (): void => {
     const kind = pickTraffic(traffic, random);
     handle(kind, logNormal(random, kind.meanMs));
-    const perMs = (utilisation(time.nowMs) * slotCount) / meanWorkMs(traffic);
-    if (time.nowMs < durationMs) time.after(exponential(random, 1 / perMs), next);
+    const arrivalsPerMs = (utilisation(time.nowMs) * slotCount) / meanWorkMs(traffic);
+    if (time.nowMs < durationMs) time.after(exponential(random, 1 / arrivalsPerMs), next);
   };
   next();
 };
@@ -90,20 +90,20 @@
   const time = new VirtualTime();
   const outcome = new Outcome();
   const waiting: (() => void)[] = [];
-  let freeCount = scenario.workerCount * SLOT_COUNT;
-  arrive(scenario, time, new SeededRandom(seed), (_traffic, workMs) => {
+  let freeSlotCount = scenario.workerCount * SLOT_COUNT;
+  generateArrivals(scenario, time, new SeededRandom(seed), (_traffic, workMs) => {
     const arrivedAtMs = time.nowMs;
     const begin = (): void => {
-      freeCount -= 1;
+      freeSlotCount -= 1;
       time.after(workMs, () => {
-        freeCount += 1;
+        freeSlotCount += 1;
         if (arrivedAtMs >= scenario.warmUpMs) {
           outcome.latenciesMs.push(time.nowMs - arrivedAtMs + 2 * ONE_WAY_MS);
         }
         waiting.shift()?.();
       });
     };
-    if (freeCount > 0) begin();
+    if (freeSlotCount > 0) begin();
     else waiting.push(begin);
   });
   time.runUntil(scenario.durationMs * 2);
--- a/bench/requests/heapGrowth.ts
+++ b/bench/requests/heapGrowth.ts
@@ -18,7 +18,7 @@
 /** More than there are places, so that some wait and some are refused. */
 const IN_FLIGHT_COUNT = 600;
 
-interface Held {
+interface InFlightRequest {
   readonly server: ServerRecord;
   readonly progress: RequestProgress;
 }
@@ -46,15 +46,15 @@
     connectionCount: 64,
   }));
   admission.updateRoutes(new Map([['rounds', servers]]), () => 'urgent', 7);
-  const held: Held[] = [];
+  const inFlight: InFlightRequest[] = [];
   let count = 0;
   const begin = (server: ServerRecord, deadlineAtMs: number): void => {
     const terms = { isIdempotent: true, maximumAttemptCount: 3, deadlineAtMs };
     const progress = new RequestProgress(terms);
     progress.tryStart();
-    held.push({ server, progress });
+    inFlight.push({ server, progress });
   };
-  const serve = (): void => {
+  const serveNextRequest = (): void => {
     const nowMs = count / 10;
     count += 1;
     const waiting: WaitingRequest = {
@@ -67,18 +67,19 @@
     if (decision.kind === 'admitted') begin(decision.server, waiting.deadlineAtMs);
     else if (decision.kind === 'queued' && count % 3 === 0)
       admission.removeWaiting('rounds', waiting);
-    if (decision.kind === 'admitted' && held.length < IN_FLIGHT_COUNT && count % 8 === 0) return;
-    const first = held.shift();
-    first?.progress.noteEnd(AttemptEnd.Answered);
+    if (decision.kind === 'admitted' && inFlight.length < IN_FLIGHT_COUNT && count % 8 === 0)
+      return;
+    const oldest = inFlight.shift();
+    oldest?.progress.noteEnd(AttemptEnd.Answered);
     const verdict = count % 7 === 0 ? ServerVerdict.Abandoned : ServerVerdict.Success;
     const end = { latencyMs: 20, verdict, isServerLeaving: false };
-    const freed = first === undefined ? [] : admission.finish('rounds', first.server, end, nowMs);
+    const freed = oldest === undefined ? [] : admission.finish('rounds', oldest.server, end, nowMs);
     [...freed, ...admission.sweep(nowMs).dispatched].forEach((dispatched) =>
       begin(dispatched.server, dispatched.waiting.deadlineAtMs),
     );
   };
-  for (let index = 0; index < WARM_UP_COUNT; index += 1) serve();
+  for (let index = 0; index < WARM_UP_COUNT; index += 1) serveNextRequest();
   const beforeBytes = heapBytes();
-  for (let index = 0; index < MEASURED_COUNT; index += 1) serve();
+  for (let index = 0; index < MEASURED_COUNT; index += 1) serveNextRequest();
   return (heapBytes() - beforeBytes) / MEASURED_COUNT;
 };
--- a/bench/requests/loadModel.ts
+++ b/bench/requests/loadModel.ts
@@ -15,7 +15,13 @@
 import { secondAttemptReason } from '../../src/entry/common/secondAttempt.js';
 import type { ServerChooser } from '../../src/entry/common/serverChoice.js';
 import type { ServerRecord } from '../../src/entry/common/serverRecords.js';
-import { arrive, ONE_WAY_MS, type Scenario, SLOT_COUNT, type Traffic } from './arrivals.js';
+import {
+  generateArrivals,
+  ONE_WAY_MS,
+  type Scenario,
+  SLOT_COUNT,
+  type Traffic,
+} from './arrivals.js';
 import { Outcome } from './outcome.js';
 import { VirtualTime } from '../virtualTime.js';
 
@@ -28,9 +34,9 @@
 export interface ModelPolicy {
   readonly createChooser: (random: RandomSource) => ServerChooser;
   readonly admission: AdmissionSettings;
-  readonly isHedging: boolean;
+  readonly isHedgingEnabled: boolean;
   /** Whether a hang-up ends the request; false shows what it would cost otherwise. */
-  readonly isNoticingHangUps: boolean;
+  readonly areHangUpsHandled: boolean;
 }
 
 export interface ModelResult {
@@ -41,11 +47,11 @@
   readonly capacityMs: number;
 }
 
-interface Flight {
+interface VirtualAttempt {
   readonly server: ServerRecord<VirtualRequest>;
   readonly startedAtMs: number;
-  readonly extra: SecondAttemptReason | undefined;
-  isGivenUp: boolean;
+  readonly reason: SecondAttemptReason | undefined;
+  isDetached: boolean;
   /** Ends the work on a server that notices that its connection was closed. */
   cancel: () => void;
 }
@@ -55,10 +61,10 @@
   readonly traffic: Traffic;
   readonly workMs: number;
   readonly arrivedAtMs: number;
-  readonly repeatsLeft: number;
+  readonly remainingResendCount: number;
   readonly isMeasured: boolean;
   readonly progress: RequestProgress;
-  readonly flights: Flight[];
+  readonly attempts: VirtualAttempt[];
   waitingSinceMs: number;
   avoidedWorkerId: string | undefined;
   isDone: boolean;
@@ -79,10 +85,10 @@
 
   /** Returns what ends the work early. */
   serve(workMs: number, done: () => void): () => void {
-    let isOver = false;
+    let isEnded = false;
     const end = (): void => {
-      if (isOver) return;
-      isOver = true;
+      if (isEnded) return;
+      isEnded = true;
       this.#busyCount -= 1;
       done();
       this.#waiting.shift()?.();
@@ -97,16 +103,16 @@
     }
     this.#waiting.push(begin);
     return () => {
-      const place = this.#waiting.indexOf(begin);
-      if (place < 0) end();
-      else this.#waiting.splice(place, 1);
+      const position = this.#waiting.indexOf(begin);
+      if (position < 0) end();
+      else this.#waiting.splice(position, 1);
     };
   }
 }
 
 interface VirtualEntry {
   readonly admission: Admission<VirtualRequest>;
-  readonly underWay: Set<VirtualRequest>;
+  readonly openRequests: Set<VirtualRequest>;
 }
 
 export class LoadModel {
@@ -145,7 +151,7 @@
       const random = new SeededRandom(seed * 1_000 + index);
       const chooser = policy.createChooser(random);
       const admission = new Admission<VirtualRequest>(policy.admission, chooser, random);
-      return { admission, underWay: new Set<VirtualRequest>() };
+      return { admission, openRequests: new Set<VirtualRequest>() };
     });
     this.#result = {
       outcomes: new Map(traffic.map(({ serviceName }) => [serviceName, new Outcome()])),
@@ -159,7 +165,7 @@
   run(): ModelResult {
     const { durationMs } = this.#scenario;
     this.#sweep();
-    arrive(this.#scenario, this.#time, this.#random, (traffic, workMs) =>
+    generateArrivals(this.#scenario, this.#time, this.#random, (traffic, workMs) =>
       this.#begin(traffic, workMs),
     );
     this.#time.runUntil(durationMs);
@@ -178,7 +184,7 @@
     }
   }
 
-  #begin(traffic: Traffic, workMs: number, repeatsLeft = traffic.repeatCount ?? 0): void {
+  #begin(traffic: Traffic, workMs: number, remainingResendCount = traffic.resendCount ?? 0): void {
     const { nowMs } = this.#time;
     const entry = this.#pickEntry();
     const deadlineAtMs = nowMs + traffic.deadlineMs;
@@ -187,7 +193,7 @@
       traffic,
       workMs,
       arrivedAtMs: nowMs,
-      repeatsLeft,
+      remainingResendCount,
       deadlineAtMs,
       isMeasured: nowMs >= this.#scenario.warmUpMs,
       progress: new RequestProgress({
@@ -195,7 +201,7 @@
         maximumAttemptCount: MAXIMUM_ATTEMPT_COUNT,
         deadlineAtMs,
       }),
-      flights: [],
+      attempts: [],
       callerId: traffic.callerId ?? '',
       waitingSinceMs: nowMs,
       avoidedWorkerId: undefined,
@@ -203,13 +209,14 @@
       isAbandoned: false,
     };
     this.#outcomes(request).forEach((outcome) => outcome.count('offered'));
-    entry.underWay.add(request);
+    entry.openRequests.add(request);
     const service = entry.admission.service(traffic.serviceName);
     service?.budget.earn();
     service?.hedgeBudget.earn();
     this.#admit(request);
-    const { patienceMs } = traffic;
-    if (patienceMs !== undefined) this.#time.after(patienceMs, () => this.#hangUp(request));
+    const { callerTimeoutMs } = traffic;
+    if (callerTimeoutMs !== undefined)
+      this.#time.after(callerTimeoutMs, () => this.#hangUp(request));
   }
 
   /** The caller hangs up and sends the same again; what it left behind may be noticed. */
@@ -217,95 +224,95 @@
     if (request.isDone) return;
     request.isAbandoned = true;
     this.#outcomes(request).forEach((outcome) => outcome.count('failed'));
-    if (this.#policy.isNoticingHangUps) this.#letGo(request);
-    const { traffic, workMs, repeatsLeft } = request;
-    if (repeatsLeft > 0) this.#begin(traffic, workMs, repeatsLeft - 1);
+    if (this.#policy.areHangUpsHandled) this.#handleHangUp(request);
+    const { traffic, workMs, remainingResendCount } = request;
+    if (remainingResendCount > 0) this.#begin(traffic, workMs, remainingResendCount - 1);
   }
 
-  #letGo(request: VirtualRequest): void {
-    const step = request.progress.noteHangUp(true);
-    if (step === HangUpAction.Dequeue)
+  #handleHangUp(request: VirtualRequest): void {
+    const action = request.progress.noteHangUp(true);
+    if (action === HangUpAction.Dequeue)
       request.entry.admission.removeWaiting(request.traffic.serviceName, request);
-    const { flights } = request;
-    const cancels = flights.map(({ cancel }) => cancel);
+    const { attempts } = request;
+    const cancels = attempts.map(({ cancel }) => cancel);
     this.#close(request, ServerVerdict.Abandoned);
-    if (this.#scenario.areServersNoticing !== true) return;
+    if (this.#scenario.areServersCancelling !== true) return;
     this.#time.after(ONE_WAY_MS, () => cancels.forEach((cancel) => cancel()));
   }
 
   #admit(request: VirtualRequest): void {
     const { admission } = request.entry;
     const decision = admission.admit(request.traffic.serviceName, request, this.#time.nowMs);
-    if (decision.kind === 'admitted') this.#send(request, decision.server);
+    if (decision.kind === 'admitted') this.#startAttempt(request, decision.server);
     if (decision.kind === 'refused') this.#refuse(request);
     if (decision.kind === 'queued' && decision.displaced !== undefined) {
       this.#refuse(decision.displaced.waiting);
     }
   }
 
-  #send(
+  #startAttempt(
     request: VirtualRequest,
     server: ServerRecord<VirtualRequest>,
-    extra?: SecondAttemptReason,
+    reason?: SecondAttemptReason,
   ): void {
-    const flight: Flight = {
+    const attempt: VirtualAttempt = {
       server,
       startedAtMs: this.#time.nowMs,
-      extra,
-      isGivenUp: false,
+      reason,
+      isDetached: false,
       cancel: () => {},
     };
-    request.flights.push(flight);
+    request.attempts.push(attempt);
     request.progress.tryStart();
     if (request.isMeasured) this.#result.attemptCount += 1;
     const index = Number(server.worker.workerId.slice(1));
     this.#time.after(ONE_WAY_MS, () => {
-      const { slowness, isFailing } = this.#scenario;
+      const { serviceTimeFactor, isFailing } = this.#scenario;
       const { nowMs } = this.#time;
       if (isFailing?.(index, nowMs) === true) {
-        this.#time.after(ONE_WAY_MS, () => this.#end(request, flight, AttemptEnd.NotRun));
+        this.#time.after(ONE_WAY_MS, () => this.#endAttempt(request, attempt, AttemptEnd.NotRun));
         return;
       }
-      const workMs = request.workMs * (slowness?.(index, nowMs) ?? 1);
+      const workMs = request.workMs * (serviceTimeFactor?.(index, nowMs) ?? 1);
       const done = (): void =>
-        this.#time.after(ONE_WAY_MS, () => this.#end(request, flight, AttemptEnd.Answered));
+        this.#time.after(ONE_WAY_MS, () => this.#endAttempt(request, attempt, AttemptEnd.Answered));
       const cancel = this.#workers[index]?.serve(workMs, done);
-      if (cancel !== undefined) flight.cancel = cancel;
+      if (cancel !== undefined) attempt.cancel = cancel;
     });
   }
 
-  #end(request: VirtualRequest, flight: Flight, end: AttemptEnd): void {
-    if (flight.isGivenUp) return;
+  #endAttempt(request: VirtualRequest, attempt: VirtualAttempt, end: AttemptEnd): void {
+    if (attempt.isDetached) return;
     const { nowMs } = this.#time;
     request.progress.noteEnd(end);
-    request.flights.splice(request.flights.indexOf(flight), 1);
+    request.attempts.splice(request.attempts.indexOf(attempt), 1);
     const isAnswer = end === AttemptEnd.Answered;
-    this.#finishPlace(request, flight, isAnswer ? ServerVerdict.Success : ServerVerdict.Failure);
+    this.#releaseSlot(request, attempt, isAnswer ? ServerVerdict.Success : ServerVerdict.Failure);
     if (request.isDone) return;
     if (isAnswer) {
       const service = request.entry.admission.service(request.traffic.serviceName);
-      if (flight.extra === SecondAttemptReason.Hedge) service?.hedgeBudget.noteWin();
+      if (attempt.reason === SecondAttemptReason.Hedge) service?.hedgeBudget.noteWin();
       this.#answer(request);
       return;
     }
-    if (request.flights.length > 0) return;
+    if (request.attempts.length > 0) return;
     const service = request.entry.admission.service(request.traffic.serviceName);
     if (!request.progress.mayRetry(nowMs) || service?.budget.trySpend() !== true) {
       this.#fail(request);
       return;
     }
     request.waitingSinceMs = nowMs;
-    request.avoidedWorkerId = flight.server.worker.workerId;
+    request.avoidedWorkerId = attempt.server.worker.workerId;
     this.#admit(request);
   }
 
-  #finishPlace(request: VirtualRequest, flight: Flight, verdict: ServerVerdict): void {
+  #releaseSlot(request: VirtualRequest, attempt: VirtualAttempt, verdict: ServerVerdict): void {
     const { nowMs } = this.#time;
     const { admission } = request.entry;
-    const end = { latencyMs: nowMs - flight.startedAtMs, verdict, isServerLeaving: false };
+    const end = { latencyMs: nowMs - attempt.startedAtMs, verdict, isServerLeaving: false };
     admission
-      .finish(request.traffic.serviceName, flight.server, end, nowMs)
-      .forEach(({ waiting, server }) => this.#send(waiting, server));
+      .finish(request.traffic.serviceName, attempt.server, end, nowMs)
+      .forEach(({ waiting, server }) => this.#startAttempt(waiting, server));
   }
 
   #answer(request: VirtualRequest): void {
@@ -313,7 +320,7 @@
     const { deadlineMs } = request.traffic;
     if (!request.isAbandoned) {
       this.#outcomes(request).forEach((outcome) =>
-        outcome.answered(latencyMs, deadlineMs, request.workMs),
+        outcome.recordAnswer(latencyMs, deadlineMs, request.workMs),
       );
     }
     this.#close(request, ServerVerdict.Overtaken);
@@ -333,39 +340,39 @@
   /** Ends a request; attempts still in flight lose their place, but their work goes on. */
   #close(request: VirtualRequest, verdict: ServerVerdict): void {
     request.isDone = true;
-    request.entry.underWay.delete(request);
-    request.flights.splice(0).forEach((flight) => {
+    request.entry.openRequests.delete(request);
+    request.attempts.splice(0).forEach((attempt) => {
       // The record is the model's own.
       // eslint-disable-next-line no-param-reassign
-      flight.isGivenUp = true;
-      this.#finishPlace(request, flight, verdict);
+      attempt.isDetached = true;
+      this.#releaseSlot(request, attempt, verdict);
     });
   }
 
   #outcomes(request: VirtualRequest): readonly Outcome[] {
     if (!request.isMeasured) return [];
-    const own = this.#result.outcomes.get(request.traffic.serviceName);
-    return own === undefined ? [this.#result.all] : [own, this.#result.all];
+    const serviceOutcome = this.#result.outcomes.get(request.traffic.serviceName);
+    return serviceOutcome === undefined ? [this.#result.all] : [serviceOutcome, this.#result.all];
   }
 
   #sweep(): void {
     const { nowMs } = this.#time;
     this.#updateRoutes();
-    this.#entries.forEach(({ admission, underWay }) => {
+    this.#entries.forEach(({ admission, openRequests }) => {
       const { rejected, dispatched } = admission.sweep(nowMs);
       rejected.forEach(({ waiting }) => this.#refuse(waiting));
-      dispatched.forEach(({ waiting, server }) => this.#send(waiting, server));
-      underWay.forEach((request) => {
-        if (request.flights.length === 0) return;
+      dispatched.forEach(({ waiting, server }) => this.#startAttempt(waiting, server));
+      openRequests.forEach((request) => {
+        if (request.attempts.length === 0) return;
         if (nowMs >= request.deadlineAtMs) this.#fail(request);
-        else if (this.#policy.isHedging) this.#considerSecond(request);
+        else if (this.#policy.isHedgingEnabled) this.#tryStartSecondAttempt(request);
       });
     });
     this.#time.after(SWEEP_INTERVAL_MS, () => this.#sweep());
   }
 
-  #considerSecond(request: VirtualRequest): void {
-    const [first, second] = request.flights;
+  #tryStartSecondAttempt(request: VirtualRequest): void {
+    const [first, second] = request.attempts;
     const { admission } = request.entry;
     const service = admission.service(request.traffic.serviceName);
     if (first === undefined || second !== undefined || service === undefined) return;
@@ -388,18 +395,18 @@
     if (server === undefined) return;
     budget.trySpend();
     if (request.isMeasured) this.#result.secondAttemptCount += 1;
-    this.#send(request, server, reason);
+    this.#startAttempt(request, server, reason);
   }
 
   #updateRoutes(): void {
-    const { isZoneOut, traffic } = this.#scenario;
-    const isOut = (_: unknown, zone: number): boolean =>
-      isZoneOut?.(zone, this.#time.nowMs) === true;
-    const zonesOut = Array.from({ length: ZONE_COUNT }, isOut);
-    const key = zonesOut.join();
+    const { isZoneWithdrawn, traffic } = this.#scenario;
+    const isWithdrawn = (_: unknown, zone: number): boolean =>
+      isZoneWithdrawn?.(zone, this.#time.nowMs) === true;
+    const withdrawnZones = Array.from({ length: ZONE_COUNT }, isWithdrawn);
+    const key = withdrawnZones.join();
     if (key === this.#routesKey) return;
     this.#routesKey = key;
-    const servers = this.#servers.filter((_, index) => zonesOut[index % ZONE_COUNT] !== true);
+    const servers = this.#servers.filter((_, index) => withdrawnZones[index % ZONE_COUNT] !== true);
     const routes: RoutingTable = new Map(traffic.map(({ serviceName }) => [serviceName, servers]));
     const urgencies = new Map(traffic.map(({ serviceName, urgency }) => [serviceName, urgency]));
     this.#entries.forEach(({ admission }) =>
--- a/bench/requests/outcome.ts
+++ b/bench/requests/outcome.ts
@@ -12,11 +12,11 @@
 
   readonly latenciesMs: number[] = [];
 
-  count(what: 'offered' | 'refused' | 'failed'): void {
-    this[what] += 1;
+  count(counter: 'offered' | 'refused' | 'failed'): void {
+    this[counter] += 1;
   }
 
-  answered(latencyMs: number, deadlineMs: number, workMs: number): void {
+  recordAnswer(latencyMs: number, deadlineMs: number, workMs: number): void {
     this.latenciesMs.push(latencyMs);
     if (latencyMs > deadlineMs) return;
     this.inTime += 1;
--- a/bench/requests/requestsBench.ts
+++ b/bench/requests/requestsBench.ts
@@ -18,7 +18,7 @@
   HASTY,
   type Impatience,
   IMPATIENT,
-  IMPATIENT_UNNOTICED,
+  IMPATIENT_WITHOUT_CANCELLATION,
   impatientCallers,
   scenarios,
   type Size,
@@ -28,7 +28,7 @@
 const SEED = 20_261;
 const P99 = 0.99;
 
-const say = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
@@ -40,21 +40,30 @@
   'latency-weighted of two': (random) => new LatencyWeightedOfTwo(random),
 } as const satisfies Record<string, ModelPolicy['createChooser']>;
 type ChooserName = keyof typeof choosers;
-const OWN: ChooserName = 'latency-weighted of two';
+const PRODUCT_CHOOSER: ChooserName = 'latency-weighted of two';
 
 /** Scenarios in which the ways of choosing are shown beside one another. */
-const COMPARED: readonly string[] = ['steady', 'slow-worker', 'noisy-neighbours', 'saturated'];
+const COMPARED_SCENARIOS: readonly string[] = [
+  'steady',
+  'slow-worker',
+  'noisy-neighbours',
+  'saturated',
+];
 
-const policy = (name: ChooserName, isHedging = false, isNoticingHangUps = true): ModelPolicy => ({
+const toPolicy = (
+  name: ChooserName,
+  isHedgingEnabled = false,
+  areHangUpsHandled = true,
+): ModelPolicy => ({
   createChooser: choosers[name],
   admission: entryDefaults,
-  isHedging,
-  isNoticingHangUps,
+  isHedgingEnabled,
+  areHangUpsHandled,
 });
 
 const percent = (share: number): string => `${(share * 100).toFixed(1)} %`;
 
-const line = (label: string, result: ModelResult): string => {
+const formatResult = (label: string, result: ModelResult): string => {
   const { all, outcomes, capacityMs } = result;
   const rounds = outcomes.get('rounds');
   return [
@@ -69,9 +78,9 @@
   ].join('');
 };
 
-const runOne = (scenario: Scenario, own: ModelPolicy, label: string): ModelResult => {
-  const result = new LoadModel(scenario, own, SEED).run();
-  say(`  ${line(label, result)}`);
+const runOne = (scenario: Scenario, policy: ModelPolicy, label: string): ModelResult => {
+  const result = new LoadModel(scenario, policy, SEED).run();
+  printLine(`  ${formatResult(label, result)}`);
   return result;
 };
 
@@ -82,17 +91,17 @@
   readonly useful: number;
 }
 
-const runImpatience = (
+const runImpatientCallers = (
   size: Size,
   impatience: Impatience,
-  isNoticingHangUps: boolean,
+  areHangUpsHandled: boolean,
 ): ImpatienceFigures => {
   const scenario = impatientCallers(size, impatience);
-  const label = `${impatience.name}, ${isNoticingHangUps ? 'product' : 'hang-ups unnoticed'}`;
-  const result = runOne(scenario, policy(OWN, true, isNoticingHangUps), label);
+  const label = `${impatience.name}, ${areHangUpsHandled ? 'product' : 'hang-ups unnoticed'}`;
+  const result = runOne(scenario, toPolicy(PRODUCT_CHOOSER, true, areHangUpsHandled), label);
   const plans = result.outcomes.get('plans');
   const othersInTime = (plans?.inTime ?? 0) / (plans?.offered ?? 1);
-  say(`    patient low work in time ${percent(othersInTime)}`);
+  printLine(`    patient low work in time ${percent(othersInTime)}`);
   return {
     othersInTime,
     urgentP99Ms: result.outcomes.get('rounds')?.percentileMs(P99) ?? 0,
@@ -102,57 +111,61 @@
 
 /** Each figure with hang-ups noticed, as a ratio to the same load with none noticed. */
 const impatienceRatios = (size: Size): readonly [string, number][] => {
-  type Ratio = (what: keyof ImpatienceFigures) => number;
-  const compare = (impatience: Impatience, unnoticed: ImpatienceFigures): Ratio => {
-    const noticed = runImpatience(size, impatience, true);
-    return (what) => noticed[what] / unnoticed[what];
+  type Ratio = (figure: keyof ImpatienceFigures) => number;
+  const compare = (impatience: Impatience, unhandled: ImpatienceFigures): Ratio => {
+    const handled = runImpatientCallers(size, impatience, true);
+    return (figure) => handled[figure] / unhandled[figure];
   };
-  const unnoticed = runImpatience(size, IMPATIENT, false);
-  const impatient = compare(IMPATIENT, unnoticed);
-  const unseen = compare(IMPATIENT_UNNOTICED, unnoticed);
-  const hasty = compare(HASTY, runImpatience(size, HASTY, false));
+  const unhandled = runImpatientCallers(size, IMPATIENT, false);
+  const impatient = compare(IMPATIENT, unhandled);
+  const withoutCancellation = compare(IMPATIENT_WITHOUT_CANCELLATION, unhandled);
+  const hasty = compare(HASTY, runImpatientCallers(size, HASTY, false));
   return [
     ['minimumImpatientOthersToUnnoticed', impatient('othersInTime')],
     ['minimumImpatientUsefulToUnnoticed', impatient('useful')],
-    ['minimumServersWorkOnUsefulToUnnoticed', unseen('useful')],
-    ['maximumServersWorkOnUrgentP99ToUnnoticed', unseen('urgentP99Ms')],
+    ['minimumServersWorkOnUsefulToUnnoticed', withoutCancellation('useful')],
+    ['maximumServersWorkOnUrgentP99ToUnnoticed', withoutCancellation('urgentP99Ms')],
     ['minimumHastyOthersToUnnoticed', hasty('othersInTime')],
     ['maximumHastyUrgentP99ToUnnoticed', hasty('urgentP99Ms')],
   ];
 };
 
 const runSize = (size: Size, areBaselinesRun: boolean): ReadonlyMap<string, number> => {
-  say(
+  printLine(
     `${size.name}: ${size.workerCount} workers of 8 slots, 7 entries; virtual time, seed ${SEED}`,
   );
   const all = scenarios(size);
   const results = new Map<string, ModelResult>();
   const unhedged = runOne(
     all.find(({ name }) => name === 'noisy-neighbours') as Scenario,
-    policy(OWN),
+    toPolicy(PRODUCT_CHOOSER),
     'noisy-neighbours, product without hedging',
   );
   all.forEach((scenario) => {
-    const isCompared = areBaselinesRun && COMPARED.includes(scenario.name);
+    const isCompared = areBaselinesRun && COMPARED_SCENARIOS.includes(scenario.name);
     (Object.keys(choosers) as ChooserName[])
       .filter(() => isCompared)
-      .forEach((name) => runOne(scenario, policy(name), `${scenario.name}, ${name}`));
-    results.set(scenario.name, runOne(scenario, policy(OWN, true), `${scenario.name}, product`));
+      .forEach((name) => runOne(scenario, toPolicy(name), `${scenario.name}, ${name}`));
+    results.set(
+      scenario.name,
+      runOne(scenario, toPolicy(PRODUCT_CHOOSER, true), `${scenario.name}, product`),
+    );
   });
-  const figure = (name: string): ModelResult => results.get(name) as ModelResult;
-  const p99 = (name: string): number => figure(name).all.percentileMs(P99);
+  const resultOf = (name: string): ModelResult => results.get(name) as ModelResult;
+  const p99 = (name: string): number => resultOf(name).all.percentileMs(P99);
   const urgentP99 = (name: string): number =>
-    figure(name).outcomes.get('rounds')?.percentileMs(P99) ?? 0;
-  const useful = (name: string): number => figure(name).all.usefulWorkMs / figure(name).capacityMs;
-  const inTime = (name: string): number => figure(name).all.inTime / figure(name).all.offered;
+    resultOf(name).outcomes.get('rounds')?.percentileMs(P99) ?? 0;
+  const useful = (name: string): number =>
+    resultOf(name).all.usefulWorkMs / resultOf(name).capacityMs;
+  const inTime = (name: string): number => resultOf(name).all.inTime / resultOf(name).all.offered;
   const idealMs = idealPercentileMs(all[0] as Scenario, SEED, P99);
-  say(`  one shared queue that knows all, steady: p99 ${idealMs.toFixed(1)}`);
+  printLine(`  one shared queue that knows all, steady: p99 ${idealMs.toFixed(1)}`);
   return new Map([
     ['maximumSteadyP99ToIdeal', p99('steady') / idealMs],
     ['maximumSlowWorkerP99ToSteady', p99('slow-worker') / p99('steady')],
     ['minimumSaturatedUseful', useful('saturated')],
     ['maximumSaturatedUrgentP99ToSteady', urgentP99('saturated') / urgentP99('steady')],
-    ['maximumOutageAttempts', figure('outage').attemptCount / figure('outage').all.offered],
+    ['maximumOutageAttempts', resultOf('outage').attemptCount / resultOf('outage').all.offered],
     ['minimumFailingWorkerInTime', inTime('failing-worker')],
     ['maximumEntryDiesP99ToSteady', p99('entry-dies') / p99('steady')],
     ['maximumSkewedP99ToSteady', p99('skewed') / p99('steady')],
@@ -173,19 +186,21 @@
   figures: ReadonlyMap<string, number>,
   bounds: Readonly<Record<string, number>>,
 ): boolean => {
-  let areHeld = true;
+  let areWithinBounds = true;
   figures.forEach((value, name) => {
     const bound = bounds[name];
-    const isLowest = name.startsWith('minimum');
-    const isHeld = bound !== undefined && (isLowest ? value >= bound : value <= bound);
-    areHeld &&= isHeld;
-    say(`  ${isHeld ? 'ok     ' : 'CROSSED'} ${size} ${name} ${value.toFixed(3)} (bound ${bound})`);
+    const isMinimum = name.startsWith('minimum');
+    const isWithinBound = bound !== undefined && (isMinimum ? value >= bound : value <= bound);
+    areWithinBounds &&= isWithinBound;
+    printLine(
+      `  ${isWithinBound ? 'ok     ' : 'CROSSED'} ${size} ${name} ${value.toFixed(3)} (bound ${bound})`,
+    );
   });
-  return areHeld;
+  return areWithinBounds;
 };
 
 const WORKER_COUNT = 860;
-const HELD_COUNT = 500;
+const IN_FLIGHT_COUNT = 500;
 const NS_PER_MS = 1_000_000;
 
 /** The time of one decision at the size to design for; printed, and never a bound of CI. */
@@ -207,22 +222,22 @@
     avoidedWorkerId: undefined,
   };
   const end = { latencyMs: 20, verdict: ServerVerdict.Success, isServerLeaving: false };
-  const held: ServerRecord[] = [];
+  const inFlight: ServerRecord[] = [];
   let nowMs = 0;
   const bench = new Bench({ time: 500 });
   bench.add('choose, admit and finish', () => {
     nowMs += 0.1;
     const decision = admission.admit('rounds', waiting, nowMs);
-    if (decision.kind === 'admitted') held.push(decision.server);
-    if (held.length < HELD_COUNT) return;
-    const server = held.shift();
+    if (decision.kind === 'admitted') inFlight.push(decision.server);
+    if (inFlight.length < IN_FLIGHT_COUNT) return;
+    const server = inFlight.shift();
     if (server !== undefined) admission.finish('rounds', server, end, nowMs);
   });
   await bench.run();
   const { result } = bench.tasks[0] ?? {};
   if (result === undefined || !('latency' in result)) return;
   const { p50, p99 } = result.latency;
-  say(
+  printLine(
     `one decision at ${WORKER_COUNT} workers: median ${(p50 * NS_PER_MS).toFixed(0)} ns, p99 ${(p99 * NS_PER_MS).toFixed(0)} ns`,
   );
 };
@@ -237,8 +252,8 @@
     const heap = new Map([
       ['maximumHeapBytesPerRequest', heapBytesPerRequest(entryDefaults, SEED)],
     ]);
-    const isHeapHeld = checkBounds('memory', heap, bounds);
+    const isHeapWithinBound = checkBounds('memory', heap, bounds);
     const verdicts = SIZES.map((size) => checkBounds(size.name, runSize(size, isCompared), bounds));
-    return isHeapHeld && verdicts.every(Boolean);
+    return isHeapWithinBound && verdicts.every(Boolean);
   },
 };
--- a/bench/requests/scenarios.ts
+++ b/bench/requests/scenarios.ts
@@ -17,7 +17,7 @@
 const DEADLINE_MS = 1_000;
 const DURATION_MS = 8_000;
 const WARM_UP_MS = 2_000;
-const STEADY = 0.7;
+const STEADY_UTILISATION = 0.7;
 const LONG_MEAN_MS = 2_000;
 
 const urgent: Traffic = {
@@ -41,9 +41,9 @@
   nowMs >= startMs && nowMs < endMs;
 
 /** One worker in fifty is ten times slower, another one every 100 ms. */
-const noise = (worker: number, nowMs: number): number => {
-  const wave = Math.floor(nowMs / 100);
-  return (worker * 7_919 + wave * 104_729) % 50 === 0 ? 10 : 1;
+const noisyServiceTimeFactor = (worker: number, nowMs: number): number => {
+  const period = Math.floor(nowMs / 100);
+  return (worker * 7_919 + period * 104_729) % 50 === 0 ? 10 : 1;
 };
 
 export const steady = ({ workerCount }: Size): Scenario => ({
@@ -53,50 +53,50 @@
   durationMs: DURATION_MS,
   warmUpMs: WARM_UP_MS,
   traffic: [urgent, low],
-  utilisation: () => STEADY,
+  utilisation: () => STEADY_UTILISATION,
 });
 
 /** How callers hang up and send the same again, and whether servers notice closed connections. */
 export interface Impatience {
   readonly name: string;
-  readonly patienceMs: number;
-  readonly repeatCount: number;
-  readonly areServersNoticing: boolean;
+  readonly callerTimeoutMs: number;
+  readonly resendCount: number;
+  readonly areServersCancelling: boolean;
 }
 
 export const IMPATIENT = {
   name: 'impatient',
-  patienceMs: 150,
-  repeatCount: 3,
-  areServersNoticing: true,
+  callerTimeoutMs: 150,
+  resendCount: 3,
+  areServersCancelling: true,
 } as const satisfies Impatience;
-export const IMPATIENT_UNNOTICED = {
+export const IMPATIENT_WITHOUT_CANCELLATION = {
   ...IMPATIENT,
   name: 'impatient, servers work on',
-  areServersNoticing: false,
+  areServersCancelling: false,
 } as const satisfies Impatience;
 /** Hangs up before an ordinary answer can come, on servers that then work for nobody. */
 export const HASTY = {
   name: 'hasty, servers work on',
-  patienceMs: 10,
-  repeatCount: 20,
-  areServersNoticing: false,
+  callerTimeoutMs: 10,
+  resendCount: 20,
+  areServersCancelling: false,
 } as const satisfies Impatience;
 
 /** A burst of hang-ups and repeats beside patient callers. */
 export const impatientCallers = (
   size: Size,
-  { name, patienceMs, repeatCount, areServersNoticing }: Impatience,
+  { name, callerTimeoutMs, resendCount, areServersCancelling }: Impatience,
 ): Scenario => ({
   ...steady(size),
   name,
   traffic: [
     urgent,
     { ...low, share: 0.3 },
-    { ...low, serviceName: 'proofs', share: 0.4, patienceMs, repeatCount },
+    { ...low, serviceName: 'proofs', share: 0.4, callerTimeoutMs, resendCount },
   ],
-  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY),
-  areServersNoticing,
+  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY_UTILISATION),
+  areServersCancelling,
 });
 
 export const scenarios = (size: Size): readonly Scenario[] => {
@@ -106,11 +106,16 @@
     {
       ...base,
       name: 'burst',
-      utilisation: (nowMs) => (isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY : STEADY),
+      utilisation: (nowMs) =>
+        isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY_UTILISATION : STEADY_UTILISATION,
     },
     { ...base, name: 'skewed', entryWeight: (entry) => (entry === 0 ? 1 : 0.5) },
-    { ...base, name: 'slow-worker', slowness: (worker) => (worker === 3 ? 10 : 1) },
-    { ...base, name: 'noisy-neighbours', slowness: (worker, nowMs) => noise(worker, nowMs) },
+    { ...base, name: 'slow-worker', serviceTimeFactor: (worker) => (worker === 3 ? 10 : 1) },
+    {
+      ...base,
+      name: 'noisy-neighbours',
+      serviceTimeFactor: (worker, nowMs) => noisyServiceTimeFactor(worker, nowMs),
+    },
     { ...base, name: 'failing-worker', isFailing: (worker) => worker === 3 },
     {
       ...base,
@@ -124,7 +129,7 @@
       ...base,
       name: 'zone-leaves',
       utilisation: () => 0.55,
-      isZoneOut: (zone, nowMs) => zone === 0 && isBetween(nowMs, 3_500, 6_000),
+      isZoneWithdrawn: (zone, nowMs) => zone === 0 && isBetween(nowMs, 3_500, 6_000),
     },
   ];
 };
--- a/bench/scheduling/cellDriver.ts
+++ b/bench/scheduling/cellDriver.ts
@@ -19,8 +19,8 @@
 
 const TABLE_DELAY_MS = 8;
 const WORKER_DELAY_MS = 2;
-const TICK_MS = 200;
-const CONFIGURATION_MS = 700;
+const TICK_INTERVAL_MS = 200;
+const CONFIGURATION_INTERVAL_MS = 700;
 
 const DEFAULTS = settingsSchema.shape.scheduler.parse({});
 
@@ -44,7 +44,7 @@
 };
 
 /** What a driven cell meets: virtual time, the table and its workers. */
-export interface CellSurroundings {
+export interface CellEnvironment {
   readonly table: TableStandIn;
   readonly nowMs: () => number;
   readonly schedule: (delayMs: number, run: () => void) => void;
@@ -53,7 +53,7 @@
 }
 
 export class CellDriver {
-  readonly #surroundings: CellSurroundings;
+  readonly #environment: CellEnvironment;
 
   readonly #policy: PlacementPolicy;
 
@@ -66,22 +66,22 @@
     cell: string,
     timing: CellTiming,
     policy: PlacementPolicy,
-    surroundings: CellSurroundings,
+    environment: CellEnvironment,
   ) {
-    this.#surroundings = surroundings;
+    this.#environment = environment;
     this.#policy = policy;
-    this.#state = initialCellState(cell, 'd1', timing, surroundings.nowMs());
+    this.#state = initialCellState(cell, 'd1', timing, environment.nowMs());
   }
 
   /** Begins to tick and to read the configuration, as a daemon does. */
   start(): void {
-    this.#every(TICK_MS, () => this.handle({ kind: 'tick' }));
-    this.#every(CONFIGURATION_MS, () => this.#readConfiguration());
+    this.#every(TICK_INTERVAL_MS, () => this.handle({ kind: 'tick' }));
+    this.#every(CONFIGURATION_INTERVAL_MS, () => this.#readConfiguration());
   }
 
   handle(event: CellEvent): void {
     const before = process.cpuUsage();
-    const decision = decide(this.#state, event, this.#policy, this.#surroundings.nowMs());
+    const decision = decide(this.#state, event, this.#policy, this.#environment.nowMs());
     const { user, system } = process.cpuUsage(before);
     this.decideCpuUs += user + system;
     this.#state = decision.state;
@@ -90,35 +90,37 @@
 
   #every(intervalMs: number, run: () => void): void {
     run();
-    this.#surroundings.schedule(intervalMs, () => this.#every(intervalMs, run));
+    this.#environment.schedule(intervalMs, () => this.#every(intervalMs, run));
   }
 
   #readConfiguration(): void {
-    const { table, nowMs } = this.#surroundings;
+    const { table, nowMs } = this.#environment;
     const { rows } = table.read({ keys: [VERSION_KEY], prefixes: [DOCUMENT_PREFIX] });
     const configuration = { view: toConfigurationView(rows), confirmedAtMs: nowMs() };
     this.handle({ kind: 'configuration', configuration });
   }
 
-  #later(delayMs: number, toEvent: () => CellEvent): void {
-    this.#surroundings.schedule(delayMs, () => {
+  #callWithDelay(delayMs: number, toEvent: () => CellEvent): void {
+    this.#environment.schedule(delayMs, () => {
       const event = toEvent();
-      this.#surroundings.schedule(delayMs, () => this.handle(event));
+      this.#environment.schedule(delayMs, () => this.handle(event));
     });
   }
 
   #perform(effect: CellEffect): void {
-    const { table, command, count, nowMs } = this.#surroundings;
+    const { table, command, count, nowMs } = this.#environment;
     const call = toCellCall(effect, nowMs());
     switch (call?.kind) {
       case 'read':
-        this.#later(TABLE_DELAY_MS, () => call.toEvent(right(table.read(call.request))));
+        this.#callWithDelay(TABLE_DELAY_MS, () => call.toEvent(right(table.read(call.request))));
         break;
       case 'transact':
-        this.#later(TABLE_DELAY_MS, () => call.toEvent(right(table.transact(call.transaction))));
+        this.#callWithDelay(TABLE_DELAY_MS, () =>
+          call.toEvent(right(table.transact(call.transaction))),
+        );
         break;
       case 'command':
-        this.#later(WORKER_DELAY_MS, () => {
+        this.#callWithDelay(WORKER_DELAY_MS, () => {
           const report = command(call.workerId, call.command);
           const unavailable = left(failure(ErrorKind.WorkerUnavailable, ''));
           return call.toEvent(report === undefined ? unavailable : right(report));
--- a/bench/scheduling/cellRun.ts
+++ b/bench/scheduling/cellRun.ts
@@ -272,8 +272,8 @@
     const exchange = this.#exchanges.get(workerId);
     if (exchange === undefined) return undefined;
     const sent = exchange.mirror.toMessage(command);
-    const told = exchange.revised.command(wireCommandSchema.parse(sent.message));
-    this.#messageBytes += JSON.stringify(sent.message).length + JSON.stringify(told).length;
-    return exchange.mirror.toReport(sent, wireReportSchema.parse(told));
+    const reply = exchange.revised.command(wireCommandSchema.parse(sent.message));
+    this.#messageBytes += JSON.stringify(sent.message).length + JSON.stringify(reply).length;
+    return exchange.mirror.toReport(sent, wireReportSchema.parse(reply));
   }
 }
--- a/bench/scheduling/scheduling.ts
+++ b/bench/scheduling/scheduling.ts
@@ -41,7 +41,7 @@
 };
 
 /** Ways to write: with changes gathered for so long, or a transaction for each change. */
-const WAYS: readonly { readonly name: string; readonly timing: Partial<CellTiming> }[] = [
+const WRITE_MODES: readonly { readonly name: string; readonly timing: Partial<CellTiming> }[] = [
   {
     name: 'a transaction for each change',
     timing: { roundIntervalMs: 0, rowsPerSecond: 1e6, maximumRowsPerRound: 1 },
@@ -76,7 +76,11 @@
   return { figures, durationsUs: policy.durationsUs };
 };
 
-const line = (name: string, figures: CellRunFigures, durationsUs: readonly number[]): string =>
+const formatFigures = (
+  name: string,
+  figures: CellRunFigures,
+  durationsUs: readonly number[],
+): string =>
   [
     name.padEnd(32),
     `tx/s ${figures.transactionsPerSecond.toFixed(1)}`,
@@ -93,27 +97,29 @@
 
 const run = async (): Promise<boolean> => {
   const bounds = await readBounds('scheduling');
-  const results = WAYS.map(({ name, timing }) => {
+  const results = WRITE_MODES.map(({ name, timing }) => {
     const { figures, durationsUs } = measure(timing, WORKER_COUNT);
-    process.stdout.write(`${line(name, figures, durationsUs)}\n`);
+    process.stdout.write(`${formatFigures(name, figures, durationsUs)}\n`);
     return figures;
   });
   const full = measure({}, FULL_WORKER_COUNT);
-  process.stdout.write(`${line('by default, in a full cell', full.figures, full.durationsUs)}\n`);
+  process.stdout.write(
+    `${formatFigures('by default, in a full cell', full.figures, full.durationsUs)}\n`,
+  );
   process.stdout.write(`rss ${Math.round(process.memoryUsage().rss / 1024 ** 2)} MB\n`);
   const single = results[0] as CellRunFigures;
-  const chosen = results[results.length - 1] as CellRunFigures;
-  const rowRatio = chosen.rowsPerSecond / single.rowsPerSecond;
-  const transactionRatio = chosen.transactionsPerSecond / single.transactionsPerSecond;
+  const combined = results[results.length - 1] as CellRunFigures;
+  const rowRatio = combined.rowsPerSecond / single.rowsPerSecond;
+  const transactionRatio = combined.transactionsPerSecond / single.transactionsPerSecond;
   const urgentP99Ms = Math.max(
-    percentile(chosen.urgentDelaysMs, 0.99),
+    percentile(combined.urgentDelaysMs, 0.99),
     percentile(full.figures.urgentDelaysMs, 0.99),
   );
   process.stdout.write(
     `combined beside single: rows ${rowRatio.toFixed(2)}, transactions ${transactionRatio.toFixed(2)}\n`,
   );
   return (
-    chosen.rowsPerSecond <= (bounds.maximumRowsPerSecond ?? 0) &&
+    combined.rowsPerSecond <= (bounds.maximumRowsPerSecond ?? 0) &&
     rowRatio <= (bounds.maximumRowRatio ?? 0) &&
     transactionRatio <= (bounds.maximumTransactionRatio ?? 0) &&
     full.figures.urgentDelaysMs.length > 0 &&
--- a/bench/traceCost/traceCost.ts
+++ b/bench/traceCost/traceCost.ts
@@ -15,23 +15,23 @@
 const RING_CAPACITY = 200;
 const RUN_MS = 1_000;
 const MICROSECONDS_PER_MS = 1_000;
-const UNSAMPLED = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00';
+const UNSAMPLED_TRACEPARENT = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00';
 
-const never = new OpenTelemetryTracing(0, RING_CAPACITY, new SeededRandom(1));
-const always = new OpenTelemetryTracing(1, RING_CAPACITY, new SeededRandom(1));
+const unsampledTracing = new OpenTelemetryTracing(0, RING_CAPACITY, new SeededRandom(1));
+const sampledTracing = new OpenTelemetryTracing(1, RING_CAPACITY, new SeededRandom(1));
 
 export const traceCost: Benchmark = {
   name: 'trace-cost',
   run: async () => {
     const bench = new Bench({ time: RUN_MS })
       .add('unsampled, no header', () => {
-        never.startTrace(Hop.Entry, undefined);
+        unsampledTracing.startTrace(Hop.Entry, undefined);
       })
       .add('unsampled, with header', () => {
-        never.startTrace(Hop.Entry, UNSAMPLED);
+        unsampledTracing.startTrace(Hop.Entry, UNSAMPLED_TRACEPARENT);
       })
       .add('sampled', () => {
-        always.startTrace(Hop.Entry, undefined)?.end();
+        sampledTracing.startTrace(Hop.Entry, undefined)?.end();
       });
     await bench.run();
     const { maximumUnsampledMicroseconds = 0 } = await readBounds('trace-cost');
--- a/src/entry/test/hangUps.test.ts
+++ b/src/entry/test/hangUps.test.ts
@@ -44,15 +44,15 @@
 });
 
 describe('a burst of hang-ups and repeats under saturation', () => {
-  const inTimeShare = (isNoticingHangUps: boolean, areServersNoticing: boolean): number => {
-    const impatience = { ...IMPATIENT, areServersNoticing };
+  const inTimeShare = (areHangUpsHandled: boolean, areServersCancelling: boolean): number => {
+    const impatience = { ...IMPATIENT, areServersCancelling };
     const scenario = impatientCallers({ name: 'small', workerCount: 10 }, impatience);
     const policy = {
       createChooser: (random: ConstructorParameters<typeof LatencyWeightedOfTwo>[0]) =>
         new LatencyWeightedOfTwo(random),
       admission: entrySettings(),
-      isHedging: true,
-      isNoticingHangUps,
+      isHedgingEnabled: true,
+      areHangUpsHandled,
     };
     const plans = new LoadModel(scenario, policy, 5).run().outcomes.get('plans');
     return (plans?.inTime ?? 0) / (plans?.offered ?? 1);
