--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,4 +1,4 @@
-/** The benchmarks: `npm run bench -- NAME`, all of them without a name. */
+/** Runs the benchmark that `npm run bench -- NAME` names, or all benchmarks without a name. */
 
 import type { Benchmark } from './benchmark.js';
 import { capacity } from './capacity/capacity.js';
--- a/bench/benchmark.ts
+++ b/bench/benchmark.ts
@@ -1,4 +1,4 @@
-/** One benchmark; it prints its figures and returns false when a committed bound is crossed. */
+/** A benchmark. `run` prints its figures and returns false if a committed bound is violated. */
 export interface Benchmark {
   readonly name: string;
   readonly run: (args: readonly string[]) => Promise<boolean>;
--- a/bench/passThrough/backendProcess.ts
+++ b/bench/passThrough/backendProcess.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers of the pass-through benchmark: one process that listens on several ports
- * and answers at once. Prints its ports as one JSON line.
+ * Runs the backend servers of the pass-through benchmark: one process that listens on several
+ * ports and answers immediately. Prints its ports as one JSON line.
  */
 import Fastify from 'fastify';
 
--- a/bench/passThrough/bareProcess.ts
+++ b/bench/passThrough/bareProcess.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemon is compared with: fastify and one undici pool with nothing in between, bodies
- * buffered. Takes the backend server's origin, prints its port as one JSON line.
+ * The baseline that the daemon is compared with: a minimal proxy of fastify and one undici pool
+ * that buffers bodies. Takes the backend server's origin and prints its port as one JSON line.
  */
 import Fastify from 'fastify';
 import { Pool } from 'undici';
--- a/bench/passThrough/load.ts
+++ b/bench/passThrough/load.ts
@@ -1,4 +1,4 @@
-/** A closed loop of requests: each connection sends its next request after the last answer. */
+/** Generates load in a closed loop: each connection sends a request after the previous answer. */
 import { build } from 'hdr-histogram-js';
 import { Pool } from 'undici';
 
@@ -11,20 +11,20 @@
 const MICROSECONDS_PER_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** What one round of load came to. */
+/** The result of one round of load. */
 export interface LoadResult {
   readonly requestCount: number;
   readonly requestsPerSecond: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
-  /** Answers that were not whole answers with status 200. */
+  /** Answers with a status other than 200. */
   readonly failureCount: number;
 }
 
 const body = Buffer.alloc(BODY_BYTES, 'b');
 const REQUEST_HEADERS = { 'content-type': 'text/plain' };
 
-/** Sends as many requests as the connections carry for `durationMs`. */
+/** Sends requests on all connections without pause for `durationMs`. */
 export const runLoad = async (
   origin: string,
   path: string,
@@ -36,7 +36,7 @@
   let failureCount = 0;
   const sendInSequence = async (): Promise<void> => {
     for (let sentAtMs = startedAtMs; sentAtMs < startedAtMs + durationMs;) {
-      // eslint-disable-next-line no-await-in-loop -- a lane sends one request at a time
+      // eslint-disable-next-line no-await-in-loop -- one request at a time on each connection
       const answer = await pool.request({ method: 'POST', path, headers: REQUEST_HEADERS, body });
       // eslint-disable-next-line no-await-in-loop
       await answer.body.arrayBuffer();
--- a/bench/passThrough/passThrough.ts
+++ b/bench/passThrough/passThrough.ts
@@ -1,7 +1,7 @@
 /**
- * What the daemon's request path costs: the same closed loop of requests through a daemon with
- * all safeguards on, through a bare pass-through and directly at the backend server, in turns
- * within one run, so that a busy machine slows all three alike.
+ * Measures the cost of the daemon's request path. The same closed loop of requests goes through a
+ * daemon with all safeguards on, through a minimal proxy and directly to the backend server. The
+ * three variants alternate within one run, so that a busy machine slows all of them equally.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -20,7 +20,7 @@
 const VARIANTS = ['direct', 'bare', 'daemon'] as const;
 type Variant = (typeof VARIANTS)[number];
 
-/** One way's round, with the processor time of the process in the middle for each request. */
+/** One round of a variant, with the processor time per request of the measured process. */
 interface VariantResult extends LoadResult {
   readonly processorMicroseconds: number;
 }
@@ -63,7 +63,7 @@
   await runRound(WARM_UP_MS);
   const rounds: Round[] = [];
   for (let index = 0; index < ROUND_COUNT; index += 1) {
-    // eslint-disable-next-line no-await-in-loop -- rounds follow one another
+    // eslint-disable-next-line no-await-in-loop -- one round at a time
     rounds.push(await runRound(ROUND_MS));
   }
   return rounds;
--- a/bench/passThrough/processUsage.ts
+++ b/bench/passThrough/processUsage.ts
@@ -1,4 +1,4 @@
-/** Resident memory and processor time of another process, from the Linux process file system. */
+/** Reads the resident memory and processor time of another process from Linux's `/proc`. */
 import { readFile } from 'node:fs/promises';
 
 import { PeriodicTimer } from '../../src/base/node/periodicTimer.js';
@@ -6,7 +6,7 @@
 
 const RESIDENT_LINE = /^VmRSS:\s+(\d+) kB$/mu;
 const KIBIBYTES_PER_MEGABYTE = 1_000_000 / 1_024;
-/** Fields of the process status after the name, counted from zero. */
+/** Zero-based indexes of fields in `/proc/PID/stat`, counted after the process name. */
 const USER_TIME_FIELD = 11;
 const SYSTEM_TIME_FIELD = 12;
 const MS_PER_TICK = 10;
@@ -19,15 +19,15 @@
   return Number(match[1]) / KIBIBYTES_PER_MEGABYTE;
 };
 
-/** Processor time that a process has used since its start, in user and system mode. */
+/** The processor time in user and system mode that a process has used since its start. */
 export const processorMs = async (pid: number): Promise<number> => {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
-  // The name in parentheses may hold spaces; the fields after it do not.
+  // The process name in parentheses may contain spaces; the fields after it do not.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   return (Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD])) * MS_PER_TICK;
 };
 
-/** Keeps the largest resident memory seen until it is disposed. */
+/** Samples the resident memory of a process and keeps the maximum until it is disposed. */
 export class ResidentMemoryPeak implements Disposable {
   readonly #timer: PeriodicTimer;
 
--- a/bench/passThrough/system.ts
+++ b/bench/passThrough/system.ts
@@ -1,4 +1,4 @@
-/** One real daemon beside the platform and worker stand-ins, with a service on every worker. */
+/** Starts one real daemon with platform and worker stand-ins and a service on every worker. */
 import { createHash } from 'node:crypto';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -22,7 +22,7 @@
 const TOKEN = 'bench-operator';
 const READY_ATTEMPT_COUNT = 150;
 const READY_INTERVAL_MS = 100;
-/** So many connections that the daemon's share of a worker's never bounds the load. */
+/** So high that the daemon's share of a worker's connections never limits the load. */
 const UNBOUNDED_CONNECTION_COUNT = 1_024;
 const SIZE = { processorMillis: 1_000, memoryBytes: 1_000_000_000, acceleratorCount: 0 };
 
@@ -65,7 +65,7 @@
 
 const waitForTasks = async (origin: string): Promise<void> => {
   for (let index = 0; index < READY_ATTEMPT_COUNT; index += 1) {
-    // eslint-disable-next-line no-await-in-loop -- waits for the service to come up
+    // eslint-disable-next-line no-await-in-loop -- polls until the service is up
     const tasks = (await call(`${origin}/v1/tasks`)) as readonly unknown[];
     if (tasks.length >= WORKER_COUNT) return;
     // eslint-disable-next-line no-await-in-loop
@@ -96,7 +96,7 @@
   }));
 };
 
-/** Starts everything; the workers' requests go to the given ports. */
+/** Starts all processes. The requests for the workers go to the given backend ports. */
 export const startSystem = async (
   children: ChildProcesses,
   backendPorts: readonly number[],
--- a/bench/peers/peers.ts
+++ b/bench/peers/peers.ts
@@ -1,4 +1,4 @@
-/** What heartbeats cost a daemon, at two numbers of daemons, over real connections. */
+/** Measures the bytes that heartbeats cost a daemon in a small and a large fleet, over TCP. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { Emitter } from '../../src/base/common/event.js';
@@ -50,7 +50,7 @@
   });
 };
 
-/** Bytes that one daemon sends in a second, questions and answers, as payload of TCP. */
+/** Bytes of TCP payload that one daemon sends per second, in requests and answers. */
 const measure = async (daemonCount: number): Promise<number> => {
   const instances: Instance[] = [];
   const directory = { instances, onDidChange: new Emitter<readonly Instance[]>().event };
--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -1,4 +1,4 @@
-/** Scenarios: what arrives when, and what one shared queue would make of it. */
+/** The scenarios' arrivals, and the latency of an ideal shared queue as a reference. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import { SeededRandom } from '../../src/base/common/random.js';
 import type { Urgency } from '../../src/services/configuration/common/documents.js';
@@ -7,20 +7,20 @@
 
 export const ONE_WAY_MS = 1;
 export const SLOT_COUNT = 8;
-/** Service times are log-normal: most near the median, a few several times as long. */
+/** Service times are log-normal: most are near the median, a few are several times as long. */
 const SIGMA = 0.6;
 
 export interface Traffic {
   readonly serviceName: string;
   readonly urgency: Urgency;
-  /** Its share of all arrivals. */
+  /** The share of all arrivals. */
   readonly share: number;
   readonly deadlineMs: number;
   readonly meanMs: number;
   readonly callerId?: string;
-  /** After how long without an answer its callers hang up and send the same again at once. */
+  /** Callers without an answer hang up after this time and resend the request at once. */
   readonly callerTimeoutMs?: number;
-  /** How often they do so before they stay away. */
+  /** How many times a caller resends a request before it gives up. */
   readonly resendCount?: number;
 }
 
@@ -31,18 +31,18 @@
   readonly durationMs: number;
   readonly warmUpMs: number;
   readonly traffic: readonly Traffic[];
-  /** Offered work as a share of what all slots can do. */
+  /** Offered work as a share of the capacity of all slots. */
   readonly utilisation: (nowMs: number) => number;
-  /** Factor on a worker's service times. */
+  /** The factor by which a worker's service times are longer than usual. */
   readonly serviceTimeFactor?: (worker: number, nowMs: number) => number;
-  /** Whether the worker refuses connections at once. */
+  /** Whether the worker refuses connections immediately. */
   readonly isFailing?: (worker: number, nowMs: number) => boolean;
-  /** Whether backend servers end work whose connection was closed. */
+  /** Whether backend servers cancel a request when its connection is closed. */
   readonly areServersCancelling?: boolean;
-  /** Zones whose workers are out of the routes, by number. */
+  /** Whether the workers of the zone with this number are removed from the routes. */
   readonly isZoneWithdrawn?: (zone: number, nowMs: number) => boolean;
   readonly isEntryDead?: (entry: number, nowMs: number) => boolean;
-  /** The chance of an entry to get a request, against the others. */
+  /** The relative probability that an entry receives a request, at most 1. */
   readonly entryWeight?: (entry: number) => number;
 }
 
@@ -67,7 +67,7 @@
   return picked ?? (traffic[0] as Traffic);
 };
 
-/** Draws the arrivals of a scenario; the same seed gives the same ones to every policy. */
+/** Generates the arrivals of a scenario. The same seed gives every policy the same arrivals. */
 export const generateArrivals = (
   scenario: Scenario,
   time: VirtualTime,
@@ -85,7 +85,7 @@
   next();
 };
 
-/** The 99th percentile of one shared queue in front of all slots, which knows all. */
+/** The latency percentile of an ideal scheduler: one shared queue in front of all slots. */
 export const idealPercentileMs = (scenario: Scenario, seed: number, share: number): number => {
   const time = new VirtualTime();
   const outcome = new Outcome();
--- a/bench/requests/baselineChoosers.ts
+++ b/bench/requests/baselineChoosers.ts
@@ -1,4 +1,4 @@
-/** The ways of choosing that the product's own is compared with. */
+/** The baseline server choosers that the product's chooser is compared with. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { WaitingRequest } from '../../src/entry/common/fairQueue.js';
 import { drawEligible, type ServerChooser } from '../../src/entry/common/serverChoice.js';
--- a/bench/requests/heapGrowth.ts
+++ b/bench/requests/heapGrowth.ts
@@ -1,4 +1,4 @@
-/** What serving requests leaves behind in the deciding core: heap bytes for each request. */
+/** Measures the heap growth of the admission code in bytes for each request. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
@@ -15,7 +15,7 @@
 const WARM_UP_COUNT = 100_000;
 const MEASURED_COUNT = 400_000;
 const DEADLINE_MS = 1_000;
-/** More than there are places, so that some wait and some are refused. */
+/** More than the servers have slots, so that some requests wait and some are refused. */
 const IN_FLIGHT_COUNT = 600;
 
 interface InFlightRequest {
@@ -32,8 +32,9 @@
 };
 
 /**
- * Each request comes from a caller of its own, is admitted, waits or is refused, and one in
- * seven callers hangs up. The heap is compared after a warm-up and after 400,000 more.
+ * Returns the heap growth per request. Each request comes from a caller of its own and is
+ * admitted, queued or refused; one in seven callers hangs up. The heap is measured after a warm-up
+ * and again after 400,000 more requests.
  */
 export const heapBytesPerRequest = (settings: AdmissionSettings, seed: number): number => {
   const random = new SeededRandom(seed);
--- a/bench/requests/loadModel.ts
+++ b/bench/requests/loadModel.ts
@@ -1,7 +1,8 @@
 /**
- * Arrivals and service times in virtual time, in front of the product's own decisions: each
- * virtual entry asks `Admission`, `RequestProgress` and `secondAttemptReason` as the daemon
- * does. A worker is a number of slots with a queue; nothing else of a cluster is modelled.
+ * Simulates the request path in virtual time. Each virtual entry runs the product's own
+ * `Admission`, `RequestProgress` and `secondAttemptReason`, as the daemon does. Arrivals and
+ * service times are random. A worker is modelled as slots with a queue; the model has no other
+ * part of a cluster.
  */
 import type { RandomSource } from '../../src/base/common/random.js';
 import { SeededRandom } from '../../src/base/common/random.js';
@@ -35,7 +36,7 @@
   readonly createChooser: (random: RandomSource) => ServerChooser;
   readonly admission: AdmissionSettings;
   readonly isHedgingEnabled: boolean;
-  /** Whether a hang-up ends the request; false shows what it would cost otherwise. */
+  /** Whether the entry ends a request when its caller hangs up. False gives the baseline. */
   readonly areHangUpsHandled: boolean;
 }
 
@@ -52,7 +53,7 @@
   readonly startedAtMs: number;
   readonly reason: SecondAttemptReason | undefined;
   isDetached: boolean;
-  /** Ends the work on a server that notices that its connection was closed. */
+  /** Cancels the work on a server that detects the closed connection. */
   cancel: () => void;
 }
 
@@ -68,7 +69,7 @@
   waitingSinceMs: number;
   avoidedWorkerId: string | undefined;
   isDone: boolean;
-  /** Its caller hung up; an answer is read by nobody. */
+  /** The caller hung up, so nobody reads the answer. */
   isAbandoned: boolean;
 }
 
@@ -83,7 +84,7 @@
     this.#time = time;
   }
 
-  /** Returns what ends the work early. */
+  /** Returns a function that cancels the work. */
   serve(workMs: number, done: () => void): () => void {
     let isEnded = false;
     const end = (): void => {
@@ -219,7 +220,7 @@
       this.#time.after(callerTimeoutMs, () => this.#hangUp(request));
   }
 
-  /** The caller hangs up and sends the same again; what it left behind may be noticed. */
+  /** The caller hangs up and resends the request. The policy decides whether the entry reacts. */
   #hangUp(request: VirtualRequest): void {
     if (request.isDone) return;
     request.isAbandoned = true;
@@ -337,12 +338,12 @@
     this.#close(request, ServerVerdict.Failure);
   }
 
-  /** Ends a request; attempts still in flight lose their place, but their work goes on. */
+  /** Ends a request. Attempts in flight release their slots, but the servers go on working. */
   #close(request: VirtualRequest, verdict: ServerVerdict): void {
     request.isDone = true;
     request.entry.openRequests.delete(request);
     request.attempts.splice(0).forEach((attempt) => {
-      // The record is the model's own.
+      // The model owns the attempt and may change it.
       // eslint-disable-next-line no-param-reassign
       attempt.isDetached = true;
       this.#releaseSlot(request, attempt, verdict);
--- a/bench/requests/outcome.ts
+++ b/bench/requests/outcome.ts
@@ -1,4 +1,4 @@
-/** What one kind of traffic got. */
+/** Counts and latencies of one kind of traffic. */
 export class Outcome {
   offered = 0;
 
@@ -10,6 +10,7 @@
 
   usefulWorkMs = 0;
 
+  /** Latencies of all answers, also of those after the deadline. */
   readonly latenciesMs: number[] = [];
 
   count(counter: 'offered' | 'refused' | 'failed'): void {
--- a/bench/requests/requestsBench.ts
+++ b/bench/requests/requestsBench.ts
@@ -1,4 +1,4 @@
-/** The request path's decisions under load: `npm run bench -- requests`. */
+/** Benchmarks the decisions of the request path under load: `npm run bench -- requests`. */
 // eslint-disable-next-line import-x/no-extraneous-dependencies -- benchmarks are not shipped
 import { Bench } from 'tinybench';
 
@@ -42,7 +42,7 @@
 type ChooserName = keyof typeof choosers;
 const PRODUCT_CHOOSER: ChooserName = 'latency-weighted of two';
 
-/** Scenarios in which the ways of choosing are shown beside one another. */
+/** Scenarios that also run with the baseline choosers. */
 const COMPARED_SCENARIOS: readonly string[] = [
   'steady',
   'slow-worker',
@@ -84,7 +84,7 @@
   return result;
 };
 
-/** What becomes of the patient callers' services beside impatient ones. */
+/** Figures of the services of patient callers while other callers are impatient. */
 interface ImpatienceFigures {
   readonly othersInTime: number;
   readonly urgentP99Ms: number;
@@ -109,7 +109,7 @@
   };
 };
 
-/** Each figure with hang-ups noticed, as a ratio to the same load with none noticed. */
+/** The ratio of each figure with hang-ups handled to the same load with hang-ups ignored. */
 const impatienceRatios = (size: Size): readonly [string, number][] => {
   type Ratio = (figure: keyof ImpatienceFigures) => number;
   const compare = (impatience: Impatience, unhandled: ImpatienceFigures): Ratio => {
@@ -180,7 +180,7 @@
   ]);
 };
 
-/** Prints each figure beside its bound and tells whether all hold. */
+/** Prints each figure with its bound. Returns whether all figures are within their bounds. */
 const checkBounds = (
   size: string,
   figures: ReadonlyMap<string, number>,
@@ -203,7 +203,7 @@
 const IN_FLIGHT_COUNT = 500;
 const NS_PER_MS = 1_000_000;
 
-/** The time of one decision at the size to design for; printed, and never a bound of CI. */
+/** Prints the time of one decision at the design size. Real time varies, so CI has no bound. */
 const timeDecision = async (): Promise<void> => {
   const random = new SeededRandom(SEED);
   const admission = new Admission(entryDefaults, new LatencyWeightedOfTwo(random), random);
@@ -242,7 +242,7 @@
   );
 };
 
-/** With the argument `bounds` only the product is run, without the ways it is compared with. */
+/** With the argument `bounds`, only the product runs and the baselines are left out. */
 export const requestsBenchmark: Benchmark = {
   name: 'requests',
   run: async ([mode]) => {
--- a/bench/requests/scenarios.ts
+++ b/bench/requests/scenarios.ts
@@ -1,4 +1,4 @@
-/** The loads that the request path's decisions are measured under. */
+/** The load scenarios of the request path benchmark. */
 import { Urgency } from '../../src/services/configuration/common/documents.js';
 import type { Scenario, Traffic } from './arrivals.js';
 
@@ -40,7 +40,7 @@
 const isBetween = (nowMs: number, startMs: number, endMs: number): boolean =>
   nowMs >= startMs && nowMs < endMs;
 
-/** One worker in fifty is ten times slower, another one every 100 ms. */
+/** About one worker in fifty is ten times slower. The slow workers change every 100 ms. */
 const noisyServiceTimeFactor = (worker: number, nowMs: number): number => {
   const period = Math.floor(nowMs / 100);
   return (worker * 7_919 + period * 104_729) % 50 === 0 ? 10 : 1;
@@ -56,7 +56,7 @@
   utilisation: () => STEADY_UTILISATION,
 });
 
-/** How callers hang up and send the same again, and whether servers notice closed connections. */
+/** When callers hang up and resend, and whether servers cancel work for closed connections. */
 export interface Impatience {
   readonly name: string;
   readonly callerTimeoutMs: number;
@@ -75,7 +75,7 @@
   name: 'impatient, servers work on',
   areServersCancelling: false,
 } as const satisfies Impatience;
-/** Hangs up before an ordinary answer can come, on servers that then work for nobody. */
+/** Callers hang up before a usual answer arrives, and the servers go on with the unwanted work. */
 export const HASTY = {
   name: 'hasty, servers work on',
   callerTimeoutMs: 10,
@@ -83,7 +83,7 @@
   areServersCancelling: false,
 } as const satisfies Impatience;
 
-/** A burst of hang-ups and repeats beside patient callers. */
+/** A burst of hang-ups and resent requests while other callers are patient. */
 export const impatientCallers = (
   size: Size,
   { name, callerTimeoutMs, resendCount, areServersCancelling }: Impatience,
--- a/bench/scheduling/cellDriver.ts
+++ b/bench/scheduling/cellDriver.ts
@@ -1,4 +1,4 @@
-/** Drives the state machine of one cell in virtual time, with stand-ins at its interfaces. */
+/** Drives the state machine of one cell in virtual time against stand-ins. */
 import { left, right } from 'fp-ts/lib/Either.js';
 
 import { toConfigurationView } from '../../src/services/configuration/common/configurationView.js';
@@ -24,7 +24,7 @@
 
 const DEFAULTS = settingsSchema.shape.scheduler.parse({});
 
-/** A cell's limits and intervals as the settings have them by default. */
+/** A cell's limits and intervals from the default settings. */
 export const DEFAULT_CELL_TIMING: CellTiming = {
   heartbeatIntervalMs: DEFAULTS.cellHeartbeatIntervalMs,
   leaseMs: DEFAULTS.cellLeaseMs,
@@ -43,7 +43,7 @@
   interference: DEFAULTS.interference,
 };
 
-/** What a driven cell meets: virtual time, the table and its workers. */
+/** The environment of a driven cell: virtual time, the table and the workers. */
 export interface CellEnvironment {
   readonly table: TableStandIn;
   readonly nowMs: () => number;
@@ -59,7 +59,7 @@
 
   #state: CellState;
 
-  /** Processor time that `decide` has taken; the caller may set it back. */
+  /** Processor time that `decide` has used. The caller may reset it. */
   decideCpuUs = 0;
 
   constructor(
@@ -73,7 +73,7 @@
     this.#state = initialCellState(cell, 'd1', timing, environment.nowMs());
   }
 
-  /** Begins to tick and to read the configuration, as a daemon does. */
+  /** Starts the periodic ticks and configuration reads, as a daemon does. */
   start(): void {
     this.#every(TICK_INTERVAL_MS, () => this.handle({ kind: 'tick' }));
     this.#every(CONFIGURATION_INTERVAL_MS, () => this.#readConfiguration());
@@ -100,6 +100,7 @@
     this.handle({ kind: 'configuration', configuration });
   }
 
+  /** Makes a call after `delayMs` and handles its result after another `delayMs`. */
   #callWithDelay(delayMs: number, toEvent: () => CellEvent): void {
     this.#environment.schedule(delayMs, () => {
       const event = toEvent();
--- a/bench/scheduling/cellRun.ts
+++ b/bench/scheduling/cellRun.ts
@@ -1,7 +1,7 @@
 /**
- * One cell of the size to design for, in virtual time: one daemon's state machine, stand-ins of
- * the table and of 123 workers, and arrivals from a seed. Only the processor time of `decide`
- * is real; it is measured to weigh the ways against each other within one run.
+ * Simulates one cell of the design size in virtual time: one daemon's state machine, stand-ins for
+ * the table and 123 workers, and arrivals drawn from a seed. Only the processor time of `decide`
+ * is real time; it is comparable between the write modes of one benchmark run.
  */
 import { SeededRandom } from '../../src/base/common/random.js';
 import {
@@ -43,8 +43,9 @@
   readonly serviceTaskCount: number;
   readonly startsPerSecond: number;
   readonly batchWorkMs: number;
+  /** One job in this many is urgent. */
   readonly urgentEvery: number;
-  /** How long arrivals come three times as fast at first, as tasks that outlast the run. */
+  /** The initial phase in which tasks arrive three times as fast and outlast the run. */
   readonly fillMs: number;
   readonly timing: CellTiming;
   readonly policy: PlacementPolicy;
@@ -58,7 +59,7 @@
   readonly runningCount: number;
   readonly decideShareOfCore: number;
   readonly messageBytesPerSecond: number;
-  /** Delays of started urgent tasks and, of those that still wait, how long they have waited. */
+  /** The start delays of urgent tasks; for tasks that still wait, the time they have waited. */
   readonly urgentDelaysMs: readonly number[];
   readonly delaysMs: readonly number[];
 }
@@ -84,14 +85,14 @@
 
   readonly #table = new TableStandIn();
 
-  /** Both ends of the exchange with each worker. */
+  /** The daemon's and the worker's end of the exchange with each worker. */
   readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisedWorker }>();
 
   readonly #instances: readonly WorkerInstance[];
 
   readonly #submitted = new Map<string, SubmittedJob>();
 
-  /** Buckets by millisecond, which keeps the queue cheap beside what is measured. */
+  /** Events by millisecond. Buckets are cheap, so the queue does not distort the measurement. */
   readonly #buckets = new Map<number, Scheduled[]>();
 
   readonly #cell: CellDriver;
@@ -201,7 +202,7 @@
     };
   }
 
-  /** Jobs of one to eight tasks; every `urgentEvery`-th is urgent. */
+  /** Submits a job of one to eight tasks and schedules the next submission. */
   #submitNext(): void {
     const { startsPerSecond, urgentEvery, batchWorkMs } = this.#options;
     const isFilling = this.#nowMs < this.#options.fillMs;
@@ -249,7 +250,7 @@
       { key: inboxKey, value: inboxWith(inbox, operationId, arrivals) },
     ];
     this.#table.transact({ operationId, conditions: [], writes });
-    // What the submitter reads and writes is not the cell's doing.
+    // The submitter's reads and writes do not count as the cell's.
     Object.assign(this.#table.counts, before);
   }
 
--- a/bench/scheduling/scheduling.ts
+++ b/bench/scheduling/scheduling.ts
@@ -1,7 +1,7 @@
 /**
- * What scheduling costs at the size to design for: 860 workers, 17,500 tasks and 150 starts a
- * second over 7 cells, of which one is run here. Figures of virtual time are the same on every
- * machine and have bounds; real time is printed beside them.
+ * Measures the cost of scheduling at the design size: 860 workers, 17,500 tasks and 150 starts a
+ * second over 7 cells. The benchmark runs one of the cells. Figures in virtual time are the same
+ * on every machine and have bounds; figures in real time are only printed.
  */
 import type { CellTiming } from '../../src/scheduler/common/cellState.js';
 import {
@@ -18,7 +18,7 @@
 const CELL_COUNT = 7;
 const NS_PER_US = 1_000;
 
-/** Times each choice of the policy it wraps. */
+/** Wraps a placement policy and records the duration of each choice. */
 class TimedPolicy implements PlacementPolicy {
   readonly durationsUs: number[] = [];
 
@@ -40,7 +40,7 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 };
 
-/** Ways to write: with changes gathered for so long, or a transaction for each change. */
+/** Changes are written in one transaction each, or combined over the default round interval. */
 const WRITE_MODES: readonly { readonly name: string; readonly timing: Partial<CellTiming> }[] = [
   {
     name: 'a transaction for each change',
@@ -50,7 +50,7 @@
 ];
 
 const WORKER_COUNT = 123;
-/** So few that batch work queues and urgent work has to be made room for. */
+/** So few workers that batch work queues and urgent work needs evictions. */
 const FULL_WORKER_COUNT = 60;
 const FILL_MS = 18_000;
 const WARM_UP_MS = 60_000;
--- a/bench/traceCost/traceCost.ts
+++ b/bench/traceCost/traceCost.ts
@@ -1,8 +1,8 @@
 /**
- * What tracing costs a request that is not sampled, beside doing nothing. It is a figure to
- * read, with a bound far above it that only a change of kind would cross.
+ * Measures the cost of tracing for a request that is not sampled. The bound is far above the
+ * usual figure, so only a fundamental change violates it.
  */
-// Benchmarks are no part of the product, so what they need is not among its dependencies.
+// Benchmarks are not part of the product, so their packages are development dependencies.
 // eslint-disable-next-line import-x/no-extraneous-dependencies
 import { Bench } from 'tinybench';
 
--- a/bench/virtualTime.ts
+++ b/bench/virtualTime.ts
@@ -1,6 +1,7 @@
 /**
- * Events in virtual time, in the order of their instants and then of their scheduling. The one
- * clock of benches, of the tests of a cell and of randomised runs.
+ * An event queue in virtual time. Events run in the order of their due times; events that are due
+ * at the same time run in the order in which they were scheduled. Benchmarks, the tests of a cell
+ * and randomised tests share this clock.
  */
 
 interface Scheduled {
@@ -17,6 +18,7 @@
 
   #order = 0;
 
+  /** A binary heap with the next event first. */
   readonly #heap: Scheduled[] = [];
 
   after(delayMs: number, run: () => void): void {
@@ -34,7 +36,7 @@
     this.#heap[index] = item;
   }
 
-  /** Runs the next event that is due by `endMs`; false when there is none. */
+  /** Runs the next event that is due by `endMs`. Returns false if there is none. */
   runNext(endMs: number): boolean {
     const [next] = this.#heap;
     if (next === undefined || next.atMs > endMs) return false;
