--- a/bench/colocation/batchArrivals.ts
+++ b/bench/colocation/batchArrivals.ts
@@ -1,4 +1,4 @@
-/** Batch jobs of several kinds that arrive at an even rate, drawn from a seed. */
+/** Generates batch jobs of several kinds at a constant rate, drawn from a seed. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { WorkRow } from '../../src/services/workload/common/workRows.js';
 import { trueMillis } from './idealPool.js';
@@ -18,7 +18,7 @@
 
   readonly #tasksPerMs: number;
 
-  /** Tasks that are due and have not been submitted, in parts of one. */
+  /** The fractional number of tasks that are due but not yet submitted. */
   #dueTasks = 0;
 
   #jobCount = 0;
@@ -39,7 +39,7 @@
     this.#tasksPerMs = (demand * roomMillis) / perTaskMs;
   }
 
-  /** The jobs that arrived in `elapsedMs`, each in one of `zones`. */
+  /** Returns the jobs that arrive within `elapsedMs`, each in one of `zones`. */
   next(elapsedMs: number, zones: readonly string[]): readonly ArrivedJob[] {
     const jobs: ArrivedJob[] = [];
     this.#dueTasks += this.#tasksPerMs * elapsedMs;
--- a/bench/colocation/colocation.ts
+++ b/bench/colocation/colocation.ts
@@ -1,6 +1,7 @@
 /**
- * Services and batch work together, as the two users run them: `npm run bench -- colocation`.
- * Everything is of virtual time and of a seed, so the figures are the same on every machine.
+ * Benchmarks services colocated with batch work at the sizes of two users:
+ * `npm run bench -- colocation`. All runs are in virtual time and drawn from seeds, so the figures
+ * are the same on every machine.
  */
 import { settingsSchema } from '../../src/services/settings/common/settings.js';
 import { fitsInto } from '../../src/services/worker/common/resources.js';
@@ -19,7 +20,7 @@
 const SEEDS = [11, 12] as const;
 const TOLERATED_SLOWDOWN = 1.15;
 
-/** The baseline: batch tasks go to the first worker with room for the declared size. */
+/** The baseline: a batch task goes to the first worker with free capacity for its declared size. */
 class FirstFitPolicy implements PlacementPolicy {
   readonly #services = new SpreadAndPackPolicy();
 
@@ -35,7 +36,7 @@
 const DEFAULTS = settingsSchema.shape.scheduler.parse({}).interference;
 const OFF: InterferencePolicy = { ...DEFAULTS, isEnabled: false };
 
-/** The weighting of each user, as it would stand in its settings. */
+/** The interference policy in each user's settings. */
 const AMMAN_POLICY: InterferencePolicy = DEFAULTS;
 const BAJIO_POLICY: InterferencePolicy = {
   ...DEFAULTS,
@@ -72,7 +73,7 @@
   { size: BAJIO, policy: BAJIO_POLICY },
 ] as const;
 
-/** Evictions beside the smallest number that would have kept the tail. */
+/** The ratio of evictions to the evictions that the latency bound needed. */
 const evictionRatio = ({ evictionCount, neededEvictionCount }: ColocationFigures): number =>
   evictionCount === 0 ? 1 : evictionCount / Math.max(1, neededEvictionCount);
 
@@ -95,7 +96,7 @@
   return figures;
 };
 
-/** Shares are averaged, evictions summed. */
+/** Combines the figures of several seeds: ratios are averaged and evictions are added. */
 const combineFigures = (all: readonly ColocationFigures[]): ColocationFigures => {
   const sum = (of: (figures: ColocationFigures) => number): number =>
     all.reduce((total, figures) => total + of(figures), 0);
@@ -109,7 +110,7 @@
   };
 };
 
-/** Prints each figure beside its bound and tells whether all hold. */
+/** Prints each figure with its bound. Returns whether all figures are within their bounds. */
 const checkBounds = (
   name: string,
   figures: ColocationFigures,
@@ -137,7 +138,7 @@
   return verdicts.every(Boolean);
 };
 
-/** With the argument `bounds` only the product is run, without the ways it is compared with. */
+/** With the argument `bounds`, only the product runs and the baselines are left out. */
 const run = async ([mode]: readonly string[]): Promise<boolean> => {
   const bounds = await readBounds('colocation');
   const verdicts = SIZES.map(({ size, policy }) => {
--- a/bench/colocation/colocationRun.ts
+++ b/bench/colocation/colocationRun.ts
@@ -1,6 +1,6 @@
 /**
- * Services and batch work of several kinds on the workers of three zones, in virtual time. The
- * real state machines of the cells decide; one zone leaves and returns.
+ * Simulates services and several kinds of batch work on the workers of three zones in virtual
+ * time. The cells run the real state machines. One zone is withdrawn and returns.
  */
 import { SeededRandom } from '../../src/base/common/random.js';
 import {
@@ -28,7 +28,7 @@
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const STEP_MS = 500;
-/** How long a sample covers, and how late it comes. */
+/** The period that a latency sample covers, and the delay until the cells receive it. */
 const SAMPLE_INTERVAL_MS = 2_000;
 const SAMPLE_DELAY_MS = 3_000;
 const MS_PER_SECOND = 1_000;
@@ -43,16 +43,16 @@
 }
 
 export interface ColocationFigures {
-  /** The worst service's p99 beside its p99 without any batch work. */
+  /** The ratio of a service's p99 to its p99 without batch work, for the worst service. */
   readonly p99Ratio: number;
-  /** Batch work done beside the ideal pool's. */
+  /** The ratio of batch work done to the ideal pool's. */
   readonly throughputRatio: number;
   readonly evictionCount: number;
-  /** Those of them without which even stopping all batch work would not have kept the tail. */
+  /** Evictions during which a service stays too slow even with all batch work throttled to 0. */
   readonly neededEvictionCount: number;
-  /** Batch work done while a zone leaves and returns beside the ideal pool's. */
+  /** `throughputRatio` for the time in which a zone leaves and returns. */
   readonly zoneRatio: number;
-  /** The same beside the product's own pace before, for the processors that stay. */
+  /** Batch work of that time relative to the product's own earlier rate on the remaining workers. */
   readonly zoneToOwnPace: number;
 }
 
--- a/bench/colocation/idealPool.ts
+++ b/bench/colocation/idealPool.ts
@@ -1,12 +1,12 @@
 /**
- * What could be done at best: true sizes, run times and pairs are known at each moment, work is
- * divided at will and moves for nothing, and no service is slowed by more than is tolerated. Only
- * the places of the replicas are those of the run. No scheduler does as well, so a share of it is
- * a cautious figure.
+ * An upper bound of the batch work that a scheduler can do. The pool knows the true sizes, run
+ * times and interference at each moment, divides and moves work at no cost, and slows no service
+ * by more than the tolerated slowdown. Only the replicas are placed as in the run. No scheduler
+ * reaches this bound, so a ratio to it is a conservative figure.
  */
 import { type KindTruth, loadAt, type ServiceTruth } from './truth.js';
 
-/** One worker as the ideal sees it. */
+/** The processors that services leave free on one worker, and these services. */
 export interface WorkerRoom {
   readonly freeMillis: number;
   readonly services: readonly ServiceTruth[];
@@ -19,7 +19,7 @@
 interface RemainingRoom {
   freeMillis: number;
   readonly services: readonly ServiceTruth[];
-  /** The slowdown that each service here may still take. */
+  /** The additional slowdown that each service on the worker still tolerates. */
   readonly remainingSlowdowns: number[];
 }
 
@@ -44,14 +44,14 @@
     this.#tasks.set(kind, [...(this.#tasks.get(kind) ?? []), task]);
   }
 
-  /** Lets the workers do what they can in `elapsedMs`; returns processor-milliseconds done. */
+  /** Runs the workers for `elapsedMs`. Returns the processor-milliseconds of work done. */
   advance(workers: readonly WorkerRoom[], nowMs: number, elapsedMs: number): number {
     const rooms = workers.map(({ freeMillis, services }) => ({
       freeMillis,
       services,
       remainingSlowdowns: services.map(() => this.#toleratedSlowdown),
     }));
-    // What hurts most has the fewest places, so it chooses first.
+    // The kind with the highest pressure fits on the fewest workers, so it chooses first.
     const kinds = [...this.#tasks.keys()].sort(
       (left, right) =>
         this.#totalPressure(right, rooms, nowMs) - this.#totalPressure(left, rooms, nowMs) ||
@@ -64,7 +64,7 @@
     return rooms.reduce((sum, room) => sum + this.#worstPressure(kind, room, nowMs), 0);
   }
 
-  /** The slowdown by one thousandth of a processor of the kind. */
+  /** The slowdown of each service for each thousandth of a processor that the kind uses. */
   #pressures(kind: KindTruth, { services }: RemainingRoom, nowMs: number): readonly number[] {
     return services.map(
       ({ name }) => (loadAt(nowMs) * kind.pressure(name, nowMs)) / this.#capacityMillis,
@@ -96,7 +96,7 @@
     return doneMs;
   }
 
-  /** Takes up to `wantedMillis` of the rooms, first where the kind hurts least. */
+  /** Allocates up to `wantedMillis`, first on the workers where the kind causes least slowdown. */
   #allocate(
     kind: KindTruth,
     rooms: readonly RemainingRoom[],
--- a/bench/colocation/latencyMeter.ts
+++ b/bench/colocation/latencyMeter.ts
@@ -1,12 +1,12 @@
-/** What the entry beside a cell's owner measures of servers: few requests, told late. */
+/** Latency samples of the entry in a cell owner's daemon, which sees few of the requests. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { LatencySample } from '../../src/services/worker/common/latencySamples.js';
 import { LATENCY_DEVIATION } from './latencyTail.js';
 import { loadAt, type ServiceTruth } from './truth.js';
 
-/** Each of so many entries sees an equal part of the requests. */
+/** Each of these entries sees an equal share of the requests. */
 const ENTRY_COUNT = 7;
-/** How much of its latency a service adds at full load by itself. */
+/** The relative latency that a service's own load adds at full load. */
 const OWN_LOAD_SLOWDOWN = 0.4;
 
 interface Window {
@@ -60,7 +60,7 @@
     });
   }
 
-  /** Nearly normal: the sum of twelve even draws. */
+  /** Approximates a standard normal value by the sum of twelve uniform values. */
   #nextNormal(): number {
     return Array.from({ length: 12 }, () => this.#random.nextFraction()).reduce(
       (sum, draw) => sum + draw,
--- a/bench/colocation/latencyTail.ts
+++ b/bench/colocation/latencyTail.ts
@@ -1,13 +1,14 @@
 /**
- * The tail of a service without drawing each request: a request takes the base latency, which is
- * log-normal, times the slowdown of its worker at that moment. Requests are counted by slowdown.
+ * Computes a service's tail latency without drawing each request. A request's latency is a
+ * log-normal base latency times the current slowdown of its worker, so it is enough to count the
+ * requests by slowdown.
  */
 const BUCKETS_PER_UNIT = 200;
 const SIGMA = 0.5;
 const P99 = 0.99;
 const BISECTIONS = 40;
 
-/** The standard normal distribution, by Abramowitz and Stegun 7.1.26. */
+/** The standard normal distribution function, by formula 7.1.26 of Abramowitz and Stegun. */
 const normalCdf = (value: number): number => {
   const scaled = Math.abs(value) / Math.SQRT2;
   const t = 1 / (1 + 0.327_591_1 * scaled);
@@ -19,7 +20,7 @@
   return value >= 0 ? (1 + erf) / 2 : (1 - erf) / 2;
 };
 
-/** The spread of one request's latency beside its mean. */
+/** The ratio of the standard deviation of a request's latency to its mean. */
 export const LATENCY_DEVIATION = Math.sqrt(Math.exp(SIGMA * SIGMA) - 1);
 
 export class LatencyTail {
@@ -33,7 +34,7 @@
     this.#total += requestCount;
   }
 
-  /** The p99 of all requests beside that of requests which nothing slows down. */
+  /** The ratio of the p99 of all requests to the p99 of requests without any slowdown. */
   get p99Ratio(): number {
     const unslowed = LatencyTail.#quantile((latency) => normalCdf(Math.log(latency) / SIGMA));
     return LatencyTail.#quantile((latency) => this.#shareBelow(latency)) / unslowed;
--- a/bench/colocation/modelWorker.ts
+++ b/bench/colocation/modelWorker.ts
@@ -1,4 +1,4 @@
-/** A worker of the load model: tasks slow each other down, and it reports late. */
+/** A worker of the load model. Its tasks slow each other down, and its usage reports lag. */
 import type { Resources } from '../../src/services/worker/common/resources.js';
 import {
   type StartRequest,
@@ -18,7 +18,7 @@
   type ServiceTruth,
 } from './truth.js';
 
-/** How old the measured use in a report is. */
+/** The age of the measured usage in a report. */
 export const USAGE_LAG_MS = 5_000;
 
 const OVERLOAD_SLOWDOWN = 0.5;
@@ -39,13 +39,13 @@
   checkpoint: string | null;
 }
 
-/** What a worker did since it was last asked. */
+/** The worker's totals since the start of the run. */
 export interface WorkerProgress {
-  /** Batch work done, in processor-milliseconds, without what evictions lost. */
+  /** Batch work done, in processor-milliseconds, without the work that evictions lost. */
   processorMs: number;
-  /** Without those for a withdrawn zone or for the room of replicas. */
+  /** Evictions, except those from a withdrawn zone and those that make room for replicas. */
   evictionCount: number;
-  /** Evictions without which a service would have stayed slow however much was throttled. */
+  /** Evictions while a service stays too slow even with all batch work throttled to 0. */
   neededEvictionCount: number;
 }
 
@@ -57,17 +57,17 @@
 
   readonly availabilityZone: string;
 
-  /** True while operators have taken the zone out. */
+  /** True while the worker's zone is withdrawn. */
   isWithdrawn = false;
 
-  /** True while replicas of the zone have no place yet: batch work has to make room for them. */
+  /** True while the zone lacks replicas, so that batch work has to make room for them. */
   isShortOfReplicas = false;
 
   readonly progress: WorkerProgress = { processorMs: 0, evictionCount: 0, neededEvictionCount: 0 };
 
   readonly #size: ColocationSize;
 
-  /** The slowdown of a service that evictions are judged by. */
+  /** Evictions count as needed if a service is slowed by more than this factor. */
   readonly #toleratedSlowdown: number;
 
   readonly #tasks = new Map<string, ModelTask>();
@@ -84,12 +84,12 @@
     this.#toleratedSlowdown = toleratedSlowdown;
   }
 
-  /** The services that a replica of runs here. */
+  /** The service of each replica that runs on this worker. */
   get services(): readonly ServiceTruth[] {
     return this.#running.map(({ service }) => service).filter((one) => one !== undefined);
   }
 
-  /** Processors that services use here. */
+  /** The processor use of the services on this worker, in thousandths of a processor. */
   serviceMillis(nowMs: number): number {
     return this.services.reduce(
       (sum, { declared, useRatio }) => sum + declared.processorMillis * useRatio * loadAt(nowMs),
@@ -97,7 +97,10 @@
     );
   }
 
-  /** How many times slower than alone a service answers here, all batch throttled to `floor`. */
+  /**
+   * The factor by which batch work on this worker slows a service, if each batch task is throttled
+   * to at most `shareLimit` of its processors.
+   */
   slowdown(service: ServiceTruth, nowMs: number, shareLimit = 1): number {
     const { processorMillis } = this.#size.capacity;
     const pressure = this.#batch.reduce((sum, { kind, processorShare }) => {
@@ -130,7 +133,7 @@
     };
   }
 
-  /** Lets the tasks run for `elapsedMs`; services have what they need of the processors first. */
+  /** Runs the tasks for `elapsedMs`. Services get their processors before batch tasks. */
   advance(nowMs: number, elapsedMs: number): void {
     const room = this.#size.capacity.processorMillis - this.serviceMillis(nowMs);
     const speed = Math.min(1, room / Math.max(1, this.#wantedMillis));
@@ -230,7 +233,7 @@
       nowMs - task.throttledAtMs < USAGE_LAG_MS ? task.previousShare : task.processorShare;
     const { service } = task;
     const serviceMillis = (service?.declared.processorMillis ?? 0) * (service?.useRatio ?? 0);
-    // By the truth, not by what was committed, which may be of a size learnt from these reports.
+    // The true usage, not the committed size, which may have been learnt from these reports.
     const processorMillis = Math.round(
       kind === undefined
         ? serviceMillis * loadAt(nowMs - USAGE_LAG_MS)
--- a/bench/colocation/truth.ts
+++ b/bench/colocation/truth.ts
@@ -1,6 +1,6 @@
 /**
- * The hidden truth of the load model: what services and batch kinds really use, and how much each
- * kind hurts each service. The product is told only what a team would declare.
+ * The ground truth of the load model: what services and batch kinds really use, and how much each
+ * kind slows each service. The product only gets the sizes that a team would declare.
  */
 import type { Resources } from '../../src/services/worker/common/resources.js';
 
@@ -10,10 +10,10 @@
 export interface ServiceTruth {
   readonly name: string;
   readonly declared: Resources;
-  /** What a replica uses of its declared processors at full load. */
+  /** The share of its declared processors that a replica uses at full load. */
   readonly useRatio: number;
   readonly baseLatencyMs: number;
-  /** Requests a second of one replica at full load. */
+  /** Requests per second to one replica at full load. */
   readonly fullRate: number;
 }
 
@@ -22,19 +22,19 @@
   readonly name: string;
   readonly declared: Resources;
   readonly declaredWorkMs: number;
-  /** True processor use and run time beside the declared ones. */
+  /** The ratios of true processor use and run time to the declared ones. */
   readonly useRatio: number;
   readonly workRatio: number;
-  /** The part of all jobs. */
+  /** The share of all jobs. */
   readonly share: number;
   /**
-   * Pressure on a service: the slowdown at full load if the kind used a whole worker. Grows with
-   * the service's load and changes over time.
+   * The pressure on a service: the slowdown at full load if the kind used a whole worker. The
+   * slowdown grows with the service's load, and the pressure may change over time.
    */
   readonly pressure: (serviceName: string, nowMs: number) => number;
-  /** The part of the pressure that throttling does not take away. */
+  /** The share of the pressure that throttling does not reduce. */
   readonly rigidShare: number;
-  /** How often the task saves its progress by itself; an eviction loses what came after. */
+  /** The interval at which a task checkpoints by itself. An eviction loses the work since then. */
   readonly checkpointIntervalMs: number;
 }
 
@@ -46,14 +46,14 @@
   readonly services: readonly ServiceTruth[];
   readonly replicaCount: number;
   readonly kinds: readonly KindTruth[];
-  /** Batch work that arrives, as a part of what all workers could do beside the services. */
+  /** Arriving batch work as a share of the capacity that services leave on all workers. */
   readonly demand: number;
 }
 
-/** Work that a task needs after a start before it makes progress. */
+/** The time after a start before a task makes progress. */
 export const RESTART_COST_MS = 5_000;
 
-/** The service's load, between 0 and 1, with waves of minutes. */
+/** The services' load between 0 and 1, a wave with a period of four minutes. */
 export const loadAt = (nowMs: number): number =>
   0.62 + 0.23 * Math.sin((2 * Math.PI * nowMs) / (4 * MS_PER_MINUTE));
 
@@ -61,7 +61,7 @@
 const NOISY_MS = 35_000;
 const isNoisy = (nowMs: number): boolean => nowMs % NOISY_PERIOD_MS < NOISY_MS;
 
-/** When two kinds have exchanged their effects. */
+/** The time at which the kind `shifting` starts to slow the other service. */
 export const SHIFT_AT_MS = 240_000;
 
 const LOW_PRESSURE = 0.05;
@@ -80,7 +80,7 @@
   fullRate: 200,
 });
 
-/** `factor` scales declared sizes with the workers: 1 for 32 cores. */
+/** `factor` scales declared sizes with the size of the workers: 1 for 32 cores. */
 const kindsFor = (critical: string, other: string, factor: number): readonly KindTruth[] => {
   const kind = (
     name: string,
@@ -144,7 +144,7 @@
   demand: 0.6,
 };
 
-/** Jobs are named after their kind: `KIND.N`, tasks `KIND.N/INDEX`. */
+/** Returns the kind from a task id. Job ids are `KIND.N`, task ids `KIND.N/INDEX`. */
 export const kindOf = (size: ColocationSize, taskId: string): KindTruth | undefined => {
   const name = taskId.split('.')[0];
   return size.kinds.find((kind) => kind.name === name);
--- a/bench/colocation/workMeter.ts
+++ b/bench/colocation/workMeter.ts
@@ -1,18 +1,19 @@
 /**
- * Batch work done, beside two measures. The ideal pool knows what no scheduler knows, so a share
- * of it is cautious in steady running and asks more while a zone is away, when the places that
- * are harmless run short. The product's own pace asks only that a zone's loss costs no more than
- * the processors that left: what it did before, for the share of them that stays.
+ * Compares the batch work done with two references. The ideal pool has knowledge that no scheduler
+ * has, so the ratio to it is a conservative figure. It is harder to reach while a zone is away,
+ * because workers on which batch work harms no service are scarce then. The second reference only
+ * requires that the loss of a zone costs no more than its processors: it is the product's own
+ * earlier rate, scaled to the share of processors that remain.
  */
 
-/** Until when nothing is counted: estimates and queues start empty. */
+/** Work before this time is not counted, because estimates and queues start empty. */
 export const WARM_UP_MS = 60_000;
 export const ZONE_LEAVES_MS = 300_000;
 export const ZONE_RETURNS_MS = 380_000;
-/** Until when the work of a zone that leaves and returns is counted. */
+/** The end of the period in which work counts as done around the zone loss. */
 const ZONE_COUNTED_UNTIL_MS = 440_000;
 
-/** What one step of the run did, in processor-milliseconds. */
+/** The work of one step of the run, in processor-milliseconds. */
 export interface StepWork {
   readonly doneMs: number;
   readonly idealMs: number;
@@ -42,7 +43,7 @@
 
   readonly #expected = zeroSums();
 
-  /** Work offered that the own pace has not done yet; the product's open work when the zone leaves. */
+  /** Offered work that the expected rate has not done; the product's backlog until a zone leaves. */
   #openMs = 0;
 
   submit(workMs: number): void {
@@ -52,7 +53,7 @@
   count({ doneMs, idealMs, remainingShare }: StepWork, nowMs: number, elapsedMs: number): void {
     add(this.#done, doneMs, nowMs);
     add(this.#ideal, idealMs, nowMs);
-    // Nobody works at what has not been offered, so the pace pauses where the queue is empty.
+    // Only offered work can be done, so nothing is expected while the queue is empty.
     const expectedMs =
       nowMs < ZONE_LEAVES_MS
         ? doneMs
@@ -73,7 +74,7 @@
     return this.#done.aroundZone / this.#expected.aroundZone;
   }
 
-  /** Processors at work before the zone left; a whole wave of the services' load. */
+  /** The work rate before the zone loss, averaged over a whole wave of the services' load. */
   get #rateBeforeZoneLoss(): number {
     return this.#done.beforeZone / (ZONE_LEAVES_MS - WARM_UP_MS);
   }
--- a/bench/configuration/configuration.ts
+++ b/bench/configuration/configuration.ts
@@ -1,4 +1,4 @@
-/** Time until a change is in force everywhere, what following costs, and time to plan. */
+/** Measures how fast a change is in force everywhere, the cost of polling, and planning times. */
 import type { Benchmark } from '../benchmark.js';
 import { readBounds } from '../bounds.js';
 import { type InForceFigures, measureInForce, type Scenario } from './inForce.js';
@@ -56,12 +56,12 @@
   return `${name}: ${lag}; a daemon: ${reads} reads, ${rows} rows, ${bytes} bytes a second`;
 };
 
-/** Scenarios that CI runs too; all are in virtual time, but the others take too long for it. */
+/** Scenarios that CI runs too. The other ones, also in virtual time, take too long for CI. */
 const BOUNDED_SCENARIOS: readonly Scenario[] = SCENARIOS.filter(
   ({ daemonCount, meanGapMs }) => daemonCount === 7 && meanGapMs === BURST_RATE.meanGapMs,
 );
 
-/** `bounds` as an argument runs just what is the same on every machine. */
+/** With the argument `bounds`, only figures that are the same on every machine are measured. */
 const run = async (args: readonly string[]): Promise<boolean> => {
   const bounds = await readBounds('configuration');
   const isBoundsOnly = args[0] === 'bounds';
--- a/bench/configuration/fleet.ts
+++ b/bench/configuration/fleet.ts
@@ -1,4 +1,4 @@
-/** A configuration, workers and a ledger of the size to design for, and what operators ask of it. */
+/** A configuration, workers, a ledger and jobs at the design size, and operators' intents. */
 import { randomUUID } from 'node:crypto';
 
 import type { Intent } from '../../src/operator/common/intent.js';
@@ -73,7 +73,7 @@
   return [...racks].map(([key, assignments]) => ({ key, value: { assignments } as never }));
 };
 
-/** The jobs' own rows of the same tasks. */
+/** The work rows of the batch tasks that the ledger assigns. */
 export const workRows = (instances: readonly WorkerInstance[]): readonly RowWrite[] => {
   const shards = new Map<string, { key: string; index: number; tasks: unknown[] }>();
   const count = SERVICE_COUNT * REPLICA_COUNT + BATCH_TASK_COUNT;
--- a/bench/configuration/inForce.ts
+++ b/bench/configuration/inForce.ts
@@ -1,4 +1,4 @@
-/** How long a change takes to be in force on the last daemon, in virtual time. */
+/** Measures in virtual time how long a change takes to be in force on the last daemon. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
 import { SeededRandom } from '../../src/base/common/random.js';
@@ -32,7 +32,7 @@
   readonly name: string;
   readonly daemonCount: number;
   readonly changeCount: number;
-  /** The mean time between two changes, which come at random. */
+  /** The mean time between two changes. The times are random. */
   readonly meanGapMs: number;
   readonly hasPeers: boolean;
   readonly behaviour: Partial<TableBehaviour>;
@@ -42,7 +42,7 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
-  /** What one daemon costs the store. */
+  /** The load that one daemon puts on the store. */
   readonly readsPerDaemonPerSecond: number;
   readonly rowsPerDaemonPerSecond: number;
   readonly bytesPerDaemonPerSecond: number;
@@ -81,7 +81,7 @@
   operatorAddress: { host: '127.0.0.1', port: 1 },
 });
 
-/** Daemons with the real following logic; heartbeats and hints as `PeerService` sends them. */
+/** Daemons with real followers. Heartbeats and hints are simulated as `PeerService` sends them. */
 class Fleet {
   readonly followers: readonly ConfigurationFollower[];
 
@@ -130,7 +130,7 @@
 const createHistogram = (): Histogram =>
   build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000, useWebAssembly: false });
 
-/** Records, for each version, when the last daemon has it in force. */
+/** Records for each version how long it takes until the last daemon has it in force. */
 const recordLastInForce = (
   fleet: Fleet,
   time: VirtualTime,
@@ -169,13 +169,13 @@
       [zoneKey('zone-0')]: { name: 'zone-0', region: 'r', state },
     });
     acceptedAtMs[version] = time.nowMs();
-    // The daemon that confirmed the plan knows of it first.
+    // The daemon that confirms the plan refreshes first.
     const confirmingFollower = fleet.followers[
       version % scenario.daemonCount
     ] as ConfigurationFollower;
     if (scenario.hasPeers) void confirmingFollower.refresh(version);
     const gapMs = -Math.log(1 - random.nextFraction()) * scenario.meanGapMs;
-    // eslint-disable-next-line no-await-in-loop -- changes come one after the other
+    // eslint-disable-next-line no-await-in-loop -- one change after the other
     await time.runUntil(time.nowMs() + gapMs);
   }
   await time.runUntil(time.nowMs() + SETTLE_MS);
--- a/bench/configuration/planReads.ts
+++ b/bench/configuration/planReads.ts
@@ -1,4 +1,4 @@
-/** What a plan reads at the size to design for: counts, the same on every machine. */
+/** Counts what a plan reads at the design size. The counts are the same on every machine. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import { OperatorHarness } from '../../src/operator/test/operatorHarness.js';
@@ -18,7 +18,7 @@
   const writes = [...documentRows(), ...ledgerRows(instances), ...workRows(instances)];
   harness.table.truth.transact({ operationId: 'fill', conditions: [], writes });
   const planService = harness.daemon();
-  // The first plan of a process also loads the configuration.
+  // The first plan also loads the configuration, so it is not measured.
   await harness.plan(planService, { intent: 'set-policy', policy: {} });
   const figures: PlanReads[] = [];
   for (let index = 0; index < INTENTS.length; index += 1) {
--- a/bench/configuration/planning.ts
+++ b/bench/configuration/planning.ts
@@ -1,4 +1,4 @@
-/** How long planning takes at the size to design for, and how long it holds up requests. */
+/** Measures how long planning takes at the design size and how long it blocks the event loop. */
 import { spawn } from 'node:child_process';
 import { randomBytes, randomUUID } from 'node:crypto';
 import { createInterface } from 'node:readline';
@@ -29,19 +29,19 @@
   readonly name: string;
   readonly p50Ms: number;
   readonly maxMs: number;
-  /** The longest that the event loop stood still during a plan: the middle one and the worst. */
+  /** The longest event-loop block during each plan: the median and the maximum over all plans. */
   readonly medianBlockMs: number;
   readonly longestBlockMs: number;
 }
 
-/** Measures how long the event loop stands still until it is told to stop. */
+/** Watches the event loop until the returned function is called, which returns the longest block. */
 const watchEventLoop = (): (() => number) => {
   let longestMs = 0;
   let isStopped = false;
   const watch = async (): Promise<void> => {
     let lastMs = systemClock.nowMs();
     while (!isStopped) {
-      // eslint-disable-next-line no-await-in-loop -- looks at every turn of the event loop
+      // eslint-disable-next-line no-await-in-loop -- measures every turn of the event loop
       await nextTurn();
       const nowMs = systemClock.nowMs();
       longestMs = Math.max(longestMs, nowMs - lastMs);
@@ -55,7 +55,7 @@
   };
 };
 
-/** The figures but for the first rounds, which are for the compiler, in order. */
+/** Sorts the figures without those of the first rounds, in which V8 still compiles the code. */
 const sortWithoutWarmUp = (figures: readonly number[]): readonly number[] =>
   figures.slice(WARM_UP_COUNT).sort((one, other) => one - other);
 
@@ -64,7 +64,7 @@
 
 type TimedAction = () => Promise<Either<Failure, unknown>>;
 
-/** What is measured, made ready round by round; making it ready is not measured. */
+/** A name and a function that prepares the action of a round. Only the action is measured. */
 type PlanningCase = readonly [string, (round: number) => Promise<TimedAction> | TimedAction];
 
 const measure = async ([name, prepare]: PlanningCase): Promise<PlanningFigures> => {
@@ -99,7 +99,7 @@
   return plan.right;
 };
 
-/** Plans of every kind; then jobs of 10,000 tasks confirmed, and plans to cancel those. */
+/** Plans of every kind, then confirmations of jobs of 10,000 tasks, then plans to cancel them. */
 const toPlanningCases = (planService: PlanService): readonly PlanningCase[] => [
   ...INTENTS.map(([name, toIntent]): PlanningCase => [
     name,
@@ -134,7 +134,7 @@
 const fill = async (table: HttpTableService, rows: readonly RowWrite[]): Promise<void> => {
   for (let index = 0; index < rows.length; index += ROWS_PER_TRANSACTION) {
     const writes = rows.slice(index, index + ROWS_PER_TRANSACTION);
-    // eslint-disable-next-line no-await-in-loop -- one part at a time
+    // eslint-disable-next-line no-await-in-loop -- one transaction at a time
     const result = await table.transact({ operationId: `fill-${index}`, conditions: [], writes })();
     if (isLeft(result)) throw new Error(result.left.message);
   }
@@ -170,7 +170,7 @@
     const figures: PlanningFigures[] = [{ name: 'nothing (a second of rest)', ...idle }];
     const planningCases = toPlanningCases(planService);
     for (let index = 0; index < planningCases.length; index += 1) {
-      // eslint-disable-next-line no-await-in-loop -- one at a time, or they hold each other up
+      // eslint-disable-next-line no-await-in-loop -- concurrent cases would delay each other
       figures.push(await measure(planningCases[index] as PlanningCase));
     }
     return figures;
