--- a/bench/colocation/batchArrivals.ts
+++ b/bench/colocation/batchArrivals.ts
@@ -2,13 +2,13 @@
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { WorkRow } from '../../src/services/workload/common/workRows.js';
 import { trueMillis } from './idealPool.js';
-import type { ColocationSize, KindTruth } from './truth.js';
+import type { ColocationSize, BatchKind } from './workloadModel.js';
 
 const MAXIMUM_TASKS_OF_JOB = 6;
 
 export interface ArrivedJob {
   readonly row: WorkRow;
-  readonly kind: KindTruth;
+  readonly kind: BatchKind;
 }
 
 export class BatchArrivals {
@@ -35,8 +35,8 @@
       (sum, { declared }) => sum + declared.processorMillis * replicaCount,
       0,
     );
-    const roomMillis = capacity.processorMillis * workerCount - serviceMillis;
-    this.#tasksPerMs = (demand * roomMillis) / perTaskMs;
+    const freeMillis = capacity.processorMillis * workerCount - serviceMillis;
+    this.#tasksPerMs = (demand * freeMillis) / perTaskMs;
   }
 
   /** Returns the jobs that arrive within `elapsedMs`, each in one of `zones`. */
@@ -76,13 +76,13 @@
     return { row, kind };
   }
 
-  #drawKind(): KindTruth {
+  #drawKind(): BatchKind {
     const { kinds } = this.#size;
     let remainingShare = this.#random.nextFraction();
     const drawn = kinds.find(({ share }) => {
       remainingShare -= share;
       return remainingShare <= 0;
     });
-    return drawn ?? (kinds[0] as KindTruth);
+    return drawn ?? (kinds[0] as BatchKind);
   }
 }
--- a/bench/colocation/colocation.ts
+++ b/bench/colocation/colocation.ts
@@ -15,7 +15,7 @@
 import type { Benchmark } from '../benchmark.js';
 import { readBounds } from '../bounds.js';
 import { type ColocationFigures, ColocationRun, type ColocationVariant } from './colocationRun.js';
-import { AMMAN, BAJIO, type ColocationSize } from './truth.js';
+import { AMMAN, BAJIO, type ColocationSize } from './workloadModel.js';
 
 const SEEDS = [11, 12] as const;
 const TOLERATED_SLOWDOWN = 1.15;
@@ -97,16 +97,16 @@
 };
 
 /** Combines the figures of several seeds: ratios are averaged and evictions are added. */
-const combineFigures = (all: readonly ColocationFigures[]): ColocationFigures => {
-  const sum = (of: (figures: ColocationFigures) => number): number =>
-    all.reduce((total, figures) => total + of(figures), 0);
+const combineFigures = (figuresBySeed: readonly ColocationFigures[]): ColocationFigures => {
+  const sum = (select: (figures: ColocationFigures) => number): number =>
+    figuresBySeed.reduce((total, figures) => total + select(figures), 0);
   return {
-    p99Ratio: sum(({ p99Ratio }) => p99Ratio) / all.length,
-    throughputRatio: sum(({ throughputRatio }) => throughputRatio) / all.length,
+    p99Ratio: sum(({ p99Ratio }) => p99Ratio) / figuresBySeed.length,
+    throughputRatio: sum(({ throughputRatio }) => throughputRatio) / figuresBySeed.length,
     evictionCount: sum(({ evictionCount }) => evictionCount),
     neededEvictionCount: sum(({ neededEvictionCount }) => neededEvictionCount),
-    zoneRatio: sum(({ zoneRatio }) => zoneRatio) / all.length,
-    zoneToOwnPace: sum(({ zoneToOwnPace }) => zoneToOwnPace) / all.length,
+    zoneRatio: sum(({ zoneRatio }) => zoneRatio) / figuresBySeed.length,
+    zoneToOwnPace: sum(({ zoneToOwnPace }) => zoneToOwnPace) / figuresBySeed.length,
   };
 };
 
--- a/bench/colocation/colocationRun.ts
+++ b/bench/colocation/colocationRun.ts
@@ -23,7 +23,7 @@
 import { LatencyMeter } from './latencyMeter.js';
 import { ModelWorker } from './modelWorker.js';
 import { LatencyTail } from './latencyTail.js';
-import { type ColocationSize, loadAt, type ServiceTruth } from './truth.js';
+import { type ColocationSize, loadAt, type ServiceModel } from './workloadModel.js';
 import { WARM_UP_MS, WorkMeter, ZONE_LEAVES_MS, ZONE_RETURNS_MS } from './workMeter.js';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
@@ -133,8 +133,8 @@
 
   #figures(): ColocationFigures {
     const workers = [...this.#workers.values()];
-    const sum = (of: (worker: ModelWorker) => number): number =>
-      workers.reduce((total, worker) => total + of(worker), 0);
+    const sum = (select: (worker: ModelWorker) => number): number =>
+      workers.reduce((total, worker) => total + select(worker), 0);
     return {
       p99Ratio: Math.max(...[...this.#tails.values()].map(({ p99Ratio }) => p99Ratio)),
       throughputRatio: this.#workMeter.throughputRatio,
@@ -197,7 +197,7 @@
     );
   }
 
-  static #rate(service: ServiceTruth, nowMs: number): number {
+  static #rate(service: ServiceModel, nowMs: number): number {
     return service.fullRate * loadAt(nowMs);
   }
 
--- a/bench/colocation/idealPool.ts
+++ b/bench/colocation/idealPool.ts
@@ -4,12 +4,12 @@
  * by more than the tolerated slowdown. Only the replicas are placed as in the run. No scheduler
  * reaches this bound, so a ratio to it is a conservative figure.
  */
-import { type KindTruth, loadAt, type ServiceTruth } from './truth.js';
+import { type BatchKind, loadAt, type ServiceModel } from './workloadModel.js';
 
 /** The processors that services leave free on one worker, and these services. */
 export interface WorkerRoom {
   readonly freeMillis: number;
-  readonly services: readonly ServiceTruth[];
+  readonly services: readonly ServiceModel[];
 }
 
 interface IdealTask {
@@ -18,12 +18,12 @@
 
 interface RemainingRoom {
   freeMillis: number;
-  readonly services: readonly ServiceTruth[];
+  readonly services: readonly ServiceModel[];
   /** The additional slowdown that each service on the worker still tolerates. */
   readonly remainingSlowdowns: number[];
 }
 
-export const trueMillis = (kind: KindTruth): number =>
+export const trueMillis = (kind: BatchKind): number =>
   kind.declared.processorMillis * kind.useRatio;
 
 export class IdealPool {
@@ -31,7 +31,7 @@
 
   readonly #toleratedSlowdown: number;
 
-  readonly #tasks = new Map<KindTruth, IdealTask[]>();
+  readonly #tasks = new Map<BatchKind, IdealTask[]>();
 
   /** `toleratedSlowdown` is 0.15 for a service that may take 1.15 times as long. */
   constructor(capacityMillis: number, toleratedSlowdown: number) {
@@ -39,7 +39,7 @@
     this.#toleratedSlowdown = toleratedSlowdown;
   }
 
-  submit(kind: KindTruth): void {
+  submit(kind: BatchKind): void {
     const task = { remainingMs: kind.declaredWorkMs * kind.workRatio };
     this.#tasks.set(kind, [...(this.#tasks.get(kind) ?? []), task]);
   }
@@ -60,22 +60,22 @@
     return kinds.reduce((doneMs, kind) => doneMs + this.#run(kind, rooms, nowMs, elapsedMs), 0);
   }
 
-  #totalPressure(kind: KindTruth, rooms: readonly RemainingRoom[], nowMs: number): number {
+  #totalPressure(kind: BatchKind, rooms: readonly RemainingRoom[], nowMs: number): number {
     return rooms.reduce((sum, room) => sum + this.#worstPressure(kind, room, nowMs), 0);
   }
 
   /** The slowdown of each service for each thousandth of a processor that the kind uses. */
-  #pressures(kind: KindTruth, { services }: RemainingRoom, nowMs: number): readonly number[] {
+  #pressures(kind: BatchKind, { services }: RemainingRoom, nowMs: number): readonly number[] {
     return services.map(
       ({ name }) => (loadAt(nowMs) * kind.pressure(name, nowMs)) / this.#capacityMillis,
     );
   }
 
-  #worstPressure(kind: KindTruth, room: RemainingRoom, nowMs: number): number {
+  #worstPressure(kind: BatchKind, room: RemainingRoom, nowMs: number): number {
     return Math.max(0, ...this.#pressures(kind, room, nowMs));
   }
 
-  #run(kind: KindTruth, rooms: readonly RemainingRoom[], nowMs: number, elapsedMs: number): number {
+  #run(kind: BatchKind, rooms: readonly RemainingRoom[], nowMs: number, elapsedMs: number): number {
     const tasks = this.#tasks.get(kind) ?? [];
     const wantedMillis = tasks.length * trueMillis(kind);
     const grantedMillis = this.#allocate(kind, rooms, wantedMillis, nowMs);
@@ -98,7 +98,7 @@
 
   /** Allocates up to `wantedMillis`, first on the workers where the kind causes least slowdown. */
   #allocate(
-    kind: KindTruth,
+    kind: BatchKind,
     rooms: readonly RemainingRoom[],
     wantedMillis: number,
     nowMs: number,
--- a/bench/colocation/latencyMeter.ts
+++ b/bench/colocation/latencyMeter.ts
@@ -2,7 +2,7 @@
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { LatencySample } from '../../src/services/worker/common/latencySamples.js';
 import { LATENCY_DEVIATION } from './latencyTail.js';
-import { loadAt, type ServiceTruth } from './truth.js';
+import { loadAt, type ServiceModel } from './workloadModel.js';
 
 /** Each of these entries sees an equal share of the requests. */
 const ENTRY_COUNT = 7;
@@ -11,7 +11,7 @@
 
 interface Window {
   readonly workerId: string;
-  readonly service: ServiceTruth;
+  readonly service: ServiceModel;
   requestCount: number;
   sumMs: number;
 }
@@ -29,7 +29,7 @@
 
   add(
     workerId: string,
-    service: ServiceTruth,
+    service: ServiceModel,
     slowdown: number,
     requestCount: number,
     nowMs: number,
--- a/bench/colocation/modelWorker.ts
+++ b/bench/colocation/modelWorker.ts
@@ -11,12 +11,12 @@
 } from '../../src/services/worker/common/workerClient.js';
 import {
   type ColocationSize,
-  kindOf,
-  type KindTruth,
+  kindOfTask,
+  type BatchKind,
   loadAt,
   RESTART_COST_MS,
-  type ServiceTruth,
-} from './truth.js';
+  type ServiceModel,
+} from './workloadModel.js';
 
 /** The age of the measured usage in a report. */
 export const USAGE_LAG_MS = 5_000;
@@ -25,8 +25,8 @@
 
 interface ModelTask {
   readonly request: StartRequest;
-  readonly kind: KindTruth | undefined;
-  readonly service: ServiceTruth | undefined;
+  readonly kind: BatchKind | undefined;
+  readonly service: ServiceModel | undefined;
   readonly startedAtMs: number;
   readonly workMs: number;
   state: WorkerTaskState;
@@ -85,7 +85,7 @@
   }
 
   /** The service of each replica that runs on this worker. */
-  get services(): readonly ServiceTruth[] {
+  get services(): readonly ServiceModel[] {
     return this.#running.map(({ service }) => service).filter((one) => one !== undefined);
   }
 
@@ -101,7 +101,7 @@
    * The factor by which batch work on this worker slows a service, if each batch task is throttled
    * to at most `shareLimit` of its processors.
    */
-  slowdown(service: ServiceTruth, nowMs: number, shareLimit = 1): number {
+  slowdown(service: ServiceModel, nowMs: number, shareLimit = 1): number {
     const { processorMillis } = this.#size.capacity;
     const pressure = this.#batch.reduce((sum, { kind, processorShare }) => {
       const share = Math.min(shareLimit, processorShare);
@@ -109,8 +109,8 @@
       const use = (kind.declared.processorMillis * kind.useRatio) / processorMillis;
       return sum + kind.pressure(service.name, nowMs) * use * effectiveShare;
     }, 0);
-    const wanted = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, shareLimit);
-    const overload = Math.max(0, wanted / processorMillis - 1);
+    const wantedMillis = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, shareLimit);
+    const overload = Math.max(0, wantedMillis / processorMillis - 1);
     return 1 + loadAt(nowMs) * pressure + OVERLOAD_SLOWDOWN * overload;
   }
 
@@ -135,8 +135,8 @@
 
   /** Runs the tasks for `elapsedMs`. Services get their processors before batch tasks. */
   advance(nowMs: number, elapsedMs: number): void {
-    const room = this.#size.capacity.processorMillis - this.serviceMillis(nowMs);
-    const speed = Math.min(1, room / Math.max(1, this.#wantedMillis));
+    const freeMillis = this.#size.capacity.processorMillis - this.serviceMillis(nowMs);
+    const speed = Math.min(1, freeMillis / Math.max(1, this.#wantedMillis));
     this.#batch.forEach((running) => {
       const task = running;
       if (nowMs - task.startedAtMs < RESTART_COST_MS) return;
@@ -158,9 +158,9 @@
     return [...this.#tasks.values()].filter(({ state }) => state === WorkerTaskState.Running);
   }
 
-  get #batch(): readonly (ModelTask & { readonly kind: KindTruth })[] {
+  get #batch(): readonly (ModelTask & { readonly kind: BatchKind })[] {
     return this.#running.filter(
-      (task): task is ModelTask & { readonly kind: KindTruth } => task.kind !== undefined,
+      (task): task is ModelTask & { readonly kind: BatchKind } => task.kind !== undefined,
     );
   }
 
@@ -175,7 +175,7 @@
     const key = ModelWorker.#key(request);
     if (this.#tasks.has(key) || nowMs > request.startBeforeWorkerMs) return;
     const isBatch = request.taskClass === TaskClass.Batch;
-    const kind = isBatch ? kindOf(this.#size, request.taskId) : undefined;
+    const kind = isBatch ? kindOfTask(this.#size, request.taskId) : undefined;
     const doneMs = savedMsOf(request.checkpoint);
     this.#tasks.set(key, {
       request,
@@ -219,7 +219,7 @@
     task.state = WorkerTaskState.Evicted;
   }
 
-  static #trueMillis(kind: KindTruth): number {
+  static #trueMillis(kind: BatchKind): number {
     return kind.declared.processorMillis * kind.useRatio;
   }
 
--- a/bench/colocation/workMeter.ts
+++ b/bench/colocation/workMeter.ts
@@ -21,15 +21,15 @@
   readonly remainingShare: number;
 }
 
-interface Sums {
+interface WorkSums {
   total: number;
   beforeZone: number;
   aroundZone: number;
 }
 
-const zeroSums = (): Sums => ({ total: 0, beforeZone: 0, aroundZone: 0 });
+const zeroSums = (): WorkSums => ({ total: 0, beforeZone: 0, aroundZone: 0 });
 
-const add = (sums: Sums, amountMs: number, nowMs: number): void => {
+const add = (sums: WorkSums, amountMs: number, nowMs: number): void => {
   const changed = sums;
   if (nowMs >= WARM_UP_MS) changed.total += amountMs;
   if (nowMs >= WARM_UP_MS && nowMs < ZONE_LEAVES_MS) changed.beforeZone += amountMs;
--- a/bench/colocation/truth.ts
+++ b/bench/colocation/workloadModel.ts
@@ -7,7 +7,7 @@
 const GIBIBYTE = 1024 ** 3;
 const MS_PER_MINUTE = 60_000;
 
-export interface ServiceTruth {
+export interface ServiceModel {
   readonly name: string;
   readonly declared: Resources;
   /** The share of its declared processors that a replica uses at full load. */
@@ -17,7 +17,7 @@
   readonly fullRate: number;
 }
 
-export interface KindTruth {
+export interface BatchKind {
   /** The team that submits the kind. */
   readonly name: string;
   readonly declared: Resources;
@@ -43,9 +43,9 @@
   readonly workerCount: number;
   readonly rackSize: number;
   readonly capacity: Resources;
-  readonly services: readonly ServiceTruth[];
+  readonly services: readonly ServiceModel[];
   readonly replicaCount: number;
-  readonly kinds: readonly KindTruth[];
+  readonly kinds: readonly BatchKind[];
   /** Arriving batch work as a share of the capacity that services leave on all workers. */
   readonly demand: number;
 }
@@ -59,7 +59,7 @@
 
 const NOISY_PERIOD_MS = 100_000;
 const NOISY_MS = 35_000;
-const isNoisy = (nowMs: number): boolean => nowMs % NOISY_PERIOD_MS < NOISY_MS;
+const isNoisyPhase = (nowMs: number): boolean => nowMs % NOISY_PERIOD_MS < NOISY_MS;
 
 /** The time at which the kind `shifting` starts to slow the other service. */
 export const SHIFT_AT_MS = 240_000;
@@ -72,7 +72,7 @@
   acceleratorCount: 0,
 });
 
-const service = (name: string, processors: number, baseLatencyMs: number): ServiceTruth => ({
+const service = (name: string, processors: number, baseLatencyMs: number): ServiceModel => ({
   name,
   declared: resources(processors, 8),
   useRatio: 0.7,
@@ -81,14 +81,14 @@
 });
 
 /** `factor` scales declared sizes with the size of the workers: 1 for 32 cores. */
-const kindsFor = (critical: string, other: string, factor: number): readonly KindTruth[] => {
+const kindsFor = (critical: string, other: string, factor: number): readonly BatchKind[] => {
   const kind = (
     name: string,
     processors: number,
     ratios: readonly [useRatio: number, workRatio: number, share: number],
-    pressure: KindTruth['pressure'],
-    more: Partial<KindTruth> = {},
-  ): KindTruth => ({
+    pressure: BatchKind['pressure'],
+    overrides: Partial<BatchKind> = {},
+  ): BatchKind => ({
     name,
     declared: resources(processors * factor, 4 * factor),
     declaredWorkMs: 60_000,
@@ -98,19 +98,19 @@
     pressure,
     rigidShare: 0.2,
     checkpointIntervalMs: 20_000,
-    ...more,
+    ...overrides,
   });
-  const on =
-    (target: string, amount: number): KindTruth['pressure'] =>
+  const pressureOn =
+    (target: string, amount: number): BatchKind['pressure'] =>
     (name) =>
       name === target ? amount : LOW_PRESSURE;
   return [
     kind('quiet', 4, [0.6, 1.6, 0.3], () => LOW_PRESSURE),
     kind('hungry', 3, [1.3, 0.7, 0.16], () => 0.1),
-    kind('cache', 3, [0.9, 2.2, 0.16], on(critical, 4)),
-    kind('disk', 4, [0.5, 1.2, 0.14], on(other, 5), { rigidShare: 0.7 }),
+    kind('cache', 3, [0.9, 2.2, 0.16], pressureOn(critical, 4)),
+    kind('disk', 4, [0.5, 1.2, 0.14], pressureOn(other, 5), { rigidShare: 0.7 }),
     kind('noisy', 3, [1.1, 1.8, 0.12], (name, nowMs) =>
-      name === critical && isNoisy(nowMs) ? 6 : LOW_PRESSURE,
+      name === critical && isNoisyPhase(nowMs) ? 6 : LOW_PRESSURE,
     ),
     kind(
       'shifting',
@@ -145,7 +145,7 @@
 };
 
 /** Returns the kind from a task id. Job ids are `KIND.N`, task ids `KIND.N/INDEX`. */
-export const kindOf = (size: ColocationSize, taskId: string): KindTruth | undefined => {
+export const kindOfTask = (size: ColocationSize, taskId: string): BatchKind | undefined => {
   const name = taskId.split('.')[0];
   return size.kinds.find((kind) => kind.name === name);
 };
--- a/bench/passThrough/passThrough.ts
+++ b/bench/passThrough/passThrough.ts
@@ -26,7 +26,7 @@
 }
 type Round = Readonly<Record<Variant, VariantResult>>;
 
-interface Target {
+interface TargetProcess {
   readonly origin: string;
   readonly pid: number;
 }
@@ -47,7 +47,9 @@
   readonly loadedMegabytes: number;
 }
 
-const runRounds = async (targets: Readonly<Record<Variant, Target>>): Promise<readonly Round[]> => {
+const runRounds = async (
+  targets: Readonly<Record<Variant, TargetProcess>>,
+): Promise<readonly Round[]> => {
   const runVariant = async (variant: Variant, durationMs: number): Promise<VariantResult> => {
     const { origin, pid } = targets[variant];
     const usedBeforeMs = await processorMs(pid);
--- a/bench/requests/requestsBench.ts
+++ b/bench/requests/requestsBench.ts
@@ -134,14 +134,14 @@
   printLine(
     `${size.name}: ${size.workerCount} workers of 8 slots, 7 entries; virtual time, seed ${SEED}`,
   );
-  const all = scenarios(size);
+  const allScenarios = scenarios(size);
   const results = new Map<string, ModelResult>();
   const unhedged = runOne(
-    all.find(({ name }) => name === 'noisy-neighbours') as Scenario,
+    allScenarios.find(({ name }) => name === 'noisy-neighbours') as Scenario,
     toPolicy(PRODUCT_CHOOSER),
     'noisy-neighbours, product without hedging',
   );
-  all.forEach((scenario) => {
+  allScenarios.forEach((scenario) => {
     const isCompared = areBaselinesRun && COMPARED_SCENARIOS.includes(scenario.name);
     (Object.keys(choosers) as ChooserName[])
       .filter(() => isCompared)
@@ -158,7 +158,7 @@
   const useful = (name: string): number =>
     resultOf(name).all.usefulWorkMs / resultOf(name).capacityMs;
   const inTime = (name: string): number => resultOf(name).all.inTime / resultOf(name).all.offered;
-  const idealMs = idealPercentileMs(all[0] as Scenario, SEED, P99);
+  const idealMs = idealPercentileMs(allScenarios[0] as Scenario, SEED, P99);
   printLine(`  one shared queue that knows all, steady: p99 ${idealMs.toFixed(1)}`);
   return new Map([
     ['maximumSteadyP99ToIdeal', p99('steady') / idealMs],
--- a/bench/scheduling/cellRun.ts
+++ b/bench/scheduling/cellRun.ts
@@ -143,7 +143,7 @@
     const seconds = measuredMs / MS_PER_SECOND;
     const { counts } = this.#table;
     const delaysOf = (isUrgent: boolean): readonly number[] =>
-      this.#delays.filter((one) => one.isUrgent === isUrgent).map(({ delayMs }) => delayMs);
+      this.#delays.filter((delay) => delay.isUrgent === isUrgent).map(({ delayMs }) => delayMs);
     return {
       transactionsPerSecond: (counts.transactionCount - before.transactionCount) / seconds,
       rowsPerSecond: (counts.writtenRowCount - before.writtenRowCount) / seconds,
