--- a/bench/colocation/modelWorker.ts
+++ b/bench/colocation/modelWorker.ts
@@ -98,8 +98,8 @@
   }
 
   /**
-   * The factor by which batch work on this worker slows a service, if each batch task is throttled
-   * to at most `shareLimit` of its processors.
+   * The factor by which a service on this worker is slower than alone, if each batch task is
+   * throttled to at most `shareLimit` of its processors.
    */
   slowdown(service: ServiceModel, nowMs: number, shareLimit = 1): number {
     const { processorMillis } = this.#size.capacity;
--- a/bench/colocation/workMeter.ts
+++ b/bench/colocation/workMeter.ts
@@ -43,7 +43,7 @@
 
   readonly #expected = zeroSums();
 
-  /** Offered work that the expected rate has not done; the product's backlog until a zone leaves. */
+  /** Offered work that is not yet done at the expected rate; at first the product's own backlog. */
   #openMs = 0;
 
   submit(workMs: number): void {
--- a/bench/colocation/workloadModel.ts
+++ b/bench/colocation/workloadModel.ts
@@ -61,7 +61,7 @@
 const NOISY_MS = 35_000;
 const isNoisyPhase = (nowMs: number): boolean => nowMs % NOISY_PERIOD_MS < NOISY_MS;
 
-/** The time at which the kind `shifting` starts to slow the other service. */
+/** The time from which the kind `shifting` slows the critical service and no longer the other. */
 export const SHIFT_AT_MS = 240_000;
 
 const LOW_PRESSURE = 0.05;
