--- a/bench/requests/scenarios.ts
+++ b/bench/requests/scenarios.ts
@@ -17,7 +17,7 @@
 const DEADLINE_MS = 1_000;
 const DURATION_MS = 8_000;
 const WARM_UP_MS = 2_000;
-const STEADY_UTILISATION = 0.7;
+const STEADY_LOAD = 0.7;
 const LONG_MEAN_MS = 2_000;
 
 const urgent: Traffic = {
@@ -53,7 +53,7 @@
   durationMs: DURATION_MS,
   warmUpMs: WARM_UP_MS,
   traffic: [urgent, low],
-  utilisation: () => STEADY_UTILISATION,
+  utilisation: () => STEADY_LOAD,
 });
 
 /** When callers hang up and resend, and whether servers cancel work for closed connections. */
@@ -95,7 +95,7 @@
     { ...low, share: 0.3 },
     { ...low, serviceName: 'proofs', share: 0.4, callerTimeoutMs, resendCount },
   ],
-  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY_UTILISATION),
+  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY_LOAD),
   areServersCancelling,
 });
 
@@ -106,8 +106,7 @@
     {
       ...base,
       name: 'burst',
-      utilisation: (nowMs) =>
-        isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY_UTILISATION : STEADY_UTILISATION,
+      utilisation: (nowMs) => (isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY_LOAD : STEADY_LOAD),
     },
     { ...base, name: 'skewed', entryWeight: (entry) => (entry === 0 ? 1 : 0.5) },
     { ...base, name: 'slow-worker', serviceTimeFactor: (worker) => (worker === 3 ? 10 : 1) },
