--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -85,7 +85,7 @@
   next();
 };
 
-/** The latency percentile of an ideal scheduler: one shared queue in front of all slots. */
+/** The percentile (`share` 0.99 for the 99th) of one shared, ideal queue in front of all slots. */
 export const idealPercentileMs = (scenario: Scenario, seed: number, share: number): number => {
   const time = new VirtualTime();
   const outcome = new Outcome();
