--- a/src/cli/common/columnText.ts
+++ b/src/cli/common/columnText.ts
@@ -1,6 +1,6 @@
-/** Tables of text for people. */
+/** Formats tables as plain text. */
 
-/** Lays rows out in columns under the given names; missing members are left blank. */
+/** Lays out rows in columns under the given names. A missing member leaves its cell blank. */
 export const formatTable = (
   columns: readonly string[],
   rows: readonly Readonly<Record<string, unknown>>[],
--- a/src/cli/common/intentFlags.ts
+++ b/src/cli/common/intentFlags.ts
@@ -1,4 +1,4 @@
-/** Intents stated by flags instead of JSON; the daemon's schema checks what comes of them. */
+/** Builds intents from command-line flags instead of JSON. The daemon's schema validates them. */
 
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
@@ -22,7 +22,7 @@
   'policy',
 ] as const;
 
-/** Flags of `snipethread plan INTENT`, as the command line gives them. */
+/** Flags of `snipethread plan INTENT`, as parsed from the command line. */
 export type IntentFlags = Readonly<
   Partial<Record<(typeof FLAG_NAMES)[number], string | undefined>>
 >;
@@ -30,7 +30,7 @@
 const MILLIS_PER_PROCESSOR = 1_000;
 const MEBIBYTE = 1_048_576;
 
-/** A number, or the text itself, which the schema then refuses by its name. */
+/** Parses a number. Text that is no number is returned as is, so that the schema reports it. */
 const toNumber = (text: string | undefined, factor = 1): number | string | undefined => {
   if (text === undefined) return undefined;
   const value = Number(text);
@@ -53,7 +53,7 @@
   });
 };
 
-/** `a=1,b=true` as members. */
+/** Parses `a=1,b=true` into members. */
 const toPolicy = (text: string | undefined): Record<string, unknown> | undefined => {
   if (text === undefined) return undefined;
   const entries = text.split(',').map((entry): [string, unknown] => {
@@ -89,8 +89,8 @@
 };
 
 /**
- * The intent that flags state; members that no flag gives are left out. The command line makes
- * `false` of `--no-NAME`, whatever the flag is declared as.
+ * Returns the intent that the flags describe, without the members that have no flag. A flag without
+ * a text value is an error: the command-line parser sets `--no-NAME` to `false` for every flag type.
  */
 export const intentOfFlags = (
   kind: string,
--- a/src/cli/common/objectText.ts
+++ b/src/cli/common/objectText.ts
@@ -1,4 +1,4 @@
-/** One object for people: a line for each value, and a table for each list of objects. */
+/** Formats one object as text: a line for each value and a table for each list of objects. */
 import { formatTable } from './columnText.js';
 
 type Fields = Readonly<Record<string, unknown>>;
@@ -9,7 +9,7 @@
 const isTable = (value: unknown): value is readonly Fields[] =>
   Array.isArray(value) && value.length > 0 && value.every(isFields);
 
-/** Members of members by their path, as `size.processorMillis`. */
+/** Flattens nested members. Each is named by its path, such as `size.processorMillis`. */
 const flattened = (fields: Fields, prefix = ''): readonly (readonly [string, unknown])[] =>
   Object.entries(fields).flatMap(([name, value]) =>
     isFields(value) ? flattened(value, `${prefix}${name}.`) : [[`${prefix}${name}`, value]],
@@ -21,13 +21,13 @@
   return formatTable(columns, flat);
 };
 
-/** The values of an object on one line. */
+/** Formats the members of an object on one line. */
 export const lineText = (fields: Fields): string =>
   Object.entries(fields)
     .map(([name, value]) => `${name} ${String(value)}`)
     .join(', ');
 
-/** Values first, in their order, then each list of objects under its name. */
+/** Formats the values first, in their order, and then each list of objects under its name. */
 export const objectText = (fields: Fields): string => {
   const entries = flattened(fields);
   const values = entries.filter(([, value]) => !isTable(value));
--- a/src/cli/common/planText.ts
+++ b/src/cli/common/planText.ts
@@ -1,4 +1,4 @@
-/** Shows a plan to a person in the manner of a diff. */
+/** Formats a plan as text, in the style of a diff. */
 import type { JsonValue } from '../../base/common/json.js';
 import type { Plan, PlanEffects, PlanStep, TaskGroup } from '../../operator/common/plan.js';
 import { sizeText } from '../../operator/common/sizeChecks.js';
@@ -13,7 +13,7 @@
   return `${text.slice(0, MAXIMUM_VALUE_LENGTH)}…`;
 };
 
-/** The members of a document, those of nested objects under dotted names. */
+/** Returns the members of a document as text. Members of nested objects have dotted names. */
 const members = (value: JsonValue, path = ''): ReadonlyMap<string, string> => {
   if (value === null && path === '') return new Map();
   if (value === null || typeof value !== 'object') return new Map([[path, shortened(value)]]);
--- a/src/cli/common/traceText.ts
+++ b/src/cli/common/traceText.ts
@@ -1,4 +1,4 @@
-/** Shows the spans of a trace to a person as a tree. */
+/** Formats the spans of a trace as a tree. */
 import type { RecordedSpan } from '../../services/tracing/common/tracing.js';
 
 const INDENTATION = '  ';
@@ -10,9 +10,9 @@
 };
 
 /**
- * A span whose parent is not among them is a root: the parent is the caller's own span, or it
- * is not ended yet, or it has given way in the ring. One trace has several roots when a caller
- * sent several requests under it.
+ * Formats the spans as an indented tree. A span whose parent is not in the list is a root: the
+ * parent is the caller's own span, has not ended yet, or was overwritten in the ring buffer. A trace
+ * has several roots if the caller sent several requests with the same trace id.
  */
 export const traceText = (spans: readonly RecordedSpan[]): string => {
   if (spans.length === 0) return 'no spans; only sampled requests have some, and old ones give way';
--- a/src/cli/node/commands.ts
+++ b/src/cli/node/commands.ts
@@ -1,4 +1,4 @@
-/** What the commands of `snipethread` do. */
+/** Implements the commands of `snipethread`. */
 import { readFile } from 'node:fs/promises';
 import { text as readText } from 'node:stream/consumers';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -24,12 +24,12 @@
 import { traceText } from '../common/traceText.js';
 import { OperatorClient } from './operatorClient.js';
 
-/** Exit codes of `snipethread`, as the README lists them. */
+/** Exit codes of `snipethread`. The README lists them. */
 export const ExitCode = {
   Done: 0,
   Refused: 1,
   BadUse: 2,
-  /** `plan` found something to change. */
+  /** The plan has changes. */
   HasChanges: 3,
 } as const;
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
@@ -46,7 +46,7 @@
   process.stdout.write(`${text}\n`);
 };
 
-/** An answer that refuses; one to a stale plan brings the plan made anew. */
+/** Prints an error answer. The answer to a stale plan contains a new plan, which is printed too. */
 const printRefusal = (
   connection: Connection,
   body: ErrorBody & { readonly newPlan?: unknown },
@@ -62,7 +62,7 @@
   return ExitCode.Refused;
 };
 
-/** Wrong use, or a wait that is over: a line for people, the usual body for programs. */
+/** Prints a usage error or a timeout: an error body with `--json`, otherwise one line of text. */
 const printFault = ({ isJson }: Pick<Connection, 'isJson'>, cause: Failure): void => {
   if (isJson) print(JSON.stringify(errorBody(cause)));
   else process.stderr.write(`${cause.message}\n`);
@@ -76,7 +76,7 @@
 const clientOf = ({ address, token }: Connection): OperatorClient =>
   new OperatorClient(`http://${address}`, token);
 
-/** Where an intent comes from: flags, a file, or standard input for `-`. */
+/** The source of an intent: flags, a file, or standard input if the file is `-`. */
 export interface IntentSource {
   readonly kind: string | undefined;
   readonly flags: IntentFlags;
@@ -84,7 +84,7 @@
   readonly revertVersion: string | undefined;
 }
 
-/** A text that is no whole number is wrong use; passed on as NaN it would be sent as null. */
+/** Parses a whole number. Other text is a usage error, since NaN would be sent as JSON `null`. */
 const readWholeNumber = (flag: string, text: string): Either<Failure, number> => {
   const value = /^\d+$/u.test(text) ? Number(text) : NaN;
   if (Number.isSafeInteger(value)) return right(value);
@@ -148,13 +148,13 @@
 
 export const OBJECT_KINDS: readonly string[] = Object.keys(COLUMNS);
 
-/** There is one policy, so it is shown without an id and has no list. */
+/** There is only one policy, so it has no id and no list. */
 const POLICY = 'policy';
 
-/** What `get` shows. */
+/** The kinds that `get` accepts. */
 export const SHOWN_KINDS: readonly string[] = [...OBJECT_KINDS, POLICY];
 
-/** Versions in the history have no route of their own. */
+/** Plural kinds by their singular. `history` is missing, as no route returns a single version. */
 const SINGULARS: Readonly<Record<string, string>> = Object.fromEntries(
   OBJECT_KINDS.filter((kind) => kind !== 'history').map((kind) => [kind.replace(/s$/u, ''), kind]),
 );
@@ -170,7 +170,7 @@
     }),
   );
 
-/** Prints what a path answers. */
+/** Gets a path and prints the answer. */
 const runShow = async (connection: Connection, path: string): Promise<ExitCode> => {
   const answer = await clientOf(connection).get(path);
   if (isLeft(answer)) return printRefusal(connection, answer.left);
@@ -224,7 +224,7 @@
   readonly taskCounts: Readonly<Record<string, number>>;
 }
 
-/** What a look at a job or a plan tells. */
+/** The progress of a job or a plan at one poll. */
 interface Progress {
   readonly text: string;
   readonly isDone: boolean;
@@ -246,7 +246,7 @@
   readonly isDone: boolean;
 }
 
-/** A plan is done once it is accepted and what it asked for has come about. */
+/** Reads the progress of a plan. A plan is done when it is accepted and has taken full effect. */
 const planProgress = async (
   { isJson }: Connection,
   client: OperatorClient,
@@ -260,8 +260,8 @@
 };
 
 /**
- * Follows a job until nothing of it is left to do, or a plan until it has come about, or until
- * the time is up. Ids of jobs hold a dot, ids of plans do not.
+ * Polls a job until it has ended, or a plan until it has taken full effect, or until the timeout.
+ * Job ids contain a dot and plan ids do not.
  */
 export const runWatch = async (
   connection: Connection,
@@ -275,8 +275,7 @@
   const attempts = Math.max(1, Math.ceil(timeoutMs.right / WATCH_INTERVAL_MS));
   let lastText = '';
   for (let attempt = 0; attempt < attempts; attempt += 1) {
-    // A watch looks again and again by nature.
-    // eslint-disable-next-line no-await-in-loop
+    // eslint-disable-next-line no-await-in-loop -- polls one at a time
     const progress = await look(connection, client, id);
     if (!isLeft(progress)) {
       if (progress.right.text !== lastText) print(progress.right.text);
@@ -290,7 +289,7 @@
   return ExitCode.Refused;
 };
 
-/** Checks a settings file and names every fault with its path. */
+/** Validates a settings file and prints every error with its path. */
 export const runSettingsCheck = async (file: string, isJson: boolean): Promise<ExitCode> => {
   const settings = await readSettingsFile(file);
   const faults = isLeft(settings) ? settings.left : [];
--- a/src/cli/node/operatorClient.ts
+++ b/src/cli/node/operatorClient.ts
@@ -1,4 +1,4 @@
-/** Calls the operators' interface of a daemon. */
+/** Calls the operator API of a daemon. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 import { request } from 'undici';
 
@@ -13,7 +13,7 @@
 const FIRST_ERROR_STATUS = 400;
 const CALL_TIMEOUT_MS = 30_000;
 
-/** Tells a call that surely reached no daemon from one that may have been carried out. */
+/** Distinguishes a call that certainly reached no daemon from one that may have been executed. */
 const noAnswer = (origin: string, error: unknown): ErrorBody => {
   const kind = isSurelyNotSent(error) ? ErrorKind.DaemonUnreachable : ErrorKind.DaemonAnswerLost;
   const reason = (error as Error).message;
--- a/src/cli/node/snipethread.ts
+++ b/src/cli/node/snipethread.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command line: `snipethread COMMAND`. */
+/** The command-line tool for operators: `snipethread COMMAND`. */
 import { type CommandDef, defineCommand } from 'citty';
 
 import { runProgram } from '../../services/commandLine/node/runProgram.js';
@@ -37,7 +37,7 @@
   isJson: args.json,
 });
 
-/** Members of an intent, for those that are stated by flags. */
+/** Flags for the members of an intent. */
 const intentArgs = {
   name: { type: 'string', description: 'of a service' },
   team: { type: 'string', description: 'that owns the service, job or quota' },
--- a/src/cli/test/jsonOutput.test.ts
+++ b/src/cli/test/jsonOutput.test.ts
@@ -54,11 +54,11 @@
 
 const planOf = (file: string) => runPlan(connection, source(fileOf(file)));
 
-/** The plan that a command has printed. */
+/** Parses the plan that a command printed. */
 const printedPlan = (): { readonly planId: string; readonly digest: string } =>
   JSON.parse(written.stdout) as never;
 
-/** A plan of which nothing is printed. */
+/** Makes a plan and discards its output. */
 const quietPlan = async (): Promise<{ readonly planId: string; readonly digest: string }> => {
   await planOf('withdraw.json');
   const plan = printedPlan();
@@ -69,13 +69,13 @@
 const connectionAs = (token: string): Connection => ({ ...connection, token });
 
 type Run = () => Promise<number>;
-/** What is run, its exit code, and members of the one value that it prints. */
+/** Title, command, exit code, and expected members of the JSON value that the command prints. */
 type Row = readonly [string, Run, number, object];
 
 const ROWS: readonly Row[] = [
   ['plan', () => planOf('withdraw.json'), 3, { state: 'pending', steps: [{}] }],
   [
-    'plan by flags, of what is so already',
+    'plan by flags without a change',
     () => {
       const flags = { zone: 'zone-a', region: 'r' };
       return runPlan(connection, { ...source('-'), kind: 'use-zone', flags });
@@ -83,10 +83,15 @@
     0,
     { steps: [] },
   ],
-  ['plan, refused', () => planOf('bad.json'), 1, { error: 'bad-request', workOutcome: 'not-run' }],
-  ['plan of a file that is no JSON', () => planOf('broken.json'), 2, { error: 'bad-request' }],
   [
-    'plan --revert of no version',
+    'plan of an invalid intent',
+    () => planOf('bad.json'),
+    1,
+    { error: 'bad-request', workOutcome: 'not-run' },
+  ],
+  ['plan of a file that is not JSON', () => planOf('broken.json'), 2, { error: 'bad-request' }],
+  [
+    'plan --revert of an unknown version',
     () => runPlan(connection, { ...source('-'), revertVersion: '99' }),
     1,
     { error: 'intent-impossible' },
@@ -98,13 +103,13 @@
     { error: 'unknown-object', workOutcome: 'not-run' },
   ],
   [
-    'confirm with another digest',
+    'confirm with a wrong digest',
     async () => runConfirm(connection, (await quietPlan()).planId, 'x'),
     1,
     { error: 'plan-conflict', workOutcome: 'not-run' },
   ],
   [
-    'confirm without the role',
+    'confirm without the required role',
     async () => {
       const { planId, digest } = await quietPlan();
       return runConfirm(connectionAs('pat-token'), planId, digest);
@@ -114,7 +119,7 @@
   ],
   ['get without a token', () => runGet(connectionAs(''), 'zones'), 1, { error: 'unauthorised' }],
   ...OBJECT_KINDS.map((kind): Row => [`get ${kind}`, () => runGet(connection, kind), 0, []]),
-  ['get of no kind', () => runGet(connection, 'paintings'), 2, { error: 'bad-request' }],
+  ['get of an unknown kind', () => runGet(connection, 'paintings'), 2, { error: 'bad-request' }],
   ...(
     [
       ['service', 'rounds', { name: 'rounds', replicaCount: 6 }],
@@ -138,12 +143,17 @@
     { state: 'pending' },
   ],
   [
-    'describe of nothing',
+    'describe of an unknown object',
     () => runDescribe(connection, 'zone', 'x'),
     1,
     { error: 'unknown-object' },
   ],
-  ['describe of no kind', () => runDescribe(connection, 'x', 'x'), 2, { error: 'bad-request' }],
+  [
+    'describe of an unknown kind',
+    () => runDescribe(connection, 'x', 'x'),
+    2,
+    { error: 'bad-request' },
+  ],
   ['trace', () => runTrace(connection, '4bf92f3577b34da6a3ce929d0e0e4736'), 0, []],
   ['get policy', () => runGet(connection, 'policy'), 0, { isSubmissionOpen: true }],
   [
@@ -152,19 +162,20 @@
     0,
     { isSubmissionOpen: true },
   ],
-  // `history` can be listed, but no route shows one version: it used to be asked for and refused.
+  // `history` can only be listed: no route returns a single version. The tool must reject the
+  // command itself instead of sending a request that the daemon refuses.
   ['describe history', () => runDescribe(connection, 'history', '1'), 2, { error: 'bad-request' }],
-  ['describe without id', () => runDescribe(connection, 'zone', undefined), 2, {}],
-  // Guards against sending `version: null` to the daemon and reporting its refusal instead.
+  ['describe without an id', () => runDescribe(connection, 'zone', undefined), 2, {}],
+  // Guards against sending `version: null` to the daemon and printing the daemon's error instead.
   [
-    'plan --revert of no number',
+    'plan --revert of text that is not a number',
     () => runPlan(connection, { ...source('-'), revertVersion: 'abc' }),
     2,
     { message: '--revert: abc is no whole number' },
   ],
-  // citty makes `false` of `--no-jobs`; the error in it used to be told of a file `-`.
+  // citty sets `--no-jobs` to `false`. Guards against reporting that as an error in a file `-`.
   [
-    'plan by a flag without value',
+    'plan by a flag without a value',
     () => {
       const flags = { jobs: false as never };
       return runPlan(connection, { ...source('-'), kind: 'cancel-jobs', flags });
@@ -172,14 +183,20 @@
     2,
     { message: '--jobs: a value is missing' },
   ],
-  // The time used to become NaN, so that nothing was looked at and the job was called unfinished.
+  // Guards against a timeout of NaN, with which the tool never polls and reports that the job is
+  // not done yet.
   [
-    'watch for no number',
+    'watch with a timeout that is not a number',
     () => runWatch(connection, 'bakers.k', 'abc'),
     2,
     { message: '--timeout-ms: abc is no whole number' },
   ],
-  ['watch of nothing', () => runWatch(connection, 'a.b', '1'), 1, { error: 'unknown-object' }],
+  [
+    'watch of an unknown job',
+    () => runWatch(connection, 'a.b', '1'),
+    1,
+    { error: 'unknown-object' },
+  ],
   [
     'settings check',
     () => runSettingsCheck(fileOf('broken.json'), true),
@@ -188,9 +205,9 @@
   ],
 ];
 
-describe('with --json', () => {
-  // A program reads what an operator's command prints. A line of text among it, on a refusal or
-  // in wrong use, is found only when the refusal comes.
+describe('the command-line tool with --json', () => {
+  // Programs parse the output. A line of plain text that is printed only on a refusal or a usage
+  // error breaks them only when that error occurs.
   it.each(ROWS)('%s prints one JSON value and nothing else', async (_name, run, code, members) => {
     expect(await run()).toBe(code);
     expect(written.stderr).toBe('');
@@ -201,8 +218,8 @@
     else expect(value).toMatchObject(members);
   });
 
-  // A watch prints a line for each change, and at the end why it has ended.
-  it('watch prints a JSON value on each line', async () => {
+  // A watch prints a line for each change and, at its timeout, a line with the error.
+  it('prints a JSON value on each line of a watch', async () => {
     const { planId } = await quietPlan();
     expect(await runWatch(connection, 'bakers.k', '1')).toBe(1);
     expect(await runWatch(connection, planId, '1')).toBe(1);
@@ -214,7 +231,7 @@
     ]);
   });
 
-  it('confirm and history print the plan and who has accepted it', async () => {
+  it('prints the plan on confirm and its author in the history', async () => {
     const { planId, digest } = await quietPlan();
     expect(await runConfirm(connection, planId, digest)).toBe(0);
     expect(JSON.parse(written.stdout)).toMatchObject({ planId, state: 'confirmed' });
--- a/src/cli/test/objectText.test.ts
+++ b/src/cli/test/objectText.test.ts
@@ -2,8 +2,8 @@
 
 import { objectText } from '../common/objectText.js';
 
-describe('an object shown to people', () => {
-  it('has a line for each value and a table for each list', () => {
+describe('objectText', () => {
+  it('prints a line for each value and a table for each list of objects', () => {
     const tasks = [
       { taskId: 'a/0', size: { acceleratorCount: 1 } },
       { taskId: 'a/10', checkpoint: null },
--- a/src/cli/test/operatorClient.test.ts
+++ b/src/cli/test/operatorClient.test.ts
@@ -24,10 +24,10 @@
   await Promise.all(servers.splice(0).map(stop));
 });
 
-describe('an operator whose daemon does not answer', () => {
-  // The daemon named by the address is gone. The operator used to be told `store-answer-lost`
-  // and that the plan may have been carried out, although nothing had left the tool.
-  it('is told that nothing was run when no daemon took the call', async () => {
+describe('OperatorClient without an answer from the daemon', () => {
+  // No daemon listens at the address. Guards against reporting `store-answer-lost` and that the
+  // plan may have been executed, although the tool sent nothing.
+  it('reports that nothing ran if no daemon accepted the connection', async () => {
     const server = createServer();
     const origin = await listen(server);
     await stop(server);
@@ -35,9 +35,9 @@
     expect(answer).toMatchObject(left({ error: 'daemon-unreachable', workOutcome: 'not-run' }));
   });
 
-  // The daemon dies after it has read a confirmation. Whether it was carried out is open, and
-  // saying "not run" would have the operator confirm something else on top of it.
-  it('is told that the outcome is unknown when the connection ends without an answer', async () => {
+  // The daemon dies after it has read a confirmation, which may or may not have been executed. With
+  // "not run" the operator would confirm another plan on top of it.
+  it('reports an unknown outcome if the connection ends without an answer', async () => {
     const origin = await listen(createServer((socket) => socket.once('data', () => socket.end())));
     const answer = await new OperatorClient(origin, 'token').post('/v1/plans/p/confirm', {});
     expect(answer).toMatchObject(left({ error: 'daemon-answer-lost', workOutcome: 'unknown' }));
--- a/src/cli/test/traceText.test.ts
+++ b/src/cli/test/traceText.test.ts
@@ -18,8 +18,8 @@
     .split('\n')
     .map((line) => line.replace(/ +1\.00 ms$/u, ''));
 
-describe('a trace for people', () => {
-  it('shows each span below its parent, whatever the order they come in', () => {
+describe('traceText', () => {
+  it('prints each span below its parent for any order of the spans', () => {
     const spans = [
       span('attempt', 'c', 'a'),
       span('queue', 'b', 'a'),
@@ -28,7 +28,7 @@
     expect(hops(spans)).toEqual(['entry', '  attempt', '  queue']);
   });
 
-  it('shows spans whose parent has given way', () => {
+  it('prints a span whose parent is missing as a root', () => {
     expect(hops([span('attempt', 'c', 'gone')])).toEqual(['attempt']);
     expect(traceText([])).toContain('no spans');
   });
