--- a/src/daemon/common/fleetSettings.ts
+++ b/src/daemon/common/fleetSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of a daemon on the users' platform, read from JSON. */
+/** Settings of a daemon on the platform, read from JSON. */
 import { z } from 'zod';
 
 const PORT_LIMIT = 65_535;
@@ -26,13 +26,13 @@
   storeAddress: z.string().regex(/^[\d.]+:\d+$/u),
   /** The longest lease that workers grant. */
   maximumLeaseMs: durationMs,
-  /** How often a worker writes its entry into the store. */
+  /** The interval at which a worker writes its entry to the store. */
   workerReportIntervalMs: durationMs,
-  /** How long a worker takes at most to stop a task. */
+  /** The longest time that a worker takes to stop a task. */
   workerStopMs: durationMs,
-  /** The time from a request to end until the process is ended. */
+  /** The time from the request to shut down until the process is killed. */
   graceSeconds: z.number().positive(),
-  /** What the daemon has of a processor: a share of one that is so many times as fast as a core. */
+  /** The daemon's share of a processor, and the speed of that processor relative to one core. */
   processor: z.strictObject({ share: z.number().positive(), speed: z.number().positive() }),
 });
 export type FleetSettings = z.infer<typeof fleetSettingsSchema>;
@@ -42,7 +42,7 @@
   readonly message: string;
 }
 
-/** The settings, or every fault in them. */
+/** Returns the settings, or every error in them. */
 export const checkFleetSettings = (
   document: unknown,
 ): { readonly settings?: FleetSettings; readonly faults: readonly SettingsFault[] } => {
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of one daemon together; nothing is decided here. */
+/** Wires the components of one daemon together. It contains no scheduling or routing logic. */
 import { randomBytes, randomInt, randomUUID } from 'node:crypto';
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -34,9 +34,9 @@
 import { CellTasks } from '../../scheduler/node/cellTasks.js';
 
 const SEED_LIMIT = 2 ** 31;
-/** How long operators' calls that are under way may hold the end of a shutdown up. */
+/** The longest time that operator calls in progress can delay the end of a shutdown. */
 const OPERATOR_CLOSE_MS = 1_000;
-/** Time for final answers to be written, before connections are closed. */
+/** The time to write final answers before connections are closed. */
 const LAST_ANSWERS_MS = 200;
 const PLAN_SUFFIX_BYTES = 6;
 
@@ -141,7 +141,7 @@
       const sweep = new PlanSweep(table, metrics, settings.operator.planRetentionMs);
       own.add(new PlanSweeper(sweep, Date.now));
     }
-    // This daemon knows of the new version first; its peers hear of it from here.
+    // This daemon learns of the accepted version first and then announces it to its peers.
     own.add(plans.onDidAccept(({ acceptedVersion }) => configuration.refresh(acceptedVersion)));
     this.#operatorServer = new OperatorServer(
       {
@@ -159,7 +159,7 @@
     this.#log = log;
   }
 
-  /** Opens the listeners and logs the ports. */
+  /** Opens the listeners and logs their ports. */
   async start(): Promise<DaemonPorts> {
     const { callers, operators, peers } = this.#settings.listen;
     const ports = {
@@ -176,11 +176,12 @@
   }
 
   /**
-   * Leaves without cutting a request off. Readiness falls first; the listener stays open until
-   * the balancer has seen that and sends no more; then everything in flight is answered. What
-   * is not answered in `drainTimeoutMs` gets its final answer, unknown if it was sent. Answers
-   * under idempotency keys are recorded before the table is let go. A second call joins the
-   * first: a signal that is sent twice must not end the process in the middle.
+   * Shuts down without cutting off a request. The daemon first reports that it is not ready. The
+   * listener stays open until the load balancer has noticed and sends no more requests. The daemon
+   * then answers all requests in flight. A request that is not answered within `drainTimeoutMs`
+   * gets a final answer, whose outcome is unknown if the request was sent to a backend server.
+   * Answers with idempotency keys are recorded before the table connections close. A second call
+   * returns the promise of the first, so that a repeated signal does not end the process early.
    */
   drain(): Promise<void> {
     this.#draining ??= this.#drain();
@@ -209,7 +210,7 @@
     this.#log.info('drained');
   }
 
-  /** Answers what is left, and then closes what sends nothing. */
+  /** Answers all remaining requests and then closes all connections. */
   async #endAll(): Promise<void> {
     this.#handler?.giveUpAll();
     await delay(LAST_ANSWERS_MS);
--- a/src/daemon/node/daemonProgram.ts
+++ b/src/daemon/node/daemonProgram.ts
@@ -1,4 +1,4 @@
-/** What the daemon's command line does: `snipethreadd --settings FILE`. */
+/** The command line of the daemon: `snipethreadd --settings FILE`. */
 import { defineCommand } from 'citty';
 import { isLeft } from 'fp-ts/lib/Either.js';
 
--- a/src/daemon/node/memoryFlags.ts
+++ b/src/daemon/node/memoryFlags.ts
@@ -1,30 +1,32 @@
 /**
- * Holds the heap small; run before everything else is loaded. A daemon may hold 128 MB, and Node.js
- * on its own lets one under load keep more than 200 MB resident: halves of the young generation
- * grow to 16 MB, and the old one grows for long before it is collected at all.
+ * Keeps the heap small. This module must run before any other module is loaded. A daemon may use
+ * 128 MB, but with the defaults of Node.js a daemon under load keeps more than 200 MB resident: each
+ * half of the young generation grows to 16 MB, and the old generation grows for a long time before
+ * its first collection.
  *
- * The young generation stays at its first size, and the old one is collected when it has grown
- * by a third since the last time. What that costs is more, shorter collections. The flags are
- * read whenever a part of the heap is about to grow, so they work without starting the process
- * anew, however it was started.
+ * With these flags, the young generation keeps its initial size, and the old generation is collected
+ * when it has grown by a third since its last collection. The cost is more, but shorter,
+ * collections. V8 reads the flags whenever a part of the heap is about to grow, so they take effect
+ * without a restart of the process.
  */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
 setFlagsFromString('--semi-space-growth-factor=1');
-// So little is collected in less time than it takes to wake threads up for it.
+// Collecting so small a generation takes less time than waking up the helper threads.
 setFlagsFromString('--no-parallel-scavenge');
 setFlagsFromString('--heap-growing-percent=33');
 setFlagsFromString('--expose-gc');
 
 /**
- * Collects once, for after the start: until its first collection the old generation has no
- * limit that relates to what is live, and what loading the modules left behind stays.
+ * Runs one garbage collection. The daemon calls it once after its start: until the first collection,
+ * the limit of the old generation does not depend on the live objects, and the garbage from loading
+ * the modules stays in memory.
  */
 export const collectGarbage = runInNewContext('gc') as () => void;
 
 /**
- * undici asks for the global `Headers` while it loads, and Node.js then loads the copy of undici
- * that it brings for `fetch`, which a daemon never calls: several megabytes for nothing.
+ * undici reads the global `Headers` while it loads, which makes Node.js load its bundled copy of
+ * undici for `fetch`. The daemon never calls `fetch`, so deleting the global saves several megabytes.
  */
 Reflect.deleteProperty(globalThis, 'Headers');
--- a/src/daemon/node/snipethreadd.ts
+++ b/src/daemon/node/snipethreadd.ts
@@ -1,11 +1,11 @@
 #!/usr/bin/env node
-/** The daemon's program; all else is loaded only after the heap's flags are set. */
+/** The entry point of the daemon. It sets the heap flags before it loads any other module. */
 import './memoryFlags.js';
 
 /**
- * Modules that are imported statically are all read and compiled before the first of them runs.
- * The young generation grew from 2 to 8 MB on that, before the flags that hold it small were
- * set: an idle daemon then held more than its 100 MB.
+ * The import is dynamic, since statically imported modules are all read and compiled before the first
+ * of them runs. That would grow the young generation from 2 to 8 MB before the flags that limit it
+ * are set, and an idle daemon would use more than its 100 MB.
  */
 const { runDaemonProgram } = await import('./daemonProgram.js');
 
--- a/src/daemon/node/youngGeneration.ts
+++ b/src/daemon/node/youngGeneration.ts
@@ -1,7 +1,7 @@
 /**
- * Widens the young generation of the heap once the daemon is busy. A small one keeps an idle
- * daemon small, but under requests it is collected so often that answers which are still on their
- * way survive and are copied. A wide one from the start would hold its memory idle as well.
+ * Grows the young generation of the heap once the daemon is busy. A small young generation keeps the
+ * memory of an idle daemon low, but under load it is collected so often that answers in flight
+ * survive and are copied. A large one from the start would use its memory also in an idle daemon.
  */
 import { getHeapSpaceStatistics, setFlagsFromString } from 'node:v8';
 
@@ -9,23 +9,24 @@
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
 
 const LOOK_INTERVAL_MS = 1_000;
-/** Processor time in one look's span that an idle daemon does not use, at its start apart. */
+/** Processor time per check interval that an idle daemon stays below, except at its start. */
 const BUSY_MS = 300;
-/** Loading and taking up its cells makes a starting daemon busy for so many looks. */
+/** Checks to ignore, as loading modules and taking over cells makes a starting daemon busy. */
 const STARTING_LOOK_COUNT = 5;
 const WIDE_BYTES = 2 ** 23;
 const MICROSECONDS_PER_MS = 1_000;
-/** Numbers in one array that is kept until the generation is wide. */
+/** Numbers in one of the arrays that are kept alive until the generation has grown. */
 const SURVIVOR_LENGTH = 1_000;
-/** Bounds the widening where the heap does not grow for it: 16 MB of survivors. */
+/** Limits the survivors to 16 MB if the generation does not grow. */
 const MAXIMUM_SURVIVOR_COUNT = 2_000;
 
 const youngBytes = (): number =>
   getHeapSpaceStatistics().find((space) => space.space_name === 'new_space')?.space_size ?? 0;
 
 /**
- * The generation grows only by what survives in it, so something has to. It is held at its new
- * size by the same flag as before; `memoryFlags.ts` tells why it may not grow on its own.
+ * Grows the young generation. It grows only if objects survive in it, so this function keeps arrays
+ * alive. Afterwards the growth factor is 1 again, so that the generation keeps its new size.
+ * `memoryFlags.ts` explains why the generation must not grow without a limit.
  */
 const widen = (): void => {
   setFlagsFromString('--semi-space-growth-factor=2');
--- a/src/daemon/test/cutOffFromTable.test.ts
+++ b/src/daemon/test/cutOffFromTable.test.ts
@@ -16,7 +16,7 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-/** The test's own timeout bounds the wait. */
+/** Polls until the condition holds. The timeout of the test limits the wait. */
 const until = async (isReached: () => Promise<boolean>): Promise<void> => {
   if (await isReached()) return;
   await delay(POLL_MS);
@@ -45,7 +45,7 @@
   return { statusCode, ...((await body.json()) as object) };
 };
 
-/** Tells the daemon, as a peer would, of a version of the configuration. */
+/** Sends the daemon a peer heartbeat that announces a configuration version. */
 const hint = async (daemon: DaemonHarness, configurationVersion: number): Promise<void> => {
   const socket = connect(daemon.peersPort, '127.0.0.1');
   cleanups.push(() => socket.destroy());
@@ -57,11 +57,11 @@
 };
 
 describe('a daemon that cannot reach the table', () => {
-  // The platform goes out for all daemons alike. Callers must go on being answered by the last
-  // configuration, so the daemon stays ready; operators see what is the matter in the answer of
-  // /readyz, in the gauge and in one line of the log, however long it takes.
+  // The platform is down for all daemons. Callers must still be served by the last known
+  // configuration, so the daemon stays ready. Operators see the fault in the answer of /readyz, in
+  // the gauge and in a single log line, regardless of how long the outage lasts.
   it(
-    'says so and goes on routing',
+    'reports the outage and continues to route requests',
     async () => {
       const daemon = await start();
       await until(async () => (await daemon.metric(IS_CONFIRMED)) === 1);
@@ -81,11 +81,11 @@
     TEST_TIMEOUT_MS,
   );
 
-  // Only this daemon is cut off: a peer tells of a version that it cannot read. It would route by
-  // an old configuration, so the balancer is told to send it nothing; what comes all the same is
-  // still answered.
+  // Only this daemon is cut off: a peer announces a version that it cannot read. It would route by
+  // an old configuration, so it reports to the load balancer that it is not ready. It still answers
+  // requests that arrive.
   it(
-    'is not ready while its peers know more',
+    'is not ready while a peer has a newer configuration',
     async () => {
       const daemon = await start();
       expect(await daemon.isReady()).toBe(true);
--- a/src/daemon/test/daemonHarness.ts
+++ b/src/daemon/test/daemonHarness.ts
@@ -1,4 +1,4 @@
-/** One daemon as a real process, with the platform's stand-in and bare backend servers. */
+/** Runs one daemon as a real process, with a stand-in for the platform and raw backend servers. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -23,7 +23,7 @@
 const SIZE = { processorMillis: 1_000, memoryBytes: 1_000_000, acceleratorCount: 0 };
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000_000, acceleratorCount: 0 };
 
-/** A backend server and the zone it is in. */
+/** A backend server and its availability zone. */
 export interface Placed {
   readonly zone: string;
   readonly port: number;
@@ -51,7 +51,7 @@
 
   peersPort = 0;
 
-  /** Events of the daemon's log so far. */
+  /** The events that the daemon has logged so far. */
   readonly events: string[] = [];
 
   #platformOrigin = '';
@@ -64,7 +64,7 @@
 
   #version = 0;
 
-  /** Writes rows as an accepted plan does. */
+  /** Writes rows in the same way as an accepted plan. */
   accept(rows: Readonly<Record<string, JsonValue>>): void {
     this.#version += 1;
     const version = this.#version;
@@ -81,7 +81,7 @@
     this.accept({ [zoneKey(name)]: { name, region: 'r', state } });
   }
 
-  /** Starts the daemon with the service `s` on the servers given. */
+  /** Starts the daemon with the service `s` on the given servers. */
   async start(servers: readonly Placed[], entry: SettingsInput['entry'] = {}): Promise<void> {
     const origin = `http://${HOST}:${await this.platform.listen()}`;
     this.#platformOrigin = origin;
@@ -119,7 +119,7 @@
     this.#child?.kill(signal);
   }
 
-  /** Takes the whole platform out of service, or brings it back. */
+  /** Takes the whole platform down, or brings it back. */
   async setPlatformDown(isDown: boolean): Promise<void> {
     const response = await request(`${this.#platformOrigin}/control/faults`, {
       method: 'POST',
@@ -129,7 +129,7 @@
     await response.body.dump();
   }
 
-  /** The value of a metric without labels; undefined when there is none. */
+  /** Returns the value of a metric without labels, or undefined if there is no such metric. */
   async metric(name: string): Promise<number | undefined> {
     const { body } = await request(`${this.operatorOrigin}/metrics`);
     const line = (await body.text()).split('\n').find((text) => text.startsWith(`${name} `));
@@ -159,7 +159,7 @@
 
   async #spawn(settingsFile: string): Promise<void> {
     const script = 'dist/src/daemon/node/snipethreadd.js';
-    // The logging library says nothing in the environment that the test runner sets.
+    // The logging library is silent if it finds the environment variables of the test runner.
     const { TEST, VITEST, NODE_ENV, ...env } = process.env;
     const child = spawn(process.execPath, [script, '--settings', settingsFile], {
       env,
@@ -184,7 +184,7 @@
 
   async #waitUntilServing(): Promise<void> {
     for (;;) {
-      // eslint-disable-next-line no-await-in-loop -- the test's own timeout bounds it
+      // eslint-disable-next-line no-await-in-loop -- the timeout of the test limits the wait
       const response = await request(`${this.callerOrigin}/services/s/ready`);
       // eslint-disable-next-line no-await-in-loop
       await response.body.dump();
--- a/src/daemon/test/fleetSettings.test.ts
+++ b/src/daemon/test/fleetSettings.test.ts
@@ -15,7 +15,7 @@
 };
 
 describe('the settings of a daemon on the platform', () => {
-  it('are read with their addresses taken apart', () => {
+  it('are read with each address split into host and port', () => {
     expect(checkFleetSettings(SETTINGS)).toMatchObject({
       faults: [],
       settings: { listen: { callers: { host: '10.1.0.13', port: 8161 } } },
@@ -23,16 +23,16 @@
   });
 
   it.each([
-    ['a name where an address belongs', { storeAddress: 'store.example:80' }, 'storeAddress'],
+    ['a host name in place of an IP address', { storeAddress: 'store.example:80' }, 'storeAddress'],
     [
-      'a port that is none',
+      'a port above 65535',
       { listen: { ...SETTINGS.listen, callers: '1.2.3.4:99999' } },
       'listen.callers',
     ],
-    ['a lease of no time', { maximumLeaseMs: 0 }, 'maximumLeaseMs'],
-    ['no share of a processor', { processor: { share: 0, speed: 1 } }, 'processor.share'],
-    ['a member that nobody knows', { grace: 1 }, ''],
-  ])('are refused with %s, and the place is named', (_what, change, path) => {
+    ['a lease of zero length', { maximumLeaseMs: 0 }, 'maximumLeaseMs'],
+    ['a processor share of zero', { processor: { share: 0, speed: 1 } }, 'processor.share'],
+    ['an unknown member', { grace: 1 }, ''],
+  ])('are rejected with the path of the error for %s', (_what, change, path) => {
     const { settings, faults } = checkFleetSettings({ ...SETTINGS, ...change });
     expect(settings).toBeUndefined();
     expect(faults.map((fault) => fault.path)).toEqual([path]);
--- a/src/daemon/test/gracefulShutdown.test.ts
+++ b/src/daemon/test/gracefulShutdown.test.ts
@@ -45,8 +45,8 @@
 };
 
 /**
- * Comes back after each refusal that says "not run", as a caller may: the slow requests of a test
- * can fill the only server that is left.
+ * Retries after each "not run" refusal, as a caller may. Such refusals occur because the slow
+ * requests of a test can fill the only server that remains.
  */
 const callUntilServed = async (daemon: DaemonHarness, path: string): Promise<Got> => {
   const got = await call(daemon, path);
@@ -54,12 +54,13 @@
   return isRefused ? callUntilServed(daemon, path) : got;
 };
 
-describe('a daemon that is told to stop', () => {
-  // The platform replaces the instance: SIGTERM comes (twice, as from impatient tooling) while
-  // requests are in flight, others follow on kept-alive connections, and the balancer goes on
-  // sending over new ones until it has seen that the instance is not ready. None may be cut off.
-  it('answers everything, says that it is not ready and ends with 0', async () => {
-    // Time enough for all late requests on a busy machine; the listener stays open meanwhile.
+describe('a daemon that receives SIGTERM', () => {
+  // The platform replaces the instance and sends SIGTERM (twice, as impatient tools do) while
+  // requests are in flight. More requests follow on keep-alive connections, and the load balancer
+  // sends requests over new connections until it notices that the instance is not ready. No request
+  // may be cut off.
+  it('answers all requests, reports that it is not ready and exits with code 0', async () => {
+    // Long enough for all late requests on a busy machine. The listener stays open for this time.
     const daemon = await start({ drainDelayMs: 5_000 });
     const agent = new Agent({ connections: 2 });
     cleanups.push(() => agent.destroy());
@@ -83,9 +84,10 @@
     expect(await daemon.exitCode).toBe(0);
   });
 
-  // A backend server never answers, and a caller never ends its request. The shutdown's time is
-  // bounded: what was sent gets its final answer, unknown, and the process ends.
-  it('gives up what is left after its time, with a final answer', async () => {
+  // A backend server never answers, and a caller never completes its request. The duration of the
+  // shutdown is limited: a request that was sent gets a final answer with an unknown outcome, and
+  // the process exits.
+  it('gives the remaining requests a final answer when the drain timeout expires', async () => {
     const daemon = await start({ drainDelayMs: 100, drainTimeoutMs: 1_000 });
     const port = Number(new URL(daemon.callerOrigin).port);
     const sender = createConnection(port, '127.0.0.1');
@@ -100,11 +102,11 @@
   });
 });
 
-describe('a zone that is withdrawn', () => {
-  // Operators take a zone out while the platform's list still shows its workers as live. Within
-  // three seconds of the accepted plan no request may go there; one that is in flight there is
-  // answered. When the zone is brought back it gets work again.
-  it('gets no new work within three seconds and finishes what it has', async () => {
+describe('a withdrawn availability zone', () => {
+  // Operators withdraw a zone while the platform's instance list still shows its workers as live.
+  // From three seconds after the plan is accepted, no request may be sent to the zone. Requests that
+  // are in flight there are answered. When the zone is back in use, it gets requests again.
+  it('gets no new requests after three seconds and finishes those in flight', async () => {
     const answer = (socket: { write: (text: string) => void }, _index: number, head: string) => {
       const delayMs = head.includes('/slow') ? 4_000 : 0;
       setTimeout(() => socket.write(wholeAnswer('whole')), delayMs);
@@ -127,7 +129,7 @@
       }
     };
     const until = async (isTrue: () => boolean): Promise<void> => {
-      // eslint-disable-next-line no-await-in-loop -- the test's own timeout bounds it
+      // eslint-disable-next-line no-await-in-loop -- the timeout of the test limits the wait
       while (!isTrue()) await sendSome();
     };
     await until(() => leaves.requests.length > 0);
@@ -137,7 +139,8 @@
       const { statusCode, body } = await request(url, { headers });
       return [statusCode, await body.text()];
     };
-    // Which server gets a request is the entry's choice; it goes on until one lies on the server.
+    // The entry chooses the server of each request, so the test sends slow requests until one
+    // reaches the server in zone-b.
     const slow: Promise<readonly [number, string]>[] = [];
     await expect
       .poll(() => {
--- a/src/daemon/test/programs.test.ts
+++ b/src/daemon/test/programs.test.ts
@@ -12,7 +12,7 @@
 const HANG_TIMEOUT_MS = 30_000;
 const DAEMON = 'src/daemon/node/snipethreadd.js';
 const TOOL = 'src/cli/node/snipethread.js';
-/** Nothing listens on the discard port, so the platform is out of reach. */
+/** The discard port, on which nothing listens. It makes the platform unreachable. */
 const UNREACHABLE = 'http://127.0.0.1:9';
 
 const listen = { host: '127.0.0.1' };
@@ -54,7 +54,7 @@
     });
   });
 
-/** Prints the size of the young generation as the process ends. */
+/** A module that prints the size of the young generation when the process exits. */
 const PRINT_NEW_SPACE = `data:text/javascript,${encodeURIComponent(`
 import { getHeapSpaceStatistics } from 'node:v8';
 const sizeOf = (name) => getHeapSpaceStatistics().find((space) => space.space_name === name);
@@ -63,9 +63,9 @@
 const LARGEST_NEW_SPACE_BYTES = 2 ** 21;
 
 describe('the heap of the daemon', () => {
-  // Were the flags that hold it small set after the modules are read, the young generation would
-  // stay at 8 MB: an idle daemon would hold more than 100 MB.
-  it('is held small before the modules are loaded', async () => {
+  // If the flags that limit the heap were set after the modules are loaded, the young generation
+  // would stay at 8 MB, and an idle daemon would use more than 100 MB.
+  it('is limited before the modules are loaded', async () => {
     const { stderr } = await run(DAEMON, ['--help'], ['--import', PRINT_NEW_SPACE]);
     const size = /new space (\d+)/u.exec(stderr)?.[1];
     expect(Number(size)).toBeLessThanOrEqual(LARGEST_NEW_SPACE_BYTES);
@@ -99,7 +99,7 @@
 });
 
 describe('exit codes', () => {
-  it('snipethreadd: 2 and one line for each fault of its settings, and nothing starts', async () => {
+  it('are 2 for snipethreadd with bad settings, with one line for each error', async () => {
     const ended = await run(DAEMON, ['--settings', fileOf('faulty.json')]);
     expect(ended.exitCode).toBe(2);
     expect(ended.stdout).toBe('');
@@ -110,7 +110,7 @@
     expect(paths.sort()).toEqual(['colour', 'entry.queueCapacity', 'scheduler.workerLeaseMs']);
   });
 
-  it('snipethread settings check: 2 and every fault, also as JSON; 0 without faults', async () => {
+  it('are 2 for snipethread settings check with bad settings, and 0 with valid ones', async () => {
     const faulty = await run(TOOL, ['settings', 'check', fileOf('faulty.json')]);
     expect(faulty.exitCode).toBe(2);
     expect(faulty.stdout.trim().split('\n')).toHaveLength(3);
@@ -120,8 +120,8 @@
     expect(valid.exitCode).toBe(0);
   });
 
-  // A fault is one line and never a stack, whatever the file or the system has to say.
-  it('snipethreadd: one line for a file that is no JSON and for an address that is taken', async () => {
+  // An error is printed as one line without a stack trace, regardless of its cause.
+  it('are 2 for a settings file that is not JSON and 1 for an address in use', async () => {
     await writeFile(fileOf('broken.json'), '{\n  "instanceId": "a",\n  oops\n}\n');
     const broken = await run(DAEMON, ['--settings', fileOf('broken.json')]);
     expect([broken.exitCode, broken.stderr.trim().split('\n').length]).toEqual([2, 1]);
@@ -143,19 +143,19 @@
     ['an unknown command', TOOL, ['paint'], 2],
     ['a missing argument', TOOL, ['confirm'], 2],
     ['a missing settings argument', DAEMON, [], 2],
-    ['a settings file that is not there', DAEMON, ['--settings', 'nowhere.json'], 2],
-    ['an address where nobody listens', TOOL, ['get', 'services', '--address', '127.0.0.1:9'], 1],
+    ['a missing settings file', DAEMON, ['--settings', 'nowhere.json'], 2],
+    ['an address without a listener', TOOL, ['get', 'services', '--address', '127.0.0.1:9'], 1],
     ['--version', TOOL, ['--version'], 0],
     ['--help', DAEMON, ['--help'], 0],
-  ])('%s', async (_name, script, args, exitCode) => {
+  ])('are as listed for %s', async (_name, script, args, exitCode) => {
     expect((await run(script, args)).exitCode).toBe(exitCode);
   });
 });
 
-describe('a daemon whose platform is out of reach', () => {
-  it('is healthy but not ready, gives its metrics, and ends with 0 when told to', async () => {
-    // The balancer must send it nothing, while whoever looks after processes must not kill it:
-    // a restart would only lose what it knows.
+describe('a daemon whose platform is unreachable', () => {
+  it('is healthy but not ready, serves its metrics and exits with code 0 on SIGTERM', async () => {
+    // The load balancer must send the daemon no requests, but the process supervisor must not kill
+    // it: a restart would only lose the state that it has in memory.
     const daemon = spawn(process.execPath, [`dist/${DAEMON}`, '--settings', fileOf('valid.json')]);
     const { operatorsPort } = await listeningLine(daemon.stdout);
     const get = async (path: string) => {
