--- a/standIns/chaos/chaos.ts
+++ b/standIns/chaos/chaos.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run chaos -- --seed N --minutes M`: the whole system as separate processes under load and
- * faults from a seeded list, judged from the stand-ins' own records only.
+ * `npm run chaos -- --seed N --minutes M` runs the whole system as separate processes under load
+ * and with a seeded sequence of faults. The verdict relies only on the records of the stand-ins.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
@@ -83,7 +83,7 @@
     await this.operate({ intent: 'create-service', service: { ...service, urgency: 'urgent' } });
   }
 
-  /** Plans and confirms through one daemon; false when it was refused or nobody answered. */
+  /** Plans and confirms an intent at a random daemon. Returns false on a refusal or no answer. */
   async operate(intent: Readonly<Record<string, unknown>>): Promise<boolean> {
     const daemon = this.#daemons[random.nextIndex(this.#daemons.length)];
     if (daemon === undefined) return false;
@@ -106,7 +106,10 @@
     if (isAccepted) this.acceptedJobIds.push(`kitchen.${submissionKey}`);
   }
 
-  /** Marks a withdrawal for the judge only once an operator was told that it is in force. */
+  /**
+   * Withdraws a zone or returns it to use. The judge is told of a withdrawal only after an operator
+   * got its acceptance, and of a return before the operator plans it.
+   */
   async setZone(zone: string, isWithdrawn: boolean): Promise<void> {
     const use = { intent: 'use-zone', zone, region: 'r' };
     if (!isWithdrawn) await call(`${this.#judgeOrigin}/mark`, { zone, isWithdrawn });
@@ -117,7 +120,7 @@
   readonly setPlatformFaults = (faults: unknown): Promise<unknown> =>
     call(`${this.#platformOrigin}/control/faults`, faults);
 
-  /** Replaces a daemon: by SIGKILL at once, or by SIGTERM with a graceful shutdown. */
+  /** Replaces a daemon, which ends by SIGKILL or by SIGTERM with a graceful shutdown. */
   async replace(index: number, isGraceful: boolean): Promise<void> {
     const daemon = this.#daemons[index % this.#daemons.length];
     if (daemon === undefined || this.#daemons.length < 2) return;
@@ -135,12 +138,12 @@
     daemon?.child.kill('SIGCONT');
   }
 
-  /** What the judge over the workers has recorded. */
+  /** Gets records of the judge that observes the workers. */
   async recorded<Records>(path: string): Promise<Records> {
     return (await call(`${this.#judgeOrigin}/${path}`)).answer as Records;
   }
 
-  /** Accepted jobs that are not yet over, each with what an operator is told of it. */
+  /** Returns the accepted jobs that have not ended, each with the answer that an operator gets. */
   async openJobs(): Promise<readonly string[]> {
     const [daemon] = this.#daemons;
     const told = this.acceptedJobIds.map(async (jobId) => {
@@ -205,7 +208,7 @@
   },
 };
 
-/** What users would see that must never be, from the stand-ins' and callers' records. */
+/** Finds violations that users would see, from the records of the stand-ins and the callers. */
 const judge = async (system: ChaosSystem, caller: Caller): Promise<readonly string[]> => {
   const verdict = await system.recorded<Verdict>('verdict');
   const runs = await system.recorded<Readonly<Record<string, number>>>('runs');
@@ -230,11 +233,11 @@
   const pending: Promise<unknown>[] = [];
   const names = Object.keys(FAULTS);
   for (let index = 0; performance.now() < endMs; index += 1) {
-    // Each run begins with a silence, so that the shortest has one as well.
+    // Each run begins with a silence fault, so that even the shortest run has one.
     const name = (index > 0 && names[random.nextIndex(names.length)]) || 'silence';
     system.faultCounts.set(name, (system.faultCounts.get(name) ?? 0) + 1);
     say({ fault: name, index });
-    // Faults overlap: the next one does not wait for this one's end.
+    // Faults overlap: the loop does not wait for a fault to end.
     pending.push(FAULTS[name]?.(system) ?? Promise.resolve(), system.submit(index));
     // eslint-disable-next-line no-await-in-loop
     await delay(1_000 + random.nextIndex(2_500));
@@ -242,7 +245,7 @@
   await Promise.all(pending);
   await system.setPlatformFaults({});
   const quietEndMs = performance.now() + QUIET_LIMIT_MS;
-  // eslint-disable-next-line no-await-in-loop -- looks until all is over
+  // eslint-disable-next-line no-await-in-loop -- polls until all jobs have ended
   while (performance.now() < quietEndMs && (await system.openJobs()).length > 0) await delay(500);
   await calls;
   const findings = await judge(system, caller);
--- a/standIns/chaos/requestJudge.ts
+++ b/standIns/chaos/requestJudge.ts
@@ -1,7 +1,7 @@
-/** What callers would see that must never be, from what they were told and what servers ran. */
+/** Finds violations in the answers that callers got, compared with the runs on the servers. */
 import type { ToldOutcome } from '../demo/caller.js';
 
-/** Each check with the paths of the requests that it finds; empty when all is well. */
+/** Returns each check with the paths of the requests that violate it, or an empty text if none do. */
 export const judgeRequests = (
   told: readonly ToldOutcome[],
   runCount: (path: string) => number,
--- a/standIns/demo/caller.ts
+++ b/standIns/demo/caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends requests through all entries and checks whose answers it gets. */
+/** A caller that sends requests through all entries and checks that each answer is its own. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { build, type Histogram } from 'hdr-histogram-js';
@@ -13,7 +13,7 @@
   readonly wrongAnswers: number;
 }
 
-/** What a caller was told of one request. */
+/** The outcome of one request as the caller sees it. */
 export interface ToldOutcome {
   readonly path: string;
   readonly isIdempotent: boolean;
@@ -22,7 +22,7 @@
   readonly startedAtMs: number;
 }
 
-/** Requests at a time. */
+/** The number of concurrent requests. */
 export const CALLER_CONCURRENCY = 8;
 const HTTP_OK = 200;
 const MICROSECONDS_PER_MS = 1_000;
@@ -43,7 +43,7 @@
     this.#serviceName = serviceName;
   }
 
-  /** Sends `count` requests in turn through the entries, spread over about `durationMs`. */
+  /** Sends `count` requests to the entries in turn, spread over about `durationMs`. */
   async run(count: number, durationMs: number): Promise<void> {
     const startedAtMs = systemClock.nowMs();
     let nextIndex = 0;
@@ -53,7 +53,7 @@
         nextIndex += 1;
         const dueAtMs = startedAtMs + (index / count) * durationMs;
         const waitMs = Math.max(0, dueAtMs - systemClock.nowMs());
-        // eslint-disable-next-line no-await-in-loop -- a lane sends one request at a time
+        // eslint-disable-next-line no-await-in-loop -- a sender sends one request at a time
         await delay(waitMs);
         // eslint-disable-next-line no-await-in-loop
         await this.#send(index);
@@ -106,7 +106,7 @@
       if (response.statusCode === HTTP_OK) return answer.url === path ? 'whole' : 'wrong';
       return answer.workOutcome === 'not-run' ? 'not-run' : 'unknown';
     } catch (error) {
-      // It came as whole, and is a part.
+      // The answer arrived as complete, but its body is truncated.
       if (error instanceof SyntaxError) return 'wrong';
       return (error as { code?: string }).code === 'ECONNREFUSED' ? 'not-connected' : 'cut';
     }
--- a/standIns/demo/childProcesses.ts
+++ b/standIns/demo/childProcesses.ts
@@ -1,4 +1,4 @@
-/** Starts the demo's processes and runs the command-line tool. */
+/** Starts child processes and runs the command-line tool. */
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -18,7 +18,7 @@
 export class ChildProcesses implements Disposable {
   readonly #children: ChildProcess[] = [];
 
-  /** Starts a script and resolves with the first of its lines that `pick` makes something of. */
+  /** Starts a script. Resolves with the first result of `pick` on its output that is defined. */
   start<T>(
     script: string,
     args: readonly string[],
@@ -48,7 +48,7 @@
   }
 }
 
-/** Runs a script with processes and a folder of its own; the exit code is 1 when it tells false. */
+/** Runs a script with its own processes and folder. The exit code is 1 if it resolves to false. */
 export const runScript = async (
   run: (children: ChildProcesses, folder: string) => Promise<boolean>,
 ): Promise<void> => {
@@ -62,7 +62,7 @@
   }
 };
 
-/** Runs `snipethread` as an operator would. */
+/** Runs `snipethread` in the same way as an operator. */
 export const runTool = async (
   args: readonly string[],
   environment: Readonly<Record<string, string>>,
--- a/standIns/demo/daemonProcess.ts
+++ b/standIns/demo/daemonProcess.ts
@@ -1,4 +1,4 @@
-/** Starts `snipethreadd` as a process of its own, with all roles and ports the system chooses. */
+/** Starts `snipethreadd` as a child process, with all roles and with ports that the OS chooses. */
 import type { ChildProcess } from 'node:child_process';
 import { createHash } from 'node:crypto';
 import { writeFile } from 'node:fs/promises';
--- a/standIns/demo/demo.ts
+++ b/standIns/demo/demo.ts
@@ -1,4 +1,4 @@
-/** The demo: the whole system as separate processes, driven as an operator would. */
+/** The demo runs the whole system as separate processes and controls it through operator commands. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { request } from 'undici';
@@ -26,7 +26,7 @@
     .map(([name, count]) => `${count} ${name}`)
     .join(', ');
 
-/** An operator at the command line, who reads each plan before confirming it. */
+/** An operator who makes and confirms plans with the command-line tool. */
 class DemoOperator {
   readonly #environment: Readonly<Record<string, string>>;
 
--- a/standIns/demo/platformProcesses.ts
+++ b/standIns/demo/platformProcesses.ts
@@ -1,4 +1,4 @@
-/** Starts the users' platform in small, and a dozen workers, as processes of their own. */
+/** Starts a stand-in for the platform and a dozen workers as child processes. */
 import { request } from 'undici';
 
 import type { WorkerInstance } from '../../src/services/instanceList/common/instanceList.js';
@@ -8,7 +8,7 @@
 export const HOST = '127.0.0.1';
 export const TOKEN = 'trial-operator';
 
-/** Calls with JSON as an operator, without a body to read. */
+/** Sends a JSON request as an operator: a POST with the body, or a GET if there is no body. */
 export const call = async (
   url: string,
   body?: unknown,
--- a/standIns/fleet/endRecords.ts
+++ b/standIns/fleet/endRecords.ts
@@ -1,18 +1,18 @@
-/** Ends of tasks that were done, and which of them a scheduler has acknowledged. */
+/** A task run that ended as done, and whether a scheduler has acknowledged the end. */
 export interface EndRecord {
   readonly lifeKey: string;
   readonly taskName: string;
   readonly endedAtMs: number;
   sequence: number | undefined;
   isAcknowledged: boolean;
-  /** The lease lapsed before the end was acknowledged: the task may run once more. */
+  /** The lease lapsed before the end was acknowledged, so the task may run again. */
   isLapsed: boolean;
 }
 
 export class EndRecords {
   readonly #byTask = new Map<string, EndRecord[]>();
 
-  /** Ends that are not acknowledged yet, by life. */
+  /** Ends that are not acknowledged yet, by worker incarnation. */
   readonly #open = new Map<string, EndRecord[]>();
 
   noteDone(lifeKey: string, taskName: string, endedAtMs: number): void {
@@ -31,7 +31,7 @@
     (this.#open.get(lifeKey) ?? []).forEach((end) => Object.assign(end, { isLapsed: true }));
   }
 
-  /** The ends that are recorded from now on. */
+  /** Acknowledges ends up to a sequence. Returns those whose lease has not lapsed. */
   acknowledge(lifeKey: string, upTo: number): readonly EndRecord[] {
     const open = this.#open.get(lifeKey) ?? [];
     const isReached = ({ sequence }: EndRecord): boolean => (sequence ?? Infinity) <= upTo;
--- a/standIns/fleet/workerModel.ts
+++ b/standIns/fleet/workerModel.ts
@@ -1,6 +1,6 @@
 /**
- * A worker of the users' platform as a model in any time: it keeps its own leases by its own clock,
- * lists what runs and what has ended, and does not guard its room.
+ * Models a worker of the platform in virtual or real time. The worker enforces its leases by its own
+ * clock and lists running and finished tasks. It does not check its capacity.
  */
 import {
   type FinishedRun,
@@ -16,11 +16,11 @@
 } from '../../src/services/fleet/common/fleetWorker.js';
 import type { Resources } from '../../src/services/worker/common/resources.js';
 
-/** What a task of the model does once it is started. */
+/** The behaviour of a task after its start. */
 export interface ModelTask {
   readonly workMs: number;
   readonly end: RunEnd;
-  /** How often it saves its progress, in milliseconds of work; left out for one that does not. */
+  /** The work between two saves of its progress; undefined if the task saves none. */
   readonly savesEachMs?: number;
 }
 
@@ -32,14 +32,14 @@
   readonly capacity: Resources;
   readonly maximumLeaseMs: number;
   readonly stopMs: number;
-  /** How fast its clock runs beside real time. */
+  /** The rate of the worker's clock relative to real time. */
   readonly clockRate: number;
   readonly taskOf: (taskName: string) => ModelTask;
   readonly onStart: (taskName: string, run: number, nowMs: number) => void;
   readonly onEnd?: (finished: FinishedRun, endedAtMs: number) => void;
-  /** The lease has run out; called again for as long as there is none. */
+  /** Called on each advance while the worker has no valid lease. */
   readonly onLapse?: () => void;
-  /** Ends up to `sequence` are acknowledged. */
+  /** Called when ends up to `sequence` are acknowledged. */
   readonly onAcknowledge?: (sequence: number, nowMs: number) => void;
   /** By default, progress is proportional to elapsed time. */
   readonly figuresOf?: (run: ModelRun) => RunFigures;
@@ -49,7 +49,7 @@
   readonly taskName: string;
   readonly run: number;
   readonly startedAtMs: number;
-  /** The progress that it began with; its checkpoints are such numbers. */
+  /** The work done before this run. The checkpoints of the model are this number as text. */
   readonly resumedMs: number;
   readonly savesEachMs: number | undefined;
   endsAtMs: number;
@@ -59,7 +59,7 @@
 const progressMs = (run: ModelRun, nowMs: number): number =>
   run.resumedMs + nowMs - run.startedAtMs;
 
-/** The checkpoint at its last save, or at its end. */
+/** Returns the checkpoint of the last save, or of the end if the task was stopped. */
 const checkpointOf = (run: ModelRun, nowMs: number): string => {
   const { savesEachMs } = run;
   if (savesEachMs === undefined) return '';
@@ -85,12 +85,12 @@
 
   #sequence = 0;
 
-  /** Ends up to this sequence are forgotten, also those that are yet to come. */
+  /** Ends up to this sequence are removed, including later ones. */
   #acknowledgedSequence = 0;
 
   #finished: FinishedRun[] = [];
 
-  /** Runs up to these numbers are refused, by task. */
+  /** The highest run number that the worker refuses to start, by task. */
   readonly #barred = new Map<string, number>();
 
   readonly runs = new Map<string, ModelRun>();
@@ -111,12 +111,12 @@
     return this.#incarnation;
   }
 
-  /** When the lease of all that runs here ends. */
+  /** The time at which the lease of all running tasks ends. */
   get lapsesAtMs(): number {
     return this.#bootedAtMs + this.#leaseEndWorkerMs / this.#options.clockRate;
   }
 
-  /** The process ends; all that ran and all that was known is lost. */
+  /** Ends the process. All running tasks and all state are lost. */
   crash(): void {
     this.isUp = false;
     this.runs.clear();
@@ -134,7 +134,7 @@
     this.#acknowledgedSequence = 0;
   }
 
-  /** Lets everything happen that is due. */
+  /** Ends all runs that are due and detects a lapsed lease. */
   advance(nowMs: number): void {
     [...this.runs.values()]
       .sort((left, right) => left.endsAtMs - right.endsAtMs)
@@ -155,7 +155,7 @@
     return { kind: 'held', answer: this.#answer(nowMs) };
   }
 
-  /** Whether a hold that may wait would be answered now. */
+  /** Whether a hold request that may wait gets its answer now. */
   hasNews(acknowledgedSequence: number, nowMs: number): boolean {
     this.advance(nowMs);
     return this.#finished.some(({ sequence }) => sequence > acknowledgedSequence);
--- a/standIns/platform/faults.ts
+++ b/standIns/platform/faults.ts
@@ -1,11 +1,11 @@
-/** Faults that a stand-in of the platform can be told to have. */
+/** Faults that can be injected into the stand-in for the platform. */
 import { z } from 'zod';
 
 export const faultsSchema = z.strictObject({
-  /** Refuses every call. */
+  /** Rejects every call. */
   isDown: z.boolean().default(false),
   delayMs: z.number().nonnegative().default(0),
-  /** The share of transactions whose answer is lost after they took effect. */
+  /** The ratio of transactions that take effect but whose answer is lost. */
   lostAnswerRatio: z.number().min(0).max(1).default(0),
 });
 export type Faults = z.infer<typeof faultsSchema>;
--- a/standIns/platform/platformProcess.ts
+++ b/standIns/platform/platformProcess.ts
@@ -1,4 +1,4 @@
-/** The platform's stand-in as a process; prints its port as one JSON line. */
+/** Runs the stand-in for the platform as a process and prints its port as one JSON line. */
 import { PlatformServer } from './platformServer.js';
 
 const server = new PlatformServer(Number(process.argv[2] ?? '1'));
--- a/standIns/platform/platformServer.ts
+++ b/standIns/platform/platformServer.ts
@@ -1,4 +1,4 @@
-/** The platform's table, object store and instance list behind one HTTP server. */
+/** Serves the table, object store and instance list of the platform on one HTTP server. */
 import { createHash } from 'node:crypto';
 import { setTimeout as delay } from 'node:timers/promises';
 
--- a/standIns/platform/tableStandIn.ts
+++ b/standIns/platform/tableStandIn.ts
@@ -1,4 +1,4 @@
-/** A transactional table in memory, with the faults that a real one has. */
+/** An in-memory transactional table, which reports conflicts like a real one. */
 import type { JsonValue } from '../../src/base/common/json.js';
 import {
   ABSENT_VERSION,
@@ -10,7 +10,7 @@
   type TransactionResult,
 } from '../../src/services/table/common/table.js';
 
-/** What the stand-in was asked, for the accounts of reads and writes. */
+/** Counts of the calls to the stand-in and of the rows that they read and wrote. */
 export interface TableCounts {
   readCount: number;
   readRowCount: number;
--- a/standIns/relay/relays.ts
+++ b/standIns/relay/relays.ts
@@ -1,22 +1,22 @@
-/** Relays in front of everything that the daemons connect to, so that a run can silence them. */
+/** Relays in front of every server that the daemons connect to, so that a test can silence them. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { InstanceAddress } from '../../src/services/instanceList/common/instanceList.js';
 import { Silence, SilentRelay } from './silentRelay.js';
 
-/** The share of relays whose connections one fault makes silent. */
+/** The ratio of relays whose connections one fault silences. */
 const SILENCED_RATIO = 0.4;
 
 export class Relays {
   readonly #relays: SilentRelay[] = [];
 
-  /** The address of a new relay to `address`. */
+  /** Starts a relay to an address and returns the address of the relay. */
   async through({ host, port }: InstanceAddress): Promise<InstanceAddress> {
     const relay = new SilentRelay(port);
     this.#relays.push(relay);
     return { host, port: await relay.listen() };
   }
 
-  /** Makes the open connections of some relays silent for good; tells how many these are. */
+  /** Silences the open connections of some relays permanently. Returns their number. */
   silenceSome(random: RandomSource): number {
     const directions = Object.values(Silence);
     const direction = directions[random.nextIndex(directions.length)] ?? Silence.Both;
--- a/standIns/relay/silentRelay.ts
+++ b/standIns/relay/silentRelay.ts
@@ -1,7 +1,7 @@
 /**
- * A TCP relay whose connections can be made silent: it goes on accepting and delivering over new
- * ones, and on the silent ones it neither delivers nor closes, in either or both directions. A cut
- * meets new connections too: they are silent or refused.
+ * A TCP relay whose connections can be silenced. On a silent connection the relay neither forwards
+ * data nor closes, in one or both directions, while new connections still work. A cut also affects
+ * new connections, which are silent or refused.
  */
 import { once } from 'node:events';
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
@@ -55,15 +55,15 @@
 
   readonly #connections = new Set<RelayedConnection>();
 
-  /** Cuts in force, each as whether it refuses connections. */
+  /** Active cuts, each of which refuses or silences connections. */
   readonly #cuts = new Set<{ readonly isRefusing: boolean }>();
 
-  /** Where it listens but for cuts; undefined once it is told not to. */
+  /** The port that the relay listens on while no cut refuses; undefined after `stopListening`. */
   #port: number | undefined;
 
   connectionCount = 0;
 
-  /** Connections to the target that it has not closed. */
+  /** The number of open connections from the relay to the target. */
   openToServerCount = 0;
 
   constructor(targetPort: number, host = '127.0.0.1') {
@@ -84,12 +84,15 @@
     });
   }
 
-  /** Silent connections that their client has not closed. */
+  /** The number of silent connections that the client has not closed. */
   get openSilentCount(): number {
     return [...this.#connections].filter(({ silence }) => silence !== undefined).length;
   }
 
-  /** Listens on a port that the system chooses, or on this one once no cut refuses; tells which. */
+  /**
+   * Listens on the given port, or on one that the OS chooses if it is 0, and returns the port. While
+   * a cut refuses connections, a given port opens only when that cut ends.
+   */
   async listen(port = 0): Promise<number> {
     this.#port = port;
     if (port !== 0) {
@@ -102,7 +105,7 @@
     return this.#port;
   }
 
-  /** Nobody gets through until the returned function is called; open connections are lost. */
+  /** Blocks all connections, open and new ones, until the returned function is called. */
   cut(isRefusing: boolean): () => Promise<void> {
     const cut = { isRefusing };
     this.#cuts.add(cut);
@@ -116,18 +119,18 @@
     };
   }
 
-  /** Makes all connections that exist now silent; later ones work. Tells how many exist. */
+  /** Silences all open connections and returns their number. New connections still work. */
   silenceAll(silence: Silence): number {
     this.#connections.forEach((connection) => Object.assign(connection, { silence }));
     return this.#connections.size;
   }
 
-  /** Resets all connections that exist now; later ones work. */
+  /** Resets all open connections. New connections still work. */
   resetAll(): void {
     this.#connections.forEach((connection) => connection.reset());
   }
 
-  /** Refuses new connections; those that exist stay as they are. */
+  /** Refuses new connections. Open connections are not affected. */
   stopListening(): void {
     this.#port = undefined;
     this.#server.close();
--- a/standIns/workers/backendServer.ts
+++ b/standIns/workers/backendServer.ts
@@ -1,4 +1,4 @@
-/** A worker's backend server: a number of slots, and an echo that proves whose answer it is. */
+/** A worker's backend server with a number of slots. It echoes the request to identify answers. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import Fastify, { type FastifyInstance } from 'fastify';
@@ -13,7 +13,7 @@
   readonly slotCount: number;
   readonly serviceTimeMs: number;
   readonly hasService: (serviceName: string) => boolean;
-  /** Called for each request that runs, with its path. */
+  /** Called with the path of each request that runs. */
   readonly onRun?: (url: string) => void;
 }
 
--- a/standIns/workers/judge.ts
+++ b/standIns/workers/judge.ts
@@ -1,12 +1,12 @@
-/** Judges from the workers' own records what the system has done to them. */
+/** Checks the events that workers record for violations of the scheduler's invariants. */
 import { TaskClass, WorkerTaskState } from '../../src/services/worker/common/workerClient.js';
 import type { WorkerEvent } from './workerStandIn.js';
 
 export interface Verdict {
   readonly startCount: number;
-  /** Tasks that were started again from less than what they had saved. */
+  /** Tasks that restarted from less work than they had saved. */
   readonly lostCheckpoints: readonly string[];
-  /** Tasks that ran in two places at a time. */
+  /** Tasks that ran in two places at once. */
   readonly doubleRuns: readonly string[];
   /** Batch tasks that were completed more than once. */
   readonly doubleCompletions: readonly string[];
@@ -14,11 +14,11 @@
   readonly overcommittedWorkers: readonly string[];
   readonly evictionCount: number;
   readonly lapsedCount: number;
-  /** Starts per availability zone while it was marked as withdrawn for longer than the bound. */
+  /** Starts in availability zones that had been marked as withdrawn for longer than the bound. */
   readonly startsInWithdrawnZones: number;
 }
 
-/** What must never be, each with where it was seen; empty when all is well. */
+/** Returns the violated invariants, each with where it was violated. */
 export const findHarm = (verdict: Verdict): string[] => {
   const checks: readonly [string, string][] = [
     ['tasks in two places', verdict.doubleRuns.join(' ')],
@@ -50,7 +50,7 @@
 
   readonly #counts = { startCount: 0, evictionCount: 0, lapsedCount: 0, startsInWithdrawnZones: 0 };
 
-  /** A zone counts as withdrawn `boundMs` after it was marked so. */
+  /** A zone counts as withdrawn from `boundMs` after it was marked as withdrawn. */
   constructor(zoneOf: ReadonlyMap<string, string>, boundMs: number) {
     this.#zoneOf = zoneOf;
     this.#boundMs = boundMs;
--- a/standIns/workers/workerStandIn.ts
+++ b/standIns/workers/workerStandIn.ts
@@ -1,6 +1,6 @@
 /**
- * A worker without input or output: runs tasks under leases on its own clock, checks its own
- * capacity and records every attempt it ever ran.
+ * A worker without any I/O. It runs tasks under leases on its own clock, reports when its capacity
+ * is exceeded and remembers every attempt that it started.
  */
 import {
   fitsInto,
@@ -22,14 +22,14 @@
   readonly request: StartRequest;
   state: WorkerTaskState;
   leaseUntilMs: number;
-  /** Since when the task has run with its share of its processors, and the work done before. */
+  /** The start of the current processor share; `doneBeforeMs` is the work done before that time. */
   sinceMs: number;
   doneBeforeMs: number;
   processorShare: number;
   checkpoint: string | null;
 }
 
-/** What judges outside the system learn of a worker. */
+/** An event of a worker, from which the judge checks the system. */
 export interface WorkerEvent {
   readonly kind: 'started' | 'ended' | 'overcommitted';
   readonly workerId: string;
@@ -37,7 +37,7 @@
   readonly attempt: number;
   readonly taskClass: TaskClass;
   readonly state: WorkerTaskState;
-  /** Work done that the task's checkpoint holds. */
+  /** The work that the task's checkpoint contains. */
   readonly savedMs: number;
 }
 
@@ -55,13 +55,13 @@
 
   readonly #tasks = new Map<string, WorkerTask>();
 
-  /** Attempts ever started, so that no repeated message starts one again. */
+  /** Attempts that were ever started, so that a repeated message does not start one again. */
   readonly #seenAttempts = new Set<string>();
 
-  /** While the object store is out no checkpoint can be written, so a task runs on. */
+  /** While the object store is down, no checkpoint can be written, so an evicted task runs on. */
   isObjectStoreDown = false;
 
-  /** What a task uses; as much as it was given unless a test says otherwise. */
+  /** The resources that a task uses. By default, a task uses its whole size. */
   usageOf: ((request: StartRequest) => Resources) | undefined;
 
   #highestEpoch = 0;
@@ -78,7 +78,7 @@
     this.#onEvent = onEvent;
   }
 
-  /** Services whose requests this worker answers now. */
+  /** Whether this worker runs a task of the service and so answers its requests. */
   hasService(serviceName: string): boolean {
     return this.#running().some(({ request }) => request.serviceName === serviceName);
   }
@@ -107,7 +107,7 @@
     };
   }
 
-  /** Ends tasks whose work is done or whose lease has run out. */
+  /** Ends the tasks that have done their work or whose lease has expired. */
   advance(nowMs: number): void {
     this.#running().forEach((task) => {
       const { request } = task;
@@ -172,7 +172,7 @@
   }
 
   #end(task: WorkerTask, state: WorkerTaskState): void {
-    // The record is the worker's own and changes in place.
+    // The worker owns the record and changes it in place.
     // eslint-disable-next-line no-param-reassign
     task.state = state;
     this.#emit('ended', task);
--- a/standIns/workers/workersProcess.ts
+++ b/standIns/workers/workersProcess.ts
@@ -1,4 +1,4 @@
-/** A dozen workers with their backend servers and the judge over them, as one process. */
+/** Runs a dozen workers with their backend servers, and the judge, in one process. */
 import Fastify from 'fastify';
 import { z } from 'zod';
 
@@ -26,12 +26,12 @@
 const SLOT_COUNT = 8;
 const CONNECTION_COUNT = 64;
 const WORKERS_PER_RACK = 2;
-/** After how long no task may start in a zone whose withdrawal was accepted. */
+/** The time after an accepted withdrawal from which no task may start in the zone. */
 const WITHDRAWAL_BOUND_MS = 3_000;
 
 const options = optionsSchema.parse(JSON.parse(process.argv[2] ?? '{}'));
 const zoneOf = new Map<string, string>();
-/** How often each request ran, by its path. */
+/** The number of runs of each request, by path. */
 const runCounts = new Map<string, number>();
 const judge = new Judge(zoneOf, WITHDRAWAL_BOUND_MS);
 
