--- a/src/cli/common/intentFlags.ts
+++ b/src/cli/common/intentFlags.ts
@@ -37,7 +37,7 @@
   return text.trim() === '' || Number.isNaN(value) ? text : value * factor;
 };
 
-const withoutAbsent = (members: Readonly<Record<string, unknown>>): Record<string, unknown> =>
+const omitUndefined = (members: Readonly<Record<string, unknown>>): Record<string, unknown> =>
   Object.fromEntries(Object.entries(members).filter(([, value]) => value !== undefined));
 
 const toSize = (flags: IntentFlags): Record<string, unknown> | undefined => {
@@ -46,7 +46,7 @@
   if (processors === undefined && memory === undefined && accelerators === undefined) {
     return undefined;
   }
-  return withoutAbsent({
+  return omitUndefined({
     processorMillis: toNumber(processors, MILLIS_PER_PROCESSOR),
     memoryBytes: toNumber(memory, MEBIBYTE),
     acceleratorCount: toNumber(accelerators ?? '0'),
@@ -69,9 +69,9 @@
   if (kind === 'create-service' || kind === 'change-service') {
     const { name, team, urgency } = flags;
     const replicaCount = toNumber(flags.replicas);
-    return { intent: kind, service: withoutAbsent({ name, team, replicaCount, size, urgency }) };
+    return { intent: kind, service: omitUndefined({ name, team, replicaCount, size, urgency }) };
   }
-  return withoutAbsent({
+  return omitUndefined({
     intent: kind,
     name: flags.name,
     team: flags.team,
@@ -92,11 +92,13 @@
  * Returns the intent that the flags describe, without the members that have no flag. A flag without
  * a text value is an error: the command-line parser sets `--no-NAME` to `false` for every flag type.
  */
-export const intentOfFlags = (
+export const intentFromFlags = (
   kind: string,
   flags: IntentFlags,
 ): Either<Failure, Record<string, unknown>> => {
-  const denied = FLAG_NAMES.find((name) => !['string', 'undefined'].includes(typeof flags[name]));
-  if (denied === undefined) return right(toIntent(kind, flags));
-  return left(failure(ErrorKind.BadRequest, `--${denied}: a value is missing`));
+  const flagWithoutText = FLAG_NAMES.find(
+    (name) => !['string', 'undefined'].includes(typeof flags[name]),
+  );
+  if (flagWithoutText === undefined) return right(toIntent(kind, flags));
+  return left(failure(ErrorKind.BadRequest, `--${flagWithoutText}: a value is missing`));
 };
--- a/src/cli/common/objectText.ts
+++ b/src/cli/common/objectText.ts
@@ -10,13 +10,13 @@
   Array.isArray(value) && value.length > 0 && value.every(isFields);
 
 /** Flattens nested members. Each is named by its path, such as `size.processorMillis`. */
-const flattened = (fields: Fields, prefix = ''): readonly (readonly [string, unknown])[] =>
+const flattenMembers = (fields: Fields, prefix = ''): readonly (readonly [string, unknown])[] =>
   Object.entries(fields).flatMap(([name, value]) =>
-    isFields(value) ? flattened(value, `${prefix}${name}.`) : [[`${prefix}${name}`, value]],
+    isFields(value) ? flattenMembers(value, `${prefix}${name}.`) : [[`${prefix}${name}`, value]],
   );
 
 const tableText = (rows: readonly Fields[]): string => {
-  const flat = rows.map((row) => Object.fromEntries(flattened(row)));
+  const flat = rows.map((row) => Object.fromEntries(flattenMembers(row)));
   const columns = [...new Set(flat.flatMap((row) => Object.keys(row)))];
   return formatTable(columns, flat);
 };
@@ -29,7 +29,7 @@
 
 /** Formats the values first, in their order, and then each list of objects under its name. */
 export const objectText = (fields: Fields): string => {
-  const entries = flattened(fields);
+  const entries = flattenMembers(fields);
   const values = entries.filter(([, value]) => !isTable(value));
   const width = Math.max(0, ...values.map(([name]) => name.length));
   const lines = values.map(([name, value]) =>
--- a/src/cli/common/planText.ts
+++ b/src/cli/common/planText.ts
@@ -7,37 +7,37 @@
 const MAXIMUM_STEPS_SHOWN = 20;
 const DOCUMENT_PREFIX = 'configuration/document/';
 
-const shortened = (value: unknown): string => {
+const truncatedJson = (value: unknown): string => {
   const text = JSON.stringify(value);
   if (text.length <= MAXIMUM_VALUE_LENGTH) return text;
   return `${text.slice(0, MAXIMUM_VALUE_LENGTH)}…`;
 };
 
 /** Returns the members of a document as text. Members of nested objects have dotted names. */
-const members = (value: JsonValue, path = ''): ReadonlyMap<string, string> => {
+const flattenMembers = (value: JsonValue, path = ''): ReadonlyMap<string, string> => {
   if (value === null && path === '') return new Map();
-  if (value === null || typeof value !== 'object') return new Map([[path, shortened(value)]]);
+  if (value === null || typeof value !== 'object') return new Map([[path, truncatedJson(value)]]);
   if (Array.isArray(value)) return new Map([[path, `${value.length} entries`]]);
   const entries = Object.entries(value).flatMap(([name, member]) => [
-    ...members(member ?? null, path === '' ? name : `${path}.${name}`),
+    ...flattenMembers(member ?? null, path === '' ? name : `${path}.${name}`),
   ]);
   return new Map(entries);
 };
 
-const mark = ({ before, after }: PlanStep): string => {
+const changeSign = ({ before, after }: PlanStep): string => {
   if (before === null) return '+';
   return after === null ? '-' : '~';
 };
 
 const stepLines = (step: PlanStep): readonly string[] => {
-  const [before, after] = [members(step.before), members(step.after)];
+  const [before, after] = [flattenMembers(step.before), flattenMembers(step.after)];
   const names = [...new Set([...before.keys(), ...after.keys()])];
   const changed = names.filter((name) => before.get(name) !== after.get(name));
   const key = step.key.startsWith(DOCUMENT_PREFIX)
     ? step.key.slice(DOCUMENT_PREFIX.length)
     : step.key;
   return [
-    `${mark(step)} ${key}`,
+    `${changeSign(step)} ${key}`,
     ...changed.flatMap((name) => [
       ...(before.has(name) ? [`    - ${name}: ${before.get(name)}`] : []),
       ...(after.has(name) ? [`    + ${name}: ${after.get(name)}`] : []),
@@ -68,7 +68,9 @@
 ];
 
 export const planText = (plan: Plan): string => {
-  const shown = plan.steps.filter(({ before, after }) => shortened(before) !== shortened(after));
+  const shown = plan.steps.filter(
+    ({ before, after }) => truncatedJson(before) !== truncatedJson(after),
+  );
   const hiddenCount = shown.length - MAXIMUM_STEPS_SHOWN;
   return [
     `plan     ${plan.planId}`,
--- a/src/cli/node/commands.ts
+++ b/src/cli/node/commands.ts
@@ -17,7 +17,7 @@
 } from '../../services/errors/common/errorKinds.js';
 import { readSettingsFile } from '../../services/settings/node/settingsFile.js';
 import type { RecordedSpan } from '../../services/tracing/common/tracing.js';
-import { type IntentFlags, intentOfFlags } from '../common/intentFlags.js';
+import { type IntentFlags, intentFromFlags } from '../common/intentFlags.js';
 import { planText } from '../common/planText.js';
 import { formatTable } from '../common/columnText.js';
 import { lineText, objectText } from '../common/objectText.js';
@@ -28,7 +28,7 @@
 export const ExitCode = {
   Done: 0,
   Refused: 1,
-  BadUse: 2,
+  UsageError: 2,
   /** The plan has changes. */
   HasChanges: 3,
 } as const;
@@ -47,7 +47,7 @@
 };
 
 /** Prints an error answer. The answer to a stale plan contains a new plan, which is printed too. */
-const printRefusal = (
+const printErrorAnswer = (
   connection: Connection,
   body: ErrorBody & { readonly newPlan?: unknown },
 ): ExitCode => {
@@ -55,22 +55,22 @@
     print(JSON.stringify(body));
     return ExitCode.Refused;
   }
-  const again = body.isWorthRetrying ? `; try again in ${body.retryAfterMs} ms` : '';
-  process.stderr.write(`${body.error}: ${body.message} (work: ${body.workOutcome}${again})\n`);
+  const retryHint = body.isWorthRetrying ? `; try again in ${body.retryAfterMs} ms` : '';
+  process.stderr.write(`${body.error}: ${body.message} (work: ${body.workOutcome}${retryHint})\n`);
   const newPlan = planSchema.safeParse(body.newPlan);
   if (newPlan.success) print(`planned anew:\n${planText(newPlan.data)}`);
   return ExitCode.Refused;
 };
 
 /** Prints a usage error or a timeout: an error body with `--json`, otherwise one line of text. */
-const printFault = ({ isJson }: Pick<Connection, 'isJson'>, cause: Failure): void => {
+const printError = ({ isJson }: Pick<Connection, 'isJson'>, cause: Failure): void => {
   if (isJson) print(JSON.stringify(errorBody(cause)));
   else process.stderr.write(`${cause.message}\n`);
 };
 
-const refuseUse = (connection: Connection, cause: Failure): ExitCode => {
-  printFault(connection, cause);
-  return ExitCode.BadUse;
+const reportUsageError = (connection: Connection, cause: Failure): ExitCode => {
+  printError(connection, cause);
+  return ExitCode.UsageError;
 };
 
 const clientOf = ({ address, token }: Connection): OperatorClient =>
@@ -85,7 +85,7 @@
 }
 
 /** Parses a whole number. Other text is a usage error, since NaN would be sent as JSON `null`. */
-const readWholeNumber = (flag: string, text: string): Either<Failure, number> => {
+const parseWholeNumber = (flag: string, text: string): Either<Failure, number> => {
   const value = /^\d+$/u.test(text) ? Number(text) : NaN;
   if (Number.isSafeInteger(value)) return right(value);
   return left(failure(ErrorKind.BadRequest, `${flag}: ${text} is no whole number`));
@@ -104,17 +104,17 @@
 const readIntent = async (source: IntentSource): Promise<Either<Failure, unknown>> => {
   const { kind, flags, file, revertVersion } = source;
   if (revertVersion !== undefined) {
-    const version = readWholeNumber('--revert', revertVersion);
+    const version = parseWholeNumber('--revert', revertVersion);
     return isLeft(version) ? version : right({ intent: 'revert', version: version.right });
   }
-  return kind === undefined ? readIntentFile(file) : intentOfFlags(kind, flags);
+  return kind === undefined ? readIntentFile(file) : intentFromFlags(kind, flags);
 };
 
 export const runPlan = async (connection: Connection, source: IntentSource): Promise<ExitCode> => {
   const intent = await readIntent(source);
-  if (isLeft(intent)) return refuseUse(connection, intent.left);
+  if (isLeft(intent)) return reportUsageError(connection, intent.left);
   const answer = await clientOf(connection).post('/v1/plans', { intent: intent.right });
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   const plan = planSchema.parse(answer.right);
   print(connection.isJson ? JSON.stringify(plan) : planText(plan));
   return plan.steps.length === 0 ? ExitCode.Done : ExitCode.HasChanges;
@@ -127,7 +127,7 @@
 ): Promise<ExitCode> => {
   const path = `/v1/plans/${encodeURIComponent(planId)}/confirm`;
   const answer = await clientOf(connection).post(path, { digest });
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   const plan: Plan = planSchema.parse(answer.right);
   const text = `accepted: ${plan.summary}, in version ${plan.acceptedVersion}`;
   print(connection.isJson ? JSON.stringify(plan) : text);
@@ -152,15 +152,22 @@
 const POLICY = 'policy';
 
 /** The kinds that `get` accepts. */
-export const SHOWN_KINDS: readonly string[] = [...OBJECT_KINDS, POLICY];
+export const GETTABLE_KINDS: readonly string[] = [...OBJECT_KINDS, POLICY];
 
 /** Plural kinds by their singular. `history` is missing, as no route returns a single version. */
-const SINGULARS: Readonly<Record<string, string>> = Object.fromEntries(
+const PLURAL_OF_SINGULAR: Readonly<Record<string, string>> = Object.fromEntries(
   OBJECT_KINDS.filter((kind) => kind !== 'history').map((kind) => [kind.replace(/s$/u, ''), kind]),
 );
 
-const refuseKind = (connection: Connection, kind: string, known: readonly string[]): ExitCode =>
-  refuseUse(connection, failure(ErrorKind.BadRequest, `${kind} is none of ${known.join(', ')}`));
+const reportUnknownKind = (
+  connection: Connection,
+  kind: string,
+  known: readonly string[],
+): ExitCode =>
+  reportUsageError(
+    connection,
+    failure(ErrorKind.BadRequest, `${kind} is none of ${known.join(', ')}`),
+  );
 
 const withSizeTexts = (row: Readonly<Record<string, unknown>>): Record<string, unknown> =>
   Object.fromEntries(
@@ -171,20 +178,20 @@
   );
 
 /** Gets a path and prints the answer. */
-const runShow = async (connection: Connection, path: string): Promise<ExitCode> => {
+const printObjectAt = async (connection: Connection, path: string): Promise<ExitCode> => {
   const answer = await clientOf(connection).get(path);
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   const shown = answer.right as Readonly<Record<string, unknown>>;
   print(connection.isJson ? JSON.stringify(shown) : objectText(shown));
   return ExitCode.Done;
 };
 
 export const runGet = async (connection: Connection, kind: string): Promise<ExitCode> => {
-  if (kind === POLICY) return runShow(connection, '/v1/policy');
+  if (kind === POLICY) return printObjectAt(connection, '/v1/policy');
   const columns = COLUMNS[kind];
-  if (columns === undefined) return refuseKind(connection, kind, SHOWN_KINDS);
+  if (columns === undefined) return reportUnknownKind(connection, kind, GETTABLE_KINDS);
   const answer = await clientOf(connection).get(`/v1/${kind}`);
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   const rows = (answer.right as readonly Record<string, unknown>[]).map(withSizeTexts);
   print(connection.isJson ? JSON.stringify(answer.right) : formatTable(columns, rows));
   return ExitCode.Done;
@@ -192,7 +199,7 @@
 
 export const runTrace = async (connection: Connection, traceId: string): Promise<ExitCode> => {
   const answer = await clientOf(connection).get(`/v1/traces/${encodeURIComponent(traceId)}`);
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   const spans = answer.right as readonly RecordedSpan[];
   print(connection.isJson ? JSON.stringify(spans) : traceText(spans));
   return ExitCode.Done;
@@ -203,18 +210,21 @@
   kind: string,
   id: string | undefined,
 ): Promise<ExitCode> => {
-  if (kind === POLICY && id === undefined) return runShow(connection, '/v1/policy');
-  const plural = SINGULARS[kind] ?? kind;
-  if (!Object.values(SINGULARS).includes(plural)) {
-    return refuseKind(connection, kind, [...Object.keys(SINGULARS), POLICY]);
+  if (kind === POLICY && id === undefined) return printObjectAt(connection, '/v1/policy');
+  const plural = PLURAL_OF_SINGULAR[kind] ?? kind;
+  if (!Object.values(PLURAL_OF_SINGULAR).includes(plural)) {
+    return reportUnknownKind(connection, kind, [...Object.keys(PLURAL_OF_SINGULAR), POLICY]);
   }
   if (id === undefined) {
-    return refuseUse(connection, failure(ErrorKind.BadRequest, `which ${kind}? its id is missing`));
+    return reportUsageError(
+      connection,
+      failure(ErrorKind.BadRequest, `which ${kind}? its id is missing`),
+    );
   }
   const path = `/v1/${plural}/${encodeURIComponent(id)}`;
-  if (plural !== 'plans' || connection.isJson) return runShow(connection, path);
+  if (plural !== 'plans' || connection.isJson) return printObjectAt(connection, path);
   const answer = await clientOf(connection).get(path);
-  if (isLeft(answer)) return printRefusal(connection, answer.left);
+  if (isLeft(answer)) return printErrorAnswer(connection, answer.left);
   print(planText(planSchema.parse(answer.right)));
   return ExitCode.Done;
 };
@@ -268,24 +278,24 @@
   id: string,
   timeoutText: string,
 ): Promise<ExitCode> => {
-  const timeoutMs = readWholeNumber('--timeout-ms', timeoutText);
-  if (isLeft(timeoutMs)) return refuseUse(connection, timeoutMs.left);
+  const timeoutMs = parseWholeNumber('--timeout-ms', timeoutText);
+  if (isLeft(timeoutMs)) return reportUsageError(connection, timeoutMs.left);
   const client = clientOf(connection);
-  const look = id.includes('.') ? jobProgress : planProgress;
+  const readProgress = id.includes('.') ? jobProgress : planProgress;
   const attempts = Math.max(1, Math.ceil(timeoutMs.right / WATCH_INTERVAL_MS));
   let lastText = '';
   for (let attempt = 0; attempt < attempts; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop -- polls one at a time
-    const progress = await look(connection, client, id);
+    const progress = await readProgress(connection, client, id);
     if (!isLeft(progress)) {
       if (progress.right.text !== lastText) print(progress.right.text);
       lastText = progress.right.text;
       if (progress.right.isDone) return ExitCode.Done;
-    } else if (!progress.left.isWorthRetrying) return printRefusal(connection, progress.left);
+    } else if (!progress.left.isWorthRetrying) return printErrorAnswer(connection, progress.left);
     // eslint-disable-next-line no-await-in-loop
     await delay(WATCH_INTERVAL_MS);
   }
-  printFault(connection, failure(ErrorKind.DeadlineExceeded, `${id} is not done yet`));
+  printError(connection, failure(ErrorKind.DeadlineExceeded, `${id} is not done yet`));
   return ExitCode.Refused;
 };
 
@@ -296,5 +306,5 @@
   if (isJson) print(JSON.stringify({ file, faults }));
   else faults.forEach((fault) => print(`${fault.path}: ${fault.message}`));
   if (!isJson && faults.length === 0) print(`${file} is valid`);
-  return faults.length === 0 ? ExitCode.Done : ExitCode.BadUse;
+  return faults.length === 0 ? ExitCode.Done : ExitCode.UsageError;
 };
--- a/src/cli/node/operatorClient.ts
+++ b/src/cli/node/operatorClient.ts
@@ -14,7 +14,7 @@
 const CALL_TIMEOUT_MS = 30_000;
 
 /** Distinguishes a call that certainly reached no daemon from one that may have been executed. */
-const noAnswer = (origin: string, error: unknown): ErrorBody => {
+const noAnswerError = (origin: string, error: unknown): ErrorBody => {
   const kind = isSurelyNotSent(error) ? ErrorKind.DaemonUnreachable : ErrorKind.DaemonAnswerLost;
   const reason = (error as Error).message;
   return errorBody(failure(kind, `no answer of a daemon at ${origin}: ${reason}`));
@@ -57,7 +57,7 @@
       if (response.statusCode >= FIRST_ERROR_STATUS) return left(answer as ErrorBody);
       return right(answer);
     } catch (error) {
-      return left(noAnswer(this.#origin, error));
+      return left(noAnswerError(this.#origin, error));
     }
   }
 }
--- a/src/cli/node/snipethread.ts
+++ b/src/cli/node/snipethread.ts
@@ -12,7 +12,7 @@
   runSettingsCheck,
   runTrace,
   runWatch,
-  SHOWN_KINDS,
+  GETTABLE_KINDS,
 } from './commands.js';
 
 const VERSION = '0.1.0';
@@ -92,7 +92,7 @@
 });
 
 const get = defineCommand({
-  meta: { name: 'get', description: `List ${SHOWN_KINDS.join(', ')}` },
+  meta: { name: 'get', description: `List ${GETTABLE_KINDS.join(', ')}` },
   args: { ...connectionArgs, kind: { type: 'positional', required: true } },
   async run({ args }) {
     process.exitCode = await runGet(toConnection(args), args.kind);
--- a/src/cli/test/jsonOutput.test.ts
+++ b/src/cli/test/jsonOutput.test.ts
@@ -36,12 +36,12 @@
   await rm(folder, { recursive: true });
 });
 
-const written: { stdout: string; stderr: string } = { stdout: '', stderr: '' };
+const output: { stdout: string; stderr: string } = { stdout: '', stderr: '' };
 beforeEach(() => {
-  Object.assign(written, { stdout: '', stderr: '' });
+  Object.assign(output, { stdout: '', stderr: '' });
   (['stdout', 'stderr'] as const).forEach((name) => {
     vi.spyOn(process[name], 'write').mockImplementation((text) => {
-      written[name] += String(text);
+      output[name] += String(text);
       return true;
     });
   });
@@ -56,13 +56,16 @@
 
 /** Parses the plan that a command printed. */
 const printedPlan = (): { readonly planId: string; readonly digest: string } =>
-  JSON.parse(written.stdout) as never;
+  JSON.parse(output.stdout) as never;
 
 /** Makes a plan and discards its output. */
-const quietPlan = async (): Promise<{ readonly planId: string; readonly digest: string }> => {
+const planWithoutOutput = async (): Promise<{
+  readonly planId: string;
+  readonly digest: string;
+}> => {
   await planOf('withdraw.json');
   const plan = printedPlan();
-  written.stdout = '';
+  output.stdout = '';
   return plan;
 };
 
@@ -70,9 +73,9 @@
 
 type Run = () => Promise<number>;
 /** Title, command, exit code, and expected members of the JSON value that the command prints. */
-type Row = readonly [string, Run, number, object];
+type Case = readonly [string, Run, number, object];
 
-const ROWS: readonly Row[] = [
+const CASES: readonly Case[] = [
   ['plan', () => planOf('withdraw.json'), 3, { state: 'pending', steps: [{}] }],
   [
     'plan by flags without a change',
@@ -104,21 +107,21 @@
   ],
   [
     'confirm with a wrong digest',
-    async () => runConfirm(connection, (await quietPlan()).planId, 'x'),
+    async () => runConfirm(connection, (await planWithoutOutput()).planId, 'x'),
     1,
     { error: 'plan-conflict', workOutcome: 'not-run' },
   ],
   [
     'confirm without the required role',
     async () => {
-      const { planId, digest } = await quietPlan();
+      const { planId, digest } = await planWithoutOutput();
       return runConfirm(connectionAs('pat-token'), planId, digest);
     },
     1,
     { error: 'forbidden', workOutcome: 'not-run' },
   ],
   ['get without a token', () => runGet(connectionAs(''), 'zones'), 1, { error: 'unauthorised' }],
-  ...OBJECT_KINDS.map((kind): Row => [`get ${kind}`, () => runGet(connection, kind), 0, []]),
+  ...OBJECT_KINDS.map((kind): Case => [`get ${kind}`, () => runGet(connection, kind), 0, []]),
   ['get of an unknown kind', () => runGet(connection, 'paintings'), 2, { error: 'bad-request' }],
   ...(
     [
@@ -130,7 +133,7 @@
       ['job', 'bakers.k', { isEnded: false, taskCounts: { assigned: 1 } }],
       ['quota', 'diets', { team: 'diets' }],
     ] as const
-  ).map(([kind, id, members]): Row => [
+  ).map(([kind, id, members]): Case => [
     `describe ${kind}`,
     () => runDescribe(connection, kind, id),
     0,
@@ -138,7 +141,7 @@
   ]),
   [
     'describe plan',
-    async () => runDescribe(connection, 'plan', (await quietPlan()).planId),
+    async () => runDescribe(connection, 'plan', (await planWithoutOutput()).planId),
     0,
     { state: 'pending' },
   ],
@@ -208,23 +211,23 @@
 describe('the command-line tool with --json', () => {
   // Programs parse the output. A line of plain text that is printed only on a refusal or a usage
   // error breaks them only when that error occurs.
-  it.each(ROWS)('%s prints one JSON value and nothing else', async (_name, run, code, members) => {
+  it.each(CASES)('%s prints one JSON value and nothing else', async (_name, run, code, members) => {
     expect(await run()).toBe(code);
-    expect(written.stderr).toBe('');
-    expect(written.stdout.endsWith('\n')).toBe(true);
-    expect(written.stdout.trimEnd().split('\n')).toHaveLength(1);
-    const value: unknown = JSON.parse(written.stdout);
+    expect(output.stderr).toBe('');
+    expect(output.stdout.endsWith('\n')).toBe(true);
+    expect(output.stdout.trimEnd().split('\n')).toHaveLength(1);
+    const value: unknown = JSON.parse(output.stdout);
     if (Array.isArray(members)) expect(Array.isArray(value)).toBe(true);
     else expect(value).toMatchObject(members);
   });
 
   // A watch prints a line for each change and, at its timeout, a line with the error.
   it('prints a JSON value on each line of a watch', async () => {
-    const { planId } = await quietPlan();
+    const { planId } = await planWithoutOutput();
     expect(await runWatch(connection, 'bakers.k', '1')).toBe(1);
     expect(await runWatch(connection, planId, '1')).toBe(1);
-    const lines = written.stdout.trimEnd().split('\n');
-    expect(written.stderr).toBe('');
+    const lines = output.stdout.trimEnd().split('\n');
+    expect(output.stderr).toBe('');
     expect(lines.map((line) => JSON.parse(line) as object).slice(-2)).toMatchObject([
       { state: 'pending', isDone: false },
       { error: 'deadline-exceeded' },
@@ -232,12 +235,12 @@
   });
 
   it('prints the plan on confirm and its author in the history', async () => {
-    const { planId, digest } = await quietPlan();
+    const { planId, digest } = await planWithoutOutput();
     expect(await runConfirm(connection, planId, digest)).toBe(0);
-    expect(JSON.parse(written.stdout)).toMatchObject({ planId, state: 'confirmed' });
-    written.stdout = '';
+    expect(JSON.parse(output.stdout)).toMatchObject({ planId, state: 'confirmed' });
+    output.stdout = '';
     expect(await runGet(connection, 'history')).toBe(0);
-    expect((JSON.parse(written.stdout) as unknown[]).at(-1)).toMatchObject({
+    expect((JSON.parse(output.stdout) as unknown[]).at(-1)).toMatchObject({
       planId,
       author: 'ann',
       summary: 'withdraw availability zone zone-a',
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -35,9 +35,9 @@
 
 const SEED_LIMIT = 2 ** 31;
 /** The longest time that operator calls in progress can delay the end of a shutdown. */
-const OPERATOR_CLOSE_MS = 1_000;
+const OPERATOR_CLOSE_TIMEOUT_MS = 1_000;
 /** The time to write final answers before connections are closed. */
-const LAST_ANSWERS_MS = 200;
+const FINAL_ANSWERS_MS = 200;
 const PLAN_SUFFIX_BYTES = 6;
 
 /** The ports a daemon listens on. */
@@ -69,7 +69,7 @@
   constructor(settings: Settings) {
     this.#settings = settings;
     const { platform, instanceId, roles, entry } = settings;
-    const own = this.#disposables;
+    const disposables = this.#disposables;
     const clock = systemClock;
     const random = new SeededRandom(randomInt(SEED_LIMIT));
     const log = new ConsolaLog(settings.log.format, { instance: instanceId });
@@ -80,37 +80,39 @@
       random,
     );
     const { callTimeoutMs, tableConnectionCount } = platform;
-    const httpTable = own.add(
+    const httpTable = disposables.add(
       new HttpTableService(platform.tableOrigin, callTimeoutMs, tableConnectionCount),
     );
     const table = new TracedTableService(httpTable, tracing);
-    const list = own.add(new HttpInstanceList(platform.instanceListOrigin, callTimeoutMs));
-    const directory = own.add(
-      new InstanceListReader(list, metrics, platform.instanceListIntervalMs),
+    const instanceList = disposables.add(
+      new HttpInstanceList(platform.instanceListOrigin, callTimeoutMs),
     );
-    const configuration = own.add(
+    const directory = disposables.add(
+      new InstanceListReader(instanceList, metrics, platform.instanceListIntervalMs),
+    );
+    const configuration = disposables.add(
       new ConfigurationReader(table, clock, log, metrics, platform.configurationIntervalMs),
     );
-    this.#peers = own.add(
+    this.#peers = disposables.add(
       new PeerService(settings, configuration, directory, clock, metrics, tracing),
     );
     let latencies: LatencySampleSource | undefined;
     if (roles.includes(Role.Entry)) {
       const { configurationIntervalMs } = platform;
-      const routing = own.add(
+      const routing = disposables.add(
         new RoutingReader(table, configuration, directory, metrics, configurationIntervalMs),
       );
-      const connections = own.add(new BackendConnections(entry, metrics));
+      const connections = disposables.add(new BackendConnections(entry, metrics));
       const chooser = new LatencyWeightedOfTwo(random);
       const admission = new Admission<Journey>(entry, chooser, random);
       latencies = admission.latencyWindows;
-      const claims = own.add(new ClaimKeeper(table, clock, metrics, entry));
-      own.add(
+      const claims = disposables.add(new ClaimKeeper(table, clock, metrics, entry));
+      disposables.add(
         new ClaimSweeper(table, metrics, entry.claimLifetimeMs, Date.now, randomInt(SEED_LIMIT)),
       );
       const entries = this.#peers;
       const services = { routing, admission, connections, claims, configuration, entries };
-      const handler = own.add(
+      const handler = disposables.add(
         new RequestHandler({ ...services, clock, metrics, tracing, wallNowMs: Date.now }, entry),
       );
       this.#handler = handler;
@@ -118,9 +120,11 @@
     }
     if (roles.includes(Role.Scheduler)) {
       const services = { table, configuration, directory, clock, log, metrics, tracing };
-      own.add(new CellTasks(services, settings, `${instanceId}#${randomUUID()}`, latencies));
+      disposables.add(
+        new CellTasks(services, settings, `${instanceId}#${randomUUID()}`, latencies),
+      );
     }
-    const plans = own.add(
+    const plans = disposables.add(
       new PlanService(
         {
           table,
@@ -139,10 +143,12 @@
     );
     if (roles.includes(Role.Operator)) {
       const sweep = new PlanSweep(table, metrics, settings.operator.planRetentionMs);
-      own.add(new PlanSweeper(sweep, Date.now));
+      disposables.add(new PlanSweeper(sweep, Date.now));
     }
     // This daemon learns of the accepted version first and then announces it to its peers.
-    own.add(plans.onDidAccept(({ acceptedVersion }) => configuration.refresh(acceptedVersion)));
+    disposables.add(
+      plans.onDidAccept(({ acceptedVersion }) => configuration.refresh(acceptedVersion)),
+    );
     this.#operatorServer = new OperatorServer(
       {
         plans,
@@ -196,7 +202,7 @@
     const timer = new AbortController();
     const { signal } = timer;
     const timeout = delay(this.#settings.entry.drainTimeoutMs, undefined, { signal }).then(
-      () => this.#endAll(),
+      () => this.#giveUpRemaining(),
       () => {},
     );
     await this.#callerServer?.close();
@@ -205,15 +211,15 @@
     await this.#handler?.settle();
     const cutOffCount = this.#handler?.underWayCount ?? 0;
     if (cutOffCount > 0) this.#log.error('cut-off-at-shutdown', { cutOffCount });
-    await Promise.race([this.#operatorServer.close(), delay(OPERATOR_CLOSE_MS)]);
+    await Promise.race([this.#operatorServer.close(), delay(OPERATOR_CLOSE_TIMEOUT_MS)]);
     this.#disposables.dispose();
     this.#log.info('drained');
   }
 
   /** Answers all remaining requests and then closes all connections. */
-  async #endAll(): Promise<void> {
+  async #giveUpRemaining(): Promise<void> {
     this.#handler?.giveUpAll();
-    await delay(LAST_ANSWERS_MS);
+    await delay(FINAL_ANSWERS_MS);
     this.#callerServer?.closeAllConnections();
   }
 }
--- a/src/daemon/node/youngGeneration.ts
+++ b/src/daemon/node/youngGeneration.ts
@@ -8,19 +8,19 @@
 import type { Disposable } from '../../base/common/lifecycle.js';
 import { PeriodicTimer } from '../../base/node/periodicTimer.js';
 
-const LOOK_INTERVAL_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 /** Processor time per check interval that an idle daemon stays below, except at its start. */
-const BUSY_MS = 300;
+const BUSY_THRESHOLD_MS = 300;
 /** Checks to ignore, as loading modules and taking over cells makes a starting daemon busy. */
-const STARTING_LOOK_COUNT = 5;
-const WIDE_BYTES = 2 ** 23;
+const STARTUP_CHECK_COUNT = 5;
+const GROWN_BYTES = 2 ** 23;
 const MICROSECONDS_PER_MS = 1_000;
 /** Numbers in one of the arrays that are kept alive until the generation has grown. */
 const SURVIVOR_LENGTH = 1_000;
 /** Limits the survivors to 16 MB if the generation does not grow. */
 const MAXIMUM_SURVIVOR_COUNT = 2_000;
 
-const youngBytes = (): number =>
+const youngGenerationBytes = (): number =>
   getHeapSpaceStatistics().find((space) => space.space_name === 'new_space')?.space_size ?? 0;
 
 /**
@@ -28,16 +28,16 @@
  * alive. Afterwards the growth factor is 1 again, so that the generation keeps its new size.
  * `memoryFlags.ts` explains why the generation must not grow without a limit.
  */
-const widen = (): void => {
+const growYoungGeneration = (): void => {
   setFlagsFromString('--semi-space-growth-factor=2');
   const survivors: number[][] = [];
-  while (youngBytes() < WIDE_BYTES && survivors.length < MAXIMUM_SURVIVOR_COUNT) {
+  while (youngGenerationBytes() < GROWN_BYTES && survivors.length < MAXIMUM_SURVIVOR_COUNT) {
     survivors.push(Array.from({ length: SURVIVOR_LENGTH }, () => 0));
   }
   setFlagsFromString('--semi-space-growth-factor=1');
 };
 
-const usedMs = (): number => {
+const processorTimeMs = (): number => {
   const { user, system } = process.cpuUsage();
   return (user + system) / MICROSECONDS_PER_MS;
 };
@@ -45,25 +45,25 @@
 export class YoungGeneration implements Disposable {
   readonly #timer: PeriodicTimer;
 
-  #lookCount = 0;
+  #checkCount = 0;
 
-  #usedMs = usedMs();
+  #lastProcessorTimeMs = processorTimeMs();
 
   constructor() {
-    this.#timer = new PeriodicTimer(LOOK_INTERVAL_MS, () => this.#look());
+    this.#timer = new PeriodicTimer(CHECK_INTERVAL_MS, () => this.#check());
   }
 
   dispose(): void {
     this.#timer.dispose();
   }
 
-  #look(): void {
-    const nowUsedMs = usedMs();
-    const isBusy = nowUsedMs - this.#usedMs > BUSY_MS;
-    this.#usedMs = nowUsedMs;
-    this.#lookCount += 1;
-    if (!isBusy || this.#lookCount <= STARTING_LOOK_COUNT) return;
-    widen();
+  #check(): void {
+    const currentProcessorTimeMs = processorTimeMs();
+    const isBusy = currentProcessorTimeMs - this.#lastProcessorTimeMs > BUSY_THRESHOLD_MS;
+    this.#lastProcessorTimeMs = currentProcessorTimeMs;
+    this.#checkCount += 1;
+    if (!isBusy || this.#checkCount <= STARTUP_CHECK_COUNT) return;
+    growYoungGeneration();
     this.dispose();
   }
 }
--- a/src/daemon/test/cutOffFromTable.test.ts
+++ b/src/daemon/test/cutOffFromTable.test.ts
@@ -17,10 +17,10 @@
 });
 
 /** Polls until the condition holds. The timeout of the test limits the wait. */
-const until = async (isReached: () => Promise<boolean>): Promise<void> => {
+const waitUntil = async (isReached: () => Promise<boolean>): Promise<void> => {
   if (await isReached()) return;
   await delay(POLL_MS);
-  await until(isReached);
+  await waitUntil(isReached);
 };
 
 const start = async (): Promise<DaemonHarness> => {
@@ -46,7 +46,10 @@
 };
 
 /** Sends the daemon a peer heartbeat that announces a configuration version. */
-const hint = async (daemon: DaemonHarness, configurationVersion: number): Promise<void> => {
+const announceVersion = async (
+  daemon: DaemonHarness,
+  configurationVersion: number,
+): Promise<void> => {
   const socket = connect(daemon.peersPort, '127.0.0.1');
   cleanups.push(() => socket.destroy());
   const params = { instanceId: 'peer', configurationVersion, isLeaving: false };
@@ -64,19 +67,22 @@
     'reports the outage and continues to route requests',
     async () => {
       const daemon = await start();
-      await until(async () => (await daemon.metric(IS_CONFIRMED)) === 1);
+      await waitUntil(async () => (await daemon.metric(IS_CONFIRMED)) === 1);
       await daemon.setPlatformDown(true);
-      await until(async () => (await daemon.metric(IS_CONFIRMED)) === 0);
+      await waitUntil(async () => (await daemon.metric(IS_CONFIRMED)) === 0);
       expect(await readiness(daemon)).toMatchObject({
         statusCode: 200,
         configuration: { isConfirmed: false, isBehind: false },
       });
       expect(await statusOfRequest(daemon)).toBe(200);
       await daemon.setPlatformDown(false);
-      await until(async () => daemon.events.includes('configuration-confirmed-again'));
+      await waitUntil(async () => daemon.events.includes('configuration-confirmed-again'));
       expect(await daemon.metric(IS_CONFIRMED)).toBe(1);
-      const told = daemon.events.filter((event) => event.startsWith('configuration-c'));
-      expect(told).toEqual(['configuration-cannot-be-learnt', 'configuration-confirmed-again']);
+      const outageEvents = daemon.events.filter((event) => event.startsWith('configuration-c'));
+      expect(outageEvents).toEqual([
+        'configuration-cannot-be-learnt',
+        'configuration-confirmed-again',
+      ]);
     },
     TEST_TIMEOUT_MS,
   );
@@ -90,15 +96,15 @@
       const daemon = await start();
       expect(await daemon.isReady()).toBe(true);
       await daemon.setPlatformDown(true);
-      await hint(daemon, 99);
-      await until(async () => !(await daemon.isReady()));
+      await announceVersion(daemon, 99);
+      await waitUntil(async () => !(await daemon.isReady()));
       expect(await readiness(daemon)).toMatchObject({
         statusCode: 503,
         configuration: { isBehind: true },
       });
       expect(await statusOfRequest(daemon)).toBe(200);
       await daemon.setPlatformDown(false);
-      await until(() => daemon.isReady());
+      await waitUntil(() => daemon.isReady());
     },
     TEST_TIMEOUT_MS,
   );
--- a/src/daemon/test/daemonHarness.ts
+++ b/src/daemon/test/daemonHarness.ts
@@ -24,12 +24,12 @@
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000_000, acceleratorCount: 0 };
 
 /** A backend server and its availability zone. */
-export interface Placed {
+export interface BackendPlacement {
   readonly zone: string;
   readonly port: number;
 }
 
-const toWorker = ({ zone, port }: Placed): WorkerInstance => ({
+const toWorker = ({ zone, port }: BackendPlacement): WorkerInstance => ({
   kind: 'worker',
   id: `w${port}`,
   availabilityZone: zone,
@@ -65,7 +65,7 @@
   #version = 0;
 
   /** Writes rows in the same way as an accepted plan. */
-  accept(rows: Readonly<Record<string, JsonValue>>): void {
+  acceptChange(rows: Readonly<Record<string, JsonValue>>): void {
     this.#version += 1;
     const version = this.#version;
     const change = { version, planId: `p${version}`, author: 'ann', summary: 'test' };
@@ -78,11 +78,14 @@
   }
 
   setZone(name: string, state: 'in-use' | 'withdrawn'): void {
-    this.accept({ [zoneKey(name)]: { name, region: 'r', state } });
+    this.acceptChange({ [zoneKey(name)]: { name, region: 'r', state } });
   }
 
   /** Starts the daemon with the service `s` on the given servers. */
-  async start(servers: readonly Placed[], entry: SettingsInput['entry'] = {}): Promise<void> {
+  async start(
+    servers: readonly BackendPlacement[],
+    entry: SettingsInput['entry'] = {},
+  ): Promise<void> {
     const origin = `http://${HOST}:${await this.platform.listen()}`;
     this.#platformOrigin = origin;
     const workers = servers.map(toWorker);
@@ -92,7 +95,7 @@
       body: JSON.stringify({ instances: workers }),
     });
     const service = { name: 's', team: 't', replicaCount: 1, size: SIZE, urgency: 'urgent' };
-    this.accept({ [serviceKey('s')]: service });
+    this.acceptChange({ [serviceKey('s')]: service });
     workers.forEach(({ id, availabilityZone: zone }) => {
       this.setZone(zone, 'in-use');
       this.#write({
--- a/src/daemon/test/gracefulShutdown.test.ts
+++ b/src/daemon/test/gracefulShutdown.test.ts
@@ -28,14 +28,14 @@
   return daemon;
 };
 
-interface Got {
+interface Answer {
   readonly statusCode: number;
   readonly text: string;
   readonly connection: string;
   readonly outcome: string;
 }
 
-const call = async (daemon: DaemonHarness, path: string, agent?: Agent): Promise<Got> => {
+const call = async (daemon: DaemonHarness, path: string, agent?: Agent): Promise<Answer> => {
   const { statusCode, headers, body } = await request(`${daemon.callerOrigin}/services/s${path}`, {
     ...(agent === undefined ? {} : { dispatcher: agent }),
   });
@@ -48,10 +48,10 @@
  * Retries after each "not run" refusal, as a caller may. Such refusals occur because the slow
  * requests of a test can fill the only server that remains.
  */
-const callUntilServed = async (daemon: DaemonHarness, path: string): Promise<Got> => {
-  const got = await call(daemon, path);
-  const isRefused = got.statusCode === 503 && got.outcome === 'not-run';
-  return isRefused ? callUntilServed(daemon, path) : got;
+const callUntilServed = async (daemon: DaemonHarness, path: string): Promise<Answer> => {
+  const answer = await call(daemon, path);
+  const isRefused = answer.statusCode === 503 && answer.outcome === 'not-run';
+  return isRefused ? callUntilServed(daemon, path) : answer;
 };
 
 describe('a daemon that receives SIGTERM', () => {
@@ -71,7 +71,7 @@
     daemon.kill('SIGTERM');
     await expect.poll(() => daemon.isReady(), { timeout: 4_000 }).toBe(false);
     daemon.kill('SIGTERM');
-    const late: Got[] = [];
+    const late: Answer[] = [];
     for (let index = 0; index < 10; index += 1) {
       // eslint-disable-next-line no-await-in-loop -- one after the other
       late.push(await call(daemon, `/late/${index}`, index % 2 === 0 ? agent : new Agent()));
@@ -94,10 +94,10 @@
     sender.on('error', () => {});
     cleanups.push(() => sender.destroy());
     sender.write('POST /services/s/a HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nhalf');
-    const never = call(daemon, '/never');
+    const unanswered = call(daemon, '/never');
     await delay(200);
     daemon.kill('SIGTERM');
-    expect((await never).outcome).toBe('unknown');
+    expect((await unanswered).outcome).toBe('unknown');
     expect(await daemon.exitCode).toBe(0);
   });
 });
@@ -111,28 +111,28 @@
       const delayMs = head.includes('/slow') ? 4_000 : 0;
       setTimeout(() => socket.write(wholeAnswer('whole')), delayMs);
     };
-    const [stays, leaves] = [new RawBackend(answer), new RawBackend(answer)];
+    const [stayingServer, withdrawnServer] = [new RawBackend(answer), new RawBackend(answer)];
     const daemon = new DaemonHarness();
     cleanups.push(
-      () => stays.close(),
-      () => leaves.close(),
+      () => stayingServer.close(),
+      () => withdrawnServer.close(),
       () => daemon.dispose(),
     );
     await daemon.start([
-      { zone: 'zone-a', port: await stays.listen() },
-      { zone: 'zone-b', port: await leaves.listen() },
+      { zone: 'zone-a', port: await stayingServer.listen() },
+      { zone: 'zone-b', port: await withdrawnServer.listen() },
     ]);
-    const sendSome = async (): Promise<void> => {
+    const sendRequests = async (): Promise<void> => {
       for (let index = 0; index < 40; index += 1) {
         // eslint-disable-next-line no-await-in-loop -- one after the other
         expect((await callUntilServed(daemon, '/a')).statusCode).toBe(200);
       }
     };
-    const until = async (isTrue: () => boolean): Promise<void> => {
+    const sendUntil = async (isReached: () => boolean): Promise<void> => {
       // eslint-disable-next-line no-await-in-loop -- the timeout of the test limits the wait
-      while (!isTrue()) await sendSome();
+      while (!isReached()) await sendRequests();
     };
-    await until(() => leaves.requests.length > 0);
+    await sendUntil(() => withdrawnServer.requests.length > 0);
     const headers = { 'snipethread-idempotent': 'false', 'snipethread-timeout-ms': '9000' };
     const sendSlow = async (): Promise<readonly [number, string]> => {
       const url = `${daemon.callerOrigin}/services/s/slow`;
@@ -144,18 +144,18 @@
     const slow: Promise<readonly [number, string]>[] = [];
     await expect
       .poll(() => {
-        const isThere = leaves.requests.some((head) => head.includes('/slow'));
-        if (!isThere) slow.push(sendSlow());
-        return isThere;
+        const hasArrived = withdrawnServer.requests.some((head) => head.includes('/slow'));
+        if (!hasArrived) slow.push(sendSlow());
+        return hasArrived;
       })
       .toBe(true);
     daemon.setZone('zone-b', 'withdrawn');
     await delay(3_000);
-    const countAtBound = leaves.requests.length;
-    await sendSome();
-    expect(leaves.requests.length).toBe(countAtBound);
+    const countAtBound = withdrawnServer.requests.length;
+    await sendRequests();
+    expect(withdrawnServer.requests.length).toBe(countAtBound);
     expect(await Promise.all(slow)).toEqual(Array(slow.length).fill([200, 'whole']));
     daemon.setZone('zone-b', 'in-use');
-    await until(() => leaves.requests.length > countAtBound);
+    await sendUntil(() => withdrawnServer.requests.length > countAtBound);
   });
 });
--- a/src/daemon/test/programs.test.ts
+++ b/src/daemon/test/programs.test.ts
@@ -13,7 +13,7 @@
 const DAEMON = 'src/daemon/node/snipethreadd.js';
 const TOOL = 'src/cli/node/snipethread.js';
 /** The discard port, on which nothing listens. It makes the platform unreachable. */
-const UNREACHABLE = 'http://127.0.0.1:9';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:9';
 
 const listen = { host: '127.0.0.1' };
 const validSettings = {
@@ -22,9 +22,9 @@
   availabilityZone: 'zone-a',
   listen: { callers: listen, operators: listen, peers: listen },
   platform: {
-    tableOrigin: UNREACHABLE,
-    objectStoreOrigin: UNREACHABLE,
-    instanceListOrigin: UNREACHABLE,
+    tableOrigin: UNREACHABLE_ORIGIN,
+    objectStoreOrigin: UNREACHABLE_ORIGIN,
+    instanceListOrigin: UNREACHABLE_ORIGIN,
   },
   entry: { drainDelayMs: 0 },
 };
@@ -35,7 +35,7 @@
   scheduler: { workerLeaseMs: 'long' },
 };
 
-interface Ended {
+interface ProcessResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
@@ -45,11 +45,11 @@
   script: string,
   args: readonly string[],
   nodeArgs: readonly string[] = [],
-): Promise<Ended> =>
+): Promise<ProcessResult> =>
   new Promise((resolve) => {
     const options = { timeout: HANG_TIMEOUT_MS };
-    const all = [...nodeArgs, `dist/${script}`, ...args];
-    execFile(process.execPath, all, options, (error, stdout, stderr) => {
+    const allArgs = [...nodeArgs, `dist/${script}`, ...args];
+    execFile(process.execPath, allArgs, options, (error, stdout, stderr) => {
       resolve({ exitCode: error === null ? 0 : Number(error.code), stdout, stderr });
     });
   });
@@ -100,10 +100,10 @@
 
 describe('exit codes', () => {
   it('are 2 for snipethreadd with bad settings, with one line for each error', async () => {
-    const ended = await run(DAEMON, ['--settings', fileOf('faulty.json')]);
-    expect(ended.exitCode).toBe(2);
-    expect(ended.stdout).toBe('');
-    const paths = ended.stderr
+    const result = await run(DAEMON, ['--settings', fileOf('faulty.json')]);
+    expect(result.exitCode).toBe(2);
+    expect(result.stdout).toBe('');
+    const paths = result.stderr
       .trim()
       .split('\n')
       .map((line) => line.split(':')[0]);
--- a/standIns/chaos/chaos.ts
+++ b/standIns/chaos/chaos.ts
@@ -16,7 +16,7 @@
 import { type DaemonProcess, startDaemon } from '../demo/daemonProcess.js';
 import { call, HOST, startPlatform, startWorkers, ZONES } from '../demo/platformProcesses.js';
 import { Relays } from '../relay/relays.js';
-import { findHarm, type Verdict } from '../workers/judge.js';
+import { findInvariantViolations, type Verdict } from '../workers/judge.js';
 import { judgeRequests } from './requestJudge.js';
 
 const SERVICE = 'rounds';
@@ -33,7 +33,7 @@
 });
 const random = new SeededRandom(Number(values.seed));
 
-const say = (line: Readonly<Record<string, unknown>>): void => {
+const printLine = (line: Readonly<Record<string, unknown>>): void => {
   process.stdout.write(`${JSON.stringify(line)}\n`);
 };
 
@@ -46,7 +46,7 @@
 
   readonly relays = new Relays();
 
-  readonly departures = new Map<string, number>();
+  readonly shutdownStartsMs = new Map<string, number>();
 
   readonly #children: ChildProcesses;
 
@@ -73,18 +73,21 @@
     this.#platformOrigin = await startPlatform(this.#children, values.seed);
     const { judgeOrigin, instances } = await startWorkers(this.#children);
     this.#judgeOrigin = judgeOrigin;
-    this.#workers = await Promise.all(instances.map((worker) => this.#relayed(worker)));
+    this.#workers = await Promise.all(instances.map((worker) => this.#withRelays(worker)));
     await Promise.all(ZONES.map((zone) => this.#startDaemon(zone)));
     await ZONES.reduce(async (before, zone) => {
       await before;
-      await this.operate({ intent: 'use-zone', zone, region: 'r' });
+      await this.planAndConfirm({ intent: 'use-zone', zone, region: 'r' });
     }, Promise.resolve());
     const service = { name: SERVICE, team: 'kitchen', replicaCount: 6, size: SIZE };
-    await this.operate({ intent: 'create-service', service: { ...service, urgency: 'urgent' } });
+    await this.planAndConfirm({
+      intent: 'create-service',
+      service: { ...service, urgency: 'urgent' },
+    });
   }
 
   /** Plans and confirms an intent at a random daemon. Returns false on a refusal or no answer. */
-  async operate(intent: Readonly<Record<string, unknown>>): Promise<boolean> {
+  async planAndConfirm(intent: Readonly<Record<string, unknown>>): Promise<boolean> {
     const daemon = this.#daemons[random.nextIndex(this.#daemons.length)];
     if (daemon === undefined) return false;
     try {
@@ -102,7 +105,7 @@
     const submissionKey = `job-${index}`;
     const workMs = 200 + random.nextIndex(4_000);
     const job = { team: 'kitchen', submissionKey, taskCount: 20, size: SIZE, workMs };
-    const isAccepted = await this.operate({ intent: 'submit-job', ...job });
+    const isAccepted = await this.planAndConfirm({ intent: 'submit-job', ...job });
     if (isAccepted) this.acceptedJobIds.push(`kitchen.${submissionKey}`);
   }
 
@@ -113,7 +116,7 @@
   async setZone(zone: string, isWithdrawn: boolean): Promise<void> {
     const use = { intent: 'use-zone', zone, region: 'r' };
     if (!isWithdrawn) await call(`${this.#judgeOrigin}/mark`, { zone, isWithdrawn });
-    const isDone = await this.operate(isWithdrawn ? { intent: 'withdraw-zone', zone } : use);
+    const isDone = await this.planAndConfirm(isWithdrawn ? { intent: 'withdraw-zone', zone } : use);
     if (isWithdrawn && isDone) await call(`${this.#judgeOrigin}/mark`, { zone, isWithdrawn });
   }
 
@@ -124,7 +127,7 @@
   async replace(index: number, isGraceful: boolean): Promise<void> {
     const daemon = this.#daemons[index % this.#daemons.length];
     if (daemon === undefined || this.#daemons.length < 2) return;
-    if (isGraceful) this.departures.set(daemon.callerOrigin, performance.now());
+    if (isGraceful) this.shutdownStartsMs.set(daemon.callerOrigin, performance.now());
     daemon.child.kill(isGraceful ? 'SIGTERM' : 'SIGKILL');
     this.#daemons = this.#daemons.filter((other) => other !== daemon);
     await delay(random.nextIndex(2_000));
@@ -139,14 +142,14 @@
   }
 
   /** Gets records of the judge that observes the workers. */
-  async recorded<Records>(path: string): Promise<Records> {
+  async judgeRecords<Records>(path: string): Promise<Records> {
     return (await call(`${this.#judgeOrigin}/${path}`)).answer as Records;
   }
 
   /** Returns the accepted jobs that have not ended, each with the answer that an operator gets. */
   async openJobs(): Promise<readonly string[]> {
     const [daemon] = this.#daemons;
-    const told = this.acceptedJobIds.map(async (jobId) => {
+    const statuses = this.acceptedJobIds.map(async (jobId) => {
       if (daemon === undefined) return jobId;
       const { answer } = await call(`${operatorOrigin(daemon)}/v1/jobs/${jobId}`).catch(
         (error: unknown) => ({ answer: String(error) }),
@@ -154,17 +157,17 @@
       const isEnded = (answer as { isEnded?: boolean }).isEnded === true;
       return isEnded ? undefined : `${jobId} ${JSON.stringify(answer)}`;
     });
-    return (await Promise.all(told)).filter((job) => job !== undefined);
+    return (await Promise.all(statuses)).filter((job) => job !== undefined);
   }
 
-  readonly #through = (address: InstanceAddress) => this.relays.through(address);
+  readonly #relayTo = (address: InstanceAddress) => this.relays.relayTo(address);
 
-  async #relayed(worker: WorkerInstance): Promise<WorkerInstance> {
-    const controlAddress = await this.#through(worker.controlAddress);
+  async #withRelays(worker: WorkerInstance): Promise<WorkerInstance> {
+    const controlAddress = await this.#relayTo(worker.controlAddress);
     return {
       ...worker,
       controlAddress,
-      backendAddress: await this.#through(worker.backendAddress),
+      backendAddress: await this.#relayTo(worker.backendAddress),
     };
   }
 
@@ -173,9 +176,9 @@
     const id = `entry-${this.#daemonCount}`;
     const origin = this.#platformOrigin;
     const platform = { host: HOST, port: Number(new URL(origin).port) };
-    const relayOrigin = toOrigin(await this.#through(platform));
+    const relayOrigin = toOrigin(await this.#relayTo(platform));
     const daemon = await startDaemon(this.#children, this.#folder, id, zone, relayOrigin);
-    const peerAddress = await this.#through(daemon.instance.peerAddress);
+    const peerAddress = await this.#relayTo(daemon.instance.peerAddress);
     this.#daemons.push({ ...daemon, instance: { ...daemon.instance, peerAddress } });
     const instances = [...this.#workers, ...this.#daemons.map(({ instance }) => instance)];
     await call(`${origin}/control/instances`, { instances });
@@ -196,7 +199,8 @@
   kill: (system) => system.replace(random.nextIndex(3), false),
   shutDown: (system) => system.replace(random.nextIndex(3), true),
   pause: (system) => system.pause(random.nextIndex(3), 300 + random.nextIndex(5_000)),
-  silence: async ({ relays }) => say({ silencedConnections: relays.silenceSome(random) }),
+  silence: async ({ relays }) =>
+    printLine({ silencedConnections: relays.silenceRandomRelays(random) }),
   tableDown: platformFault({ isDown: true }),
   tableSlow: platformFault({ delayMs: 300 }),
   answersLost: platformFault({ lostAnswerRatio: 0.4 }),
@@ -209,19 +213,19 @@
 };
 
 /** Finds violations that users would see, from the records of the stand-ins and the callers. */
-const judge = async (system: ChaosSystem, caller: Caller): Promise<readonly string[]> => {
-  const verdict = await system.recorded<Verdict>('verdict');
-  const runs = await system.recorded<Readonly<Record<string, number>>>('runs');
+const findViolations = async (system: ChaosSystem, caller: Caller): Promise<readonly string[]> => {
+  const verdict = await system.judgeRecords<Verdict>('verdict');
+  const runs = await system.judgeRecords<Readonly<Record<string, number>>>('runs');
   const checks: readonly [string, string][] = [
     ...judgeRequests(
       caller.told,
       (path) => runs[path] ?? 0,
-      (origin) => system.departures.get(origin),
+      (origin) => system.shutdownStartsMs.get(origin),
     ),
     ['accepted jobs that did not end', (await system.openJobs()).join(' ')],
   ];
   const found = checks.filter(([, what]) => what !== '');
-  return [...findHarm(verdict), ...found.map(([name, what]) => `${name}: ${what}`)];
+  return [...findInvariantViolations(verdict), ...found.map(([name, what]) => `${name}: ${what}`)];
 };
 
 const run = async (system: ChaosSystem): Promise<boolean> => {
@@ -230,33 +234,33 @@
   const durationMs = Number(values.minutes) * MINUTE_MS;
   const calls = caller.run((durationMs * REQUESTS_PER_SECOND) / 1_000, durationMs);
   const endMs = performance.now() + durationMs;
-  const pending: Promise<unknown>[] = [];
+  const runningFaults: Promise<unknown>[] = [];
   const names = Object.keys(FAULTS);
   for (let index = 0; performance.now() < endMs; index += 1) {
     // Each run begins with a silence fault, so that even the shortest run has one.
     const name = (index > 0 && names[random.nextIndex(names.length)]) || 'silence';
     system.faultCounts.set(name, (system.faultCounts.get(name) ?? 0) + 1);
-    say({ fault: name, index });
+    printLine({ fault: name, index });
     // Faults overlap: the loop does not wait for a fault to end.
-    pending.push(FAULTS[name]?.(system) ?? Promise.resolve(), system.submit(index));
+    runningFaults.push(FAULTS[name]?.(system) ?? Promise.resolve(), system.submit(index));
     // eslint-disable-next-line no-await-in-loop
     await delay(1_000 + random.nextIndex(2_500));
   }
-  await Promise.all(pending);
+  await Promise.all(runningFaults);
   await system.setPlatformFaults({});
   const quietEndMs = performance.now() + QUIET_LIMIT_MS;
   // eslint-disable-next-line no-await-in-loop -- polls until all jobs have ended
   while (performance.now() < quietEndMs && (await system.openJobs()).length > 0) await delay(500);
   await calls;
-  const findings = await judge(system, caller);
+  const findings = await findViolations(system, caller);
   system.relays.close();
-  say({
+  printLine({
     ok: findings.length === 0,
     seed: Number(values.seed),
     faults: Object.fromEntries(system.faultCounts),
     requests: caller.report,
     acceptedJobs: system.acceptedJobIds.length,
-    completedTasks: (await system.recorded<Verdict>('verdict')).completedBatchCount,
+    completedTasks: (await system.judgeRecords<Verdict>('verdict')).completedBatchCount,
     findings,
   });
   return findings.length === 0;
--- a/standIns/chaos/requestJudge.ts
+++ b/standIns/chaos/requestJudge.ts
@@ -1,14 +1,14 @@
 /** Finds violations in the answers that callers got, compared with the runs on the servers. */
-import type { ToldOutcome } from '../demo/caller.js';
+import type { RequestOutcome } from '../demo/caller.js';
 
 /** Returns each check with the paths of the requests that violate it, or an empty text if none do. */
 export const judgeRequests = (
-  told: readonly ToldOutcome[],
+  outcomes: readonly RequestOutcome[],
   runCount: (path: string) => number,
-  departedAtMs: (origin: string) => number | undefined,
+  shutdownStartedAtMs: (origin: string) => number | undefined,
 ): readonly [string, string][] => {
-  const find = (name: string, isFound: (told: ToldOutcome) => boolean): [string, string] => {
-    const found = told.filter(isFound);
+  const find = (name: string, isFound: (request: RequestOutcome) => boolean): [string, string] => {
+    const found = outcomes.filter(isFound);
     return [name, found.map(({ path }) => path).join(' ')];
   };
   return [
@@ -24,7 +24,7 @@
     find(
       'cut off by a graceful shutdown',
       ({ outcome, origin, startedAtMs }) =>
-        outcome === 'cut' && startedAtMs < (departedAtMs(origin) ?? 0),
+        outcome === 'cut' && startedAtMs < (shutdownStartedAtMs(origin) ?? 0),
     ),
   ];
 };
--- a/standIns/chaos/test/chaos.test.ts
+++ b/standIns/chaos/test/chaos.test.ts
@@ -19,9 +19,9 @@
       // A run with findings exits with code 1 and prints them in its last line.
       const { stdout } = await run.catch((error: { readonly stdout: string }) => error);
       const lines = stdout.trim().split('\n');
-      const told = lines.map((line) => JSON.parse(line) as { silencedConnections?: number });
-      expect(told.some(({ silencedConnections = 0 }) => silencedConnections > 0)).toBe(true);
-      expect(told.at(-1)).toMatchObject({ ok: true, findings: [] });
+      const records = lines.map((line) => JSON.parse(line) as { silencedConnections?: number });
+      expect(records.some(({ silencedConnections = 0 }) => silencedConnections > 0)).toBe(true);
+      expect(records.at(-1)).toMatchObject({ ok: true, findings: [] });
     },
     TIMEOUT_MS,
   );
--- a/standIns/demo/caller.ts
+++ b/standIns/demo/caller.ts
@@ -14,7 +14,7 @@
 }
 
 /** The outcome of one request as the caller sees it. */
-export interface ToldOutcome {
+export interface RequestOutcome {
   readonly path: string;
   readonly isIdempotent: boolean;
   readonly outcome: 'whole' | 'not-run' | 'unknown' | 'wrong' | 'cut' | 'not-connected';
@@ -28,7 +28,7 @@
 const MICROSECONDS_PER_MS = 1_000;
 
 export class Caller {
-  readonly told: ToldOutcome[] = [];
+  readonly told: RequestOutcome[] = [];
 
   readonly #latency: Histogram = build({ numberOfSignificantValueDigits: 2 });
 
@@ -47,7 +47,7 @@
   async run(count: number, durationMs: number): Promise<void> {
     const startedAtMs = systemClock.nowMs();
     let nextIndex = 0;
-    const lane = async (): Promise<void> => {
+    const sendInTurn = async (): Promise<void> => {
       while (nextIndex < count) {
         const index = nextIndex;
         nextIndex += 1;
@@ -59,7 +59,7 @@
         await this.#send(index);
       }
     };
-    await Promise.all(Array.from({ length: CALLER_CONCURRENCY }, lane));
+    await Promise.all(Array.from({ length: CALLER_CONCURRENCY }, sendInTurn));
     await this.#agent.close();
   }
 
@@ -68,7 +68,7 @@
   }
 
   get report(): CallerReport {
-    const count = (outcomes: readonly ToldOutcome['outcome'][]): number =>
+    const count = (outcomes: readonly RequestOutcome['outcome'][]): number =>
       this.told.filter(({ outcome }) => outcomes.includes(outcome)).length;
     return {
       whole: count(['whole']),
@@ -96,7 +96,7 @@
     origin: string,
     path: string,
     isIdempotent: boolean,
-  ): Promise<ToldOutcome['outcome']> {
+  ): Promise<RequestOutcome['outcome']> {
     try {
       const response = await request(`${origin}/services/${this.#serviceName}${path}`, {
         dispatcher: this.#agent,
--- a/standIns/demo/demo.ts
+++ b/standIns/demo/demo.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 
 import { systemClock } from '../../src/base/node/systemClock.js';
-import { findHarm, type Verdict } from '../workers/judge.js';
+import { findInvariantViolations, type Verdict } from '../workers/judge.js';
 import { Caller } from './caller.js';
 import { type ChildProcesses, runScript, runTool } from './childProcesses.js';
 import { type DaemonProcess, startDaemon } from './daemonProcess.js';
@@ -17,11 +17,11 @@
 const WITHDRAWN_FOR_MS = 5_000;
 const EXIT_HAS_CHANGES = 3;
 
-const say = (text: string): void => {
+const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
-const told = (counts: object): string =>
+const countsText = (counts: object): string =>
   Object.entries(counts)
     .map(([name, count]) => `${count} ${name}`)
     .join(', ');
@@ -41,15 +41,15 @@
       throw new Error(`the plan for ${JSON.stringify(intent)} failed: ${shown.output}`);
     }
     const plan = JSON.parse(shown.output) as Record<'planId' | 'digest' | 'summary', string>;
-    say(`  plan: ${plan.summary}`);
+    print(`  plan: ${plan.summary}`);
     const done = await runTool(['confirm', plan.planId, plan.digest], this.#environment);
     if (done.exitCode !== 0) throw new Error(`not confirmed: ${done.output}`);
-    say(`  ${done.output.trim()}`);
+    print(`  ${done.output.trim()}`);
   }
 
   async watch(jobId: string): Promise<boolean> {
     const result = await runTool(['watch', jobId, '--timeout-ms', '20000'], this.#environment);
-    say(`  job ${jobId}: ${result.output.trim().split('\n').at(-1) ?? ''}`);
+    print(`  job ${jobId}: ${result.output.trim().split('\n').at(-1) ?? ''}`);
     return result.exitCode === 0;
   }
 }
@@ -65,7 +65,7 @@
 
 const runDemo = async (children: ChildProcesses, folder: string): Promise<boolean> => {
   const startedAtMs = systemClock.nowMs();
-  say('starting the platform, the workers and three daemons');
+  print('starting the platform, the workers and three daemons');
   const origin = await startPlatform(children, '1');
   const { judgeOrigin, instances: workers } = await startWorkers(children);
   const daemons = await Promise.all(
@@ -76,13 +76,13 @@
   const [first] = daemons as [DaemonProcess, ...DaemonProcess[]];
   const operator = new DemoOperator(first.instance.operatorAddress.port);
 
-  say('bringing the availability zones into use');
+  print('bringing the availability zones into use');
   await ZONES.reduce(async (before, zone) => {
     await before;
     await operator.carryOut({ intent: 'use-zone', zone, region: 'demo' });
   }, Promise.resolve());
 
-  say('creating a service');
+  print('creating a service');
   const size = { processorMillis: 2_000, memoryBytes: 2 * GIBIBYTE, acceleratorCount: 0 };
   await operator.carryOut({
     intent: 'create-service',
@@ -90,7 +90,7 @@
   });
   await waitForAnswers(first.callerOrigin, 'rounds');
 
-  say('sending requests through all entries; submitting a batch job');
+  print('sending requests through all entries; submitting a batch job');
   const caller = new Caller(() => daemons.map(({ callerOrigin }) => callerOrigin), 'rounds');
   const calls = caller.run(REQUEST_COUNT, REQUEST_DURATION_MS);
   await operator.carryOut({
@@ -102,7 +102,7 @@
     workMs: 2_000,
   });
 
-  say('taking a zone out and bringing it back');
+  print('taking a zone out and bringing it back');
   await operator.carryOut({ intent: 'withdraw-zone', zone: 'zone-b' });
   await call(`${judgeOrigin}/mark`, { zone: 'zone-b', isWithdrawn: true });
   await delay(WITHDRAWN_FOR_MS);
@@ -112,7 +112,7 @@
   const [isJobDone] = await Promise.all([operator.watch('kitchen.weekly-plan'), calls]);
   const verdict = (await call(`${judgeOrigin}/verdict`)).answer as Verdict;
   const { report } = caller;
-  const findings = findHarm(verdict);
+  const findings = findInvariantViolations(verdict);
   if (report.wrongAnswers > 0) findings.push("another's answer");
   const tasks = {
     submitted: TASK_COUNT,
@@ -129,10 +129,10 @@
     findings,
     durationMs: Math.round(systemClock.nowMs() - startedAtMs),
   };
-  say(`\nrequests: ${told(report)}; latency in ms: ${told(summary.latencyMs)}`);
-  say(`tasks: ${told(tasks)}`);
-  say(`seen that must never be: ${findings.join('; ') || 'nothing'}`);
-  say(JSON.stringify(summary));
+  print(`\nrequests: ${countsText(report)}; latency in ms: ${countsText(summary.latencyMs)}`);
+  print(`tasks: ${countsText(tasks)}`);
+  print(`seen that must never be: ${findings.join('; ') || 'nothing'}`);
+  print(JSON.stringify(summary));
   return isOk;
 };
 
--- a/standIns/fleet/endRecords.ts
+++ b/standIns/fleet/endRecords.ts
@@ -1,6 +1,6 @@
 /** A task run that ended as done, and whether a scheduler has acknowledged the end. */
 export interface EndRecord {
-  readonly lifeKey: string;
+  readonly incarnationKey: string;
   readonly taskName: string;
   readonly endedAtMs: number;
   sequence: number | undefined;
@@ -15,28 +15,28 @@
   /** Ends that are not acknowledged yet, by worker incarnation. */
   readonly #open = new Map<string, EndRecord[]>();
 
-  noteDone(lifeKey: string, taskName: string, endedAtMs: number): void {
+  noteDone(incarnationKey: string, taskName: string, endedAtMs: number): void {
     const flags = { sequence: undefined, isAcknowledged: false, isLapsed: false };
-    const end = { lifeKey, taskName, endedAtMs, ...flags };
+    const end = { incarnationKey, taskName, endedAtMs, ...flags };
     this.#byTask.set(taskName, [...(this.#byTask.get(taskName) ?? []), end]);
-    this.#open.set(lifeKey, [...(this.#open.get(lifeKey) ?? []), end]);
+    this.#open.set(incarnationKey, [...(this.#open.get(incarnationKey) ?? []), end]);
   }
 
-  noteListed(lifeKey: string, sequence: number, taskName: string): void {
-    const end = this.#open.get(lifeKey)?.find((open) => open.taskName === taskName);
+  noteListed(incarnationKey: string, sequence: number, taskName: string): void {
+    const end = this.#open.get(incarnationKey)?.find((open) => open.taskName === taskName);
     if (end !== undefined) end.sequence = sequence;
   }
 
-  noteLeaseLapsed(lifeKey: string): void {
-    (this.#open.get(lifeKey) ?? []).forEach((end) => Object.assign(end, { isLapsed: true }));
+  noteLeaseLapsed(incarnationKey: string): void {
+    (this.#open.get(incarnationKey) ?? []).forEach((end) => Object.assign(end, { isLapsed: true }));
   }
 
   /** Acknowledges ends up to a sequence. Returns those whose lease has not lapsed. */
-  acknowledge(lifeKey: string, upTo: number): readonly EndRecord[] {
-    const open = this.#open.get(lifeKey) ?? [];
+  acknowledge(incarnationKey: string, upTo: number): readonly EndRecord[] {
+    const open = this.#open.get(incarnationKey) ?? [];
     const isReached = ({ sequence }: EndRecord): boolean => (sequence ?? Infinity) <= upTo;
     this.#open.set(
-      lifeKey,
+      incarnationKey,
       open.filter((end) => !isReached(end)),
     );
     const reached = open.filter((end) => isReached(end) && !end.isLapsed);
--- a/standIns/fleet/workerModel.ts
+++ b/standIns/fleet/workerModel.ts
@@ -91,7 +91,7 @@
   #finished: FinishedRun[] = [];
 
   /** The highest run number that the worker refuses to start, by task. */
-  readonly #barred = new Map<string, number>();
+  readonly #refusedUpTo = new Map<string, number>();
 
   readonly runs = new Map<string, ModelRun>();
 
@@ -121,7 +121,7 @@
     this.isUp = false;
     this.runs.clear();
     this.#finished = [];
-    this.#barred.clear();
+    this.#refusedUpTo.clear();
   }
 
   restart(nowMs: number): void {
@@ -148,10 +148,10 @@
 
   hold(request: HoldRequest, nowMs: number): HoldOutcome {
     this.advance(nowMs);
-    if (!this.#admits(request.fence)) return { kind: 'fenced' };
+    if (!this.#acceptsFence(request.fence)) return { kind: 'fenced' };
     this.#acknowledgedSequence = Math.max(this.#acknowledgedSequence, request.acknowledgedSequence);
     this.#forgetAcknowledged(nowMs);
-    if (request.leaseEndWorkerMs !== undefined) this.#extend(request.leaseEndWorkerMs, nowMs);
+    if (request.leaseEndWorkerMs !== undefined) this.#extendLease(request.leaseEndWorkerMs, nowMs);
     return { kind: 'held', answer: this.#answer(nowMs) };
   }
 
@@ -163,12 +163,13 @@
 
   start(request: StartRequest, nowMs: number): StartOutcome {
     this.advance(nowMs);
-    if (!this.#admits(request.fence)) return StartOutcome.Fenced;
-    const known = this.runs.get(request.taskName);
-    if (known?.run === request.run) return StartOutcome.Started;
+    if (!this.#acceptsFence(request.fence)) return StartOutcome.Fenced;
+    const runningRun = this.runs.get(request.taskName);
+    if (runningRun?.run === request.run) return StartOutcome.Started;
     if (request.leaseEndWorkerMs <= this.#clockMs(nowMs)) return StartOutcome.Late;
-    this.#extend(request.leaseEndWorkerMs, nowMs);
-    if (request.run <= (this.#barred.get(request.taskName) ?? 0)) return StartOutcome.Superseded;
+    this.#extendLease(request.leaseEndWorkerMs, nowMs);
+    if (request.run <= (this.#refusedUpTo.get(request.taskName) ?? 0))
+      return StartOutcome.Superseded;
     const { workMs, end, savesEachMs } = this.#options.taskOf(request.taskName);
     const resumedMs = savesEachMs === undefined ? 0 : Number(request.checkpoint);
     this.runs.set(request.taskName, {
@@ -184,8 +185,8 @@
 
   stop({ taskName, run, fence }: RunReference, nowMs: number): OrderOutcome {
     this.advance(nowMs);
-    if (!this.#admits(fence)) return OrderOutcome.Fenced;
-    this.#barred.set(taskName, Math.max(run, this.#barred.get(taskName) ?? 0));
+    if (!this.#acceptsFence(fence)) return OrderOutcome.Fenced;
+    this.#refusedUpTo.set(taskName, Math.max(run, this.#refusedUpTo.get(taskName) ?? 0));
     const running = this.runs.get(taskName);
     if (running?.run === run && running.endsAtMs > nowMs + this.#options.stopMs) {
       running.endsAtMs = nowMs + this.#options.stopMs;
@@ -194,7 +195,7 @@
     return OrderOutcome.Accepted;
   }
 
-  #admits(fence: number): boolean {
+  #acceptsFence(fence: number): boolean {
     if (fence < this.#highestFence) return false;
     this.#highestFence = fence;
     return true;
@@ -204,7 +205,7 @@
     return Math.floor((nowMs - this.#bootedAtMs) * this.#options.clockRate);
   }
 
-  #extend(leaseEndWorkerMs: number, nowMs: number): void {
+  #extendLease(leaseEndWorkerMs: number, nowMs: number): void {
     const latest = this.#clockMs(nowMs) + this.#options.maximumLeaseMs;
     const granted = Math.min(leaseEndWorkerMs, latest);
     this.#leaseEndWorkerMs = Math.max(this.#leaseEndWorkerMs, granted);
@@ -212,7 +213,10 @@
 
   #finish(run: ModelRun, end: RunEnd): void {
     this.runs.delete(run.taskName);
-    this.#barred.set(run.taskName, Math.max(run.run, this.#barred.get(run.taskName) ?? 0));
+    this.#refusedUpTo.set(
+      run.taskName,
+      Math.max(run.run, this.#refusedUpTo.get(run.taskName) ?? 0),
+    );
     this.#sequence += 1;
     const { taskName } = run;
     const endedAtMs = Math.min(run.endsAtMs, this.lapsesAtMs);
--- a/standIns/platform/tableStandIn.ts
+++ b/standIns/platform/tableStandIn.ts
@@ -33,11 +33,13 @@
   #version = 0;
 
   read(request: ReadRequest): ReadResult {
-    const keyed = request.keys.map((key) => this.#rows.get(key));
-    const scanned = [...this.#rows.values()].filter((row) =>
+    const rowsByKey = request.keys.map((key) => this.#rows.get(key));
+    const rowsByPrefix = [...this.#rows.values()].filter((row) =>
       request.prefixes.some((prefix) => row.key.startsWith(prefix)),
     );
-    const found = [...keyed, ...scanned].filter((row): row is TableRow => row !== undefined);
+    const found = [...rowsByKey, ...rowsByPrefix].filter(
+      (row): row is TableRow => row !== undefined,
+    );
     const rows = [...new Set(found)].sort((left, right) => (left.key < right.key ? -1 : 1));
     this.counts.readCount += 1;
     this.counts.readRowCount += Math.max(rows.length, request.keys.length);
@@ -46,10 +48,10 @@
 
   transact(transaction: Transaction): TransactionResult {
     this.counts.transactionCount += 1;
-    const isHeld = transaction.conditions.every(
+    const areConditionsMet = transaction.conditions.every(
       ({ key, version }) => (this.#rows.get(key)?.version ?? ABSENT_VERSION) === version,
     );
-    if (!isHeld) {
+    if (!areConditionsMet) {
       this.counts.conflictCount += 1;
       return { outcome: TransactionOutcome.Conflict, version: 0 };
     }
--- a/standIns/relay/relays.ts
+++ b/standIns/relay/relays.ts
@@ -10,14 +10,14 @@
   readonly #relays: SilentRelay[] = [];
 
   /** Starts a relay to an address and returns the address of the relay. */
-  async through({ host, port }: InstanceAddress): Promise<InstanceAddress> {
+  async relayTo({ host, port }: InstanceAddress): Promise<InstanceAddress> {
     const relay = new SilentRelay(port);
     this.#relays.push(relay);
     return { host, port: await relay.listen() };
   }
 
   /** Silences the open connections of some relays permanently. Returns their number. */
-  silenceSome(random: RandomSource): number {
+  silenceRandomRelays(random: RandomSource): number {
     const directions = Object.values(Silence);
     const direction = directions[random.nextIndex(directions.length)] ?? Silence.Both;
     const chosen = this.#relays.filter(() => random.nextFraction() < SILENCED_RATIO);
--- a/standIns/relay/silentRelay.ts
+++ b/standIns/relay/silentRelay.ts
@@ -19,8 +19,8 @@
   constructor(client: Socket, targetPort: number) {
     this.client = client;
     this.server = createConnection(targetPort, '127.0.0.1');
-    this.#pass(client, this.server, Silence.ToServer);
-    this.#pass(this.server, client, Silence.ToClient);
+    this.#forward(client, this.server, Silence.ToServer);
+    this.#forward(this.server, client, Silence.ToClient);
   }
 
   destroy(): void {
@@ -37,7 +37,7 @@
     return this.silence === Silence.Both || this.silence === direction;
   }
 
-  #pass(from: Socket, to: Socket, direction: Silence): void {
+  #forward(from: Socket, to: Socket, direction: Silence): void {
     from.on('data', (chunk) => {
       if (!this.#isSilent(direction)) to.write(chunk);
     });
@@ -80,7 +80,7 @@
       client.on('close', () => this.#connections.delete(connection));
     });
     this.#server.on('listening', () => {
-      if (!this.#doesListen) this.#server.close();
+      if (!this.#shouldListen) this.#server.close();
     });
   }
 
@@ -141,12 +141,12 @@
     this.stopListening();
   }
 
-  get #doesListen(): boolean {
+  get #shouldListen(): boolean {
     return this.#port !== undefined && [...this.#cuts].every(({ isRefusing }) => !isRefusing);
   }
 
   async #listenAgain(): Promise<void> {
-    if (!this.#doesListen || this.#server.listening) return;
+    if (!this.#shouldListen || this.#server.listening) return;
     this.#server.listen(this.#port, this.#host);
     await once(this.#server, 'listening');
   }
--- a/standIns/workers/judge.ts
+++ b/standIns/workers/judge.ts
@@ -19,7 +19,7 @@
 }
 
 /** Returns the violated invariants, each with where it was violated. */
-export const findHarm = (verdict: Verdict): string[] => {
+export const findInvariantViolations = (verdict: Verdict): string[] => {
   const checks: readonly [string, string][] = [
     ['tasks in two places', verdict.doubleRuns.join(' ')],
     ['tasks completed twice', verdict.doubleCompletions.join(' ')],
--- a/standIns/workers/workerStandIn.ts
+++ b/standIns/workers/workerStandIn.ts
@@ -23,7 +23,7 @@
   state: WorkerTaskState;
   leaseUntilMs: number;
   /** The start of the current processor share; `doneBeforeMs` is the work done before that time. */
-  sinceMs: number;
+  shareSinceMs: number;
   doneBeforeMs: number;
   processorShare: number;
   checkpoint: string | null;
@@ -132,7 +132,7 @@
       request,
       state: WorkerTaskState.Running,
       leaseUntilMs: request.leaseUntilWorkerMs,
-      sinceMs: nowMs,
+      shareSinceMs: nowMs,
       processorShare: 1,
       doneBeforeMs: savedMsOf(request.checkpoint),
       checkpoint: request.checkpoint,
@@ -162,7 +162,7 @@
     const task = this.#tasks.get(WorkerStandIn.#key(throttle));
     if (task === undefined) return;
     task.doneBeforeMs = WorkerStandIn.#doneMs(task, nowMs);
-    task.sinceMs = nowMs;
+    task.shareSinceMs = nowMs;
     task.processorShare = throttle.processorShare;
   }
 
@@ -184,7 +184,10 @@
     this.#onEvent({ kind, workerId: this.workerId, taskId, attempt, taskClass, state, savedMs });
   }
 
-  static #doneMs({ doneBeforeMs, sinceMs, processorShare }: WorkerTask, nowMs: number): number {
+  static #doneMs(
+    { doneBeforeMs, shareSinceMs: sinceMs, processorShare }: WorkerTask,
+    nowMs: number,
+  ): number {
     return doneBeforeMs + (nowMs - sinceMs) * processorShare;
   }
 
