--- a/src/scheduler/common/fleet/fleetOwnership.ts
+++ b/src/scheduler/common/fleet/fleetOwnership.ts
@@ -238,7 +238,9 @@
     const tableNowMs = this.toTableMs(nowMs);
     if (overTableMs === undefined || tableNowMs === undefined) return [];
     // The last entry that has ended also covers all entries before it.
-    const firstCurrentIndex = former.earlierLeases.findIndex((one) => one.overTableMs > tableNowMs);
+    const firstCurrentIndex = former.earlierLeases.findIndex(
+      (leases) => leases.overTableMs > tableNowMs,
+    );
     const kept =
       firstCurrentIndex < 0
         ? former.earlierLeases.slice(-1)
--- a/src/scheduler/common/fleet/fleetPolicy.ts
+++ b/src/scheduler/common/fleet/fleetPolicy.ts
@@ -13,7 +13,7 @@
   readonly servingPlacement: ServingPlacement;
   /** For tasks that are neither serving tasks nor fillers. */
   readonly placement: PlacementCosts;
-  /** Called once for each epoch of this owner. */
+  /** Called once for each epoch in which this daemon owns the fleet. */
   readonly newInterferenceControl: () => InterferenceControl;
 }
 
--- a/src/scheduler/common/fleet/fleetState.ts
+++ b/src/scheduler/common/fleet/fleetState.ts
@@ -68,7 +68,7 @@
   readonly unknownRuns: Map<string, RunReference>;
 }
 
-/** The entry of a worker of which only id and address are known. No task is started on it. */
+/** The entry of an unlisted worker. Only id and address are known, and no task is started on it. */
 const unlistedEntry = ({ id, address }: RosterEntry): FleetWorkerEntry => ({
   id,
   address,
--- a/src/scheduler/common/fleet/fleetTiming.ts
+++ b/src/scheduler/common/fleet/fleetTiming.ts
@@ -57,7 +57,8 @@
   /** Covers a waiting feed call and one that a busy owner handles late. */
   feedFreshnessMs: 2_500,
   /**
-   * Batches the ends of a few workers. This is short beside callers' objectives, which are seconds.
+   * Batches the ends of a few workers. This is short compared with callers' objectives, which are
+   * seconds.
    */
   commitIntervalMs: 30,
   /** Three heartbeats fit into a lease. */
--- a/src/scheduler/common/fleet/stepThrottle.ts
+++ b/src/scheduler/common/fleet/stepThrottle.ts
@@ -1,7 +1,7 @@
 /**
  * Throttles the scheduler's steps. A step goes through all workers and all waiting tasks. One step
- * for each answer would leave a busy processor no time to handle the answers themselves, of which
- * 300 workers send some six hundred a second.
+ * for each answer would leave a busy processor no time to handle the answers themselves: 300
+ * workers send some six hundred a second.
  */
 
 /** The share of the time that steps may take on average. */
--- a/src/scheduler/node/cellTasks.ts
+++ b/src/scheduler/node/cellTasks.ts
@@ -10,7 +10,7 @@
 /** The extra acquire delay per rank for cells of other zones. It spreads the cells over daemons. */
 const FOREIGN_CELL_DELAY_MS = 400;
 const FOREIGN_RANK_COUNT = 4;
-/** Long enough for some dozens of requests to a server, and short beside the lifetime of tasks. */
+/** Long enough for some dozens of requests to a server, and far shorter than tasks last. */
 const SAMPLE_INTERVAL_MS = 2_000;
 const HASH_FACTOR = 31;
 const HASH_LIMIT = 2 ** 31;
--- a/src/scheduler/node/concurrencyLimiter.ts
+++ b/src/scheduler/node/concurrencyLimiter.ts
@@ -18,7 +18,7 @@
     this.#slotTimeoutMs = slotTimeoutMs;
   }
 
-  /** Resolves when the call may begin. The caller calls the result when the call is over. */
+  /** Resolves with a release function when the call may begin. Invoke it when the call is over. */
   async acquire(): Promise<() => void> {
     if (this.#activeCount >= this.#limit) {
       await new Promise<void>((resolve) => {
--- a/src/scheduler/node/workerClients.ts
+++ b/src/scheduler/node/workerClients.ts
@@ -13,7 +13,7 @@
 
 /**
  * A worker that is replaced under the same id has a new address and gets a new client. Otherwise
- * the owner would call the old address for ever and give up the new worker's tasks as lost. Clients
+ * the owner would call the old address forever and give up the new worker's tasks as lost. Clients
  * of workers that are gone are closed, because 110 instances are replaced on an ordinary day.
  */
 export class WorkerClients implements Disposable {
--- a/src/scheduler/test/fleet/handOver.test.ts
+++ b/src/scheduler/test/fleet/handOver.test.ts
@@ -14,7 +14,7 @@
 /** The longest time that a persistent task may be away while there is room for it. */
 const LONGEST_ABSENCE_MS = 9_000;
 const BATCH_MS = 1_000;
-/** Short enough that batch tasks come faster than they fit beside the persistent tasks. */
+/** Short enough that more batch tasks come in than fit next to the persistent tasks. */
 const BACKLOG_INTERVAL_MS = 60;
 
 const taskNames = (taskCount: number): readonly string[] =>
--- a/src/scheduler/test/fleet/savedWork.test.ts
+++ b/src/scheduler/test/fleet/savedWork.test.ts
@@ -9,7 +9,7 @@
 const WORK_MS = 8_000;
 const SAVES_EACH_MS = 500;
 
-/** Returns the work from which a task resumes after its worker is gone after six seconds. */
+/** Returns the saved work, in ms, from which a task resumes when its worker is lost after 6 s. */
 const resumedMs = async (doesOwnerChange: boolean): Promise<number> => {
   const world = new FleetWorld(7, () => ({
     workMs: WORK_MS,
