--- a/src/scheduler/test/unreachedWorkers.test.ts
+++ b/src/scheduler/test/unreachedWorkers.test.ts
@@ -9,122 +9,122 @@
   workPrefix,
 } from '../../services/workload/common/workRows.js';
 import { toCellMs } from '../common/cellClock.js';
-import { expectNoHarm, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
+import { expectNoViolations, shard, startCell, submit, workRowsOf } from './cellFixtures.js';
 import { CELL, type VirtualCell } from './virtualCell.js';
 
 const UNREACHED_KEY = cellUnreachedKey(CELL);
 const DAEMON_COUNT = 4;
 
-const namedIn = (cell: VirtualCell): readonly string[] => {
+const unreachedWorkerIds = (cell: VirtualCell): readonly string[] => {
   const [row] = cell.table.read({ keys: [UNREACHED_KEY], prefixes: [] }).rows;
   if (row === undefined) return [];
   return Object.keys(unreachedRowSchema.parse(row.value).leasesOverCellMs);
 };
 
-const namesNobody = ({ writes }: Transaction): boolean =>
+const clearsUnreachedRow = ({ writes }: Transaction): boolean =>
   writes.some(({ key, value }) => key === UNREACHED_KEY && value === null);
 
 const killOwner = (cell: VirtualCell): void => {
   Object.assign(cell.owner() ?? {}, { isAlive: false });
 };
 
-/** Tasks run on all workers, and `w0` stands in the row although its leases go on. */
+/** A cell with tasks on all workers whose row lists `w0` although the leases of `w0` continue. */
 const cellWithUnreachedWorker = (): VirtualCell => {
   const cell = startCell(5);
   ['d3', 'd4', 'd5'].forEach((id) => cell.addDaemon(id));
   submit(cell, shard(48, 200_000));
   cell.runFor(4_000);
-  cell.cutWorkers.add('w0');
+  cell.unreachableWorkers.add('w0');
   killOwner(cell);
   cell.runFor(5_500);
-  expect(namedIn(cell)).toEqual(['w0']);
-  cell.cutWorkers.delete('w0');
+  expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+  cell.unreachableWorkers.delete('w0');
   return cell;
 };
 
 describe('a worker that a new owner has not reached', () => {
-  it('is not given up by an old bound after it was reached and given leases again', () => {
+  it('is not given up because of an old lease bound after it got leases again', () => {
     const cell = cellWithUnreachedWorker();
     cell.runFor(80_000);
-    expect(namedIn(cell)).toEqual([]);
-    cell.cutWorkers.add('w0');
+    expect(unreachedWorkerIds(cell)).toEqual([]);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(6_000);
     expect(cell.count('assignments_lost')).toBe(0);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
-  it('is granted no lease while the row that bounds its leases cannot be changed', () => {
+  it('is granted no lease while the row with its lease bound cannot be changed', () => {
     const cell = cellWithUnreachedWorker();
-    cell.isHeldBack = namesNobody;
+    cell.shouldDelayTransaction = clearsUnreachedRow;
     cell.runFor(80_000);
-    expect(namedIn(cell)).toEqual(['w0']);
-    cell.cutWorkers.add('w0');
+    expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = undefined;
+    cell.shouldDelayTransaction = undefined;
     cell.runFor(8_500);
-    cell.releaseHeld();
-    cell.cutWorkers.delete('w0');
+    cell.releaseDelayedTransactions();
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
-  it('is named by no transaction that lands after it was granted leases', () => {
+  it('is not added to the row by a late transaction after it was granted leases', () => {
     const cell = startCell(6);
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = ({ writes }) => writes.some(({ key }) => key === UNREACHED_KEY);
+    cell.shouldDelayTransaction = ({ writes }) => writes.some(({ key }) => key === UNREACHED_KEY);
     cell.runFor(5_500);
-    expect(cell.heldTransactions.length).toBeGreaterThan(0);
-    cell.cutWorkers.delete('w0');
+    expect(cell.delayedTransactions.length).toBeGreaterThan(0);
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(3_000);
-    cell.isHeldBack = undefined;
-    cell.releaseHeld();
+    cell.shouldDelayTransaction = undefined;
+    cell.releaseDelayedTransactions();
     cell.runFor(80_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(6_000);
     expect(cell.count('assignments_lost')).toBe(0);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(200_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 
-  it('is granted no lease while a transaction that names it may still land', () => {
+  it('is granted no lease while a transaction that lists it may still commit', () => {
     const cell = startCell(8);
     ['d3', 'd4'].forEach((id) => cell.addDaemon(id));
     submit(cell, shard(48, 200_000));
     cell.runFor(4_000);
-    cell.cutWorkers.add('w0');
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
-    cell.isHeldBack = ({ writes }) =>
+    cell.shouldDelayTransaction = ({ writes }) =>
       writes.some(({ key }) => key === UNREACHED_KEY || key === cellFenceKey(CELL));
     cell.runFor(5_500);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(80_000);
-    cell.isHeldBack = undefined;
-    cell.releaseHeld();
-    expect(namedIn(cell)).toEqual(['w0']);
-    cell.cutWorkers.add('w0');
+    cell.shouldDelayTransaction = undefined;
+    cell.releaseDelayedTransactions();
+    expect(unreachedWorkerIds(cell)).toEqual(['w0']);
+    cell.unreachableWorkers.add('w0');
     killOwner(cell);
     cell.runFor(8_500);
-    cell.cutWorkers.delete('w0');
+    cell.unreachableWorkers.delete('w0');
     cell.runFor(400_000);
     expect(cell.judge.verdict().completedBatchCount).toBe(48);
-    expectNoHarm(cell);
+    expectNoViolations(cell);
   });
 });
 
-describe('the clock that owners keep', () => {
-  it('is never ahead of the time that has passed, and goes on with each owner', () => {
+describe('the clock of a cell', () => {
+  it('never runs ahead of real time and continues with each owner', () => {
     const cell = startCell(7);
     for (let round = 0; round < 6; round += 1) {
       cell.addDaemon(`e${round}`);
@@ -140,11 +140,11 @@
   });
 });
 
-describe('owners and workers that come and go', () => {
-  const daemonCountOf = (cell: VirtualCell): number =>
+describe('random faults of owners and workers', () => {
+  const aliveDaemonCount = (cell: VirtualCell): number =>
     cell.daemons.filter(({ isAlive }) => isAlive).length;
 
-  const fault = (cell: VirtualCell, random: SeededRandom, step: number): void => {
+  const injectFault = (cell: VirtualCell, random: SeededRandom, step: number): void => {
     const workerId = `w${random.nextIndex(4)}`;
     const owner = cell.owner();
     switch (random.nextIndex(7)) {
@@ -157,18 +157,19 @@
         break;
       case 3:
       case 4:
-        cell.cutWorkers.add(workerId);
+        cell.unreachableWorkers.add(workerId);
         break;
       case 5:
-        cell.cutWorkers.delete(workerId);
+        cell.unreachableWorkers.delete(workerId);
         break;
       default:
         if (owner !== undefined) owner.isCutFromTable = !owner.isCutFromTable;
     }
-    while (daemonCountOf(cell) < DAEMON_COUNT) cell.addDaemon(`f${step}-${daemonCountOf(cell)}`);
+    while (aliveDaemonCount(cell) < DAEMON_COUNT)
+      cell.addDaemon(`f${step}-${aliveDaemonCount(cell)}`);
   };
 
-  // What a worker finishes unheard and tells too late may be completed again.
+  // A task that finishes on an unreachable worker and is reported too late may be completed again.
   const expectNoTaskInTwoPlaces = (cell: VirtualCell): void => {
     const verdict = cell.judge.verdict();
     expect(verdict.doubleRuns).toEqual([]);
@@ -177,9 +178,9 @@
     expect([...cell.counters.keys()].filter((name) => name.startsWith('invariant_'))).toEqual([]);
   };
 
-  const settle = (cell: VirtualCell): void => {
+  const recoverAndSettle = (cell: VirtualCell): void => {
     Object.assign(cell, { lostAnswerRatio: 0, lateCommandRatio: 0, lostCommandAnswerRatio: 0 });
-    cell.cutWorkers.clear();
+    cell.unreachableWorkers.clear();
     cell.daemons.forEach((daemon) => {
       Object.assign(daemon, { isCutFromTable: false });
       if (daemon.isAlive && daemon.isPaused) cell.resume(daemon);
@@ -188,7 +189,7 @@
   };
 
   it.each(Array.from({ length: 30 }, (_, index) => index + 1))(
-    'never have a task run twice, and all tasks end, seed %i',
+    'let no task run in two places and let all tasks end, seed %i',
     (seed) => {
       const random = new SeededRandom(seed);
       const maximumRenewalWithoutTableMs = seed % 2 === 0 ? 60_000 : 4_000;
@@ -198,13 +199,13 @@
       submit(cell, shard(48, 40_000));
       cell.runFor(4_000);
       for (let step = 0; step < 30; step += 1) {
-        fault(cell, random, step);
+        injectFault(cell, random, step);
         cell.runFor(100 + random.nextIndex(9_000));
         const paused = cell.daemons.find(({ isAlive, isPaused }) => isAlive && isPaused);
         if (paused !== undefined && random.nextIndex(2) === 0) cell.resume(paused);
         if (step % 5 === 0) submit(cell, shard(10, 15_000, `kitchen.step${step}`));
       }
-      settle(cell);
+      recoverAndSettle(cell);
       expect(workRowsOf(cell, workPrefix(CELL))).toEqual([]);
       expectNoTaskInTwoPlaces(cell);
     },
