--- a/src/entry/node/activeRequest.ts
+++ b/src/entry/node/activeRequest.ts
@@ -21,7 +21,7 @@
   waitingSinceMs: number;
   avoidedWorkerId: string | undefined;
   queueSpan: TraceSpan | undefined;
-  readonly running: RunningAttempt[];
+  readonly runningAttempts: RunningAttempt[];
   /** Runs when the request has its permit, before it is sent; an answer ends the request. */
   prepare: (() => Promise<Either<Failure, BackendAnswer | undefined>>) | undefined;
   /** Set while `prepare` runs; the server is undefined once the permit was released. */
--- a/src/entry/node/attemptRun.ts
+++ b/src/entry/node/attemptRun.ts
@@ -85,9 +85,9 @@
   }
 
   /** Cancels the attempt and closes its connection, so that no other request gets its answer. */
-  giveUp(): void {
+  cancel(): void {
     this.#end(AttemptEnd.TimedOut);
-    this.#controller?.abort(new AttemptCancelledError('given up'));
+    this.#controller?.abort(new AttemptCancelledError('cancelled'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -96,7 +96,7 @@
       return;
     }
     if (this.#settle === undefined) {
-      controller.abort(new AttemptCancelledError('given up before it was sent'));
+      controller.abort(new AttemptCancelledError('cancelled before it was sent'));
       return;
     }
     this.#controller = controller;
--- a/src/entry/node/backendConnections.ts
+++ b/src/entry/node/backendConnections.ts
@@ -67,7 +67,7 @@
     const run = new AttemptRun(request.method, this.#settings.maximumBodyBytes, this.#metrics);
     if (connections.inFlightCount >= connections.share) {
       this.#metrics.count('invariant_connection_share_used_up');
-      run.giveUp();
+      run.cancel();
       return run;
     }
     connections.inFlightCount += 1;
--- a/src/entry/node/requestDispatch.ts
+++ b/src/entry/node/requestDispatch.ts
@@ -107,12 +107,12 @@
   #handleHangUp(activeRequest: ActiveRequest): void {
     if (activeRequest.isDone) return;
     const { admission, metrics } = this.#services;
-    const step = activeRequest.progress.noteHangUp(
-      activeRequest.running.some(({ run }) => run.isSent),
+    const action = activeRequest.progress.noteHangUp(
+      activeRequest.runningAttempts.some(({ run }) => run.isSent),
     );
-    metrics.count('requests_abandoned', { step });
-    if (step === HangUpAction.LetFinish) return;
-    if (step === HangUpAction.Dequeue) {
+    metrics.count('requests_abandoned', { step: action });
+    if (action === HangUpAction.LetFinish) return;
+    if (action === HangUpAction.Dequeue) {
       admission.removeWaiting(activeRequest.request.serviceName, activeRequest);
       this.#finish(
         activeRequest,
@@ -121,11 +121,11 @@
       return;
     }
     // The request ends when its attempts have, so that its outcome reflects their results.
-    activeRequest.running.forEach((attempt) => {
+    activeRequest.runningAttempts.forEach((attempt) => {
       // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       attempt.isAbandoned = true;
-      attempt.run.giveUp();
+      attempt.run.cancel();
     });
   }
 
@@ -260,7 +260,7 @@
       span,
       ...INITIAL_ATTEMPT_STATE,
     };
-    activeRequest.running.push(attempt);
+    activeRequest.runningAttempts.push(attempt);
     void run.result.then((result) => this.#handleEnd(activeRequest, attempt, result));
   }
 
@@ -283,7 +283,7 @@
     const nowMs = this.#services.clock.nowMs();
     const { server, startedAtMs, span } = attempt;
     span?.end({ end: result.end });
-    activeRequest.running.splice(activeRequest.running.indexOf(attempt), 1);
+    activeRequest.runningAttempts.splice(activeRequest.runningAttempts.indexOf(attempt), 1);
     activeRequest.progress.noteEnd(result.end);
     const outcome = {
       latencyMs: nowMs - startedAtMs,
@@ -316,7 +316,7 @@
       this.#finish(activeRequest, right(result.answer));
       return;
     }
-    if (activeRequest.running.length > 0) return;
+    if (activeRequest.runningAttempts.length > 0) return;
     const { progress } = activeRequest;
     const mayRetry = progress.mayRetry(nowMs);
     if (!mayRetry || this.#serviceOf(activeRequest)?.budget.trySpend() !== true) {
@@ -335,7 +335,7 @@
   /** Settles the request at once, and cancels its remaining attempts. */
   #finish(activeRequest: ActiveRequest, result: Either<Failure, BackendAnswer>): void {
     if (activeRequest.isDone) return;
-    const { progress, running } = activeRequest;
+    const { progress, runningAttempts } = activeRequest;
     // This class owns the record.
     // eslint-disable-next-line no-param-reassign
     activeRequest.isDone = true;
@@ -345,14 +345,14 @@
     activeRequest.settle(
       result._tag === 'Left' ? left(progress.toReportedFailure(result.left)) : result,
     );
-    [...running].forEach((attempt) => {
+    [...runningAttempts].forEach((attempt) => {
       // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       attempt.isOvertaken = result._tag === 'Right';
       if (attempt.isOvertaken && !attempt.run.hasProgress) {
         this.#services.metrics.count('connections_overtaken');
       }
-      attempt.run.giveUp();
+      attempt.run.cancel();
     });
   }
 
@@ -362,7 +362,7 @@
     rejected.forEach(({ waiting, failure: cause }) => this.#finish(waiting, left(cause)));
     this.#sendAll(dispatched, nowMs);
     this.#activeRequests.forEach((activeRequest) => {
-      if (activeRequest.running.length === 0) {
+      if (activeRequest.runningAttempts.length === 0) {
         this.#sweepPreparing(activeRequest, nowMs);
         return;
       }
--- a/src/entry/node/requestHandler.ts
+++ b/src/entry/node/requestHandler.ts
@@ -155,7 +155,7 @@
       waitingSinceMs: nowMs,
       avoidedWorkerId: undefined,
       queueSpan: undefined,
-      running: [],
+      runningAttempts: [],
       isDone: false,
       prepare: undefined,
       preparing: undefined,
--- a/src/entry/node/secondAttempts.ts
+++ b/src/entry/node/secondAttempts.ts
@@ -27,7 +27,7 @@
 
   /** Takes a permit and a budget token if a second attempt is due; the caller then sends it. */
   tryReserve(activeRequest: ActiveRequest, nowMs: number): SecondAttempt | undefined {
-    const [first, second] = activeRequest.running;
+    const [first, second] = activeRequest.runningAttempts;
     const service = this.#admission.service(activeRequest.request.serviceName);
     if (first === undefined || second !== undefined || service === undefined) return undefined;
     const reason = secondAttemptReason(
--- a/src/entry/test/claimTiming.test.ts
+++ b/src/entry/test/claimTiming.test.ts
@@ -20,14 +20,14 @@
 });
 
 /** One entry with its own access to the shared table. */
-interface Member {
+interface EntryWithTable {
   readonly entry: EntryHarness;
   readonly table: FaultyTable;
 }
 
 interface Setup {
-  readonly one: Member;
-  readonly other: Member;
+  readonly one: EntryWithTable;
+  readonly other: EntryWithTable;
   readonly backend: RawBackend;
   /** Answers the requests that the backend server holds. It holds all requests but orders. */
   readonly answerHeld: () => void;
@@ -46,7 +46,7 @@
   cleanups.push(() => backend.close());
   const port = await backend.listen();
   const standIn = new TableStandIn();
-  const addMember = async (): Promise<Member> => {
+  const addEntry = async (): Promise<EntryWithTable> => {
     const table = new FaultyTable(standIn);
     const quiet = { hedgeBudgetRatio: 0, silenceFloorMs: 60_000, maximumWaitMs: 60_000 };
     const entry = new EntryHarness(entrySettings(quiet), table);
@@ -56,8 +56,8 @@
     return { entry, table };
   };
   const setup: Setup = {
-    one: await addMember(),
-    other: await addMember(),
+    one: await addEntry(),
+    other: await addEntry(),
     backend,
     answerHeld: () => held.splice(0).forEach((socket) => socket.write(wholeAnswer('menu'))),
     claimCount: () => standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length,
@@ -67,7 +67,7 @@
 
 const LONG_TIMEOUT_HEADERS = { 'snipethread-timeout-ms': '60000' };
 
-const order = ({ entry }: Member) =>
+const order = ({ entry }: EntryWithTable) =>
   entry.call(
     '/orders',
     { ...LONG_TIMEOUT_HEADERS, 'idempotency-key': 'order-17' },
@@ -76,7 +76,7 @@
   );
 
 /** Takes all permits of an entry, so that the next request has to wait. */
-const occupyAllPermits = async ({ entry }: Member, backend: RawBackend): Promise<void> => {
+const occupyAllPermits = async ({ entry }: EntryWithTable, backend: RawBackend): Promise<void> => {
   const arrivedCount = (): number => backend.requests.length + entry.counter('requests_queued');
   for (let index = 0; entry.counter('requests_queued') === 0; index += 1) {
     const before = arrivedCount();
@@ -89,7 +89,7 @@
 };
 
 /** Kills an entry: its calls no longer reach the table, and its callers get no answer. */
-const killEntry = ({ entry, table }: Member): void => {
+const killEntry = ({ entry, table }: EntryWithTable): void => {
   Object.assign(table, { isOut: true });
   void entry.dispose();
 };
