--- a/src/services/commandLine/node/runProgram.ts
+++ b/src/services/commandLine/node/runProgram.ts
@@ -1,4 +1,4 @@
-/** Runs a program's command line and gives its exit code the documented meaning. */
+/** Runs a program's command line and maps errors to the documented exit codes. */
 import { type ArgsDef, type CommandDef, runCommand, runMain } from 'citty';
 
 import { BaseError, SettingsError, UnknownError } from '../../errors/node/snipethreadError.js';
@@ -13,7 +13,10 @@
 const isWrongUse = (error: unknown): error is Error =>
   error instanceof Error && error.name === WRONG_USE_ERROR;
 
-/** citty ends with 1 for wrong use, which an operator's script must tell from a refusal. */
+/**
+ * Runs a command. citty exits with 1 on wrong usage; this function exits with 2, so that an
+ * operator's script can distinguish wrong usage from a refusal.
+ */
 export const runProgram = async <Args extends ArgsDef>(
   command: CommandDef<Args>,
   args: readonly string[],
--- a/src/services/configuration/common/configurationService.ts
+++ b/src/services/configuration/common/configurationService.ts
@@ -3,12 +3,15 @@
 import type { ConfigurationView } from './configurationView.js';
 
 export interface ConfigurationService {
-  /** Undefined until a first read has succeeded. */
+  /** Undefined until the first read succeeds. */
   readonly current: ConfigurationView | undefined;
-  /** When the read that last confirmed `current` was sent, on this process's clock. */
+  /** The send time of the read that last confirmed `current`, on this process's clock. */
   readonly confirmedAtMs: number;
   readonly onDidChange: Event<ConfigurationView>;
-  /** Reads at once; a peer may have told of a version, which is a hint and nothing more. */
+  /**
+   * Reads the configuration immediately. The version is the one that a peer has announced, if any;
+   * it is only a hint.
+   */
   refresh(heardVersion?: number): Promise<void>;
 }
 
@@ -18,14 +21,15 @@
   readonly version: number | undefined;
   /** Whether the table has confirmed the version within the bound for changes. */
   readonly isConfirmed: boolean;
-  /** Whether peers have for longer than the bound known a version that cannot be learnt here. */
+  /** Whether, for longer than the bound, peers have announced a version that this daemon lacks. */
   readonly isBehind: boolean;
 }
 
 /**
- * Whether a daemon should get requests. An unconfirmed configuration alone is no reason to send
- * it none: in an outage of the store all daemons are unconfirmed, no plan can be accepted, and
- * routing by the last version is right. One that is behind its peers routes by an old version.
+ * Whether a daemon should receive requests. A daemon whose configuration is merely unconfirmed
+ * still should: during a store outage every daemon is unconfirmed, no plan can be accepted, and
+ * the last version is the right one for routing. A daemon that is behind its peers should not,
+ * because it routes by an old version.
  */
 export const isServable = (health: ConfigurationHealth): boolean =>
   health.version !== undefined && !health.isBehind;
--- a/src/services/configuration/common/configurationSteps.ts
+++ b/src/services/configuration/common/configurationSteps.ts
@@ -1,4 +1,4 @@
-/** Decides what a reading of the table means for the configuration in force on a daemon. */
+/** Decides how a daemon updates its configuration after a read of the table. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import type { TableRow } from '../../table/common/table.js';
@@ -6,28 +6,29 @@
 import { changeKey, changeRowSchema } from './documents.js';
 
 /**
- * How far a change may lag on a daemon that reaches the table. `platform.configurationIntervalMs`
- * and three calls of `platform.callTimeoutMs` stay within it: a read that was answered just
- * before the change was accepted, the interval, then the reads of the version and of the changes.
+ * The maximum time until an accepted change is in force on a daemon that can reach the table. It
+ * covers `platform.configurationIntervalMs` and three calls of `platform.callTimeoutMs` each: a
+ * read answered just before the change was accepted, the interval, then the reads of the version
+ * and of the changes.
  */
 export const IN_FORCE_BOUND_MS = 3_000;
 
-/** How many versions a daemon catches up with by reading changes instead of all documents. */
+/** A daemon that is further behind reads all documents instead of the changes. */
 const MAXIMUM_FOLLOWED_CHANGES = 200;
 
 export const VersionStep = {
   /** The version in force is the newest. */
   Confirm: 'confirm',
-  /** A peer has heard of a newer version than the table tells: an old read or a false hint. */
+  /** A peer announced a newer version than the table returned: a stale read or a false hint. */
   Prove: 'prove',
-  /** The store has answered from the past. */
+  /** The table returned an older version than the one in force. */
   OldRead: 'old-read',
   FollowChanges: 'follow-changes',
   LoadAll: 'load-all',
 } as const;
 export type VersionStep = (typeof VersionStep)[keyof typeof VersionStep];
 
-/** What to do after the table has told a version. */
+/** Selects the next step after the table has returned a version. */
 export const versionStep = (
   current: ConfigurationView | undefined,
   toldVersion: number,
@@ -40,15 +41,15 @@
   return heardVersion > toldVersion ? VersionStep.Prove : VersionStep.Confirm;
 };
 
-/** Keys of the changes that lead from one version to another. */
+/** Returns the keys of the changes between two versions, the older version excluded. */
 export const changeKeysBetween = (fromVersion: number, toVersion: number): readonly string[] =>
   Array.from({ length: toVersion - fromVersion }, (_, index) => changeKey(fromVersion + index + 1));
 
 /**
- * Applies the changes that lead to a version. A change is written together with the documents
- * it names, so its row's version is theirs. Left, with the reason, when one is missing or is not
- * of the expected form; nothing is applied then, since a change that was left out would show up
- * as an object that never comes or never goes.
+ * Applies all changes up to `toVersion`. A change is written in the same transaction as the
+ * documents that it names, so its row version is also theirs. Returns `left` with the reason when
+ * a change is missing or malformed. No change is applied in that case, because a skipped change
+ * would leave an object that never appears or never disappears.
  */
 export const followChanges = (
   current: ConfigurationView,
--- a/src/services/configuration/common/configurationView.ts
+++ b/src/services/configuration/common/configurationView.ts
@@ -1,4 +1,4 @@
-/** An immutable picture of the configuration at one version. */
+/** An immutable snapshot of the configuration at one version. */
 import type { JsonValue } from '../../../base/common/json.js';
 import type { TableRow } from '../../table/common/table.js';
 import {
@@ -30,7 +30,7 @@
   readonly workers: ReadonlyMap<string, WorkerDocument>;
   readonly quotas: ReadonlyMap<string, QuotaDocument>;
   readonly policy: PolicyDocument;
-  /** Row versions by key; conditions of transactions name them. */
+  /** Row versions by key, for the conditions of transactions. */
   readonly rowVersions: ReadonlyMap<string, number>;
 }
 
@@ -44,7 +44,7 @@
   rowVersions: new Map(),
 };
 
-/** Where the documents of each kind are kept, and their form. */
+/** The key prefix, the view's field and the schema of each kind of document. */
 const COLLECTIONS = [
   { prefix: SERVICE_PREFIX, member: 'services', schema: serviceDocumentSchema },
   { prefix: ZONE_PREFIX, member: 'zones', schema: zoneDocumentSchema },
@@ -52,17 +52,18 @@
   { prefix: QUOTA_PREFIX, member: 'quotas', schema: quotaDocumentSchema },
 ] as const;
 
-/** One document as it stands in the table; null once it was removed. */
+/** One document as stored in the table. */
 export interface DocumentRow {
   readonly key: string;
+  /** Null when the document has been removed. */
   readonly value: JsonValue;
   readonly version: number;
 }
 
 /**
- * The view with some documents replaced. Only those are parsed, so that following a change
- * costs what has changed and not the whole configuration.
- * @throws {z.ZodError} when a document is not of its kind's form
+ * Returns the view with some documents replaced. Only those documents are parsed, so the cost of
+ * applying a change depends on the size of the change and not on that of the configuration.
+ * @throws {z.ZodError} when a document does not match the schema of its kind
  */
 export const withDocuments = (
   view: ConfigurationView,
@@ -93,19 +94,19 @@
 
 /**
  * Builds the view from the version row and all document rows of one snapshot.
- * @throws {z.ZodError} when a row is not of its kind's form
+ * @throws {z.ZodError} when a row does not match the schema of its kind
  */
 export const toConfigurationView = (rows: readonly TableRow[]): ConfigurationView =>
   withDocuments(EMPTY_CONFIGURATION, toVersion(rows), rows);
 
-/** False also for a zone that no plan has brought into use yet. */
+/** Also false for a zone that no plan has brought into use yet. */
 export const isZoneInUse = (view: ConfigurationView, zone: string): boolean =>
   view.zones.get(zone)?.state === ZoneState.InUse;
 
-/** Names of the zones in use, in a fixed order. */
+/** The names of the zones in use, sorted. */
 export const zonesInUse = (view: ConfigurationView): readonly string[] =>
   [...view.zones.keys()].filter((zone) => isZoneInUse(view, zone)).sort();
 
-/** The version of a zone's row; zero when no plan has named the zone yet. */
+/** The version of a zone's row; zero if no plan has named the zone yet. */
 export const zoneRowVersion = (view: ConfigurationView, zone: string): number =>
   view.rowVersions.get(zoneKey(zone)) ?? 0;
--- a/src/services/configuration/common/documents.ts
+++ b/src/services/configuration/common/documents.ts
@@ -1,6 +1,6 @@
 /**
- * The documents that operators change by confirmed plans, and the keys of their table rows.
- * One row holds the version; every accepted plan raises it by one.
+ * The configuration documents, which operators change by confirming plans, and the keys of their
+ * table rows. One row holds the configuration version; every accepted plan increments it.
  */
 import { z } from 'zod';
 
@@ -8,11 +8,11 @@
 import type { TableRow } from '../../table/common/table.js';
 import { resourcesSchema } from '../../worker/common/resources.js';
 
-/** How urgent work is; a higher class is served and placed first. */
+/** The urgency class of work; more urgent work is served and placed first. */
 export const Urgency = { Urgent: 'urgent', Normal: 'normal', Low: 'low' } as const;
 export type Urgency = (typeof Urgency)[keyof typeof Urgency];
 
-/** Ranks for sorting; the most urgent comes first. */
+/** Sort ranks; the most urgent class has the lowest rank. */
 export const URGENCY_ORDER: Readonly<Record<Urgency, number>> = {
   [Urgency.Urgent]: 0,
   [Urgency.Normal]: 1,
@@ -21,7 +21,7 @@
 
 export const urgencySchema = z.enum([Urgency.Urgent, Urgency.Normal, Urgency.Low]);
 
-/** Names take part in row keys, so they are kept to a safe alphabet. */
+/** Names are part of row keys, so only characters that are safe in keys are allowed. */
 export const nameSchema = z.string().regex(/^[a-z0-9]([a-z0-9-]{0,62})$/u, 'is not a valid name');
 
 export const serviceDocumentSchema = z.strictObject({
@@ -36,7 +36,7 @@
 export const ZoneState = { InUse: 'in-use', Withdrawn: 'withdrawn' } as const;
 export type ZoneState = (typeof ZoneState)[keyof typeof ZoneState];
 
-/** A zone is used only after an operator has brought it into use by a first plan. */
+/** A zone is not used until a first plan of an operator brings it into use. */
 export const zoneDocumentSchema = z.strictObject({
   name: nameSchema,
   region: nameSchema,
@@ -56,15 +56,15 @@
 });
 export type QuotaDocument = z.infer<typeof quotaDocumentSchema>;
 
-/** Limits that every later plan must keep; what is in force already is not touched by them. */
+/** Limits that apply to every later plan. They do not affect what is already in force. */
 export const policyDocumentSchema = z.strictObject({
-  /** False while operators want no new batch work, as in an emergency. */
+  /** False while operators accept no new batch work, for example in an emergency. */
   isSubmissionOpen: z.boolean(),
   maximumTaskCountOfJob: z.number().int().min(1).max(10_000),
   maximumReplicaCount: z.number().int().min(1).max(10_000),
-  /** Bounds the jobs that one mistaken cancellation can affect. */
+  /** Limits how many jobs one mistaken cancellation can affect. */
   maximumCancelledJobCount: z.number().int().min(1).max(1_000),
-  /** Whether tasks are committed at sizes learnt from usage, or always as declared. */
+  /** Whether tasks are committed with sizes learnt from usage instead of their declared sizes. */
   isSizeLearnt: z.boolean(),
 });
 export type PolicyDocument = z.infer<typeof policyDocumentSchema>;
@@ -81,7 +81,7 @@
   version: z.number().int().nonnegative(),
 });
 
-/** A document before and after an accepted plan; null where there is none. */
+/** A document before and after an accepted plan; null where the document does not exist. */
 export const documentChangeSchema = z.strictObject({
   key: z.string().min(1),
   before: z.custom<JsonValue>((value) => value !== undefined),
@@ -90,9 +90,9 @@
 export type DocumentChange = z.infer<typeof documentChangeSchema>;
 
 /**
- * What one accepted plan changed; the row is never written again. It carries the documents, so
- * that a daemon follows the configuration by reading the changes it has not seen, and a plan
- * that undoes a version finds what was there before.
+ * The changes made by one accepted plan. The row is written once. It contains the documents, so a
+ * daemon can follow the configuration by reading only the changes it has not seen, and a plan
+ * that reverts a version finds the documents from before it.
  */
 export const changeRowSchema = z.strictObject({
   version: z.number().int().positive(),
@@ -100,7 +100,7 @@
   author: z.string(),
   acceptedAt: z.string(),
   summary: z.string(),
-  /** Keys of all rows the plan wrote, by which a plan is told what it lost to. */
+  /** Keys of all rows that the plan wrote; a plan that conflicts with it reports them. */
   keys: z.array(z.string()),
   documents: z.array(documentChangeSchema),
 });
@@ -125,8 +125,9 @@
   `${CHANGE_PREFIX}${String(version).padStart(VERSION_DIGITS, '0')}`;
 
 /**
- * Reads a policy; what a row that was written before a limit existed leaves out is as by default.
- * @throws {z.ZodError} when the value is not of a policy's form
+ * Parses a policy. A limit that is missing, because the row is older than the limit, gets its
+ * default.
+ * @throws {z.ZodError} when the value does not match the schema of a policy
  */
 export const parsePolicy = (value: JsonValue): PolicyDocument => {
   const stated = policyDocumentSchema.partial().parse(value);
@@ -134,8 +135,8 @@
 };
 
 /**
- * The version that a reading tells; zero before the first plan was accepted.
- * @throws {z.ZodError} when the version row is not of its form
+ * Finds the configuration version in the rows of a read; zero before the first plan is accepted.
+ * @throws {z.ZodError} when the version row does not match its schema
  */
 export const toVersion = (rows: readonly TableRow[]): number => {
   const row = rows.find(({ key }) => key === VERSION_KEY);
--- a/src/services/configuration/common/replicaShare.ts
+++ b/src/services/configuration/common/replicaShare.ts
@@ -1,7 +1,10 @@
-/** How a service's replicas are dealt out to the zones in use. */
+/** Distributes a service's replicas over the zones in use. */
 import { type ConfigurationView, zonesInUse } from './configurationView.js';
 
-/** The part of `count` that one of `partCount` gets: even, the first ones get the remainder. */
+/**
+ * Splits `count` evenly into `partCount` parts and returns the part at `partIndex`. The first parts
+ * get the remainder; a negative index gets nothing.
+ */
 export const evenShare = (count: number, partIndex: number, partCount: number): number => {
   if (partIndex < 0) return 0;
   const base = Math.floor(count / partCount);
@@ -9,8 +12,8 @@
 };
 
 /**
- * The replicas that a zone carries. Every cell and every plan works it out alone from the same
- * configuration, so replicas move with a zone without any cell asking another.
+ * The number of replicas that a zone runs. Every cell and every plan computes it independently from
+ * the same configuration, so replicas move when a zone does without communication between cells.
  */
 export const replicaShare = (
   view: ConfigurationView,
--- a/src/services/configuration/node/configurationFollower.ts
+++ b/src/services/configuration/node/configurationFollower.ts
@@ -1,4 +1,4 @@
-/** Follows the configuration in the table; each call of `refresh` is one look. */
+/** Follows the configuration in the table; each call of `refresh` polls the table. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../../base/common/clock.js';
@@ -23,7 +23,7 @@
 import { type ConfigurationView, toConfigurationView } from '../common/configurationView.js';
 import { DOCUMENT_PREFIX, toVersion, VERSION_KEY } from '../common/documents.js';
 
-/** Why a look did not confirm the configuration. */
+/** Why a poll did not confirm the configuration. */
 export const LearningFault = {
   StoreUnavailable: 'store-unavailable',
   OldRead: 'old-read',
@@ -32,12 +32,13 @@
 export type LearningFault = (typeof LearningFault)[keyof typeof LearningFault];
 
 /**
- * Changes that are accepted between the reads of the version and of the changes are taken along.
- * Left for the next look they would wait for an interval and two more reads.
+ * How many changes beyond the version read are also requested. They may be accepted between the
+ * reads of the version and of the changes; if they were left to the next poll, they would wait for
+ * an interval and two more reads.
  */
 const LOOK_AHEAD_CHANGES = 4;
 
-/** Undefined when the version in force was confirmed. */
+/** Undefined when the version in force is confirmed. */
 type LookResult = LearningFault | undefined;
 
 export class ConfigurationFollower implements ConfigurationService, Disposable {
@@ -63,7 +64,7 @@
 
   #isReportedConfirmed = true;
 
-  /** What was wrong with a malformed row, for the log. */
+  /** The error of the last malformed row, for the log. */
   #faultText = '';
 
   #running: Promise<void> | undefined;
@@ -100,8 +101,9 @@
   }
 
   /**
-   * Looks once, or, when a look is under way, once more after it. Two looks at a time could put
-   * their answers in force in the wrong order, and a burst of hints would become a burst of reads.
+   * Polls the table once. If a poll is already running, one more poll follows it. Concurrent polls
+   * could put their answers in force in the wrong order, and a burst of hints would cause a burst
+   * of reads.
    */
   refresh(heardVersion = 0): Promise<void> {
     this.#noteHeard(heardVersion);
@@ -122,14 +124,14 @@
   async #run(): Promise<void> {
     do {
       this.#isWantedAgain = false;
-      // A look depends on what the one before has put in force.
+      // Each poll depends on the version that the previous poll put in force.
       // eslint-disable-next-line no-await-in-loop
       const fault = await this.#lookSafely();
       this.#report(fault);
     } while (this.#isWantedAgain);
   }
 
-  /** A row of an unknown form must not end the loop that would read its correction. */
+  /** A malformed row must not end the polling loop, because that loop reads the correction. */
   async #lookSafely(): Promise<LookResult> {
     try {
       return await this.#look();
@@ -179,9 +181,9 @@
   }
 
   /**
-   * Reads every document, at the start or after a gap. A daemon that has just started knows no
-   * version that it must not fall behind, so an old read would bring back a configuration that
-   * this very instance had left before its restart; the first view is therefore proved.
+   * Reads every document, at the start or after a gap. A daemon that has just started has no
+   * version to compare a read with, so a stale read could bring back a configuration that this
+   * instance had already replaced before its restart. The first view is therefore verified.
    */
   async #loadAll(): Promise<LookResult> {
     const sentAtMs = this.#clock.nowMs();
@@ -197,8 +199,8 @@
   }
 
   /**
-   * Asks the table whether a version row is the newest by a transaction that writes nothing and
-   * commits only if the row is as it was read. A read alone may come from the past.
+   * Verifies that a version row is the newest by a transaction that writes nothing and commits only
+   * if the row is unchanged. A read alone may be stale.
    */
   async #prove(row: TableRow | undefined, sentAtMs: number): Promise<LookResult> {
     const result = await this.#table.transact({
@@ -214,8 +216,8 @@
   }
 
   /**
-   * Invariant: the version in force only grows. Whatever led here, a lower one is refused: it
-   * would bring a withdrawn zone back to life.
+   * Invariant: the version in force never decreases. A lower version is always refused, because it
+   * would bring a withdrawn zone back into use.
    */
   #putInForce(view: ConfigurationView, sentAtMs: number): LookResult {
     const version = this.#current?.version;
@@ -251,7 +253,7 @@
     return LearningFault.OldRead;
   }
 
-  /** One line when the configuration can no longer be learnt, and one when it can again. */
+  /** Logs one line when the configuration can no longer be confirmed, and one when it can again. */
   #report(fault: LookResult): void {
     if (fault !== undefined) this.#metrics.count('configuration_look_failed', { fault });
     const { isConfirmed } = this.health;
--- a/src/services/configuration/node/configurationReader.ts
+++ b/src/services/configuration/node/configurationReader.ts
@@ -1,4 +1,4 @@
-/** Follows the configuration by looking about once a second. */
+/** Follows the configuration by polling it about once a second. */
 import type { Clock } from '../../../base/common/clock.js';
 import { PeriodicTimer } from '../../../base/node/periodicTimer.js';
 import type { Log } from '../../log/common/log.js';
--- a/src/services/configuration/test/acceptedChanges.ts
+++ b/src/services/configuration/test/acceptedChanges.ts
@@ -1,4 +1,4 @@
-/** Writes accepted changes straight to tables, as a confirmed plan would. */
+/** Writes accepted changes directly to a table, as a confirmed plan does. */
 import type { JsonValue } from '../../../base/common/json.js';
 import type { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import { changeKey, VERSION_KEY } from '../common/documents.js';
--- a/src/services/configuration/test/configurationFollower.test.ts
+++ b/src/services/configuration/test/configurationFollower.test.ts
@@ -17,7 +17,7 @@
 
 const zoneA = (state: ZoneState) => ({ [zoneKey('a')]: { name: 'a', region: 'r', state } });
 
-/** Counts and log lines of one daemon. */
+/** Records the metrics and the warnings of one daemon. */
 class Observed {
   readonly counts = new Map<string, number>();
 
@@ -38,7 +38,7 @@
   };
 }
 
-/** A daemon's follower that looks again an interval after each look, as the timer does. */
+/** A daemon's follower that polls again one interval after each poll, as the timer does. */
 class Daemon {
   readonly observed = new Observed();
 
@@ -75,36 +75,39 @@
 };
 
 describe('following the configuration', () => {
-  // Every call takes up to its whole timeout. The last look before a change was answered from
+  // Every call takes up to its whole timeout. The last poll before a change returns the state from
   // before it, so the change waits for that answer, the interval and two more reads.
-  it.each(SEEDS)('puts a change in force within 3 s of a slow store (seed %i)', async (seed) => {
-    const slow = { minimumDelayMs: 500, maximumDelayMs: SLOWEST_ANSWER_MS };
-    const { time, random, table } = start(seed, slow);
-    const daemons = Array.from({ length: 7 }, () => new Daemon(table, time));
-    await time.runUntil(10_000);
-    const lagsMs: number[] = [];
-    for (let version = 1; version <= 40; version += 1) {
-      acceptChange(table.truth, version, zoneA(ZoneState.InUse));
-      const acceptedAtMs = time.nowMs();
-      daemons.forEach(({ follower }) => {
-        const subscription = follower.onDidChange((view) => {
-          if (view.version < version) return;
-          subscription.dispose();
-          lagsMs.push(time.nowMs() - acceptedAtMs);
+  it.each(SEEDS)(
+    'puts a change in force within 3 s when the store is slow (seed %i)',
+    async (seed) => {
+      const slow = { minimumDelayMs: 500, maximumDelayMs: SLOWEST_ANSWER_MS };
+      const { time, random, table } = start(seed, slow);
+      const daemons = Array.from({ length: 7 }, () => new Daemon(table, time));
+      await time.runUntil(10_000);
+      const lagsMs: number[] = [];
+      for (let version = 1; version <= 40; version += 1) {
+        acceptChange(table.truth, version, zoneA(ZoneState.InUse));
+        const acceptedAtMs = time.nowMs();
+        daemons.forEach(({ follower }) => {
+          const subscription = follower.onDidChange((view) => {
+            if (view.version < version) return;
+            subscription.dispose();
+            lagsMs.push(time.nowMs() - acceptedAtMs);
+          });
         });
-      });
-      // eslint-disable-next-line no-await-in-loop -- changes come one after the other
-      await time.runUntil(time.nowMs() + random.nextFraction() * 4_000);
-    }
-    await time.runUntil(time.nowMs() + IN_FORCE_BOUND_MS);
-    expect(lagsMs).toHaveLength(40 * daemons.length);
-    expect(Math.max(...lagsMs)).toBeLessThanOrEqual(IN_FORCE_BOUND_MS);
-  });
+        // eslint-disable-next-line no-await-in-loop -- changes are accepted one after the other
+        await time.runUntil(time.nowMs() + random.nextFraction() * 4_000);
+      }
+      await time.runUntil(time.nowMs() + IN_FORCE_BOUND_MS);
+      expect(lagsMs).toHaveLength(40 * daemons.length);
+      expect(Math.max(...lagsMs)).toBeLessThanOrEqual(IN_FORCE_BOUND_MS);
+    },
+  );
 
-  // Callers would see a withdrawn zone come back. The store answers some reads from a replica
-  // several changes behind, goes out now and then, and daemons restart at any moment, so a new
-  // process meets the old answer without a version of its own to compare it with.
-  it.each(SEEDS)('never reverts on an instance, restarts included (seed %i)', async (seed) => {
+  // Guards against a withdrawn zone that callers see in use again. The store answers some reads
+  // from a replica that is several changes behind and is sometimes down. Daemons restart at any
+  // time, so a new process can receive a stale answer without a version to compare it with.
+  it.each(SEEDS)('never reverts on an instance, even across restarts (seed %i)', async (seed) => {
     const { time, random, table } = start(seed, { maximumDelayMs: 300 });
     const replica = new TableStandIn();
     const replicaLag: number[] = [];
@@ -132,7 +135,7 @@
       (instances[index] as Daemon).stop();
       instances[index] = new Daemon(table, time);
       watch(instances[index], index);
-      // eslint-disable-next-line no-await-in-loop -- faults come one after the other
+      // eslint-disable-next-line no-await-in-loop -- faults occur one after the other
       await time.runUntil(time.nowMs() + random.nextFraction() * 2_500);
     }
     expect(reversions).toEqual([]);
@@ -142,9 +145,9 @@
     expect(instances.map(({ version }) => version)).toEqual([60, 60, 60, 60, 60]);
   });
 
-  // Two hints of peers arrive while a look is under way. Were each to start a look of its own,
-  // the slower, older answer could come last; and a burst of hints would be a burst of reads.
-  it('looks once more, not once for each, when told of versions during a look', async () => {
+  // Several hints from peers arrive during a poll. If each started its own poll, a slower and older
+  // answer could arrive last, and a burst of hints would cause a burst of reads.
+  it('polls only once more when several version hints arrive during a poll', async () => {
     const { time, table } = start(1, { minimumDelayMs: 100, maximumDelayMs: 200 });
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { log, metrics } = new Observed();
@@ -158,7 +161,7 @@
     expect(table.truth.counts.readCount - before).toBeLessThanOrEqual(3);
   });
 
-  it('reads only what has changed, whatever the size of the configuration', async () => {
+  it('reads only the changes, regardless of the size of the configuration', async () => {
     const { time, table } = start(1);
     const limit = { processorMillis: 1, memoryBytes: 1, acceleratorCount: 0 };
     const quotas = Array.from({ length: 360 }, (_, index) => [
@@ -178,10 +181,10 @@
   });
 });
 
-describe('a daemon that was paused', () => {
-  // The process stands still for a minute while the answer to its look waits in the socket. The
-  // answer is from before the pause, so it must not let work start as if it were fresh.
-  it('takes an answer for as old as its question', async () => {
+describe('a daemon that is paused during a poll', () => {
+  // The process is paused for a minute while the answer to its poll waits in the socket. The answer
+  // is from before the pause, so it must not allow work to start as a fresh answer would.
+  it('dates an answer by the time when its request was sent', async () => {
     const { time, table } = start(1, { minimumDelayMs: 100, maximumDelayMs: 200 });
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { log, metrics } = new Observed();
@@ -198,9 +201,9 @@
 });
 
 describe('a daemon that starts', () => {
-  // The store is out when the process starts. Its peers tell it of a version, which is a hint and
-  // no configuration; it takes no traffic until it has read and proved one, and says why.
-  it('during an outage knows nothing until the store is back', async () => {
+  // The store is down when the process starts. Its peers announce a version, which is only a hint.
+  // The daemon takes no traffic until it has read and verified a configuration, and logs why.
+  it('has no configuration during an outage until the store is back', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     acceptChange(table.truth, 2, zoneA(ZoneState.Withdrawn));
@@ -218,9 +221,9 @@
     expect(isServable(follower.health)).toBe(true);
   });
 
-  // The store answers reads from a replica that stands still at version 1, while version 2 has
-  // withdrawn the zone. A process that believed it would start work in the zone.
-  it('takes no old read for the configuration', async () => {
+  // The store answers reads from a replica that is stuck at version 1, while version 2 has
+  // withdrawn the zone. A process that accepted such a read would start work in the zone.
+  it('does not accept a stale read as its configuration', async () => {
     const { time, table } = start(1);
     const replica = new TableStandIn();
     acceptChange(replica, 1, zoneA(ZoneState.InUse));
@@ -237,11 +240,11 @@
   });
 });
 
-describe('a daemon that was paused and resumes', () => {
-  // It stood still for ten minutes, while the zone was withdrawn. What it first hears is a read
-  // of before; until the table tells the newest it must count as unconfirmed, and then catch up
-  // within the bound.
-  it('goes neither back nor on by an old read', async () => {
+describe('a daemon that resumes after a long pause', () => {
+  // The daemon is paused for ten minutes, during which the zone is withdrawn. Its first reads are
+  // stale. It must count as unconfirmed until the table returns the newest version, and then catch
+  // up within the bound.
+  it('neither reverts to a stale read nor is confirmed by it', async () => {
     const { time, table } = start(1);
     const replica = new TableStandIn();
     acceptChange(replica, 1, zoneA(ZoneState.InUse));
@@ -262,10 +265,10 @@
   });
 });
 
-describe('a daemon that cannot learn the configuration', () => {
-  // The store goes out. Routing goes on with the version in force; what would start work sees
-  // that nothing has confirmed it, and operators see it in the log, once, and in a gauge.
-  it('says so once and goes on with its last version', async () => {
+describe('a daemon with an unreliable configuration source', () => {
+  // The store goes down. Routing continues with the version in force. Code that starts work sees
+  // that the version is unconfirmed, and operators see it once in the log and in a gauge.
+  it('logs an outage once and continues with its last version', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { follower, observed } = new Daemon(table, time);
@@ -284,9 +287,10 @@
     expect(observed.warnings).toHaveLength(1);
   });
 
-  // A document that this program cannot read must not end the loop: the daemon would look alive
-  // and follow no change ever again. It keeps the last whole version until one can be read.
-  it('survives a malformed document and takes the correction', async () => {
+  // A document that this program cannot read must not end the polling loop: the daemon would appear
+  // healthy but never follow a change again. It keeps the last complete version until it can read
+  // a newer one.
+  it('survives a malformed document and applies the correction', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { follower, observed } = new Daemon(table, time);
@@ -300,9 +304,9 @@
     expect(follower.current?.zones.get('a')?.state).toBe(ZoneState.Withdrawn);
   });
 
-  // The change row tells nothing of a document that was written with it. All documents are
-  // read then, instead of a change that is never in force.
-  it('reads everything when a change row is malformed', async () => {
+  // The change row lacks a document that was written with it. Without a read of all documents the
+  // change would never be in force.
+  it('reads all documents when a change row is malformed', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { follower } = new Daemon(table, time);
@@ -313,9 +317,9 @@
     expect(follower.current?.zones.get('a')?.state).toBe(ZoneState.Withdrawn);
   });
 
-  // Only this daemon is cut off from the store: the others have gone on to version 2 and say so.
-  // It would route by an old configuration for as long as the balancer sends it requests.
-  it('is told apart from one whose peers know no more', async () => {
+  // Only this daemon is cut off from the store. The others are at version 2 and announce it. This
+  // daemon would route by an old configuration for as long as the balancer sends it requests.
+  it('is marked as behind once its peers have announced a newer version for too long', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { follower } = new Daemon(table, time);
@@ -332,9 +336,9 @@
     expect(follower.health).toEqual({ version: 2, isConfirmed: true, isBehind: false });
   });
 
-  // A peer tells of a version that does not exist. Hints decide nothing: the table is asked
-  // whether its version is the newest, and the daemon goes on.
-  it('is not made of a false hint', async () => {
+  // A peer announces a version that does not exist. A hint decides nothing: the daemon verifies with
+  // the table that its version is the newest and continues.
+  it('stays confirmed after a false hint', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
     const { follower } = new Daemon(table, time);
--- a/src/services/configuration/test/virtualTable.ts
+++ b/src/services/configuration/test/virtualTable.ts
@@ -1,4 +1,4 @@
-/** A table in virtual time whose answers take random times, are lost or come from the past. */
+/** A table in virtual time with random delays, lost answers and stale reads. */
 import { left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
@@ -21,7 +21,7 @@
   readonly run: () => void;
 }
 
-/** Runs steps in the order of their times; promises settle between two steps. */
+/** Runs steps in the order of their due times; promises settle between two steps. */
 export class VirtualTime implements Clock {
   readonly #steps: TimedStep[] = [];
 
@@ -42,12 +42,12 @@
       this.after(delayMs, resolve);
     });
 
-  /** The process stands still; what was due meanwhile happens at once afterwards. */
+  /** Pauses the process; steps that become due during the pause run immediately after it. */
   pause(durationMs: number): void {
     this.#nowMs += durationMs;
   }
 
-  /** Runs until an instant, or until `work` has settled. */
+  /** Runs steps until the given time, or until `work` has settled. */
   async runUntil(untilMs: number, work?: Promise<unknown>): Promise<void> {
     let isSettled = false;
     let idleTurnCount = 0;
@@ -56,14 +56,14 @@
     };
     void work?.then(settle, settle);
     for (;;) {
-      // Promise callbacks run before the next step; each step depends on the one before.
+      // Lets promise callbacks run before the next step; each step depends on the previous one.
       // eslint-disable-next-line no-await-in-loop
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
       const step = this.#steps[0];
       if (isSettled) return;
-      // Work that gives requests their turn comes back a turn later, without a step.
+      // Work that yields to requests continues one event loop turn later, without a step.
       if (step === undefined && work !== undefined && idleTurnCount < MAXIMUM_IDLE_TURNS) {
         idleTurnCount += 1;
       } else if (step === undefined || step.atMs > untilMs) break;
@@ -82,14 +82,15 @@
   }
 }
 
-/** How the table behaves; may be changed while it runs. */
+/** The behaviour of the table; it may be changed during a run. */
 export interface TableBehaviour {
   isDown: boolean;
   minimumDelayMs: number;
   maximumDelayMs: number;
   timeoutMs: number;
-  /** Shares of the transactions: taken in but never answered; and applied late, after that. */
+  /** The share of transactions that are applied but never answered. */
   lostAnswerRatio: number;
+  /** The share of transactions that are applied late and never answered. */
   lateEffectRatio: number;
 }
 
@@ -104,7 +105,7 @@
 
 const lost = failure(ErrorKind.StoreAnswerLost, 'no answer in time');
 const down = failure(ErrorKind.StoreUnavailable, 'the store is down');
-/** How long a transaction may hang about before it takes effect. */
+/** The maximum delay of a transaction that takes effect late. */
 const LATE_EFFECT_MS = 3_000;
 
 export class VirtualTable implements TableService {
@@ -116,10 +117,10 @@
 
   readonly behaviour: TableBehaviour;
 
-  /** What has been read, as characters of JSON, for the accounts of traffic. */
+  /** The size of all answers to reads, in characters of JSON; benchmarks report it as traffic. */
   readByteCount = 0;
 
-  /** Answers reads from the past when set. */
+  /** Answers reads with stale rows when set. */
   oldReader: ((request: ReadRequest) => ReadResult) | undefined;
 
   constructor(time: VirtualTime, random: RandomSource, behaviour: Partial<TableBehaviour> = {}) {
@@ -134,7 +135,7 @@
         const { isDown } = this.behaviour;
         this.#time.after(this.#legMs(), () => {
           const read = (this.oldReader ?? ((asked) => this.truth.read(asked)))(request);
-          // As over a wire: what was read shares no object with the table or with another read.
+          // As over a network, the result shares no object with the table or with another read.
           const text = JSON.stringify(read);
           const result = JSON.parse(text) as ReadResult;
           this.readByteCount += text.length;
@@ -163,7 +164,7 @@
       });
   }
 
-  /** One way; two legs stay within the timeout. */
+  /** The random delay of one direction; a round trip stays within the timeout. */
   #legMs(): number {
     const { minimumDelayMs, maximumDelayMs } = this.behaviour;
     const spanMs = maximumDelayMs - minimumDelayMs;
--- a/src/services/errors/common/errorKinds.ts
+++ b/src/services/errors/common/errorKinds.ts
@@ -1,6 +1,6 @@
 /**
- * The closed list of error kinds and the one table from kind to answer. Every refusal or
- * failure that a caller or an operator can see is one of these.
+ * The complete list of error kinds and the table that maps each kind to its answer. Every refusal
+ * or failure that a caller or an operator can see has one of these kinds.
  */
 
 /** Whether the work behind a failed request ran. */
@@ -31,21 +31,21 @@
   PlanConflict: 'plan-conflict',
   IntentImpossible: 'intent-impossible',
   ConfigurationUnknown: 'configuration-unknown',
-  /** Told by the tool: no daemon took the call. */
+  /** Reported by the command line tool: no daemon accepted the call. */
   DaemonUnreachable: 'daemon-unreachable',
-  /** Told by the tool: a daemon may have taken the call, and its answer did not come whole. */
+  /** Reported by the command line tool: a daemon may have accepted the call, but its answer is incomplete. */
   DaemonAnswerLost: 'daemon-answer-lost',
   Internal: 'internal',
 } as const;
 export type ErrorKind = (typeof ErrorKind)[keyof typeof ErrorKind];
 
-/** How an error kind is answered. */
+/** The answer to a request that failed with an error kind. */
 export interface ErrorAnswer {
   readonly statusCode: number;
   readonly workOutcome: WorkOutcome;
-  /** Whether coming back with the same request can help. */
+  /** Whether a retry of the same request can succeed. */
   readonly isWorthRetrying: boolean;
-  /** When to come back, before any spreading; zero where it makes no sense. */
+  /** The retry delay before jitter; zero if a retry is pointless. */
   readonly retryAfterMs: number;
 }
 
@@ -62,7 +62,7 @@
   retryAfterMs: number,
 ): ErrorAnswer => ({ statusCode, workOutcome, isWorthRetrying: true, retryAfterMs });
 
-/** The answer for each kind. `not-run` is listed only where nothing can have been sent. */
+/** The answer for each kind. `not-run` is used only where nothing can have been sent. */
 export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
   [ErrorKind.BadRequest]: finalAnswer(400, WorkOutcome.NotRun),
   [ErrorKind.BodyTooLarge]: finalAnswer(413, WorkOutcome.NotRun),
@@ -95,11 +95,11 @@
 /** A failure inside the program, as the left side of an `Either`. */
 export interface Failure {
   readonly kind: ErrorKind;
-  /** One sentence for a person. */
+  /** One human-readable sentence. */
   readonly message: string;
-  /** Replaces the table's outcome where more is known, never to claim `not-run` by guess. */
+  /** Overrides the outcome from `ERROR_ANSWERS` where more is known; `not-run` must be certain. */
   readonly workOutcome?: WorkOutcome;
-  /** Replaces the table's time to come back. */
+  /** Overrides the retry delay from `ERROR_ANSWERS`. */
   readonly retryAfterMs?: number;
 }
 
--- a/src/services/errors/node/snipethreadError.ts
+++ b/src/services/errors/node/snipethreadError.ts
@@ -1,14 +1,14 @@
-/** Exceptions at the edges of the programs; inside, failures travel as `Either`. */
+/** Exceptions at the boundaries of the programs; inside, failures are returned as `Either`. */
 import ModernError from 'modern-errors';
 
-/** Root of the project's exceptions; whatever else is thrown is made one at the edge. */
+/** The base class of the project's exceptions. Other thrown values are converted to it. */
 export const BaseError = ModernError.subclass('BaseError');
 
-/** Faults in settings: the message holds one line for each. Nothing was started. */
+/** Invalid settings; the message has one line for each fault. Nothing has been started. */
 export const SettingsError = BaseError.subclass('SettingsError');
 
-/** A program cannot go on, for example since an address is taken; the cause is kept. */
+/** A program cannot start, for example because an address is in use; the cause is kept. */
 export const StartError = BaseError.subclass('StartError');
 
-/** A fault of the program itself. */
+/** A bug in the program. */
 export const UnknownError = BaseError.subclass('UnknownError');
--- a/src/services/errors/test/errorKinds.test.ts
+++ b/src/services/errors/test/errorKinds.test.ts
@@ -3,7 +3,7 @@
 import { sourceText } from '../../../../tools/test/sourceText.js';
 import { ERROR_ANSWERS, ErrorKind, errorBody, failure, WorkOutcome } from '../common/errorKinds.js';
 
-/** Kinds that arise only before anything was sent, or as the server's own word. */
+/** Kinds that occur only before anything is sent, or that the backend server itself reports. */
 const NOT_RUN_KINDS: readonly ErrorKind[] = [
   ErrorKind.BadRequest,
   ErrorKind.BodyTooLarge,
@@ -26,7 +26,7 @@
 ];
 
 describe('the table of error kinds', () => {
-  it('answers every kind with an error status, and only later than now where it says so', () => {
+  it('gives every kind an error status, and a retry delay only to retryable kinds', () => {
     Object.values(ErrorKind).forEach((kind) => {
       const answer = ERROR_ANSWERS[kind];
       expect(answer.statusCode, kind).toBeGreaterThanOrEqual(400);
@@ -35,14 +35,14 @@
     });
   });
 
-  it('says not-run only where nothing can have been sent', () => {
+  it('reports not-run only for kinds where nothing can have been sent', () => {
     const notRun = Object.values(ErrorKind).filter(
       (kind) => ERROR_ANSWERS[kind].workOutcome === WorkOutcome.NotRun,
     );
     expect([...notRun].sort()).toEqual([...NOT_RUN_KINDS].sort());
   });
 
-  it('holds no kind that the program never gives', async () => {
+  it('contains no kind that the program never uses', async () => {
     const text = await sourceText(['services/errors/']);
     const unused = Object.keys(ErrorKind).filter((name) => !text.includes(`ErrorKind.${name}`));
     expect(unused).toEqual([]);
--- a/src/services/fleet/common/fleetConfiguration.ts
+++ b/src/services/fleet/common/fleetConfiguration.ts
@@ -1,4 +1,4 @@
-/** What operators have set for queues, services and zones, as the users' platform keeps it. */
+/** The operators' configuration of queues, services and zones, stored by the users' platform. */
 
 export interface Queue {
   readonly name: string;
@@ -6,11 +6,11 @@
   readonly host: string;
   readonly pathPrefix: string;
   readonly serviceName: string;
-  /** Zero comes first. */
+  /** Zero is the highest priority. */
   readonly priority: number;
-  /** Failed runs of a task after which its submission has failed. */
+  /** A submission fails when one of its tasks has had this many failed runs. */
   readonly maximumAttempts: number;
-  /** The objective is this many times the longest chain of work, and `objectiveMs` more. */
+  /** The completion objective is this factor times the longest chain of work plus `objectiveMs`. */
   readonly objectiveStretch: number;
   readonly objectiveMs: number;
   readonly timeoutMs: number;
@@ -18,7 +18,10 @@
 
 export interface FleetService {
   readonly name: string;
-  /** Whether its workers refuse what does not fit; otherwise only the scheduler guards them. */
+  /**
+   * Whether its workers refuse tasks that exceed their capacity. Otherwise only the scheduler
+   * protects them.
+   */
   readonly guardsCapacity: boolean;
 }
 
@@ -36,10 +39,10 @@
   readonly limits: RequestLimits;
 }
 
-/** Everything the operator has written that is in force. */
+/** The operators' configuration and zone withdrawals that are in force. */
 export interface OperatorState {
   readonly configuration: FleetConfiguration | undefined;
-  /** Availability zones in which nothing may be started. */
+  /** Availability zones in which no task may be started. */
   readonly withdrawnZones: ReadonlySet<string>;
 }
 
@@ -48,7 +51,7 @@
   withdrawnZones: new Set(),
 };
 
-/** The queue of a request: that of its host with the longest prefix of the path. */
+/** Finds the queue of a request: the host's queue with the longest matching path prefix. */
 export const findQueue = (
   configuration: FleetConfiguration,
   host: string,
@@ -62,7 +65,10 @@
   return best;
 };
 
-/** Configurations have hundreds of queues, and each round of placing asks for every step. */
+/**
+ * Queues by name, cached for each configuration. Configurations have hundreds of queues, and each
+ * scheduling round looks up the queue of every step.
+ */
 const knownQueues = new WeakMap<FleetConfiguration, ReadonlyMap<string, Queue>>();
 
 export const findQueueByName = (
--- a/src/services/fleet/common/fleetDirectory.ts
+++ b/src/services/fleet/common/fleetDirectory.ts
@@ -1,4 +1,4 @@
-/** What the users' platform tells of operators' wishes and of workers. */
+/** The users' platform as the source of operator changes and of workers. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
@@ -8,27 +8,30 @@
 export type OperatorChange =
   | { readonly kind: 'configuration'; readonly configuration: FleetConfiguration }
   | { readonly kind: 'zone'; readonly zone: string; readonly isWithdrawn: boolean }
-  /** A row that names nothing known here, or cannot be read. */
+  /** A row that cannot be parsed or names an object of an unknown kind. */
   | { readonly kind: 'unreadable'; readonly key: string };
 
 export interface OperatorChanges {
-  /** True for everything that is in force, false for what has changed since the position. */
+  /** Whether `changes` is everything in force and not only the changes since a position. */
   readonly isWhole: boolean;
   readonly changes: readonly OperatorChange[];
   readonly position: number;
 }
 
 export interface FleetDirectory {
-  /** All that operators have written; with a position, what has changed since, or all again. */
+  /**
+   * Returns everything in force if no position is given. With a position, returns the changes since
+   * then, or everything again if the store no longer has them. Waits up to `waitMs` for a change.
+   */
   operatorChanges(
     afterPosition: number | undefined,
     waitMs: number,
   ): TaskEither<Failure, OperatorChanges>;
-  /** Entries that cannot be read name no worker and are left out. */
+  /** Lists the workers; entries that cannot be parsed are left out. */
   workers(): TaskEither<Failure, readonly FleetWorkerEntry[]>;
 }
 
-/** Takes changes in; a configuration never goes back to a lower version. */
+/** Applies changes to a state; the configuration never reverts to a lower version. */
 export const withOperatorChanges = (
   state: OperatorState,
   { isWhole, changes }: OperatorChanges,
--- a/src/services/fleet/common/fleetWorker.ts
+++ b/src/services/fleet/common/fleetWorker.ts
@@ -1,22 +1,22 @@
-/** A worker that keeps its own leases, and the calls that it takes. */
+/** A worker that enforces its own leases, and the calls that it accepts. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
 import type { Resources } from '../../worker/common/resources.js';
 
-/** What a worker says of itself in the table. */
+/** A worker's own entry in the table. */
 export interface FleetWorkerEntry {
   readonly id: string;
   readonly address: string;
   readonly serviceName: string;
   readonly availabilityZone: string;
   readonly isDraining: boolean;
-  /** How much longer a worker that drained went on at the least, when it wrote this. */
+  /** The minimum time that a draining worker continues to run, from when it wrote the entry. */
   readonly remainingMs?: number;
   readonly capacity: Resources;
   readonly labels: readonly string[];
   readonly rack: string;
-  /** The incarnation: when the process started, in Unix milliseconds; zero when not told. */
+  /** The start time of the worker's process in Unix milliseconds; zero if not reported. */
   readonly incarnation: number;
 }
 
@@ -25,11 +25,11 @@
   Done: 'done',
   Failed: 'failed',
   Stopped: 'stopped',
-  /** The worker's lease ran out. */
+  /** The worker's lease expired. */
   Lapsed: 'lapsed',
   /** Another member of the gang ended. */
   Broken: 'broken',
-  /** The other members of the gang did not come in time. */
+  /** The other members of the gang did not start in time. */
   Alone: 'alone',
 } as const;
 export type RunEnd = (typeof RunEnd)[keyof typeof RunEnd];
@@ -40,14 +40,14 @@
   readonly checkpoint: string;
   readonly workedPercent: number;
   /**
-   * Rough, over the last half second: the tail latency in milliseconds of a task that serves,
-   * the thousandths of a processor in use of any other.
+   * A rough measurement over the last half second: the tail latency in milliseconds of a serving
+   * task, or the processor use of any other task in thousandths of a processor.
    */
   readonly recentFigure: number;
 }
 
 export interface FinishedRun {
-  /** Counts the ends of one incarnation of the worker, from one. */
+  /** The number of this end, counted from one for each incarnation of the worker. */
   readonly sequence: number;
   readonly taskName: string;
   readonly run: number;
@@ -60,7 +60,7 @@
   readonly incarnation: number;
   readonly running: readonly RunningTask[];
   readonly finished: readonly FinishedRun[];
-  /** The list of ends was cut: more follow once these are acknowledged. */
+  /** Whether `finished` is truncated; more ends follow when these are acknowledged. */
   readonly isFinishedCut: boolean;
 }
 
@@ -68,15 +68,15 @@
   readonly workerId: string;
   readonly address: string;
   readonly fence: number;
-  /** Ends up to this sequence are recorded and may be forgotten. */
+  /** Ends up to this sequence number are recorded; the worker may forget them. */
   readonly acknowledgedSequence: number;
-  /** Until when, on the worker's clock, what runs there may run; absent to grant nothing. */
+  /** The end of the lease for all runs of the worker, on its clock; absent to grant no lease. */
   readonly leaseEndWorkerMs?: number;
-  /** How long the worker may wait for an end before it answers. */
+  /** How long the worker may wait for a run to end before it answers. */
   readonly waitMs: number;
 }
 
-/** Names one run of a task on one worker. */
+/** Identifies one run of a task on one worker. */
 export interface RunReference {
   readonly workerId: string;
   readonly address: string;
@@ -87,21 +87,21 @@
 
 export interface StartRequest extends RunReference {
   readonly spec: string;
-  /** The lease that the start carries; past it the worker refuses the start. */
+  /** The end of the lease that the start grants; the worker refuses the start after it. */
   readonly leaseEndWorkerMs: number;
   readonly checkpoint: string;
 }
 
 export const StartOutcome = {
   Started: 'started',
-  /** The worker has seen a higher fence: another scheduler is in charge. */
+  /** The worker has seen a higher fencing token: another scheduler owns the fleet. */
   Fenced: 'fenced',
-  /** The run, or a later one, has been stopped or has ended there. */
+  /** This run or a later one has already been stopped or has ended on the worker. */
   Superseded: 'superseded',
-  /** The start came after its lease. */
+  /** The start arrived after its lease had expired. */
   Late: 'late',
   NoRoom: 'no-room',
-  /** The worker is unwell and has done nothing. */
+  /** The worker is unhealthy and has not acted on the request. */
   Refused: 'refused',
 } as const;
 export type StartOutcome = (typeof StartOutcome)[keyof typeof StartOutcome];
@@ -115,11 +115,11 @@
   /** Another incarnation answers at the address. */
   | { readonly kind: 'other-incarnation' };
 
-/** A failure means that the order may have been carried out, or may yet be. */
+/** The client of the workers. After a failure the order may have taken effect, or may still do so. */
 export interface FleetClient {
   hold(request: HoldRequest): TaskEither<Failure, HoldOutcome>;
   start(request: StartRequest): TaskEither<Failure, StartOutcome>;
   stop(reference: RunReference): TaskEither<Failure, OrderOutcome>;
-  /** Lets a task work at `percent` of its speed. */
+  /** Throttles a task to `percent` of its speed. */
   pace(reference: RunReference, percent: number): TaskEither<Failure, OrderOutcome>;
 }
--- a/src/services/fleet/node/operatorFollower.ts
+++ b/src/services/fleet/node/operatorFollower.ts
@@ -1,4 +1,4 @@
-/** Follows what operators write in the platform's store. */
+/** Follows the operators' changes in the platform's store. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../../base/common/clock.js';
@@ -13,13 +13,13 @@
 } from '../common/fleetDirectory.js';
 
 /**
- * How long the store may hold a call back without news. An answer at least so often also shows
- * that the store can be reached; a change is answered at once.
+ * How long the store may delay its answer while nothing changes. The regular answer also shows that
+ * the store is reachable. The store answers immediately when there is a change.
  */
 const WAIT_MS = 2_000;
-/** After a failure; a quarter of the time in which a change must be in force. */
+/** The retry delay after a failure: a quarter of the time in which a change must be in force. */
 const RETRY_MS = 400;
-/** Without an answer for this long the store counts as out of reach, whatever the calls do. */
+/** The store counts as unreachable after this long without an answer, even if no call fails. */
 const SILENCE_MS = 3_500;
 
 export class OperatorFollower implements Disposable {
@@ -56,12 +56,12 @@
     return this.#state;
   }
 
-  /** Whether the store has answered lately and its last call did not fail. */
+  /** Whether the last call to the store succeeded and its answer is recent. */
   isStoreReached(nowMs: number): boolean {
     return this.#isReached && nowMs - this.#reachedAtMs < SILENCE_MS;
   }
 
-  /** How long ago the store last answered. */
+  /** The time since the store last answered. */
   silenceMs(nowMs: number): number {
     return nowMs - this.#reachedAtMs;
   }
--- a/src/services/http/node/errorReply.ts
+++ b/src/services/http/node/errorReply.ts
@@ -1,14 +1,14 @@
-/** Writes a failure as the answer that the table of error kinds gives it. */
+/** Writes a failure as the HTTP answer that `ERROR_ANSWERS` defines for its kind. */
 import type { FastifyReply } from 'fastify';
 
 import { ERROR_ANSWERS, errorBody, type Failure } from '../../errors/common/errorKinds.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** To callers and operators, with errors: `not-run`, `ran` or `unknown`. */
+/** The header of error answers to callers and operators: `not-run`, `ran` or `unknown`. */
 export const WORK_OUTCOME_HEADER = 'snipethread-work';
 
-/** `details` are members of the body beside those that every error answer has. */
+/** Sends an error answer; `details` are added to the fields that every error body has. */
 export const replyWithFailure = (
   reply: FastifyReply,
   cause: Failure,
--- a/src/services/http/node/httpCall.ts
+++ b/src/services/http/node/httpCall.ts
@@ -1,4 +1,4 @@
-/** One JSON call over HTTP to a platform service, with its failures told apart. */
+/** One JSON call over HTTP to a platform service, with its failures classified. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 import { type Dispatcher, request } from 'undici';
@@ -6,7 +6,7 @@
 
 import { ErrorKind, failure, type Failure } from '../../errors/common/errorKinds.js';
 
-/** Errors of undici after which surely nothing was sent. */
+/** Error codes of undici that mean that nothing was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -17,7 +17,7 @@
 const HTTP_OK = 200;
 const HTTP_UNAVAILABLE = 503;
 
-/** True when an exception of undici shows that the request never left. */
+/** Whether an exception of undici proves that the request was not sent. */
 export const isSurelyNotSent = (error: unknown): boolean => {
   const { code } = error as { readonly code?: unknown };
   return typeof code === 'string' && NOT_SENT_CODES.has(code);
@@ -27,19 +27,19 @@
   readonly dispatcher: Dispatcher;
   readonly url: string;
   readonly body?: unknown;
-  /** The body as JSON, from callers that write it themselves; it goes before `body`. */
+  /** The body as JSON text, from callers that serialize it themselves; it overrides `body`. */
   readonly bodyText?: string;
   readonly answerSchema: z.ZodType<Answer>;
   readonly timeoutMs: number;
-  /** The kind when nothing can have happened. */
+  /** The error kind when the call cannot have taken effect. */
   readonly notSentKind: ErrorKind;
-  /** The kind when the call may have taken effect. */
+  /** The error kind when the call may have taken effect. */
   readonly lostKind: ErrorKind;
 }
 
 /**
- * Posts a JSON body and checks the answer. A connection on which an answer stays out past the
- * timeout is closed by the abort, so a silent connection costs one call, not every later one.
+ * Posts a JSON body and validates the answer. If there is no answer within the timeout, the abort
+ * closes the connection, so a silent connection fails one call and not every later one.
  */
 export const httpCall =
   <Answer>(call: HttpCall<Answer>): TaskEither<Failure, Answer> =>
--- a/src/services/http/node/listening.ts
+++ b/src/services/http/node/listening.ts
@@ -1,4 +1,4 @@
-/** The port a server got when the system was asked to choose one. */
+/** Finds the port that the operating system has chosen for a server. */
 import type { FastifyInstance } from 'fastify';
 
 export const listeningPort = (server: FastifyInstance): number => {
--- a/src/services/instanceList/common/instanceDirectory.ts
+++ b/src/services/instanceList/common/instanceDirectory.ts
@@ -1,4 +1,4 @@
-/** The instances as this daemon last learnt them from the platform's lagging list. */
+/** The instances according to this daemon's last read of the platform's list, which lags. */
 import type { Event } from '../../../base/common/event.js';
 import type { Instance } from './instanceList.js';
 
--- a/src/services/instanceList/common/instanceList.ts
+++ b/src/services/instanceList/common/instanceList.ts
@@ -1,4 +1,4 @@
-/** The platform's list of live and leaving instances. It lags behind the truth. */
+/** The platform's list of live and leaving instances. It lags behind their actual state. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 import { z } from 'zod';
 
@@ -27,7 +27,7 @@
 });
 export type DaemonInstance = z.infer<typeof daemonInstanceSchema>;
 
-/** An instance that runs tasks and, for the services among them, a backend server. */
+/** An instance that runs tasks and, for tasks of services, a backend server. */
 export const workerInstanceSchema = z.strictObject({
   kind: z.literal('worker'),
   id: z.string().min(1),
@@ -37,9 +37,9 @@
   controlAddress: addressSchema,
   backendAddress: addressSchema,
   capacity: resourcesSchema,
-  /** Requests the backend server serves at a time. */
+  /** The number of requests that the backend server serves concurrently. */
   slotCount: z.number().int().positive(),
-  /** Connections the backend server accepts in all. */
+  /** The total number of connections that the backend server accepts. */
   connectionCount: z.number().int().positive(),
 });
 export type WorkerInstance = z.infer<typeof workerInstanceSchema>;
@@ -53,9 +53,9 @@
 export const instanceListSchema = z.strictObject({ instances: z.array(instanceSchema) });
 
 export interface InstanceListAnswer {
-  /** Undefined while the list is the one that was read last. */
+  /** Undefined if the list has not changed since the last read. */
   readonly instances: readonly Instance[] | undefined;
-  /** True when the platform can be asked whether the list changed without sending it whole. */
+  /** Whether the platform supports conditional reads, which send the list only if it changed. */
   readonly isConditional: boolean;
 }
 
@@ -69,6 +69,6 @@
 export const isWorker = (instance: Instance): instance is WorkerInstance =>
   instance.kind === 'worker';
 
-/** The address as an HTTP origin. */
+/** Formats the address as an HTTP origin. */
 export const toOrigin = (address: InstanceAddress): string =>
   `http://${address.host}:${address.port}`;
--- a/src/services/instanceList/common/listPace.ts
+++ b/src/services/instanceList/common/listPace.ts
@@ -1,15 +1,17 @@
-/** How often the instance list is asked for, counted in intervals of the reader's timer. */
+/** Decides at which intervals of the reader's timer the instance list is read. */
 import type { InstanceListAnswer } from './instanceList.js';
 
 export interface ListPace {
-  /** Whole lists in a row that were the same as the one before. */
+  /** The number of consecutive full lists that were identical to the previous list. */
   readonly repeatCount: number;
+  /** Whether the next interval is skipped. */
   readonly isSkipDue: boolean;
 }
 
 /**
- * Whole lists that must repeat before every other read is left out. Leaves come in groups, when
- * a rack is replaced or a release goes round, so reads go on at the full rate for a while.
+ * The number of identical full lists after which every other read is skipped. Instances leave in
+ * groups, when a rack is replaced or a release is rolled out, so reads continue at the full rate
+ * for a while after a change.
  */
 const QUIET_REPEAT_COUNT = 5;
 
@@ -23,12 +25,12 @@
 });
 
 /**
- * The pace after a read that did not fail. Made for 860 workers, whose list is some 270 KB: a
- * platform that answers 304 is asked at each interval, since the question costs some hundred
- * bytes. One that sends the list whole is asked at every other interval while nothing changes.
- * It never waits for longer: with the interval of a second, an instance that is leaving is seen
- * two seconds after the list shows it, which leaves a second of the three in which it may still
- * be given work to the list's own lag. After a change or a failure the full rate is back at once.
+ * Returns the schedule after a successful read. The list of 860 workers is about 270 KB. A platform
+ * that answers 304 is read at every interval, because such a read costs about a hundred bytes. A
+ * platform that sends the full list is read at every other interval while nothing changes, and
+ * never less often: with an interval of 1 s, a leaving instance is detected within 2 s after the
+ * list shows it. A leaving instance may receive work for 3 s, so this leaves 1 s for the lag of the
+ * list itself. A change or a failure restores the full rate immediately.
  */
 export const paceAfterRead = (pace: ListPace, answer: InstanceListAnswer): ListPace => {
   if (answer.isConditional || answer.instances !== undefined) return initialListPace();
--- a/src/services/instanceList/node/httpInstanceList.ts
+++ b/src/services/instanceList/node/httpInstanceList.ts
@@ -1,10 +1,10 @@
 /**
- * The instance list over HTTP, fetched whole only where it may have changed.
+ * The instance list over HTTP, transferred in full only if it may have changed.
  *
- * The list is asked for by POST. A platform whose answer carries an `ETag` is asked by GET with
- * `If-None-Match` from then on and answers 304 while nothing has changed; one that sends no tag,
- * or refuses GET, is asked by POST as ever, and an answer whose bytes are those of the one before
- * is not parsed again.
+ * The first request is a POST. If the answer has an `ETag`, later requests are GETs with
+ * `If-None-Match`, and the platform answers 304 while nothing has changed. If the platform sends no
+ * tag or refuses GET, all requests are POSTs, and an answer identical to the previous one is not
+ * parsed again.
  */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
@@ -21,7 +21,7 @@
 const PATH = '/v1/instances/list';
 const HTTP_OK = 200;
 const HTTP_NOT_MODIFIED = 304;
-/** Answers to GET from a platform that offers the list by POST alone. */
+/** Status codes of a platform that does not support GET for the list. */
 const GET_NOT_OFFERED: ReadonlySet<number> = new Set([400, 404, 405, 501]);
 
 interface RawAnswer {
@@ -44,7 +44,7 @@
 
   #isGetOffered = true;
 
-  /** The last whole answer that was of the right form; some 310 bytes an instance. */
+  /** The last valid full answer; about 310 bytes per instance. */
   #text: string | undefined;
 
   constructor(origin: string, timeoutMs: number) {
@@ -56,8 +56,8 @@
   read(): TaskEither<Failure, InstanceListAnswer> {
     return async () => {
       const result = await this.#read();
-      // A platform that was out may have been started again and count its tags from the start:
-      // the same tag could then stand for another list, and a leaving instance be missed.
+      // After an outage the platform may have restarted and count its tags from the start again. The
+      // same tag could then stand for another list, and a leaving instance would be missed.
       if (isLeft(result)) this.#etag = undefined;
       return result;
     };
--- a/src/services/instanceList/node/instanceListReader.ts
+++ b/src/services/instanceList/node/instanceListReader.ts
@@ -1,4 +1,4 @@
-/** Reads the instance list at an interval; while it is out, the last list stays in use. */
+/** Polls the instance list; while the list is unavailable, the last one stays in use. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import { Emitter } from '../../../base/common/event.js';
@@ -57,7 +57,7 @@
     this.#pace = paceAfterRead(this.#pace, read.right);
     const { instances } = read.right;
     if (instances === undefined) return;
-    // Other bytes may tell the same, from a platform that orders its fields anew each time.
+    // The same list may have other bytes if the platform changes the order of its fields.
     const fingerprint = canonicalJson(instances);
     if (fingerprint === this.#fingerprint) return;
     this.#fingerprint = fingerprint;
--- a/src/services/instanceList/test/instanceList.test.ts
+++ b/src/services/instanceList/test/instanceList.test.ts
@@ -31,8 +31,8 @@
 const statesOf = async (): Promise<readonly string[] | undefined> =>
   (await answerOf())?.instances?.map(({ id, state }) => `${id} ${state}`);
 
-describe('a platform that offers tags', () => {
-  it('is asked for the list whole only when it has changed', async () => {
+describe('a platform that supports entity tags', () => {
+  it('sends the full list only when it has changed', async () => {
     platform.etag = '"1"';
     expect(await statesOf()).toEqual(['w1 live']);
     expect(await answerOf()).toEqual({ instances: undefined, isConditional: true });
@@ -43,10 +43,10 @@
     expect(platform.answers).toEqual(['POST 200', 'GET 304', 'GET 200', 'GET 304']);
   });
 
-  // What an operator sees: requests go on to a worker that is leaving. The platform is started
-  // again and counts its tags from the start, so the tag of the former list comes to stand for
-  // another one. The failed read in between has the list fetched whole.
-  it('is asked whole again after an outage, in which its tags may have begun anew', async () => {
+  // Guards against requests that still go to a leaving worker. The platform restarts and counts its
+  // tags from the start, so the tag of the previous list now stands for another one. Because a read
+  // failed in between, the client fetches the full list.
+  it('is asked for the full list after an outage, because its tags may have restarted', async () => {
     platform.etag = '"1"';
     await answerOf();
     platform.isDown = true;
@@ -57,7 +57,7 @@
     expect(platform.answers).toEqual(['POST 200', 'GET 503', 'POST 200']);
   });
 
-  it('answers whole when it does not know the tag any more', async () => {
+  it('sends the full list when it no longer knows the tag', async () => {
     platform.etag = '"before"';
     await answerOf();
     platform.etag = '"after"';
@@ -65,7 +65,7 @@
     expect(await statesOf()).toEqual(['w2 live']);
   });
 
-  it('is asked by POST as before when it refuses GET', async () => {
+  it('is read by POST when it refuses GET', async () => {
     platform.etag = '"1"';
     platform.offersGet = false;
     await answerOf();
@@ -75,7 +75,7 @@
     expect(platform.answers).toEqual(['POST 200', 'GET 405', 'POST 200', 'POST 200']);
   });
 
-  it('keeps a tag only with a list of the right form', async () => {
+  it('has its tag remembered only with a valid list', async () => {
     platform.etag = '"1"';
     platform.instances = [{ kind: 'unheard of' }];
     expect(await answerOf()).toBeUndefined();
@@ -84,8 +84,8 @@
   });
 });
 
-describe('a platform without tags', () => {
-  it('sends the list whole; the same bytes are not taken for a change', async () => {
+describe('a platform without entity tags', () => {
+  it('sends the full list each time, and identical bytes do not count as a change', async () => {
     expect(await statesOf()).toEqual(['w1 live']);
     expect(await answerOf()).toEqual({ instances: undefined, isConditional: false });
     platform.instances = [workerNamed('w1', 'leaving')];
@@ -93,7 +93,7 @@
     expect(platform.answers).toEqual(['POST 200', 'POST 200', 'POST 200']);
   });
 
-  it('fails while it is out and gives the list afterwards', async () => {
+  it('causes failed reads while it is down and sends the list afterwards', async () => {
     await answerOf();
     platform.isDown = true;
     expect(await answerOf()).toBeUndefined();
@@ -104,7 +104,7 @@
 });
 
 describe('the stand-in of the platform', () => {
-  it('answers a conditional fetch', async () => {
+  it('answers a conditional read', async () => {
     const standIn = new PlatformServer(1);
     const own = new HttpInstanceList(`http://127.0.0.1:${await standIn.listen()}`, TIMEOUT_MS);
     expect(await answerOf(own)).toEqual({ instances: [], isConditional: true });
@@ -114,10 +114,10 @@
   });
 });
 
-describe('the pace of reads', () => {
+describe('the schedule of reads', () => {
   const REPEAT: InstanceListAnswer = { instances: undefined, isConditional: false };
 
-  /** Which of the next intervals have a read, with the answers in turn. */
+  /** Returns `r` for each interval with a read and `-` for each skipped one. */
   const readsWith = (answers: readonly InstanceListAnswer[]): string => {
     let pace = initialListPace();
     return answers
@@ -129,17 +129,17 @@
       .join('');
   };
 
-  // A leaving instance must get no new work after three seconds, while the list lags as well: at
-  // an interval of a second no two reads may be left out in a row.
-  it('leaves out every other read of a whole list that repeats, and never two', () => {
+  // A leaving instance must get no new work after 3 s, and the list itself lags. At an interval of
+  // 1 s, two consecutive reads must never be skipped.
+  it('skips every other read while the full list repeats, and never two in a row', () => {
     expect(readsWith(new Array(12).fill(REPEAT))).toBe('rrrrr-r-r-r-');
   });
 
-  it('is full while the platform answers that nothing has changed', () => {
+  it('skips no read while the platform answers that nothing has changed', () => {
     expect(readsWith(new Array(9).fill({ ...REPEAT, isConditional: true }))).toBe('rrrrrrrrr');
   });
 
-  it('is full again after a change', () => {
+  it('returns to the full rate after a change', () => {
     const change = { instances: [workerNamed('w1')], isConditional: false };
     const answers = [...new Array(6).fill(REPEAT), change, ...new Array(6).fill(REPEAT)];
     expect(readsWith(answers)).toBe('rrrrr-rrrrrr-');
--- a/src/services/instanceList/test/listPlatform.ts
+++ b/src/services/instanceList/test/listPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform's instance list over HTTP with the habits that platforms differ in. */
+/** A platform's instance list over HTTP, with the optional features that platforms differ in. */
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
 
 import { listeningPort } from '../../http/node/listening.js';
@@ -20,14 +20,14 @@
 export class ListPlatform {
   instances: readonly unknown[] = [];
 
-  /** The tag of the list as it is; undefined where the platform knows no tags. */
+  /** The entity tag of the current list; undefined if the platform does not support tags. */
   etag: string | undefined;
 
   offersGet = true;
 
   isDown = false;
 
-  /** Method and status of each answer, in order. */
+  /** The request method and status code of each answer, in order. */
   readonly answers: string[] = [];
 
   readonly #server: FastifyInstance = Fastify();
