--- a/src/services/log/common/boundedLog.ts
+++ b/src/services/log/common/boundedLog.ts
@@ -1,18 +1,19 @@
-/** Bounds how many lines on requests are written; lines of changed beliefs are always written. */
+/** Limits the rate of log lines about requests; lines about state changes are always written. */
 import type { Clock } from '../../../base/common/clock.js';
 import type { Log, LogFields } from './log.js';
 import { DECISION_EVENTS, type LogEvent } from './logEvents.js';
 
 /**
- * A line with twenty runs takes 18 us of processor time (20,000 of them on an idle machine), so that
- * this many take 0.3 % of a core. An owner of 45 workers wrote 32 a second in the mean of a day.
+ * A line with twenty runs takes 18 us of processor time (20,000 lines on an idle machine), so lines
+ * at this rate take 0.3 % of a core. An owner of 45 workers wrote 32 lines a second on average over
+ * a day.
  */
 const LINES_PER_S = 150;
 const WINDOW_MS = 1_000;
 
 /**
- * Made for storms of refusals and restarts, in which the log would take the processor from the
- * work that it tells of. What is left out is counted, and told once the second is over.
+ * Limits lines during bursts of refusals and restarts, in which logging would take processor time
+ * from the work being logged. Dropped lines are counted and reported when the second is over.
  */
 export class BoundedLog implements Log {
   readonly #log: Log;
--- a/src/services/log/common/log.ts
+++ b/src/services/log/common/log.ts
@@ -1,4 +1,4 @@
-/** Structured log lines, written for changes of state only; anything frequent is a counter. */
+/** Structured log lines for state changes and decisions; frequent events are counters instead. */
 import type { LogEvent } from './logEvents.js';
 
 export type LogFields = Readonly<Record<string, string | number | boolean>>;
--- a/src/services/log/node/consolaLog.ts
+++ b/src/services/log/node/consolaLog.ts
@@ -1,4 +1,4 @@
-/** Log lines through consola: one JSON object a line, or a form for people. */
+/** Writes log lines through consola, as one JSON object a line or in a human-readable format. */
 import { type ConsolaInstance, createConsola, LogLevels } from 'consola';
 
 import type { Log, LogFields } from '../common/log.js';
@@ -8,12 +8,12 @@
 export type LogFormat = (typeof LogFormat)[keyof typeof LogFormat];
 
 /**
- * The level is stated, because consola on its own takes it from the environment and drops the
- * line that names the ports where `NODE_ENV` is `test`.
+ * The level is set explicitly. By default consola takes it from the environment, and if `NODE_ENV`
+ * is `test`, it drops the line that names the ports.
  */
 const LEVEL = { level: LogLevels.info } as const;
 
-/** Takes a whole line, with its end. */
+/** Writes one line; the text includes the line break. */
 export type WriteLine = (line: string) => void;
 
 const toStandardOutput: WriteLine = (line) => {
--- a/src/services/log/node/lineWriter.ts
+++ b/src/services/log/node/lineWriter.ts
@@ -1,26 +1,27 @@
-/** Writes lines to a file descriptor without ever waiting for whoever reads it. */
+/** Writes lines to a file descriptor without blocking when its reader is slow. */
 import { write } from 'node:fs';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** Some seconds of lines at the limit of `BoundedLog`. */
+/** Holds a few seconds of lines at the rate limit of `BoundedLog`. */
 const MAXIMUM_BUFFERED_BYTES = 256 * 1024;
-/** Lines of this time are written together, which spares most of the calls. */
+/** Lines added within this time are written in one call. */
 const GATHER_MS = 100;
-/** After a write that failed, for instance since a pipe that does not wait is full. */
+/** The retry delay after a failed write, for example when a non-blocking pipe is full. */
 const RETRY_MS = 100;
-/** How often a flush looks whether all is written. */
+/** How often a flush checks whether everything is written. */
 const LOOK_MS = 10;
 
-/** The one call that is made of the system; tests put a reader in its place that does not read. */
+/** The system call that writes bytes; tests replace it to simulate a reader that does not read. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (error: Error | null, written: number) => void,
 ) => void;
 
 /**
- * Node.js writes to a pipe in the thread that answers callers, and waits there while nobody reads.
- * Here a thread of the pool writes, one piece at a time. Lines that come while the buffer is full
- * are left out and counted; the count is written as soon as there is room again.
+ * `process.stdout` writes to a pipe synchronously, on the thread that answers callers, and blocks
+ * while the pipe is full. This class writes on a thread of the pool, one chunk at a time. Lines
+ * added while the buffer is full are dropped and counted; the count is written as soon as there is
+ * room again.
  */
 export class LineWriter {
   readonly #write: WriteBytes;
@@ -61,14 +62,14 @@
     this.#schedule(GATHER_MS);
   }
 
-  /** Writes what is left before the process ends, unless nobody reads it for that long. */
+  /** Writes the buffered lines before the process ends, and gives up after the timeout. */
   async flush(timeoutMs: number): Promise<void> {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     if (!this.#isWriting) this.#sendAll();
     let leftMs = timeoutMs;
     while (this.#bufferedBytes > 0 && leftMs > 0) {
-      // eslint-disable-next-line no-await-in-loop -- looks again until all is written
+      // eslint-disable-next-line no-await-in-loop -- polls until everything is written
       await delay(LOOK_MS);
       leftMs -= LOOK_MS;
     }
--- a/src/services/log/test/boundedLog.test.ts
+++ b/src/services/log/test/boundedLog.test.ts
@@ -17,10 +17,10 @@
   return { log: { info: note, warn: note, error: note }, lines };
 };
 
-describe('a log under a storm of decisions', () => {
-  it('leaves out decisions beyond its limit, tells how many, and never a change of belief', () => {
-    // Ten thousand submissions are refused within a second, and the store is lost meanwhile. An
-    // engineer must find the loss, and must be told that lines on requests are missing.
+describe('a log under a burst of decisions', () => {
+  it('drops and counts decisions beyond its limit, but never a state change', () => {
+    // Ten thousand submissions are refused within a second, and the store is lost at the same time.
+    // The log must show the loss and report that lines about requests are missing.
     const { log, lines } = recording();
     let nowMs = 0;
     const bounded = new BoundedLog(log, { nowMs: () => nowMs });
@@ -39,12 +39,12 @@
   });
 });
 
-describe('the writer of lines', () => {
+describe('the line writer', () => {
   const describeLeftOut = (lines: number): string => `left out ${lines}\n`;
 
-  it('holds nobody up and no more than its limit while nobody reads', async () => {
-    // Whoever collects the log stops reading. Writing to the pipe would then stand still, and with
-    // it every answer to callers. Lines go into a buffer, and beyond its limit are counted.
+  it('neither blocks nor exceeds its buffer limit while nobody reads', async () => {
+    // The log collector stops reading. A blocking write to the pipe would also block every answer
+    // to callers. Instead lines are buffered, and lines beyond the limit are dropped and counted.
     const calls: { readonly text: string; readonly done: () => void }[] = [];
     const blocked: WriteBytes = (bytes, done) => {
       calls.push({ text: bytes.toString(), done: () => done(null, bytes.length) });
@@ -65,8 +65,8 @@
     expect(second).toContain('left out 754');
   });
 
-  it('writes the rest of a piece that was taken in part, and again what was not taken', async () => {
-    // A pipe takes a part of what it is given, then nothing for a while. No byte is lost or doubled.
+  it('writes the rest of a partly written chunk, and repeats a failed write', async () => {
+    // The pipe accepts a part of the chunk, then nothing for a while. No byte is lost or repeated.
     let text = '';
     let calls = 0;
     const writer = new LineWriter(describeLeftOut, (bytes, done) => {
--- a/src/services/log/test/logEvents.test.ts
+++ b/src/services/log/test/logEvents.test.ts
@@ -4,64 +4,64 @@
 import { LOG_EVENTS } from '../common/logEvents.js';
 
 /**
- * Lines that tell of one change of state each. A new line has to be added here by hand, with the
- * change that it tells of, or it does not get in: a line for each look would bury those that an
+ * Events that each log one state change, with that change. A new event must be added here by hand,
+ * so that it is reviewed: an event that is logged for each poll would bury the lines that an
  * operator has to see.
  */
 const CHANGES: Readonly<Record<string, string>> = {
   listening: 'the process starts, once',
   draining: 'the process begins to stop, once',
   drained: 'the process has stopped, once',
-  'cut-off-at-shutdown': 'the shutdown has broken its promise, once',
-  'configuration-in-force': 'the version in force moves',
-  'configuration-cannot-be-learnt': 'confirmed to not confirmed',
-  'configuration-confirmed-again': 'not confirmed to confirmed',
+  'cut-off-at-shutdown': 'the shutdown left requests unanswered, once',
+  'configuration-in-force': 'the version in force changes',
+  'configuration-cannot-be-learnt': 'confirmed to unconfirmed',
+  'configuration-confirmed-again': 'unconfirmed to confirmed',
   'cell-acquired': 'another owner to this one',
   'cell-lost': 'this owner to another',
-  'fleet-acquired': 'another owner to this one, with what it found',
+  'fleet-acquired': 'another owner to this one, with the state that it found',
   'fleet-lost': 'this owner to another',
-  'lease-renewed-late': 'renewals in time to a late one, at most once in three fifths of a lease',
-  'starts-limited': 'the limit of starts to a lower one, at most three times a second',
+  'lease-renewed-late': 'timely renewals to a late one, at most once in three fifths of a lease',
+  'starts-limited': 'a lower limit of starts, at most three times a second',
   'metrics-not-served': 'the process starts without its metrics, once',
-  'settings-changed': 'the settings file moves',
-  'store-lost': 'the store answers to the store fails',
-  'store-regained': 'the store fails to the store answers',
-  'operator-state-in-force': 'what operators have written moves',
+  'settings-changed': 'the settings file changes',
+  'store-lost': 'reachable to unreachable',
+  'store-regained': 'unreachable to reachable',
+  'operator-state-in-force': 'the operator state changes',
   'worker-reborn': 'one process of a worker to another',
-  'worker-unlisted': 'a worker is listed to it is not',
-  'workers-awaited': 'a new owner has not heard all workers yet, once a second at most',
+  'worker-unlisted': 'listed to unlisted',
+  'workers-awaited': 'a new owner is still waiting for workers, once a second at most',
   'log-lines-left-out': 'a limit was reached, once a second at most',
-  'row-unreadable': 'a row is believed in to a row is passed over, once for each reading',
+  'row-unreadable': 'a row is skipped, once for each read',
 };
 
-/** Lines that tell of one decision each that touches a request, with its id and the outcome. */
+/** Events that each log one decision on a request, with the request's id and the outcome. */
 const DECISIONS: Readonly<Record<string, string>> = {
   'submission-accepted': 'stored, acknowledged',
   'submission-refused': 'not stored, refused',
-  'submission-unresolved': 'not known to be stored, given up on',
+  'submission-unresolved': 'unknown whether stored, abandoned',
   'submission-cancelled': 'a cancellation stored',
-  'submission-ended': 'complete or failed, by the end of its last task',
-  'tasks-started': 'given room; one line for all of a fifth of a second',
-  'tasks-ended': 'ends believed; one line for all of a fifth of a second',
+  'submission-ended': 'complete or failed, because its last task ended',
+  'tasks-started': 'placed; one line for all starts within a fifth of a second',
+  'tasks-ended': 'ends accepted; one line for all ends within a fifth of a second',
   'tasks-waiting': 'not placed, with counts by reason; once a second at most',
-  'runs-stopped': 'stopped, with the reason; one line for all that are stopped for it',
-  'runs-lost': 'surely over without an end; one line a worker',
+  'runs-stopped': 'stopped; one line for all runs stopped for the same reason',
+  'runs-lost': 'over for certain without a reported end; one line a worker',
   'runs-paced': 'slowed or sped up; one line a worker',
-  'start-refused': 'a worker did not take a start; placed again',
-  'start-unanswered': 'a start without an answer; stopped first',
+  'start-refused': 'a worker refused a start; placed again',
+  'start-unanswered': 'a start without an answer; its run is stopped first',
 };
 
-/** Where events stand: calls of the log, and the choice of a cell's event. */
+/** Matches the events in the source: calls of the log, and the choice of a cell's event. */
 const EVENT =
   /\b(?:log|#log|services\.log)\s*\.(?:info|warn|error)\(\s*'([^']+)'|\b(?:decisionLog|this)\.add\(\s*'([^']+)'|'(cell-(?:acquired|lost))'/gu;
 
-describe('the lines of the log', () => {
-  it('are a closed list of changes of state and of decisions on requests', () => {
+describe('log events', () => {
+  it('are exactly the reviewed state changes and decisions', () => {
     const known = Object.keys({ ...CHANGES, ...DECISIONS });
     expect(Object.keys(LOG_EVENTS).sort()).toEqual(known.sort());
   });
 
-  it('are all written somewhere, and no other is', async () => {
+  it('are exactly those that the source writes', async () => {
     const text = await sourceText(['logEvents.ts']);
     const written = new Set(
       [...text.matchAll(EVENT)].map(([, event, note, cell]) => event ?? note ?? cell),
