--- a/src/services/errors/common/errorKinds.ts
+++ b/src/services/errors/common/errorKinds.ts
@@ -33,7 +33,7 @@
   ConfigurationUnknown: 'configuration-unknown',
   /** Reported by the command line tool: no daemon accepted the call. */
   DaemonUnreachable: 'daemon-unreachable',
-  /** Reported by the command line tool: a daemon may have accepted the call, but its answer is incomplete. */
+  /** Reported by the command line tool: a daemon may have run the call, but its answer was lost. */
   DaemonAnswerLost: 'daemon-answer-lost',
   Internal: 'internal',
 } as const;
--- a/src/services/metrics/common/labelledSeries.ts
+++ b/src/services/metrics/common/labelledSeries.ts
@@ -1,4 +1,4 @@
-/** The values of one metric, one for each combination of label values. */
+/** The values of one metric, with one value for each combination of label values. */
 import type { MetricLabels } from './metrics.js';
 
 export interface Labelled<Value> {
@@ -9,9 +9,9 @@
 const KEY_SEPARATOR = '\u0000';
 
 /**
- * Bounded, because a label value that comes from outside (a name in a request, the id of an
- * instance that is replaced daily) would otherwise make memory grow for ever. What exceeds the
- * bound is not recorded; the caller counts that.
+ * The number of combinations is bounded. Otherwise label values from outside (a name in a request,
+ * the id of an instance that is replaced daily) would make memory grow without limit. Combinations
+ * beyond the bound are not recorded; the caller counts them.
  */
 export class LabelledSeries<Value> {
   readonly #capacity: number;
@@ -25,7 +25,7 @@
     this.#create = create;
   }
 
-  /** The value under these labels, or undefined when there are too many combinations. */
+  /** Finds or creates the value of these labels; undefined if there are too many combinations. */
   find(labels: MetricLabels | undefined): Labelled<Value> | undefined {
     const key = labels === undefined ? '' : Object.values(labels).join(KEY_SEPARATOR);
     const known = this.#byKey.get(key);
--- a/src/services/metrics/common/metricList.ts
+++ b/src/services/metrics/common/metricList.ts
@@ -1,7 +1,7 @@
 /**
- * The closed list of the metrics there are. A test holds that every name the program uses is
- * here, and `docs/operations/METRICS.md` is generated from it. Names are exported with the
- * prefix `snipethread_`; counters end in `_total`.
+ * The complete list of metrics. A test checks that every name that the program uses is listed, and
+ * `docs/operations/METRICS.md` is generated from the list. Names are exported with the prefix
+ * `snipethread_`; counters end in `_total`.
  */
 
 export const MetricKind = { Counter: 'counter', Gauge: 'gauge', Duration: 'duration' } as const;
@@ -9,7 +9,7 @@
 
 export interface MetricDescription {
   readonly kind: MetricKind;
-  /** What it counts or measures, in one sentence for an operator. */
+  /** One sentence for operators that says what the metric counts or measures. */
   readonly help: string;
 }
 
@@ -95,7 +95,7 @@
   assignments_never_started: counter('Assignments taken back before they started, by cell.'),
 };
 
-/** Counted, and the step not taken, where the program finds itself about to break a promise. */
+/** Counted when the program is about to violate an invariant; it then omits the step. */
 const INVARIANT_METRICS = {
   invariant_attempt_sent_twice: counter('An attempt was about to be sent a second time.'),
   invariant_configuration_never_reverts: counter('Refused steps back to an older configuration.'),
@@ -123,7 +123,7 @@
   invariant_withdrawn_zone: counter('A task was to start in a withdrawn zone.'),
 };
 
-/** Of the scheduler of workers that keep their own leases, and of the intake before it. */
+/** Metrics of the fleet scheduler, whose workers enforce their own leases, and of its intake. */
 const FLEET_METRICS = {
   submissions: counter('Submissions of callers, by outcome: accepted, refused or unresolved.'),
   submission_store_duration: duration('From the arrival of a submission to its record.'),
--- a/src/services/metrics/node/loopDelay.ts
+++ b/src/services/metrics/node/loopDelay.ts
@@ -1,4 +1,4 @@
-/** Measures how late this process gets to what is due. */
+/** Measures the event loop delay of this process. */
 import type { Clock } from '../../../base/common/clock.js';
 import type { Disposable } from '../../../base/common/lifecycle.js';
 import { PeriodicTimer } from '../../../base/node/periodicTimer.js';
--- a/src/services/metrics/node/metricsServer.ts
+++ b/src/services/metrics/node/metricsServer.ts
@@ -1,4 +1,4 @@
-/** Serves the metrics as text to whoever collects them. */
+/** Serves the metrics as text over HTTP. */
 import Fastify, { type FastifyInstance } from 'fastify';
 
 import { listeningPort } from '../../http/node/listening.js';
@@ -9,7 +9,7 @@
 export class MetricsServer {
   readonly #server: FastifyInstance;
 
-  /** `onWillCollect` brings the gauges up to date. */
+  /** `onWillCollect` updates the gauges before each answer. */
   constructor(metrics: PrometheusMetrics, onWillCollect: () => void) {
     this.#server = Fastify({ logger: false });
     this.#server.get(METRICS_PATH, async (_request, reply) => {
--- a/src/services/metrics/node/prometheusMetrics.ts
+++ b/src/services/metrics/node/prometheusMetrics.ts
@@ -1,5 +1,5 @@
 /** Metrics in the Prometheus text format, with durations in HDR histograms. */
-// The package's main module also loads its WebAssembly build, which costs 7 MB resident.
+// The package's main module also loads its WebAssembly build, which takes 7 MB of memory.
 import imported from 'hdr-histogram-js/dist/Int32Histogram.js';
 import { Counter, Gauge, Registry } from 'prom-client';
 
@@ -7,23 +7,23 @@
 import { METRICS } from '../common/metricList.js';
 import type { MetricLabels, Metrics } from '../common/metrics.js';
 
-/** Of the text that `exposition` makes. */
+/** The content type of the text that `exposition` returns. */
 export const EXPOSITION_TYPE = 'text/plain; version=0.0.4';
 const METRIC_PREFIX = 'snipethread_';
 const DROPPED_METRIC = 'metric_series_dropped';
 const QUANTILES = [50, 90, 99, 99.9] as const;
 /**
- * Durations are kept in microseconds up to ten minutes with two significant digits: 12 KB for
- * a histogram.
+ * Histograms hold microseconds up to ten minutes with two significant digits, which takes 12 KB
+ * each.
  */
 const HIGHEST_MICROSECONDS = 600_000_000;
 const SIGNIFICANT_DIGITS = 2;
 const MICROSECONDS_PER_MS = 1_000;
-/** Seven zones with a few outcomes each stay far below; histograms reach 1.2 MB a metric. */
+/** Far more than seven zones with a few outcomes each; bounds histograms to 1.2 MB a metric. */
 const MAXIMUM_SERIES = 100;
 
 type HistogramClass = (typeof imported)['default'];
-// Node.js and bundlers differ in what the default import of such a CommonJS module is.
+// Node.js and bundlers disagree about the default import of such a CommonJS module.
 const Histogram = 'default' in imported ? imported.default : (imported as HistogramClass);
 type Histogram = InstanceType<typeof Histogram>;
 
@@ -38,7 +38,7 @@
 
 const helpOf = (name: string): string => METRICS[name]?.help ?? name;
 
-/** Series by metric name, made when a metric is first used. */
+/** Series by metric name, created when a metric is first used. */
 class SeriesByName<Value> {
   readonly #maker: SeriesMaker<Value>;
 
@@ -62,8 +62,8 @@
 }
 
 /**
- * Recording is on the path of every request, so it only finds a number by name and labels;
- * the text format is made from the numbers when somebody reads it.
+ * Every request records metrics, so recording only looks up a value by name and labels. The text
+ * format is built from the values when the metrics are read.
  */
 export class PrometheusMetrics implements Metrics {
   readonly #counters = new SeriesByName(counterMaker);
@@ -94,7 +94,7 @@
     series.value.recordValue(Math.min(Math.max(microseconds, 1), HIGHEST_MICROSECONDS));
   }
 
-  /** The text exposition format of all that was recorded. */
+  /** Returns all recorded values in the Prometheus text exposition format. */
   async exposition(): Promise<string> {
     const registry = new Registry();
     this.#counters.forEach((series, name) => {
--- a/src/services/metrics/test/metrics.test.ts
+++ b/src/services/metrics/test/metrics.test.ts
@@ -4,18 +4,18 @@
 import { METRICS } from '../common/metricList.js';
 import { PrometheusMetrics } from '../node/prometheusMetrics.js';
 
-/** Where names stand: calls of the metrics, effects of the deciding core and invariants, but for log lines. */
+/** Matches metric names in the source: metric calls, counter effects, invariants; not log lines. */
 const NAME =
   /(?:\b(?:count|counted|gauge|recordMs)\(|\bcounter: |\bcounter\()\s*'([a-z][a-z0-9_]+)'|(?<!\.error\()'(invariant_[a-z0-9_]+)'/gu;
 
 describe('metrics', () => {
-  it('use no name that is not in the closed list', async () => {
+  it('use only names from the list of metrics', async () => {
     const text = await sourceText(['metricList.ts']);
     const used = new Set([...text.matchAll(NAME)].map(([, name, invariant]) => name ?? invariant));
     expect([...used].filter((name) => METRICS[name ?? ''] === undefined)).toEqual([]);
   });
 
-  it('export counters, gauges and quantiles in the Prometheus text format', async () => {
+  it('are exported as counters, gauges and quantiles in the Prometheus text format', async () => {
     const metrics = new PrometheusMetrics();
     metrics.count('requests', { outcome: 'answered' });
     metrics.count('requests', { outcome: 'answered' }, 2);
@@ -30,8 +30,8 @@
     );
   });
 
-  it('hold a bounded number of label combinations and count what is dropped', async () => {
-    // Whoever names things from outside would otherwise make the daemon's memory grow for ever.
+  it('have a bounded number of label combinations and count dropped values', async () => {
+    // Without a bound, label values from outside would make the daemon's memory grow without limit.
     const metrics = new PrometheusMetrics();
     Array.from({ length: 1_000 }, (_, index) => {
       metrics.recordMs('request_duration', 1, { service: `s${index}` });
--- a/src/services/metrics/test/metricsServer.test.ts
+++ b/src/services/metrics/test/metricsServer.test.ts
@@ -9,9 +9,9 @@
 import { PrometheusMetrics } from '../node/prometheusMetrics.js';
 
 describe('the metrics of a daemon', () => {
-  it('tell calls to the table by kind and outcome, and what is brought up to date', async () => {
-    // An engineer who is told of refusals looks whether the store failed, and with what, since when
-    // this instance has reached it, and whether it schedules.
+  it('show table calls by kind and outcome, and gauges that are updated on collection', async () => {
+    // An engineer who investigates refusals needs to see whether the store failed and how, how long
+    // it has been reachable from this instance, and whether the instance is the scheduler.
     let nowMs = 0;
     const table: TableService = {
       read: () => async () => {
--- a/src/services/objectStore/common/objectStore.ts
+++ b/src/services/objectStore/common/objectStore.ts
@@ -4,6 +4,6 @@
 import type { Failure } from '../../errors/common/errorKinds.js';
 
 export interface ObjectStore {
-  /** True when an object of that name is kept. */
+  /** Whether an object of that name exists. */
   hasObject(name: string): TaskEither<Failure, boolean>;
 }
--- a/src/services/tracing/common/tracing.ts
+++ b/src/services/tracing/common/tracing.ts
@@ -1,4 +1,4 @@
-/** Traces with a span for each hop, by W3C trace context. */
+/** Distributed tracing with a span for each hop, by W3C Trace Context. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
@@ -17,7 +17,7 @@
 
 /** One hop of a sampled request. */
 export interface TraceSpan {
-  /** The `traceparent` that names this span to the next hop. */
+  /** The `traceparent` header that identifies this span to the next hop. */
   readonly traceparent: string;
   child(hop: Hop, fields?: SpanFields): TraceSpan;
   end(fields?: SpanFields): void;
@@ -25,13 +25,13 @@
 
 export interface Tracing {
   /**
-   * Starts a trace, or continues the one that `traceparent` names. Undefined when the request
-   * is not sampled; callers then pass the received header on as it is.
+   * Starts a trace, or continues the one that `traceparent` identifies. Returns undefined if the
+   * request is not sampled; the caller then passes on the received header unchanged.
    */
   startTrace(hop: Hop, traceparent?: string, fields?: SpanFields): TraceSpan | undefined;
 }
 
-/** A finished span as kept in the ring of recent traces. */
+/** A finished span in the ring buffer of recent traces. */
 export interface RecordedSpan {
   readonly traceId: string;
   readonly spanId: string;
@@ -44,7 +44,7 @@
 
 export const silentTracing: Tracing = { startTrace: () => undefined };
 
-/** Runs a call within a span of its own, which says how the call ended. */
+/** Runs a call within a span and records the outcome when it ends the span. */
 export const tracedCall = async <Result extends Either<Failure, unknown>>(
   span: TraceSpan | undefined,
   call: () => Promise<Result>,
--- a/src/services/tracing/node/openTelemetryTracing.ts
+++ b/src/services/tracing/node/openTelemetryTracing.ts
@@ -1,4 +1,4 @@
-/** Tracing through the OpenTelemetry interface, with a ring of recent spans in memory. */
+/** Tracing through OpenTelemetry, with a ring buffer of recent spans in memory. */
 import {
   type Context,
   isValidSpanId,
@@ -44,7 +44,7 @@
   fields: span.attributes as SpanFields,
 });
 
-/** Spans by age in a fixed number of places. */
+/** A ring buffer of spans with a fixed capacity. */
 class Ring {
   readonly #capacity: number;
 
@@ -71,17 +71,20 @@
   }
 }
 
-/** Hops that the program makes on its own, a few every second, without any request. */
+/** Hops that the program also makes in the background, a few every second, without a request. */
 const BACKGROUND_HOPS: ReadonlySet<string> = new Set([Hop.PeerCall, Hop.TableCall, Hop.WorkerCall]);
 
-/** Calls under a request's span belong to it; peers have no requests, only heartbeats. */
+/**
+ * Whether a span belongs to no request. Table and worker calls under a request's span belong to the
+ * request; peer calls are always heartbeats.
+ */
 const isBackground = ({ name, parentSpanContext }: ReadableSpan): boolean =>
   BACKGROUND_HOPS.has(name) && (parentSpanContext === undefined || name === Hop.PeerCall);
 
 /**
- * Keeps the newest spans; the oldest give way, so memory stays bounded. Background calls have
- * places of their own, or they would push a request's spans out within seconds and leave the
- * rest of its trace without a root.
+ * Keeps the newest spans and overwrites the oldest, so memory is bounded. Background calls have a
+ * separate ring buffer. Otherwise they would displace a request's spans within seconds and leave
+ * the rest of its trace without a root.
  */
 export class SpanRing implements SpanExporter {
   readonly #requests: Ring;
@@ -107,7 +110,7 @@
     return Promise.resolve();
   }
 
-  /** The spans of a trace, by their start. */
+  /** Returns the spans of a trace, sorted by start time. */
   find(traceId: string): readonly RecordedSpan[] {
     return this.#all()
       .filter((span) => span.spanContext().traceId === traceId)
@@ -115,7 +118,7 @@
       .map(toRecordedSpan);
   }
 
-  /** Ids of the traces in the ring. */
+  /** Returns the ids of the traces with spans in the ring buffers. */
   traceIds(): readonly string[] {
     return [...new Set(this.#all().map((span) => span.spanContext().traceId))];
   }
@@ -152,7 +155,7 @@
   }
 }
 
-/** Undefined for a header that names no trace, which the W3C form says to treat as absent. */
+/** Returns undefined for an invalid header, which W3C Trace Context treats as absent. */
 const parseTraceparent = (header: string | undefined): SpanContext | undefined => {
   const match = header === undefined ? null : TRACEPARENT.exec(header);
   if (match === null) return undefined;
@@ -182,7 +185,7 @@
 
   startTrace(hop: Hop, traceparent?: string, fields: SpanFields = {}): TraceSpan | undefined {
     const parent = parseTraceparent(traceparent);
-    // Sampling is the lowest bit of the flags.
+    // The lowest bit of the flags is the sampled flag.
     const isSampledByCaller = parent !== undefined && parent.traceFlags % 2 === 1;
     if (!isSampledByCaller && this.#random.nextFraction() >= this.#sampleRatio) return undefined;
     const context: Context =
--- a/src/services/tracing/test/tracing.test.ts
+++ b/src/services/tracing/test/tracing.test.ts
@@ -16,7 +16,7 @@
   new OpenTelemetryTracing(sampleRatio, capacity, new SeededRandom(SEED));
 
 describe('tracing', () => {
-  it("continues the caller's trace and names the next hop's parent", () => {
+  it("continues the caller's trace and passes its own span id to the next hop", () => {
     const tracing = tracingWith(0);
     const entry = tracing.startTrace(Hop.Entry, SAMPLED);
     const attempt = entry?.child(Hop.Attempt);
@@ -36,14 +36,14 @@
     ['no header', undefined],
     ['an all-zero trace id', `00-${'0'.repeat(32)}-${CALLER_SPAN}-01`],
     ['a malformed header', 'ff'],
-  ])('starts nothing for %s unless its own ratio picks it', (_name, header) => {
+  ])('starts no trace for %s unless the sample ratio selects it', (_name, header) => {
     expect(tracingWith(0).startTrace(Hop.Entry, header)).toBeUndefined();
     expect(tracingWith(1).startTrace(Hop.Entry, header)).toBeDefined();
   });
 
-  it("keeps a request's spans when background calls are many", () => {
-    // An operator who looked up a trace of a few seconds ago found children without their root:
-    // calls to the table, several a second, had pushed the root out of the ring.
+  it("keeps a request's spans despite many background calls", () => {
+    // An operator looked up a trace from a few seconds ago and found children without their root:
+    // table calls, several a second, had displaced the root from the ring buffer.
     const tracing = tracingWith(1, 4);
     const entry = tracing.startTrace(Hop.Entry, SAMPLED);
     entry?.child(Hop.Queue).end();
@@ -53,9 +53,9 @@
     expect(tracing.ring.traceIds()).toHaveLength(5);
   });
 
-  // The claim of a key is part of what its request waits for. As a trace of its own it could not
-  // be found from the request, and among background calls it gave way within seconds.
-  it("makes a request's table calls children of its span, and keeps them with it", async () => {
+  // A request waits for the claim of its idempotency key. As a separate trace the claim could not
+  // be found from the request, and as a background call it was displaced within seconds.
+  it("makes a request's table calls children of its span and keeps them like its other spans", async () => {
     const tracing = tracingWith(0, 4);
     const result = { outcome: 'committed' as const, version: 1 };
     const inner: TableService = {
@@ -66,7 +66,7 @@
     const entry = tracing.startTrace(Hop.Entry, SAMPLED);
     await tableUnder(table, entry).transact({ operationId: 'o', conditions: [], writes: [] })();
     entry?.end();
-    // Calls in the background, which are many, do not push it out.
+    // Many background calls do not displace the spans of the request.
     const background = Array.from({ length: 20 }, () => tracing.startTrace(Hop.PeerCall, SAMPLED));
     background.forEach((span) => span?.end());
     const spans = tracing.ring.find(CALLER_TRACE);
