--- a/src/services/settings/common/settings.ts
+++ b/src/services/settings/common/settings.ts
@@ -1,4 +1,4 @@
-/** The daemon's settings: their schema, defaults and the rules between fields. */
+/** The daemon's settings: their schema, their defaults and the rules between fields. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 import { z } from 'zod';
 
@@ -6,7 +6,7 @@
 const positiveMs = z.number().int().positive();
 const positiveCount = z.number().int().positive();
 
-/** Port zero lets the system choose; the ready line of the log then names the port. */
+/** Port zero lets the system choose a port; the `listening` line of the log names it. */
 const listenSchema = z.strictObject({
   host: z.string().min(1),
   port: portSchema.default(0),
@@ -31,98 +31,103 @@
 });
 
 const entrySchema = z.strictObject({
-  /** The largest body of a request or an answer. */
+  /** The maximum size of the body of a request or an answer. */
   maximumBodyBytes: positiveCount.default(1_048_576),
-  /** All bodies of requests that may be held at a time. */
+  /** The maximum total size of all request bodies in memory. */
   maximumHeldBytes: positiveCount.default(33_554_432),
   maximumCallerConnections: positiveCount.default(2_000),
   /** How long a caller may take to send its request. */
   receiveTimeoutMs: positiveMs.default(10_000),
   defaultDeadlineMs: positiveMs.default(5_000),
   maximumDeadlineMs: positiveMs.default(60_000),
-  /** Requests of one service that may wait. */
+  /** The maximum number of waiting requests of one service. */
   queueCapacity: positiveCount.default(1_000),
   /** How long a request may wait before it is refused. */
   maximumWaitMs: positiveMs.default(500),
-  /** Entries that may exist at a time, the restarting ones included; each gets a fair share. */
+  /**
+   * The maximum number of concurrent entries, restarting ones included. Each entry gets an equal
+   * share of each backend server's connections.
+   */
   maximumEntryCount: positiveCount.default(8),
   maximumAttemptCount: positiveCount.default(3),
-  /** Retries allowed for each first attempt. */
+  /** The number of retries allowed per first attempt. */
   retryBudgetRatio: z.number().min(0).max(1).default(0.1),
-  /** Second attempts of slow requests allowed for each first attempt. */
+  /** The number of second attempts (hedges) of slow requests allowed per first attempt. */
   hedgeBudgetRatio: z.number().min(0).max(1).default(0.05),
-  /** The least time without a byte after which a connection is taken for silent. */
+  /** The minimum time without a received byte after which a connection counts as silent. */
   silenceFloorMs: positiveMs.default(1_000),
-  /** The largest part of a service's servers that may be set aside at a time. */
+  /** The maximum share of a service's servers that may be set aside at a time. */
   maximumSetAsideRatio: z.number().min(0).max(1).default(0.3),
-  /** How long a server's own word that it is leaving counts. */
+  /** How long a server counts as leaving after it has announced that it is. */
   leavingHoldMs: positiveMs.default(10_000),
   idleConnectionMs: positiveMs.default(4_000),
   connectTimeoutMs: positiveMs.default(1_000),
-  /** How long an idempotency key is remembered at least. */
+  /** The minimum time that an idempotency key is remembered. */
   claimLifetimeMs: positiveMs.default(86_400_000),
-  /** The largest answer that is kept for repeats, in base64 digits. */
+  /** The maximum size of an answer that is stored for repeated requests, in base64 digits. */
   maximumRecordedBytes: z.number().int().nonnegative().default(4_096),
   drainDelayMs: z.number().int().nonnegative().default(1_000),
   drainTimeoutMs: positiveMs.default(30_000),
 });
 
 const interferenceSchema = z.strictObject({
-  /** With it off nothing is learnt, throttled, evicted or kept apart for interference. */
+  /** When false, interference is not learnt and causes no throttles, evictions or separation. */
   isEnabled: z.boolean().default(true),
   /** How much slower batch work may make a service before it is throttled; 0.1 is a tenth. */
   toleratedSlowdown: z.number().positive().default(0.12),
-  /** A throttle is taken back only while the slowdown stays below this without it. */
+  /** A throttle is released only if the slowdown without it would stay below this. */
   releaseSlowdown: z.number().positive().default(0.1),
   /** A batch task does not start where it would make a service slower than this. */
   placementSlowdown: z.number().positive().default(0.12),
-  /** Standard deviations taken off an estimate before it counts: more favours batch work. */
+  /**
+   * Standard deviations subtracted from an estimate before use; a higher value favours batch work.
+   */
   doubtDeviations: z.number().nonnegative().default(0.5),
-  /** The least share of its processors that a throttled task keeps. */
+  /** The minimum share of its processors that a throttled task keeps. */
   minimumProcessorShare: z.number().positive().max(1).default(0.25),
-  /** How old the usage in a worker's report may be. */
+  /** The maximum age of the usage in a worker's report. */
   usageLagMs: positiveMs.default(5_000),
-  /** The least time between two steps against interference on one worker. */
+  /** The minimum time between two interventions against interference on one worker. */
   settleMs: positiveMs.default(8_000),
-  /** How much slower a service has to be, with all throttled that helps, for an eviction. */
+  /** A batch task is evicted only if a service is this much slower despite all useful throttles. */
   evictionSlowdown: z.number().positive().default(0.16),
-  /** How long throttling has to have been in vain before a task is evicted. */
+  /** How long throttling must have been insufficient before a task is evicted. */
   evictAfterMs: positiveMs.default(10_000),
-  /** Evictions that may be under way in a cell while more are begun for interference. */
+  /** An eviction for interference begins only while a cell has fewer evictions under way. */
   maximumEvictionsUnderWay: z.number().int().nonnegative().default(4),
-  /** What a restart costs, as time of the task's processors; weighed with the progress lost. */
+  /** The cost of a restart as processor time of the task; it is added to the lost progress. */
   restartCostMs: z.number().int().nonnegative().default(10_000),
-  /** The time in which what is known of a pair falls to a half when nothing confirms it. */
+  /** The half-life of what is known about a service and batch task pair without new samples. */
   halfLifeMs: positiveMs.default(150_000),
 });
 
 const schedulerSchema = z.strictObject({
   tickIntervalMs: positiveMs.default(200),
   cellHeartbeatIntervalMs: positiveMs.default(700),
-  /** How long a cell's heartbeat must stand still before another daemon takes the cell over. */
+  /** How long a cell's heartbeat must be unchanged before another daemon takes over the cell. */
   cellLeaseMs: positiveMs.default(2_500),
   workerRenewalIntervalMs: positiveMs.default(1_000),
   workerLeaseMs: positiveMs.default(10_000),
   workerTimeoutMs: positiveMs.default(800),
-  /** How long a start message stays good on the worker's clock. */
+  /** How long a start message is valid on the worker's clock. */
   startValidityMs: positiveMs.default(1_000),
-  /** How old the last proof that the zone is in use may be for a start. */
+  /** The maximum age of the last confirmation that the zone is in use, for a start. */
   startFreshnessMs: positiveMs.default(1_500),
-  /** How old a worker's last report may be for a new assignment. */
+  /** The maximum age of a worker's last report for a new assignment. */
   reportFreshnessMs: positiveMs.default(3_000),
-  /** The time between two transactions of a cell, in which changes gather. */
+  /** The time between two transactions of a cell, in which changes are collected. */
   roundIntervalMs: positiveMs.default(200),
-  /** Rows that a cell may write a second, its heartbeat aside. */
+  /** The maximum number of rows that a cell writes per second, without its heartbeat. */
   cellRowsPerSecond: positiveCount.default(60),
-  /** Rows that one transaction of a cell may write. */
+  /** The maximum number of rows in one transaction of a cell. */
   maximumRowsPerRound: positiveCount.default(120),
-  /** How long a service's tasks go on in a zone that was withdrawn, so that requests finish. */
+  /** How long a service's tasks continue in a withdrawn zone, so that requests can finish. */
   serviceDrainMs: positiveMs.default(4_000),
-  /** The time in which a zone that returns is opened to tasks, from an eighth to all of it. */
+  /** The ramp-up time of a returning zone, from an eighth of its capacity to all of it. */
   zoneReturnMs: positiveMs.default(6_000),
-  /** How long an owner that cannot reach the table goes on renewing its workers' leases. */
+  /** How long an owner that cannot reach the table continues to renew its workers' leases. */
   maximumRenewalWithoutTableMs: positiveMs.default(600_000),
-  /** Weights and limits of keeping batch work from slowing services. */
+  /** Limits for the interference of batch work with services. */
   interference: interferenceSchema.prefault({}),
 });
 
@@ -133,12 +138,12 @@
 
 const operatorSchema = z.strictObject({
   planLifetimeMs: positiveMs.default(600_000),
-  /** How long a confirmation is tried before its outcome is answered as unknown. */
+  /** How long a confirmation is retried before its outcome is reported as unknown. */
   confirmTimeoutMs: positiveMs.default(10_000),
-  /** How long plans are kept, so that confirming once more finds what became of them. */
+  /** How long plans are kept, so that a repeated confirmation finds their outcome. */
   planRetentionMs: positiveMs.default(86_400_000),
   maximumIntentBytes: positiveCount.default(1_048_576),
-  /** Bearer tokens, kept as the SHA-256 of the token in hexadecimal digits. */
+  /** Bearer tokens; only the SHA-256 hash of each is stored, in hexadecimal digits. */
   tokens: z
     .array(
       z.strictObject({
@@ -157,7 +162,7 @@
   ringCapacity: positiveCount.default(200),
 });
 
-/** Sections whose fields the rules compare. */
+/** The sections with fields that `checkRules` compares. */
 const RULED_SECTIONS: Readonly<Record<string, z.ZodObject>> = {
   platform: platformSchema,
   entry: entrySchema,
@@ -167,7 +172,7 @@
 };
 
 const formSchema = z.strictObject({
-  /** The JSON Schema that editors check the file with; the daemon does not read it. */
+  /** The JSON Schema that editors use to check the file; the daemon ignores it. */
   $schema: z.string().optional(),
   instanceId: z.string().min(1),
   availabilityZone: z.string().min(1),
@@ -190,12 +195,12 @@
 });
 
 export type Settings = z.infer<typeof formSchema>;
-/** The settings as an operator may write them, defaults left out. */
+/** The settings as an operator writes them; fields with defaults are optional. */
 export type SettingsInput = z.input<typeof formSchema>;
 
 /**
- * The rules between fields. A field whose own form is faulty is given as not a number, with which
- * every comparison is false, so that a rule never blames one field for the fault of another.
+ * Checks the rules between fields. Callers pass `NaN` for an invalid field. Every comparison with
+ * it is false, so a rule never reports one field because of a fault in another.
  */
 const checkRules = (
   settings: Settings,
@@ -285,7 +290,7 @@
 const toPath = (segments: readonly PropertyKey[]): string =>
   segments.length === 0 ? '(root)' : segments.map(String).join('.');
 
-/** What is wrong with the form of a value, an unknown key counted as a fault of its own path. */
+/** Converts schema errors to faults; each unknown key is a fault with its own path. */
 const formFaults = (error: z.ZodError): readonly SettingsFault[] =>
   error.issues.flatMap((issue) => {
     if (issue.code !== 'unrecognized_keys') {
@@ -302,7 +307,7 @@
 const isMembers = (value: unknown): value is Members =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** The sections that rules speak of, with each field parsed alone; faulty ones are no numbers. */
+/** Parses each field of the checked sections separately; invalid fields become `NaN`. */
 const sectionsFieldByField = (value: Members): Settings => {
   const sections = Object.entries(RULED_SECTIONS).map(([name, { shape }]) => {
     const given = isMembers(value[name]) ? value[name] : {};
@@ -315,7 +320,7 @@
   return Object.fromEntries(sections) as Settings;
 };
 
-/** Checked settings, or every fault of them at once: of their form and of the rules between. */
+/** Checks settings; reports all faults against the schema and the rules between fields at once. */
 export const checkSettings = (value: unknown): Either<readonly SettingsFault[], Settings> => {
   const parsed = formSchema.safeParse(value);
   const faults: SettingsFault[] = parsed.success ? [] : [...formFaults(parsed.error)];
--- a/src/services/settings/node/settingsFile.ts
+++ b/src/services/settings/node/settingsFile.ts
@@ -9,13 +9,13 @@
   try {
     return right(JSON.parse(text));
   } catch (error) {
-    // The parser's message quotes the file, line breaks and all; a fault is one line.
+    // The parser's message quotes the file with its line breaks, but a fault must be one line.
     const reason = (error as Error).message.replace(/\s+/gu, ' ');
     return left([{ path: '(file)', message: `is not JSON: ${reason}` }]);
   }
 };
 
-/** The checked settings, or every fault of the file. */
+/** Returns the checked settings, or all faults of the file. */
 export const readSettingsFile = async (
   path: string,
 ): Promise<Either<readonly SettingsFault[], Settings>> => {
--- a/src/services/settings/test/settings.test.ts
+++ b/src/services/settings/test/settings.test.ts
@@ -21,17 +21,17 @@
 const faultPaths = (settings: unknown): readonly string[] => {
   const checked = checkSettings(settings);
   const paths = isLeft(checked) ? checked.left.map(({ path }) => path) : [];
-  // What the daemon starts with and what is reported must not differ.
+  // The daemon must start exactly if no fault is reported.
   expect(settingsSchema.safeParse(settings).success).toBe(paths.length === 0);
   return paths;
 };
 
 describe('settings', () => {
-  it('need only addresses; all else has a default', () => {
+  it('have defaults for everything except identity and addresses', () => {
     expect(faultPaths(valid)).toEqual([]);
   });
 
-  it('name every fault by its path, unknown keys included', () => {
+  it('are reported with the path of every fault, including unknown keys', () => {
     const faulty = {
       ...valid,
       instanceId: '',
@@ -46,14 +46,14 @@
     ]);
   });
 
-  it('refuse a lease that is shorter than its renewals allow', () => {
+  it('must have a lease of at least three renewal intervals', () => {
     const faulty = { ...valid, scheduler: { workerLeaseMs: 2_000 } };
     expect(faultPaths(faulty)).toEqual(['scheduler.workerLeaseMs']);
   });
 
-  // With these limits crossed a throttle would be taken back as soon as it is in force, evictions
-  // would come before throttling, and a step would be judged by what was before it.
-  it('refuse weights of interference that would alternate', () => {
+  // Otherwise a throttle would be released as soon as it is in force, evictions would precede
+  // throttling, and an intervention would be judged by usage from before it.
+  it('must have consistent interference limits', () => {
     const faultsOf = (interference: Readonly<Record<string, number>>): readonly string[] =>
       faultPaths({ ...valid, scheduler: { interference } });
     const path = 'scheduler.interference';
@@ -62,14 +62,14 @@
     expect(faultsOf({ settleMs: 4_999 })).toEqual([`${path}.settleMs`]);
   });
 
-  it('refuse an interval with which a change would be in force too late', () => {
+  it('must have a polling interval that puts changes in force in time', () => {
     const platform = { ...valid.platform, configurationIntervalMs: 601 };
     expect(faultPaths({ ...valid, platform })).toEqual(['platform.configurationIntervalMs']);
   });
 
-  // An operator mends what is reported, restarts, and is told of the next fault: a file with
-  // faults of both kinds must have all of them reported at once.
-  it('tell broken rules and faulty forms in one pass', () => {
+  // An operator would otherwise fix the reported faults, restart, and only then see the next ones.
+  // The schema faults and the broken rules of a file must be reported together.
+  it('are reported with schema faults and broken rules in one pass', () => {
     const faulty = {
       ...valid,
       colour: 'red',
@@ -84,14 +84,14 @@
     ]);
   });
 
-  // The renewals are no number, so nothing can be said of the lease beside them.
-  it('do not report a field for a fault in another', () => {
+  // The renewal interval is not a number, so the lease cannot be compared with it.
+  it('have no fault reported for one field because of a fault in another', () => {
     const scheduler = { workerLeaseMs: 2_000, workerRenewalIntervalMs: 'often' };
     expect(faultPaths({ ...valid, scheduler })).toEqual(['scheduler.workerRenewalIntervalMs']);
   });
 
   it.each([[null], [[]], ['text'], [{ entry: 5, platform: null, operator: [] }]])(
-    'that are %j are faults and no exception',
+    'that are %j cause faults, not an exception',
     (settings) => {
       expect(faultPaths(settings).length).toBeGreaterThan(0);
     },
--- a/src/services/submissions/common/submission.ts
+++ b/src/services/submissions/common/submission.ts
@@ -1,55 +1,55 @@
-/** What callers hand in: a submission of steps, each of several equal tasks. */
+/** The submissions of callers: each has steps, and each step has several equal tasks. */
 import type { Resources } from '../../worker/common/resources.js';
 
 /** One step of a submission; its tasks differ only in their index. */
 export interface Step {
   readonly taskCount: number;
-  /** What one task takes. */
+  /** The resources that one task needs. */
   readonly size: Resources;
-  /** The caller's rough guess of how long a task works; zero when there is none. */
+  /** The caller's rough estimate of how long a task works; zero if there is none. */
   readonly estimateMs: number;
-  /** Indexes of earlier steps whose tasks must all have ended well first. */
+  /** Indexes of the earlier steps that this step depends on; all their tasks must succeed first. */
   readonly after: readonly number[];
-  /** The tasks work only together, and end together. */
+  /** Whether the tasks can only run together; they also end together. */
   readonly isGang: boolean;
-  /** The tasks are slower when they are spread over more than one rack. */
+  /** Whether the tasks are slower when spread over more than one rack. */
   readonly prefersOneRack: boolean;
-  /** A label that the worker must have; empty when any will do. */
+  /** A label that the worker must have; empty if any worker is suitable. */
   readonly requiredLabel: string;
-  /** The rack that holds the step's data; empty when there is none. */
+  /** The rack that holds the step's data; empty if there is none. */
   readonly dataRack: string;
-  /** Tasks of one occurrence of the step that one worker may run; zero for any number. */
+  /** The maximum number of tasks of one occurrence on one worker; zero for no limit. */
   readonly maximumPerWorker: number;
-  /** Copies of a task may run side by side; the first one to finish counts. */
+  /** Whether copies of a task may run concurrently; the first one to finish counts. */
   readonly isSpeculative: boolean;
-  /** The tasks run until the submission is cancelled, and are started again however they end. */
+  /** Whether the tasks run until the submission is cancelled and restart whenever they end. */
   readonly isPersistent: boolean;
   readonly savesProgress: boolean;
-  /** What the tasks run; tasks of one image behave alike. Empty when unknown. */
+  /** The image that the tasks run; tasks of one image behave alike. Empty if unknown. */
   readonly image: string;
-  /** The tail latency that a serving task must stay below; zero when it serves nobody. */
+  /** The tail latency that a serving task must stay below; zero if the task serves no requests. */
   readonly targetLatencyMs: number;
-  /** The tasks use only processors that others leave idle, and count none against capacity. */
+  /** Whether the tasks use only idle processors and reserve none of the capacity. */
   readonly isFiller: boolean;
-  /** Tasks of a persistent step that may be away at a time through the system's own doing. */
+  /** How many tasks of a persistent step the system may take down at a time. */
   readonly toleratedAwayCount: number;
 }
 
 export interface Submission {
-  /** Chosen by the caller; the same id is the same submission, however often it is sent. */
+  /** Chosen by the caller; a request with a known id repeats the same submission. */
   readonly id: string;
   readonly queueName: string;
-  /** The service that ran the queue when the submission was accepted. */
+  /** The service of the queue when the submission was accepted. */
   readonly serviceName: string;
-  /** Passed on to the workers as it is. */
+  /** Passed on to the workers unchanged. */
   readonly spec: string;
   readonly steps: readonly Step[];
-  /** How often the steps run; zero when they run once, at once. */
+  /** How many times the steps run; zero to run once, immediately. */
   readonly occurrenceCount: number;
   /** When the first occurrence is due, in Unix milliseconds. */
   readonly firstDueWallMs: number;
   readonly occurrenceIntervalMs: number;
-  /** When an instance accepted it, in Unix milliseconds of that instance. */
+  /** When an instance accepted the submission, in Unix milliseconds on that instance's clock. */
   readonly acceptedWallMs: number;
 }
 
@@ -65,6 +65,6 @@
 export const isFinalState = (state: SubmissionState): boolean =>
   state !== SubmissionState.Queued && state !== SubmissionState.Running;
 
-/** The number of times the steps run. */
+/** Returns how many times the steps run. */
 export const runsOfSteps = (submission: Submission): number =>
   Math.max(1, submission.occurrenceCount);
--- a/src/services/submissions/common/submissionChecks.ts
+++ b/src/services/submissions/common/submissionChecks.ts
@@ -1,8 +1,8 @@
-/** What makes a submission unusable, told before anything of it is stored. */
+/** Checks a submission before any part of it is stored. */
 import type { Step, Submission } from './submission.js';
 
 const MAXIMUM_SPEC_BYTES = 4_000;
-/** Far above any real step; bounds the memory that one request can take on the scheduler. */
+/** Far above any real submission; bounds the memory that one request takes on the scheduler. */
 const MAXIMUM_TASKS = 10_000;
 
 const isWhole = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
@@ -19,7 +19,7 @@
   return undefined;
 };
 
-/** One sentence on the first fault found, or undefined for a submission that can be stored. */
+/** Returns a sentence about the first fault, or undefined if the submission can be stored. */
 export const submissionFault = (submission: Submission): string | undefined => {
   if (submission.steps.length === 0) return 'the submission has no steps';
   if (submission.spec.length > MAXIMUM_SPEC_BYTES) return 'the spec is too long';
--- a/src/services/submissions/common/submissionRows.ts
+++ b/src/services/submissions/common/submissionRows.ts
@@ -1,7 +1,8 @@
 /**
- * Rows of the table that hold submissions. An entry instance adds `submissions/ID/spec` and
- * `submissions/ID/cancel`; the scheduler alone writes `progress/ID` and `assignments/ID`. They
- * stand in tables of their own, so that the scheduler follows what callers do without its own writes among it.
+ * The table rows of submissions. An entry instance adds `submissions/ID/spec` and
+ * `submissions/ID/cancel`; only the scheduler writes `progress/ID` and `assignments/ID`. The
+ * scheduler's rows are in tables of their own, so that the feed of the callers' changes, which the
+ * scheduler follows, does not contain its own writes.
  */
 import { z } from 'zod';
 
@@ -42,28 +43,29 @@
 });
 
 /**
- * What must survive the scheduler: the tasks that have ended well and the failed attempts, by
- * the task's place among all tasks of the submission.
+ * The progress of a submission, which must survive a change of the scheduler: the successful tasks
+ * and the failed attempts, by the index of the task among all tasks of the submission.
  */
 export const progressSchema = z.strictObject({
   state: z.enum(SubmissionState),
-  /** Places of the tasks that have ended well. */
+  /** Indexes of the tasks that have succeeded. */
   done: z.array(wholeSchema),
-  /** Run numbers of failed attempts by the task's place. */
+  /** Run numbers of failed attempts by the task's index. */
   failedRuns: z.record(z.string(), z.array(wholeSchema)),
 });
 export type Progress = z.infer<typeof progressSchema>;
 
 /**
- * Which worker was given which task of a submission: pairs of a task's place and its run number,
- * by worker. Written before the starts are sent, so that a new owner of the fleet knows which tasks
- * cannot run on the workers it does not reach. Runs that are over may still be in it. Under an empty
- * name are tasks that last and wait to start again, with their last run.
+ * The assignments of a submission's tasks: a flat list of pairs of task index and run number for
+ * each worker. The row is written before the starts are sent, so that a new owner of the fleet
+ * knows which tasks cannot be running on workers that it does not reach. It may still contain runs
+ * that are over. The empty worker name lists persistent tasks that wait for a restart, with their
+ * last run.
  */
 export const assignmentsSchema = z.record(z.string(), z.array(wholeSchema));
 export type Assignments = z.infer<typeof assignmentsSchema>;
 
-/** How many submissions of each queue wait for their first start, as the scheduler counts. */
+/** The number of submissions of each queue that wait for their first start. */
 export const waitingCountsSchema = z.strictObject({
   /** The epoch of the scheduler that wrote the row. */
   epoch: wholeSchema,
@@ -81,10 +83,13 @@
 export const PROGRESS_PREFIX = `${PROGRESS_TABLE}/`;
 export const ASSIGNMENT_PREFIX = `${ASSIGNMENT_TABLE}/`;
 export const WAITING_COUNTS_KEY = 'scheduling/waiting-counts';
-/** Learnt interference between images, for the successor. */
+/** The learnt interference between images, stored for the next owner. */
 export const INTERFERENCE_KEY = 'scheduling/interference';
 
-/** One pair of images: what a worker full of the filler takes of the headroom of what serves. */
+/**
+ * For each pair of images, the headroom that a serving task loses on a worker that is full of the
+ * filler.
+ */
 export const learntInterferenceSchema = z.array(
   z.strictObject({
     servingImage: z.string(),
@@ -94,16 +99,17 @@
 );
 export type LearntInterference = z.infer<typeof learntInterferenceSchema>;
 
-/** Workers that the scheduler has granted leases to, for its successor. */
+/** The workers that the scheduler has granted leases to, stored for the next owner. */
 export const ROSTER_KEY = 'scheduling/roster';
 
 /**
- * A worker with a limit has no lease beyond it, on the table's clock, until the row is written
- * anew. One without a limit may be granted leases by the owner of the roster's epoch at any time.
+ * A worker with a limit has no lease beyond that limit, on the table's clock, until the row is
+ * rewritten. The owner of the roster's epoch may grant leases to a worker without a limit at any
+ * time.
  */
 export const rosterSchema = z.strictObject({
   epoch: wholeSchema,
-  /** Id, address and limit, or null without one; short, since one row holds the whole fleet. */
+  /** Id, address, and limit or null; tuples, because one row holds the whole fleet. */
   workers: z.array(z.tuple([z.string(), z.string(), z.number().nullable()])),
 });
 export type RosterRow = z.infer<typeof rosterSchema>;
@@ -122,14 +128,15 @@
 
 export const specKey = (id: string): string => `${SUBMISSIONS_PREFIX}${id}${SPEC_SUFFIX}`;
 /**
- * Written by every cancellation, also of an unknown id: an acceptance whose answer was lost may
- * still land, and must not start what its caller has been told is cancelled.
+ * The key of a row that every cancellation writes, even of an unknown id. An acceptance whose
+ * answer was lost may still be stored later, and it must not start work that its caller was told is
+ * cancelled.
  */
 export const cancelKey = (id: string): string => `${SUBMISSIONS_PREFIX}${id}${CANCEL_SUFFIX}`;
 export const progressKey = (id: string): string => `${PROGRESS_PREFIX}${id}`;
 export const assignmentsKey = (id: string): string => `${ASSIGNMENT_PREFIX}${id}`;
 
-/** The id and kind of a row of the submissions' table. */
+/** Returns the id and the kind of a row of the submission table. */
 export const parseSubmissionKey = (
   key: string,
 ): { readonly id: string; readonly isCancellation: boolean } | undefined => {
--- a/src/services/table/common/meteredTable.ts
+++ b/src/services/table/common/meteredTable.ts
@@ -1,4 +1,4 @@
-/** Counts the calls to the table by kind and outcome, and how long they take. */
+/** Counts the calls to the table by kind and outcome, and records their durations. */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
--- a/src/services/table/common/table.ts
+++ b/src/services/table/common/table.ts
@@ -1,6 +1,6 @@
 /**
  * The platform's transactional table: versioned rows, snapshot reads and multi-row conditional
- * transactions. It is the only place where anything is agreed upon or kept.
+ * transactions. It is the only place for consensus and persistent state.
  */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
@@ -10,12 +10,12 @@
 /** The version of a row that does not exist. */
 export const ABSENT_VERSION = 0;
 
-/** A row as read. Versions of one row only grow; a removed row has version zero. */
+/** A row as read. The version of a row only increases; a removed row has version zero. */
 export interface TableRow {
   readonly key: string;
   readonly version: number;
   readonly value: JsonValue;
-  /** The transaction that wrote the row last, by which a lost answer is resolved. */
+  /** The id of the transaction that last wrote the row; resolves lost answers. */
   readonly operationId: string;
 }
 
@@ -24,18 +24,18 @@
   readonly prefixes: readonly string[];
 }
 
-/** Rows of one snapshot; keys that do not exist are left out. */
+/** The rows of one snapshot; missing keys are left out. */
 export interface ReadResult {
   readonly rows: readonly TableRow[];
-  /** Where a feed goes on from the snapshot; absent where the service has no feed. */
+  /** The feed position of the snapshot; absent if the service has no feed. */
   readonly position?: number;
-  /** The table's own steady clock when it answered; absent where the service tells none. */
+  /** The table's monotonic clock when it answered; absent if the service does not report it. */
   readonly tableNowMs?: number;
 }
 
 export interface RowCondition {
   readonly key: string;
-  /** The version the row must have; `ABSENT_VERSION` when it must not exist. */
+  /** The version that the row must have; `ABSENT_VERSION` if the row must not exist. */
   readonly version: number;
 }
 
@@ -56,9 +56,9 @@
 
 export interface TransactionResult {
   readonly outcome: TransactionOutcome;
-  /** The version that all written rows now have, when committed. */
+  /** The new version of all written rows, if committed. */
   readonly version: number;
-  /** The table's own steady clock when it answered; absent where the service tells none. */
+  /** The table's monotonic clock when it answered; absent if the service does not report it. */
   readonly tableNowMs?: number;
 }
 
@@ -75,7 +75,7 @@
 export const rowsByKey = (rows: readonly TableRow[]): ReadonlyMap<string, TableRow> =>
   new Map(rows.map((row) => [row.key, row]));
 
-/** The condition that a row is still as it was read, or still absent. */
+/** Returns the condition that a row is unchanged since it was read, or still absent. */
 export const unchangedSince = (key: string, rows: ReadonlyMap<string, TableRow>): RowCondition => ({
   key,
   version: rows.get(key)?.version ?? ABSENT_VERSION,
--- a/src/services/table/common/tableFeed.ts
+++ b/src/services/table/common/tableFeed.ts
@@ -1,4 +1,4 @@
-/** Changes of a table in the order in which they were committed. */
+/** A feed of a table's changes in commit order. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
@@ -12,13 +12,13 @@
   | {
       readonly kind: typeof FeedKind.Changes;
       readonly rows: readonly TableRow[];
-      /** Where the next call goes on. */
+      /** The position for the next call. */
       readonly position: number;
     }
-  /** The service no longer has what came after the position: everything must be read again. */
+  /** The service no longer has the changes after the position; everything must be read again. */
   | { readonly kind: typeof FeedKind.HistoryLost };
 
 export interface TableFeed {
-  /** Answers with at least one change, or with none after `waitMs`. */
+  /** Returns at least one change, or none after `waitMs`. */
   follow(table: string, afterPosition: number, waitMs: number): TaskEither<Failure, FeedPage>;
 }
--- a/src/services/table/common/tracedTableService.ts
+++ b/src/services/table/common/tracedTableService.ts
@@ -1,4 +1,4 @@
-/** A table whose calls are hops of traces. */
+/** A table service that records each call as a span of a trace. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
@@ -24,7 +24,7 @@
     this.#tracing = tracing;
   }
 
-  /** The table for the calls of one sampled request, whose spans are children of its span. */
+  /** Returns the table for one sampled request; its spans are children of the request's span. */
   under(span: TraceSpan): TableService {
     const startTrace: Tracing['startTrace'] = (hop, _traceparent, fields) =>
       span.child(hop, fields);
@@ -46,6 +46,6 @@
   }
 }
 
-/** The table as a request's calls should use it; the table itself where nothing is sampled. */
+/** Returns the table for a request's calls; the table itself if the request is not sampled. */
 export const tableUnder = (table: TableService, span: TraceSpan | undefined): TableService =>
   span !== undefined && table instanceof TracedTableService ? table.under(span) : table;
