--- a/src/services/configuration/test/configurationFollower.test.ts
+++ b/src/services/configuration/test/configurationFollower.test.ts
@@ -336,8 +336,8 @@
     expect(follower.health).toEqual({ version: 2, isConfirmed: true, isBehind: false });
   });
 
-  // A peer announces a version that does not exist. A hint decides nothing: the daemon verifies with
-  // the table that its version is the newest and continues.
+  // A peer announces a version that does not exist. A hint decides nothing: the daemon verifies
+  // with the table that its version is the newest and continues.
   it('stays confirmed after a false hint', async () => {
     const { time, table } = start(1);
     acceptChange(table.truth, 1, zoneA(ZoneState.InUse));
--- a/src/services/fleet/common/fleetWorker.ts
+++ b/src/services/fleet/common/fleetWorker.ts
@@ -115,7 +115,9 @@
   /** Another incarnation answers at the address. */
   | { readonly kind: 'other-incarnation' };
 
-/** The client of the workers. After a failure the order may have taken effect, or may still do so. */
+/**
+ * The client of the workers. After a failure the order may have taken effect, or may still do so.
+ */
 export interface FleetClient {
   hold(request: HoldRequest): TaskEither<Failure, HoldOutcome>;
   start(request: StartRequest): TaskEither<Failure, StartOutcome>;
--- a/src/services/instanceList/node/httpInstanceList.ts
+++ b/src/services/instanceList/node/httpInstanceList.ts
@@ -56,8 +56,8 @@
   read(): TaskEither<Failure, InstanceListAnswer> {
     return async () => {
       const result = await this.#read();
-      // After an outage the platform may have restarted and count its tags from the start again. The
-      // same tag could then stand for another list, and a leaving instance would be missed.
+      // After an outage the platform may have restarted and count its tags from the start again.
+      // The same tag could then stand for another list, and a leaving instance would be missed.
       if (isLeft(result)) this.#etag = undefined;
       return result;
     };
--- a/src/services/worker/common/latencySamples.ts
+++ b/src/services/worker/common/latencySamples.ts
@@ -1,18 +1,18 @@
-/** What entries measure of the servers that they send requests to. */
+/** Latencies that entries measure at the backend servers. */
 
-/** The answers that one entry got from one service's server on one worker in a span of time. */
+/** The latency of one entry's requests to one service on one worker during one period. */
 export interface LatencySample {
   readonly workerId: string;
   readonly serviceName: string;
   readonly requestCount: number;
   readonly meanLatencyMs: number;
-  /** When the first of the requests was sent, on the process's own clock. */
+  /** When the first request was sent, on the clock of this process. */
   readonly startedAtMs: number;
-  /** When the last of them was answered. */
+  /** When the last request was answered, on the same clock. */
   readonly endedAtMs: number;
 }
 
 export interface LatencySampleSource {
-  /** The samples since the last call. */
+  /** Returns the samples since the last call. */
   takeSamples(nowMs: number): readonly LatencySample[];
 }
--- a/src/services/worker/common/reportMirror.ts
+++ b/src/services/worker/common/reportMirror.ts
@@ -1,4 +1,4 @@
-/** The owner's half of the exchange: holds a worker's tasks as of a revision. */
+/** The owner's side of the worker exchange: keeps a worker's tasks as of a known revision. */
 import {
   type TaskAttempt,
   type WorkerCommand,
@@ -14,11 +14,11 @@
   readonly cellEpoch: number;
   readonly revision: number;
   readonly tasks: ReadonlyMap<string, WorkerTaskReport>;
-  /** Stays the same list while nothing changes, by which readers know that nothing has. */
+  /** The same array while no task changes, so that readers can detect a change by identity. */
   readonly taskList: WorkerTaskReport[];
 }
 
-/** A command as sent, kept to understand its answer. */
+/** A sent command, kept for the interpretation of its answer. */
 export interface SentCommand {
   readonly message: WireCommand;
   readonly incarnation: string;
@@ -29,7 +29,7 @@
 
 const toAttempt = ({ taskId, attempt }: TaskAttempt): TaskAttempt => ({ taskId, attempt });
 
-/** The renewals of a command as one for all, as far as the held tasks allow. */
+/** Replaces a command's renewals by one blanket renewal, as far as the known tasks allow. */
 const foldedRenewals = (
   held: Held,
   { renewals }: WorkerCommand,
@@ -55,7 +55,7 @@
   };
 };
 
-/** Lists that hold something; the others are left out of the message. */
+/** Returns the non-empty lists; empty ones are left out of the message. */
 const filledLists = ({
   starts,
   evictions,
@@ -69,39 +69,41 @@
 });
 
 /**
- * Turns whole commands into the short messages of the exchange and short answers into whole
- * reports. Made for a cell of 123 workers with 20 tasks each, whose renewals and reports came to
- * 850 KB a second when each named every task.
+ * Encodes full commands as short messages, and decodes short answers into full reports. In a cell
+ * of 123 workers with 20 tasks each, renewals and reports took 850 KB a second when each message
+ * named every task.
  *
- * Safety. A task may be given to another worker only when its worker has confirmed the stop or
- * its lease has surely run out, so a message must renew no attempt that the command does not
- * name: the owner counts on the lease of an attempt that it drops to run out, for example of one
- * that a transaction under way takes off the worker. The blanket renewal keeps this:
+ * Safety. A task may move to another worker only if its worker has confirmed the stop or its lease
+ * has certainly expired. So a message must not renew an attempt that the command does not name:
+ * the owner relies on the lease of a dropped attempt to expire, for example when a running
+ * transaction takes the attempt off the worker. The blanket renewal guarantees this:
  *
- * 1. What is held at revision R is exactly what the worker had at R. A whole report tells all of
- *    it. Changes are applied only to the revision that they were counted from; an answer that
- *    names another base is dropped, and the next message names no revision.
- * 2. The worker renews an attempt by the blanket only if it runs now, ran at R, and is not
- *    excepted. By 1 it is then held as running, and what is held as running and not named by the
- *    command is excepted. So what is renewed is named by the command. An attempt that was started
- *    after R is not renewed, whatever became of the answer that told of it.
- * 3. R counts for one incarnation, which the message names; another incarnation carries nothing
- *    out. It also counts for one epoch: a revision is held only from an answer to a command of the
- *    same epoch, and a worker that has seen a higher one carries nothing out either. An owner that
- *    lost the cell and has it back thus begins with a whole report, and learns the leases that
- *    were granted in between.
- * 4. The renewal ends at an instant of the worker's clock that was set when the command was made,
- *    so a message held up by a pause renews for no longer than a list of renewals would.
+ * 1. The known state at revision R is exactly the worker's state at R. A full report contains all
+ *    of it. Changes are applied only to the revision that they are based on; an answer with another
+ *    base is dropped, and the next message names no revision.
+ * 2. The worker applies the blanket renewal to an attempt only if the attempt runs now, ran at R,
+ *    and is not excepted. By 1 the attempt is then known as running. The message excepts every
+ *    attempt that is known as running and not named by the command, so every renewed attempt is
+ *    named by the command. An attempt started after R is not renewed, even if the answer that
+ *    reported it was lost.
+ * 3. R is valid for one incarnation, which the message names; another incarnation ignores the
+ *    message. R is also valid for one epoch only: a revision is known only from an answer to a
+ *    command of the same epoch, and a worker that has seen a higher epoch ignores the message. An
+ *    owner that lost the cell and regained it therefore begins with a full report, and learns the
+ *    leases that were granted in between.
+ * 4. The renewal ends at an instant of the worker's clock that was fixed when the command was
+ *    created, so a delayed message renews for no longer than a list of renewals would.
  *
- * An answer that is lost changes nothing here: what is held was true at R, and the next message
+ * A lost answer changes nothing: the known state is still the state at R, and the next message
  * names R again.
  */
 export class ReportMirror {
   #held: Held | undefined;
 
-  /** The incarnation and epoch of which no lease lasts longer than the instant below. */
+  /** The incarnation and epoch that `#latestLeaseUntilWorkerMs` applies to. */
   #leaseScope = '';
 
+  /** No lease granted in the scope ends later. */
   #latestLeaseUntilWorkerMs = Number.NEGATIVE_INFINITY;
 
   toMessage(command: WorkerCommand): SentCommand {
@@ -119,7 +121,10 @@
     return { message, incarnation, cellEpoch };
   }
 
-  /** The whole report; undefined when the answer cannot be understood, then one is asked for. */
+  /**
+   * Decodes an answer into a full report. Returns undefined if the answer has another base
+   * revision; the next message then requests a full report.
+   */
   toReport(sent: SentCommand, answer: WireReport): WorkerReport | undefined {
     if (!('baseRevision' in answer)) return this.#takeWhole(sent, answer);
     const held = this.#heldFor(sent);
--- a/src/services/worker/common/resources.ts
+++ b/src/services/worker/common/resources.ts
@@ -1,4 +1,4 @@
-/** What a task takes from an instance and what an instance has. */
+/** The resources that a task needs or that an instance has. */
 import { z } from 'zod';
 
 export const resourcesSchema = z.strictObject({
@@ -7,7 +7,7 @@
   acceleratorCount: z.number().int().nonnegative(),
 });
 
-/** Processors are counted in thousandths of one. */
+/** Processors are counted in thousandths of a processor. */
 export type Resources = z.infer<typeof resourcesSchema>;
 
 export const NO_RESOURCES: Resources = {
@@ -31,7 +31,7 @@
 export const sumResources = (sizes: readonly Resources[]): Resources =>
   sizes.reduce(addResources, NO_RESOURCES);
 
-/** True when `size` fits into `free` in every dimension. */
+/** Whether `size` fits into `free` in every dimension. */
 export const fitsInto = (size: Resources, free: Resources): boolean =>
   size.processorMillis <= free.processorMillis &&
   size.memoryBytes <= free.memoryBytes &&
@@ -47,11 +47,11 @@
   acceleratorCount: combine(left.acceleratorCount, right.acceleratorCount),
 });
 
-/** The larger of two amounts in each dimension. */
+/** Returns the larger amount in each dimension. */
 export const maximumResources = (left: Resources, right: Resources): Resources =>
   combined(left, right, Math.max);
 
-/** What is left of an amount, no less than nothing in each dimension. */
+/** Returns `whole` minus `taken`, at least zero in each dimension. */
 export const remainingResources = (whole: Resources, taken: Resources): Resources =>
   combined(whole, taken, (one, other) => Math.max(0, one - other));
 
--- a/src/services/worker/common/revisedWorker.ts
+++ b/src/services/worker/common/revisedWorker.ts
@@ -1,7 +1,7 @@
 /**
- * The worker's half of the exchange, around a worker that takes whole commands and gives whole
- * reports. It stands beside the owner's half so that both change together; the stand-ins use it,
- * and the platform's workers may.
+ * The worker's side of the worker exchange. It wraps a worker that accepts full commands and
+ * returns full reports. It is kept next to the owner's side so that both change together. The
+ * stand-ins use it, and the platform's workers may use it too.
  */
 import {
   type TaskAttempt,
@@ -13,9 +13,9 @@
 import type { ReceivedCommand, SentReport } from './workerExchange.js';
 
 interface NotedTask {
-  /** As it was last told. */
+  /** The last report of the task that counted as a change. */
   readonly report: WorkerTaskReport;
-  /** The first revision that has the attempt. */
+  /** The first revision that contains the attempt. */
   readonly sinceRevision: number;
   /** The last revision that changed it. */
   readonly changedRevision: number;
@@ -27,13 +27,16 @@
 }
 
 /**
- * How far usage moves, as a share of the task's size, before it is told again. Usage moves a
- * little all the time and lags by seconds anyway; a tenth of a size is finer than any decision
- * made from it.
+ * The minimum change of usage that is reported, as a share of the task's size. Usage varies a
+ * little all the time and lags by seconds anyway. No decision based on it needs more precision than
+ * a tenth of the size.
  */
 const USAGE_SHARE = 0.1;
 
-/** Forgotten attempts that are kept for an owner that names no revision; then all is told. */
+/**
+ * The maximum number of forgotten attempts that are kept while the owner names no revision. Beyond
+ * it they are dropped, and the next report is a full one.
+ */
 const MAXIMUM_FORGOTTEN_COUNT = 1_000;
 
 const keyOf = ({ taskId, attempt }: TaskAttempt): string => `${taskId}#${attempt}`;
@@ -49,7 +52,7 @@
   before.processorShare !== now.processorShare ||
   hasMoved(before, now);
 
-/** Counts the revisions of a worker's tasks; lives as long as the worker's incarnation. */
+/** Tracks the revisions of a worker's tasks for one incarnation of the worker. */
 export class RevisedWorker {
   readonly #command: (command: WorkerCommand) => WorkerReport;
 
@@ -57,14 +60,14 @@
 
   #highestEpoch = 0;
 
-  /** Changes since earlier revisions are not known whole any more. */
+  /** The changes since earlier revisions are no longer completely known. */
   #oldestRevision = 0;
 
   readonly #noted = new Map<string, NotedTask>();
 
   readonly #forgotten = new Map<string, ForgottenTask>();
 
-  /** `command` refuses other incarnations and lower epochs itself, as every worker has to. */
+  /** `command` itself must refuse other incarnations and lower epochs, as every worker does. */
   constructor(command: (command: WorkerCommand) => WorkerReport) {
     this.#command = command;
   }
@@ -84,7 +87,7 @@
     return this.#toChanges(knownRevision, report.workerNowMs);
   }
 
-  /** Renews by the blanket only what ran at the revision that the owner knows. */
+  /** Expands the blanket renewal to the attempts that ran at the revision that the owner knows. */
   #toWholeCommand({ knownRevision, blanketRenewal, ...command }: ReceivedCommand): WorkerCommand {
     if (blanketRenewal === undefined || knownRevision === undefined) return command;
     const { leaseUntilWorkerMs } = blanketRenewal;
--- a/src/services/worker/common/tracedWorkerClient.ts
+++ b/src/services/worker/common/tracedWorkerClient.ts
@@ -1,4 +1,4 @@
-/** A worker's control interface whose calls are hops of traces. */
+/** A worker client that records each call as a span of a trace. */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
 import type { Failure } from '../../errors/common/errorKinds.js';
--- a/src/services/worker/common/workerClient.ts
+++ b/src/services/worker/common/workerClient.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's interface to a worker. A worker runs tasks under leases that end at an instant
- * of its own clock; every message that is unsafe when it comes late carries such an instant.
+ * The platform's interface to a worker. A worker runs tasks under leases that end at an instant of
+ * its own clock. Every message that would be unsafe if delayed contains such an instant.
  */
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 import { z } from 'zod';
@@ -19,12 +19,12 @@
   Failed: 'failed',
   /** Stopped on request; the checkpoint, if any, is in the object store. */
   Evicted: 'evicted',
-  /** Stopped by the worker because its lease ran out. */
+  /** Stopped by the worker because its lease expired. */
   Lapsed: 'lapsed',
 } as const;
 export type WorkerTaskState = (typeof WorkerTaskState)[keyof typeof WorkerTaskState];
 
-/** Names one attempt at a task; no two attempts of a task may run at a time. */
+/** Identifies one attempt of a task; two attempts of a task must never run concurrently. */
 export const taskAttemptSchema = z.strictObject({
   taskId: z.string().min(1),
   attempt: z.number().int().positive(),
@@ -39,17 +39,17 @@
   size: resourcesSchema,
   workMs: z.number().nonnegative(),
   checkpoint: z.string().nullable(),
-  /** After this instant the worker refuses the start. */
+  /** The worker refuses the start after this instant of its clock. */
   startBeforeWorkerMs: z.number(),
   leaseUntilWorkerMs: z.number(),
 });
 export type StartRequest = z.infer<typeof startRequestSchema>;
 
-/** One message to a worker: renewals, starts, evictions and acknowledgements together. */
+/** One message to a worker with renewals, starts, evictions, throttles and acknowledgements. */
 export const workerCommandSchema = z.strictObject({
-  /** The incarnation the message is meant for; another one only reports. */
+  /** The intended incarnation; another incarnation only reports its state. */
   incarnation: z.string(),
-  /** The worker refuses epochs below the highest it has seen, which shuts out a former owner. */
+  /** The worker refuses epochs below the highest it has seen, so a former owner is fenced off. */
   cellEpoch: z.number().int().nonnegative(),
   renewals: z.array(z.strictObject({ ...taskAttemptSchema.shape, leaseUntilWorkerMs: z.number() })),
   starts: z.array(startRequestSchema),
@@ -57,7 +57,7 @@
   throttles: z.array(
     z.strictObject({ ...taskAttemptSchema.shape, processorShare: z.number().min(0).max(1) }),
   ),
-  /** Ended attempts whose end is recorded; the worker forgets them. */
+  /** Ended attempts whose end is recorded; the worker may forget them. */
   acknowledgements: z.array(taskAttemptSchema),
 });
 export type WorkerCommand = z.infer<typeof workerCommandSchema>;
@@ -72,35 +72,35 @@
     WorkerTaskState.Lapsed,
   ]),
   size: resourcesSchema,
-  /** Measured use, lagging by several seconds. */
+  /** Measured usage, which lags by several seconds. */
   usage: resourcesSchema,
   checkpoint: z.string().nullable(),
   /** When the attempt's lease ends on the worker's clock. */
   leaseUntilWorkerMs: z.number(),
-  /** What a throttle leaves the task of its processors; left out while it is not throttled. */
+  /** The share of its processors that a throttled task keeps; absent if it is not throttled. */
   processorShare: z.number().min(0).max(1).optional(),
-  /** Work that an eviction would lose; left out by a worker that cannot tell. */
+  /** The work that an eviction would lose; absent if the worker does not know it. */
   unsavedWorkMs: z.number().nonnegative().optional(),
 });
 export type WorkerTaskReport = z.infer<typeof workerTaskReportSchema>;
 
 export const workerReportSchema = z.strictObject({
   workerId: z.string(),
-  /** Changes when the worker loses its memory. */
+  /** Changes when the worker loses its state. */
   incarnation: z.string(),
-  /** The worker's own monotonic clock when the report was made. */
+  /** The worker's own monotonic clock when it created the report. */
   workerNowMs: z.number(),
   tasks: z.array(workerTaskReportSchema),
   /**
-   * No task's lease ends later. Set where the report was put together from changes, in which a
-   * task's own `leaseUntilWorkerMs` is that of the last change; never sent.
+   * An upper bound of all lease ends, set if the report was assembled from changes. In that case a
+   * task's own `leaseUntilWorkerMs` is as of the task's last change. Never sent.
    */
   latestLeaseUntilWorkerMs: z.number().optional(),
 });
 export type WorkerReport = z.infer<typeof workerReportSchema>;
 
 export interface WorkerClient {
-  /** Carries out what is still valid and answers with the state after it. */
+  /** Executes the parts of the command that are still valid and returns the resulting state. */
   command(command: WorkerCommand): TaskEither<Failure, WorkerReport>;
   report(): TaskEither<Failure, WorkerReport>;
 }
--- a/src/services/worker/common/workerExchange.ts
+++ b/src/services/worker/common/workerExchange.ts
@@ -1,11 +1,11 @@
 /**
- * The messages between a cell's owner and a worker as they go over the wire: reports tell what has
- * changed since a revision that the owner names, and one renewal stands for all attempts that ran
- * at that revision. `ReportMirror` is the owner's half, `RevisedWorker` the worker's.
+ * The wire format of the messages between a cell's owner and a worker. Reports contain the changes
+ * since a revision that the owner names, and one blanket renewal covers all attempts that ran at
+ * that revision. `ReportMirror` is the owner's side, `RevisedWorker` the worker's.
  *
- * A worker that speaks in revisions tells one with its whole report. Only then does the owner send
- * the fields that are added here and leave out lists that are empty, so workers that know nothing
- * of revisions get the messages they have always got and go on sending whole reports.
+ * A worker that supports revisions adds one to its full report. Only then does the owner send the
+ * fields that are added here and leave out empty lists. Workers without support for revisions
+ * receive unchanged messages and continue to send full reports.
  */
 import { z } from 'zod';
 
@@ -20,7 +20,7 @@
 const { incarnation, cellEpoch, renewals, throttles } = workerCommandSchema.shape;
 const attemptsSchema = z.array(taskAttemptSchema);
 
-/** Renews every attempt that runs now and ran at the known revision, but for `except`. */
+/** Renews every attempt that runs now and ran at the known revision, except those in `except`. */
 const blanketRenewalSchema = z.strictObject({
   leaseUntilWorkerMs: z.number(),
   except: attemptsSchema.default([]),
@@ -34,20 +34,20 @@
   evictions: attemptsSchema.default([]),
   throttles: throttles.default([]),
   acknowledgements: attemptsSchema.default([]),
-  /** The revision of the worker's tasks that the owner holds whole. */
+  /** The revision of the worker's tasks that the owner knows completely. */
   knownRevision: z.number().int().nonnegative().optional(),
   blanketRenewal: blanketRenewalSchema.optional(),
 });
-/** What is sent; lists that are left out are empty. */
+/** The command as sent; absent lists are empty. */
 export type WireCommand = z.input<typeof wireCommandSchema>;
 export type ReceivedCommand = z.output<typeof wireCommandSchema>;
 
-/** What has changed between two revisions of the incarnation that the command named. */
+/** The changes between two revisions of the incarnation that the command named. */
 export const changesReportSchema = z.strictObject({
   baseRevision: z.number().int().nonnegative(),
   revision: z.number().int().nonnegative(),
   workerNowMs: z.number(),
-  /** Attempts that are new or have changed, whole. */
+  /** The full reports of attempts that are new or changed. */
   tasks: z.array(workerTaskReportSchema).default([]),
   /** Attempts that the worker has forgotten. */
   forgotten: attemptsSchema.default([]),
@@ -55,11 +55,11 @@
 
 export const wholeReportSchema = z.strictObject({
   ...workerReportSchema.omit({ latestLeaseUntilWorkerMs: true }).shape,
-  /** Absent from workers that do not count revisions. */
+  /** Absent from workers that do not support revisions. */
   revision: z.number().int().nonnegative().optional(),
 });
 
 export const wireReportSchema = z.union([changesReportSchema, wholeReportSchema]);
 export type WireReport = z.output<typeof wireReportSchema>;
-/** What is sent; lists that are left out are empty. */
+/** The report as sent; absent lists are empty. */
 export type SentReport = z.input<typeof wireReportSchema>;
--- a/src/services/worker/node/httpWorkerClient.ts
+++ b/src/services/worker/node/httpWorkerClient.ts
@@ -1,4 +1,4 @@
-/** A worker's control interface over HTTP, on one connection of its own. */
+/** The client of one worker over HTTP, with a dedicated connection. */
 import { isLeft, left, right } from 'fp-ts/lib/Either.js';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 import { Agent } from 'undici';
--- a/src/services/worker/test/exchangeTwin.ts
+++ b/src/services/worker/test/exchangeTwin.ts
@@ -1,7 +1,7 @@
 /**
- * Two workers that are given the same commands: one as lists, one through the short messages of
- * the exchange. Whatever becomes of the messages, both must end up with the same tasks under the
- * same leases, and the owner's reports must tell the same.
+ * Compares two workers that receive the same commands: one as full lists, one through the short
+ * messages of the exchange. Even if messages are lost or delayed, both must end up with the same
+ * tasks and leases, and the owner's reports must match.
  */
 import { SeededRandom } from '../../../base/common/random.js';
 import { WorkerStandIn } from '../../../../standIns/workers/workerStandIn.js';
@@ -44,7 +44,7 @@
   ...fields,
 });
 
-/** The tasks of a report by attempt, without leases, which reports of changes tell late. */
+/** The tasks of a report by attempt, without leases, which are outdated in reports of changes. */
 export const statesOf = (report: WorkerReport | undefined): Readonly<Record<string, string>> =>
   Object.fromEntries(
     (report?.tasks ?? []).map((task) => [
@@ -53,7 +53,7 @@
     ]),
   );
 
-/** What goes over the wire is text, and both ends check it. */
+/** Serializes a message and parses it with the schema, as both ends of a connection do. */
 const overTheWire = <Parsed>(schema: { parse(value: unknown): Parsed }, value: unknown): Parsed =>
   schema.parse(JSON.parse(JSON.stringify(value)));
 
@@ -65,7 +65,7 @@
 interface Owner {
   readonly cellEpoch: number;
   readonly mirror: ReportMirror;
-  /** What the owner goes by: the last report whose answer reached it. */
+  /** The last report that reached the owner; its commands are based on it. */
   report: WorkerReport | undefined;
 }
 
@@ -90,7 +90,7 @@
     this.#revised = this.#newRevised();
   }
 
-  /** Carries a message out at both workers; the result is what the owner's half makes of it. */
+  /** Delivers a message to both workers; returns a function that decodes the answer. */
   deliver(mirror: ReportMirror, { sent, command }: Message): () => WorkerReport | undefined {
     this.listWorker.command(command, this.nowMs);
     const received = overTheWire(wireCommandSchema, sent.message);
@@ -99,12 +99,12 @@
     return () => mirror.toReport(sent, overTheWire(wireReportSchema, answer));
   }
 
-  /** A call whose answer arrives. */
+  /** Makes a call whose answer arrives immediately. */
   call(mirror: ReportMirror, command: WorkerCommand): WorkerReport | undefined {
     return this.deliver(mirror, { sent: mirror.toMessage(command), command })();
   }
 
-  /** The tasks as they are at a worker; leases of those that run, since an ended one has none. */
+  /** Lists a worker's tasks, with the leases of running ones, because ended ones have none. */
   static tasksAt(worker: WorkerStandIn, nowMs: number): readonly unknown[] {
     const { tasks } = worker.report(nowMs);
     return tasks.map(({ taskId, attempt, state, checkpoint, leaseUntilWorkerMs }) =>
@@ -123,7 +123,7 @@
   }
 }
 
-/** Owners, one after the other and at times together, that send at random through faults. */
+/** Successive and sometimes concurrent owners that send random commands under random faults. */
 export class RandomOwners {
   readonly twin = new ExchangeTwin();
 
@@ -143,7 +143,7 @@
     this.#random = new SeededRandom(seed);
   }
 
-  /** One step; the result is empty when all is as it should be. */
+  /** Runs one step; returns a description of the first difference, or an empty string. */
   step(): string {
     this.twin.nowMs += 20 + this.#random.nextIndex(120);
     const choice = this.#random.nextFraction();
@@ -176,7 +176,7 @@
     const told = JSON.stringify(statesOf(report));
     const latestMs = Math.max(...truth.tasks.map((task) => task.leaseUntilWorkerMs), 0);
     const boundMs = report.latestLeaseUntilWorkerMs ?? 0;
-    // A former owner's bound counts for nothing: what it hears is not of its ownership.
+    // The bound of a former owner is not checked: it covers only leases of its own epoch.
     if (owner === this.#owner && boundMs < latestMs) return `bound ${boundMs} below ${latestMs}`;
     return told === JSON.stringify(statesOf(truth)) ? '' : `told ${told}`;
   }
@@ -199,7 +199,9 @@
     if (late !== undefined) this.twin.deliver(late.mirror, late.message);
   }
 
-  /** Renews some of what runs, as an owner does while a transaction takes others off. */
+  /**
+   * Renews some running tasks, as an owner does while a transaction takes others off the worker.
+   */
   #nextCommand({ report, cellEpoch }: Owner): WorkerCommand {
     if (report === undefined) return commandOf({ incarnation: '', cellEpoch });
     const { incarnation, workerNowMs, tasks } = report;
--- a/src/services/worker/test/workerExchange.test.ts
+++ b/src/services/worker/test/workerExchange.test.ts
@@ -19,7 +19,7 @@
 
 const attemptOf = (taskId: string) => ({ taskId, attempt: 1 });
 
-/** A worker with tasks `a`, `b` and `c`, and an owner that knows them. */
+/** Creates a worker with the tasks `a`, `b` and `c`, and an owner that knows them. */
 const withThreeTasks = () => {
   const twin = new ExchangeTwin();
   const mirror = new ReportMirror();
@@ -33,11 +33,11 @@
   taskIds.map((taskId) => ({ ...attemptOf(taskId), leaseUntilWorkerMs: nowMs + LEASE_MS }));
 
 describe('short messages between an owner and a worker', () => {
-  // What users would see if they failed: a task in two places, because a lease was renewed that
-  // the owner had stopped renewing; or a task run again, because a lease was not renewed. Random
-  // commands meet lost and late answers, late commands, restarts, take-overs and paused owners;
-  // after each step the worker must be as the worker is that was sent lists.
-  it('leave the worker as whole lists would, whatever becomes of them', () => {
+  // Guards against a task in two places, because a lease was renewed that the owner no longer
+  // renews, and against a repeated task, because a lease was not renewed. Random commands meet lost
+  // and late answers, late commands, restarts, takeovers and paused owners. After each step the
+  // worker must have the same state as a worker that receives full lists.
+  it('have the same effect on the worker as full lists, even under faults', () => {
     Array.from({ length: SEED_COUNT }, (_, seed) => {
       const owners = new RandomOwners(seed + 1);
       const faults = Array.from({ length: STEP_COUNT }, (__, step) => {
@@ -48,16 +48,16 @@
     });
   });
 
-  it('name no task while nothing changes', () => {
+  it('name no task while no task changes', () => {
     const { twin, mirror } = withThreeTasks();
     const bytes = twin.messageBytes.length;
     twin.call(mirror, commandOf({ renewals: renewalsOf(['a', 'b', 'c'], 0) }));
     expect(twin.messageBytes[bytes]).toBeLessThan(200);
   });
 
-  // A transaction under way takes `b` off the worker. Once its lease has run out the task starts
-  // elsewhere, so from now on no message may renew it, the one for all included.
-  it('do not renew an attempt that the command leaves out', () => {
+  // A running transaction takes `b` off the worker. The task starts elsewhere when its lease has
+  // expired, so no message may renew it from now on, not even by the blanket renewal.
+  it('do not renew an attempt that the command does not name', () => {
     const { twin, mirror } = withThreeTasks();
     twin.nowMs = LEASE_MS - 100;
     const kept = renewalsOf(['a', 'c'], twin.nowMs);
@@ -73,9 +73,9 @@
     });
   });
 
-  // The answer that tells of `d` is lost, and the transaction that gave it to this worker fails.
-  // The owner renews all that it knows; `d` must not be among it.
-  it('do not renew an attempt whose start the owner has not heard of', () => {
+  // The answer that reports `d` is lost, and the transaction that assigned it to this worker fails.
+  // The owner renews every attempt that it knows; `d` must not be renewed with them.
+  it('do not renew an attempt whose start has not been reported to the owner', () => {
     const { twin, mirror } = withThreeTasks();
     const command = commandOf({ starts: [startOf('d', 0)] });
     twin.deliver(mirror, { sent: mirror.toMessage(command), command });
@@ -86,9 +86,9 @@
     expect(statesOf(twin.call(mirror, commandOf({})))['d#1']).toBe('lapsed null');
   });
 
-  // A first answer comes after the second. It counts from a revision that is no longer held, so
-  // it says nothing, and the next answer is whole.
-  it('drop an answer out of order and ask for a whole report', () => {
+  // The first answer arrives after the second. It is based on a revision that the owner no longer
+  // keeps, so it is dropped, and the next answer is a full report.
+  it('cause an out-of-order answer to be dropped and a full report to be requested', () => {
     const { twin, mirror } = withThreeTasks();
     const first = commandOf({ starts: [startOf('d', 0)] });
     const late = twin.deliver(mirror, { sent: mirror.toMessage(first), command: first });
@@ -98,10 +98,10 @@
     expect(statesOf(report)).toEqual(statesOf(twin.listWorker.report(twin.nowMs)));
   });
 
-  // An owner is paused past its lease, another renews for longer, and the first has the cell back
-  // with a new epoch. It must learn the leases granted in between, or it would take the worker's
-  // tasks for lapsed while they run.
-  it('begin with a whole report after a take-over, also when the owner is the same', () => {
+  // An owner is paused past its lease, another owner renews the leases for longer, and the first
+  // regains the cell with a new epoch. It must learn the leases granted in between, or it would
+  // consider the worker's tasks lapsed while they run.
+  it('begin with a full report after a takeover, even by a previous owner', () => {
     const { twin, mirror } = withThreeTasks();
     const between = new ReportMirror();
     twin.call(between, commandOf({ incarnation: '', cellEpoch: 2 }));
@@ -113,7 +113,7 @@
     expect(report?.latestLeaseUntilWorkerMs).toBe(5_000 + LEASE_MS);
   });
 
-  it('carry nothing out at a worker that was started again, which tells all', () => {
+  it('have no effect on a restarted worker, which sends a full report', () => {
     const { twin, mirror } = withThreeTasks();
     twin.restart();
     const report = twin.call(mirror, commandOf({ renewals: renewalsOf(['a'], 0) }));
@@ -121,8 +121,8 @@
   });
 });
 
-describe('a worker that knows nothing of revisions', () => {
-  it('is sent the messages it has always been sent', () => {
+describe('a worker without support for revisions', () => {
+  it('receives full commands', () => {
     const mirror = new ReportMirror();
     const first = mirror.toMessage(commandOf({ incarnation: '' }));
     const task = { ...attemptOf('a'), state: WorkerTaskState.Running, size: SIZE, usage: SIZE };
@@ -139,8 +139,8 @@
   });
 });
 
-describe('usage', () => {
-  it('is told again only once it has moved by a tenth of the size', () => {
+describe('the usage of a task', () => {
+  it('is reported again only after a change of more than a tenth of the size', () => {
     let processorMillis = 1_000;
     const size = { ...SIZE, processorMillis: 1_000 };
     const worker = new RevisedWorker(() => ({
--- a/src/services/workload/common/claimRow.ts
+++ b/src/services/workload/common/claimRow.ts
@@ -1,14 +1,14 @@
 /**
- * Rows that claim an idempotency key before its request is sent. Claims live in generations of
- * a fixed length, by the wall clock. An insertion asks that the key be absent from its own
- * generation, the one before and the one after, so a key is remembered for at least one whole
- * length, and entries whose clocks differ by less than that length agree.
+ * Rows that claim an idempotency key before its request is sent. Claims are grouped into
+ * generations of a fixed length by the wall clock. An insertion requires that the key is absent
+ * from its own, the previous and the next generation. So a key is remembered for at least one
+ * generation length, and entries whose clocks differ by less than that length agree.
  */
 import { z } from 'zod';
 
 import { hashOf } from '../../../base/common/hash.js';
 
-/** A recorded answer, small enough to be kept. */
+/** A recorded answer that is small enough to be stored. */
 export const recordedAnswerSchema = z.strictObject({
   statusCode: z.number().int(),
   headers: z.record(z.string(), z.union([z.string(), z.array(z.string())])),
@@ -17,26 +17,26 @@
 export type RecordedAnswer = z.infer<typeof recordedAnswerSchema>;
 
 export const ClaimState = {
-  /** Claimed; its request may or may not have been sent. */
+  /** The key is claimed; its request may or may not have been sent. */
   Claimed: 'claimed',
-  /** Its request was answered. */
+  /** The request has been answered. */
   Answered: 'answered',
 } as const;
 export type ClaimState = (typeof ClaimState)[keyof typeof ClaimState];
 
 export const claimRowSchema = z.strictObject({
   state: z.enum([ClaimState.Claimed, ClaimState.Answered]),
-  /** Names the request that made the claim; unique. */
+  /** The unique id of the request that made the claim. */
   claimId: z.string(),
-  /** Tells another request under the same key from a repeat. */
+  /** Distinguishes a repeated request from a different one with the same key. */
   requestDigest: z.string(),
-  /** Null until answered, and for an answer too large to be kept. */
+  /** Null until the request is answered, and if the answer is too large to be stored. */
   answer: recordedAnswerSchema.nullable(),
 });
 export type ClaimRow = z.infer<typeof claimRowSchema>;
 
 export const CLAIM_PREFIX = 'claim/';
-/** Rows of a generation are read for removal in so many parts. */
+/** The number of parts in which the rows of a generation are read for removal. */
 export const CLAIM_PART_COUNT = 4_096;
 
 const GENERATION_DIGITS = 8;
--- a/src/services/workload/common/endpointView.ts
+++ b/src/services/workload/common/endpointView.ts
@@ -1,10 +1,11 @@
 /**
- * The published servers of all cells as last read, and what to read to bring them up to date.
+ * The published backend servers of all cells as last read, and the reads that update them.
  *
- * The rows are large: with 3,440 replicas all cells together are some 300 KB. With each change of
- * its row a cell's owner writes a mark in the same transaction, so the two have one version. Marks
- * are read, and a row only when its mark is ahead of it. A cell whose row and mark do not agree
- * has a writer that knows nothing of marks; its row is read each time, as all once were.
+ * The endpoint rows are large: with 3,440 replicas those of all cells together have about 300 KB.
+ * With each change of its row a cell's owner writes a mark in the same transaction, so both get the
+ * same version. Readers read all marks, and a row only if its mark has a newer version. If row and
+ * mark of a cell have different versions, the writer does not support marks; the cell's row is
+ * then read each time.
  */
 import type { ReadRequest, TableRow } from '../../table/common/table.js';
 import {
@@ -15,10 +16,12 @@
   endpointRowSchema,
 } from './workRows.js';
 
-/** All by cell. */
 export interface EndpointView {
+  /** By cell. */
   readonly rows: ReadonlyMap<string, EndpointRow>;
+  /** Versions of the rows by cell. */
   readonly versions: ReadonlyMap<string, number>;
+  /** Versions of the marks by cell. */
   readonly marks: ReadonlyMap<string, number>;
 }
 
@@ -29,9 +32,9 @@
 };
 
 /**
- * How often all rows are read although no mark moved. Covers a cell that went from an owner that
- * writes marks to an older daemon that does not, while daemons are being replaced: requests would
- * go on to servers that are no longer there. 300 KB in a minute are 5 KB/s.
+ * How often all rows are read even if no mark has changed. During a rolling upgrade a cell can pass
+ * from an owner that writes marks to an older daemon that does not; requests would then still go to
+ * servers that no longer exist. 300 KB a minute are 5 KB/s.
  */
 export const WHOLE_ENDPOINT_INTERVAL_MS = 60_000;
 
@@ -40,7 +43,7 @@
 const isMarked = ({ marks, versions }: EndpointView, cell: string): boolean =>
   marks.has(cell) && marks.get(cell) === versions.get(cell);
 
-/** Marks of all cells, and the rows of those among `cells` that marks do not cover. */
+/** Requests the marks of all cells, and the rows of known cells without a matching mark. */
 export const endpointLook = (view: EndpointView, cells: Iterable<string>): ReadRequest => {
   const uncovered = new Set([...cells, ...view.versions.keys()]);
   return {
@@ -57,7 +60,7 @@
     .filter(({ key }) => key.startsWith(prefix))
     .map((row) => [row.key.slice(prefix.length), row] as const);
 
-/** Takes in marks and rows that were read; `rows` stays the same map when none is newer. */
+/** Applies marks and rows that were read; `rows` stays the same map if no row is newer. */
 export const withEndpointRows = (view: EndpointView, read: readonly TableRow[]): EndpointView => {
   const marks = new Map(view.marks);
   cellsUnder(read, ENDPOINT_MARK_PREFIX).forEach(([cell, { version }]) => marks.set(cell, version));
@@ -74,7 +77,7 @@
   return { rows, versions, marks };
 };
 
-/** Keys of the rows whose marks are ahead of them. */
+/** Returns the keys of the rows whose marks have a newer version. */
 export const endpointKeysDue = ({ marks, versions }: EndpointView): readonly string[] =>
   [...marks]
     .filter(([cell, version]) => version > (versions.get(cell) ?? 0))
--- a/src/services/workload/common/inbox.ts
+++ b/src/services/workload/common/inbox.ts
@@ -1,29 +1,30 @@
 /**
- * A cell's inbox row: tells the cell's owner that rows were added to its cell, and which. The
- * owner then reads those alone; without that each submission had it read its whole cell again.
+ * A cell's inbox row. It tells the cell's owner which rows were added to the cell, so the owner
+ * reads only those. Without it the owner would read its whole cell again for each submission.
  */
 import { z } from 'zod';
 
 import type { JsonValue } from '../../../base/common/json.js';
 import { ABSENT_VERSION, type TableRow } from '../../table/common/table.js';
 
-/** Rows added by one transaction. */
+/** The rows added by one transaction. */
 const arrivalSchema = z.object({
-  /** The version that the inbox row had before. */
+  /** The version of the inbox row before the transaction. */
   afterVersion: z.number().int().nonnegative(),
   keys: z.array(z.string()),
 });
 
-/** Other fields are left to whoever writes the row. */
+/** Writers of the row may add other fields. */
 const inboxRowSchema = z.object({ arrivals: z.array(arrivalSchema).optional() });
 
 /**
- * Arrivals that the row keeps. The owner looks twice a second and a job comes eight times a minute
- * on average, so sixteen outlast bursts of 30 a second; beyond that it reads its cell whole.
+ * The maximum number of arrivals in the row. The owner reads the row twice a second, and on average
+ * eight jobs a minute arrive, so sixteen arrivals cover bursts of 30 a second. Beyond that the
+ * owner reads its whole cell.
  */
 const MAXIMUM_ARRIVAL_COUNT = 16;
 
-/** Keys in all that the row keeps, so that a wave of submissions does not make it large. */
+/** The maximum number of keys in the row; bounds its size during a burst of submissions. */
 const MAXIMUM_KEY_COUNT = 128;
 
 const arrivalsIn = (row: TableRow | undefined): readonly z.infer<typeof arrivalSchema>[] => {
@@ -32,9 +33,9 @@
 };
 
 /**
- * The inbox row's next value. It must be written on the condition that the row is still the one
- * given: two writers that each add to the same value would lose one's arrivals, and a job that was
- * accepted would wait until the cell is read whole for another reason.
+ * Returns the next value of the inbox row. It must be written on the condition that the row is
+ * unchanged. Otherwise two concurrent writers would lose the arrivals of one of them, and an
+ * accepted job would wait until the whole cell is read for another reason.
  */
 export const inboxWith = (
   row: TableRow | undefined,
@@ -50,9 +51,10 @@
 };
 
 /**
- * The keys of all rows that were added after the inbox had `knownVersion`; undefined when the row
- * does not tell: too many came, or a writer that names no rows was among them. Its write breaks
- * the chain, since what follows names the version that it made, not one that the owner knows.
+ * Returns the keys of all rows that were added after `knownVersion` of the inbox. Returns undefined
+ * if the row does not contain them all: too many rows were added, or a writer named no rows. The
+ * write of such a writer breaks the chain, because the next arrival names the version that this
+ * write created and not one that the owner knows.
  */
 export const arrivalsSince = (
   row: TableRow | undefined,
--- a/src/services/workload/common/ledgerColumns.ts
+++ b/src/services/workload/common/ledgerColumns.ts
@@ -1,8 +1,9 @@
 /**
- * The form in which the assignments of a ledger row are kept in the table. A round writes whole
- * rows of some 160 assignments, and written out each repeats its worker, its shard, its size and
- * its run time. Here each worker and each kind of task stands once, and a task is a position in
- * columns, with its id whole so that a row can be searched for it. No row more is written.
+ * The column format in which the table stores the assignments of a ledger row. A round writes whole
+ * rows of about 160 assignments, and in plain format each assignment repeats its worker, shard,
+ * size and run time. The column format stores each worker and each kind of task once, and a task is
+ * a position in the columns. Task ids are stored in full, so that a row can be searched for them.
+ * The format needs no additional rows.
  */
 import { z } from 'zod';
 
@@ -14,7 +15,7 @@
 
 const positionSchema = z.number().int().nonnegative();
 
-/** What the tasks of a shard or of a service that were given the same size have in common. */
+/** The common properties of the tasks of a shard or a service that have the same size. */
 const taskKindSchema = z.strictObject({
   taskClass: taskClassSchema,
   serviceName: z.string(),
@@ -27,12 +28,12 @@
 const columnsSchema = z.strictObject({
   workers: z.array(z.strictObject({ workerId: z.string(), incarnation: z.string() })),
   kinds: z.array(taskKindSchema),
-  /** Columns: a task's id, its position among the workers and the kinds, and its index. */
+  /** The columns: each task's id, the positions of its worker and its kind, and its index. */
   taskIds: z.array(z.string()),
   workerPositions: z.array(positionSchema),
   kindPositions: z.array(positionSchema),
   taskIndexes: z.array(positionSchema),
-  /** By the task's position, for the few that differ from the usual. */
+  /** By task position; only attempts after the first and checkpoints that exist are stored. */
   attempts: z.record(z.string(), z.number().int().positive()),
   checkpoints: z.record(z.string(), z.string()),
 });
@@ -41,7 +42,7 @@
 const isWithin = (positions: readonly number[], count: number): boolean =>
   positions.every((position) => position < count);
 
-/** A row with a task that has no worker would have that task forgotten while it runs. */
+/** Rejects inconsistent columns: a task without a worker would be forgotten while it runs. */
 const isWhole = (columns: LedgerColumns): boolean => {
   const { workers, kinds, workerPositions, kindPositions, taskIds, taskIndexes } = columns;
   const taskCount = taskIds.length;
@@ -70,12 +71,12 @@
     };
   });
 
-/** Reads the columns of a row as the assignments that they were made from, in the same order. */
+/** Parses the columns of a row into the original assignments, in the same order. */
 export const ledgerColumnsSchema = columnsSchema
   .refine(isWhole, 'columns of different lengths, or positions beyond the end')
   .transform((columns) => ({ assignments: toAssignments(columns) }));
 
-/** Distinct values with their positions. */
+/** Collects distinct values and their positions. */
 class Positions<Value> {
   readonly values: Value[] = [];
 
@@ -104,7 +105,7 @@
   workMs: one.workMs,
 });
 
-/** The columns for some assignments; `ledgerColumnsSchema` gives the same assignments back. */
+/** Converts assignments to columns; `ledgerColumnsSchema` converts them back. */
 export const toLedgerColumns = (assignments: readonly Assignment[]): LedgerColumns => {
   const workers = new Positions<LedgerColumns['workers'][number]>();
   const kinds = new Positions<TaskKind>();
--- a/src/services/workload/common/workRows.ts
+++ b/src/services/workload/common/workRows.ts
@@ -1,6 +1,6 @@
 /**
- * Rows of the table that hold work: jobs, their tasks in each cell, the ledger of assignments
- * and the backend servers that services have. A cell is the workers of one availability zone.
+ * The table rows of work: jobs, their tasks in each cell, the ledger of assignments and the backend
+ * servers of services. A cell consists of the workers of one availability zone.
  */
 import { z } from 'zod';
 
@@ -39,16 +39,16 @@
     BatchTaskState.Failed,
     BatchTaskState.Cancelled,
   ]),
-  /** The attempt that runs or, while queued, the one that comes next. */
+  /** The running attempt or, while the task is queued, the next one. */
   attempt: z.number().int().positive(),
   checkpoint: z.string().nullable(),
   evictionCount: z.number().int().nonnegative(),
-  /** What the task's failures weigh; one on a doubtful worker weighs less. */
+  /** The weighted sum of the task's failures; a failure on an unreliable worker weighs less. */
   failureWeight: z.number().int().nonnegative(),
 });
 export type BatchTask = z.infer<typeof batchTaskSchema>;
 
-/** A shard: those tasks of a job that are in one cell, as far as they came there together. */
+/** A shard: the tasks of a job that were given to one cell together. */
 export const workRowSchema = z.strictObject({
   shardId: z.string(),
   jobId: z.string(),
@@ -57,20 +57,20 @@
   urgency: urgencySchema,
   workMs: z.number().nonnegative(),
   tasks: z.array(batchTaskSchema),
-  /** Cells in which no worker is large enough, when the shard was passed on for that. */
+  /** The cells that passed the shard on because none of their workers is large enough. */
   triedCells: z.array(z.string()).optional(),
-  /** Cells that had no room for the tasks and handed them on. */
+  /** The cells that handed the tasks on because they had no room. */
   handedOnBy: z.array(z.string()).optional(),
-  /** Why the tasks that were queued can never run. */
+  /** The reason why the queued tasks can never run. */
   refusal: z.string().optional(),
 });
 export type WorkRow = z.infer<typeof workRowSchema>;
 
-/** One attempt of a task, committed to a worker. */
+/** One attempt of a task, assigned to a worker. */
 export const assignmentSchema = z.strictObject({
   ...taskAttemptSchema.shape,
   workerId: z.string(),
-  /** The incarnation that the task was given to; another one has lost it. */
+  /** The incarnation that the task was assigned to; any other incarnation has lost it. */
   incarnation: z.string(),
   taskClass: taskClassSchema,
   /** Empty for batch tasks. */
@@ -84,24 +84,26 @@
 });
 export type Assignment = z.infer<typeof assignmentSchema>;
 
-/** All assignments on the workers of one rack; rows of former releases have them written out. */
+/** All assignments on the workers of one rack; older releases wrote them in plain format. */
 export const ledgerRowSchema = z.union([
   ledgerColumnsSchema,
   z.strictObject({ assignments: z.array(assignmentSchema) }),
 ]);
 export type LedgerRow = z.infer<typeof ledgerRowSchema>;
 
-/** What a cell tells the others of the teams' quotas; `quotaParts.ts` says what follows from it. */
+/** A cell's message to the other cells about the teams' quotas; see `quotaParts.ts`. */
 export const quotaShareSchema = z.strictObject({
-  /** Tells which quota documents the cell divides; equal in cells that have read the same. */
+  /**
+   * Identifies the quota documents that the cell divides; equal in cells that have read the same.
+   */
   quotas: z.string(),
-  /** The zones in use among which it divides them. */
+  /** The zones in use that the cell divides the quotas between. */
   zones: z.array(z.string()),
-  /** The highest number of an ask so far, so that none is used twice. */
+  /** The highest request number so far, so that no number is reused. */
   askCount: z.number().int().nonnegative(),
-  /** Teams of which the cell needs more than its part, with the number of the ask. */
+  /** Request numbers by team, for the teams whose quota part is too small for the cell. */
   asks: z.record(z.string(), z.number().int().positive()),
-  /** What the cell gives up of its part, by team, for another cell's ask. */
+  /** The resources of its part that the cell cedes to another cell's request, by team. */
   ceded: z.record(
     z.string(),
     z.strictObject({
@@ -110,15 +112,15 @@
       amount: resourcesSchema,
     }),
   ),
-  /** What the cell still holds, by team, where that is more than its part. */
+  /** The resources that the cell still uses, by team, if they exceed its part. */
   held: z.record(z.string(), resourcesSchema),
 });
 export type QuotaShare = z.infer<typeof quotaShareSchema>;
 
-/** What a cell tells the other cells, which read it twice a second; small for that reason. */
+/** A cell's message to the other cells; it is small because they read it twice a second. */
 export const exchangeRowSchema = z.strictObject({
   quota: quotaShareSchema.optional(),
-  /** What is free for other cells' tasks; nothing while tasks of the cell itself wait. */
+  /** Free resources for other cells' tasks; none while the cell's own tasks wait. */
   room: resourcesSchema.optional(),
 });
 export type ExchangeRow = z.infer<typeof exchangeRowSchema>;
@@ -131,11 +133,11 @@
 });
 export type EndpointRow = z.infer<typeof endpointRowSchema>;
 
-/** Jobs that one confirmed plan cancelled; the same row is written for every cell. */
+/** The jobs that one confirmed plan cancelled; the same row is written for every cell. */
 export const cancellationRowSchema = z.strictObject({ jobIds: z.array(z.string()) });
 export type CancellationRow = z.infer<typeof cancellationRowSchema>;
 
-/** All leases granted in this epoch and before are over at an instant of the table's clock. */
+/** The instant of the table's clock when all leases of an epoch and earlier have expired. */
 const formerLeasesSchema = z.strictObject({
   upToEpoch: z.number().int().nonnegative(),
   overTableMs: z.number(),
@@ -145,34 +147,34 @@
 export const cellOwnerRowSchema = z.strictObject({
   ownerId: z.string(),
   epoch: z.number().int().positive(),
-  /** When leases that former owners granted to workers are over; rising epochs. */
+  /** When the worker leases that former owners granted expire, in ascending order of epochs. */
   formerLeases: z.array(formerLeasesSchema).optional(),
 });
 export type CellOwnerRow = z.infer<typeof cellOwnerRowSchema>;
 
 export const heartbeatRowSchema = z.strictObject({
   counter: z.number().int().nonnegative(),
-  /** When it was sent, on the table's clock, where the owner knows that. */
+  /** The send time on the table's clock, if the owner knows it. */
   sentAtTableMs: z.number().optional(),
-  /** The least extra patience of an owner so far, where owners tell it. */
+  /** The smallest extra takeover delay of all owners so far, if owners report it. */
   leastDelayMs: z.number().nonnegative().optional(),
-  /** What the clock that the owners keep showed when it was sent, where they keep one. */
+  /** The send time on the clock that the owners maintain, if they maintain one. */
   cellMs: z.number().nonnegative().optional(),
 });
 export type HeartbeatRow = z.infer<typeof heartbeatRowSchema>;
 
-/** Workers that no owner has granted a lease since they were named. */
+/** Workers that no owner has granted a lease to since they were listed here. */
 export const unreachedRowSchema = z.strictObject({
-  /** When all their leases are over on the clock that the owners keep, by worker id. */
+  /** When all leases of a worker have expired, on the clock of the owners, by worker id. */
   leasesOverCellMs: z.record(z.string(), z.number()),
 });
 export type UnreachedRow = z.infer<typeof unreachedRowSchema>;
 
 export const cellOwnerKey = (cell: string): string => `cell/${cell}/owner`;
 export const cellHeartbeatKey = (cell: string): string => `cell/${cell}/heartbeat`;
-/** Written by whoever adds work to a cell, so that its owner looks again. */
+/** The key of a row that every writer of new work for a cell writes to notify the owner. */
 export const cellInboxKey = (cell: string): string => `cell/${cell}/inbox`;
-/** Named by every transaction of the owner; a write to it stops those that may still land. */
+/** The key of a row in the conditions of all the owner's transactions; a write aborts late ones. */
 export const cellFenceKey = (cell: string): string => `cell/${cell}/fence`;
 export const cellUnreachedKey = (cell: string): string => `cell/${cell}/unreached`;
 export const ledgerPrefix = (cell: string): string => `ledger/${cell}/`;
@@ -182,7 +184,7 @@
 export const finishedPrefix = (cell: string): string => `finished/${cell}/`;
 export const finishedKey = (cell: string, shardId: string): string =>
   `${finishedPrefix(cell)}${shardId}`;
-/** The id of the shard of a job that is first given to `cell`; shards of a job share a prefix. */
+/** Returns the id of the shard that is first given to `cell`; a job's shards share a prefix. */
 export const toShardId = (jobId: string, cell: string): string => `${jobId}~${cell}`;
 export const cancellationPrefix = (cell: string): string => `cancellation/${cell}/`;
 export const cancellationKey = (cell: string, planId: string): string =>
@@ -192,12 +194,12 @@
 export const EXCHANGE_PREFIX = 'exchange/';
 export const exchangeKey = (cell: string): string => `${EXCHANGE_PREFIX}${cell}`;
 export const ENDPOINT_MARK_PREFIX = 'endpoint-marks/';
-/** Written with each change of the cell's endpoint row, so that readers need not read that. */
+/** The key of a row written with each change of the endpoint row, to avoid reads of the latter. */
 export const endpointMarkKey = (cell: string): string => `${ENDPOINT_MARK_PREFIX}${cell}`;
 export const JOB_PREFIX = 'job/';
 export const jobKey = (jobId: string): string => `${JOB_PREFIX}${jobId}`;
 
-/** The id of a job: the same submission of the same team is the same job. */
+/** Returns the id of a job; a repeated submission of the same team has the same id. */
 export const toJobId = (team: string, submissionKey: string): string => `${team}.${submissionKey}`;
 
 export const batchTaskId = (jobId: string, index: number): string => `${jobId}/${index}`;
--- a/src/services/workload/test/arrivals.test.ts
+++ b/src/services/workload/test/arrivals.test.ts
@@ -42,7 +42,7 @@
 }
 
 describe("a cell's inbox", () => {
-  it('tells what was added since a version', () => {
+  it('lists the rows added since a version', () => {
     const inbox = new Inbox();
     inbox.add('work/zone-a/1');
     const knownVersion = inbox.version;
@@ -54,11 +54,11 @@
     expect(arrivalsSince(inbox.row, 0)?.length).toBe(4);
   });
 
-  // An accepted job waits for ever. Between two submissions a writer that names no rows, an older
-  // daemon or an owner that moved a shard here, writes the row; the second submission's list
-  // must not be taken for all there is.
+  // Guards against an accepted job that waits forever. Between two submissions a writer that names
+  // no rows (an older daemon, or an owner that moved a shard here) writes the inbox row. The list
+  // of the second submission must not count as complete.
   it.each([{ operationId: 'older' }, { jobId: 'j' }, 7, { arrivals: 'of another form' }])(
-    'does not tell across a write of another kind: %j',
+    'reports no list across a write that names no rows: %j',
     (value) => {
       const inbox = new Inbox();
       inbox.add('work/zone-a/1');
@@ -71,7 +71,7 @@
     },
   );
 
-  it('stays small, and does not tell what it had to leave out', () => {
+  it('stays small, and reports no list if rows are missing from it', () => {
     const inbox = new Inbox();
     Array.from({ length: 40 }, (_, index) => inbox.add(`work/zone-a/${index}`));
     expect(arrivalsSince(inbox.row, 0)).toBeUndefined();
@@ -82,13 +82,13 @@
   });
 });
 
-describe('the published servers', () => {
+describe('the published backend servers', () => {
   const servers = (workerId: string) => ({
     servers: [{ serviceName: 's', workerId, taskId: 't' }],
   });
   const CELLS = ['zone-a', 'zone-b'];
 
-  /** A table with a writer that marks its changes and one that does not. */
+  /** Creates a table and a writer that marks its changes if `isMarking`. */
   const published = () => {
     const table = new TableStandIn();
     const write = (cell: string, workerId: string, isMarking: boolean): void => {
@@ -103,7 +103,7 @@
   const workersIn = (view: typeof NO_ENDPOINTS) =>
     Object.fromEntries([...view.rows].map(([cell, row]) => [cell, row.servers[0]?.workerId]));
 
-  it('are read once their marks have moved, and not before', () => {
+  it('are read only when their marks have changed', () => {
     const { table, write } = published();
     CELLS.forEach((cell) => write(cell, 'w1', true));
     const whole = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES });
@@ -119,8 +119,8 @@
     expect(endpointKeysDue(read)).toEqual([]);
   });
 
-  // While daemons are being replaced a cell may have an older owner, which writes no marks.
-  it('are read each time where a writer sets no marks', () => {
+  // During a rolling upgrade a cell may have an older owner, which writes no marks.
+  it('are read each time if their writer sets no marks', () => {
     const { table, write } = published();
     write('zone-a', 'w1', false);
     let view = withEndpointRows(NO_ENDPOINTS, []);
@@ -136,7 +136,7 @@
     expect(endpointLook(view, CELLS).keys).toContain(endpointKey('zone-a'));
   });
 
-  it('do not go back to an older row', () => {
+  it('do not revert to an older row', () => {
     const { table, write } = published();
     write('zone-a', 'w1', true);
     const older = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES }).rows;
--- a/src/services/workload/test/ledgerColumns.test.ts
+++ b/src/services/workload/test/ledgerColumns.test.ts
@@ -31,21 +31,21 @@
 );
 
 describe('the columns of a ledger row', () => {
-  it('give back the same assignments in the same order', () => {
+  it('are parsed into the same assignments in the same order', () => {
     const stored = JSON.parse(JSON.stringify(toLedgerColumns(assignments))) as unknown;
     expect(ledgerRowSchema.parse(stored)).toEqual({ assignments });
     expect(ledgerRowSchema.parse({ assignments })).toEqual({ assignments });
   });
 
-  // A row that is cut short or points beyond its end would have an owner forget tasks that run
-  // and start them a second time elsewhere; it must not be read at all.
-  it('are refused when they do not belong together', () => {
+  // If an owner accepted a truncated row or one with invalid positions, it would forget running
+  // tasks and start them a second time elsewhere.
+  it('are refused when they are inconsistent', () => {
     const columns = toLedgerColumns(assignments);
     expect(() => ledgerRowSchema.parse({ ...columns, kindPositions: [0] })).toThrow();
     expect(() => ledgerRowSchema.parse({ ...columns, workers: [] })).toThrow();
   });
 
-  it('take less than a quarter of what assignments written out take', () => {
+  it('take less than a quarter of the size of plain assignments', () => {
     const { length } = JSON.stringify(toLedgerColumns(assignments));
     expect(length).toBeLessThan(JSON.stringify({ assignments }).length / 4);
   });
