--- a/src/services/commandLine/node/runProgram.ts
+++ b/src/services/commandLine/node/runProgram.ts
@@ -3,15 +3,15 @@
 
 import { BaseError, SettingsError, UnknownError } from '../../errors/node/snipethreadError.js';
 
-export const FAULT_EXIT_CODE = 1;
-export const WRONG_USE_EXIT_CODE = 2;
+export const FAILURE_EXIT_CODE = 1;
+export const USAGE_ERROR_EXIT_CODE = 2;
 
 const HELP_FLAGS: readonly string[] = ['--help', '-h'];
 const VERSION_FLAGS: readonly string[] = ['--version', '-v'];
-const WRONG_USE_ERROR = 'CLIError';
+const USAGE_ERROR_NAME = 'CLIError';
 
-const isWrongUse = (error: unknown): error is Error =>
-  error instanceof Error && error.name === WRONG_USE_ERROR;
+const isUsageError = (error: unknown): error is Error =>
+  error instanceof Error && error.name === USAGE_ERROR_NAME;
 
 /**
  * Runs a command. citty exits with 1 on wrong usage; this function exits with 2, so that an
@@ -30,12 +30,12 @@
   try {
     await runCommand(command, { rawArgs: [...args] });
   } catch (thrown) {
-    if (isWrongUse(thrown)) {
+    if (isUsageError(thrown)) {
       process.stderr.write(`${thrown.message}; --help tells the use\n`);
-      process.exit(WRONG_USE_EXIT_CODE);
+      process.exit(USAGE_ERROR_EXIT_CODE);
     }
     const error = BaseError.normalize(thrown, UnknownError);
     process.stderr.write(`${error.message}\n`);
-    process.exit(error instanceof SettingsError ? WRONG_USE_EXIT_CODE : FAULT_EXIT_CODE);
+    process.exit(error instanceof SettingsError ? USAGE_ERROR_EXIT_CODE : FAILURE_EXIT_CODE);
   }
 };
--- a/src/services/configuration/common/configurationService.ts
+++ b/src/services/configuration/common/configurationService.ts
@@ -12,7 +12,7 @@
    * Reads the configuration immediately. The version is the one that a peer has announced, if any;
    * it is only a hint.
    */
-  refresh(heardVersion?: number): Promise<void>;
+  refresh(hintedVersion?: number): Promise<void>;
 }
 
 /** How well a daemon knows the configuration, for readiness and for operators. */
--- a/src/services/configuration/common/configurationSteps.ts
+++ b/src/services/configuration/common/configurationSteps.ts
@@ -11,7 +11,7 @@
  * read answered just before the change was accepted, the interval, then the reads of the version
  * and of the changes.
  */
-export const IN_FORCE_BOUND_MS = 3_000;
+export const MAXIMUM_CONFIGURATION_LAG_MS = 3_000;
 
 /** A daemon that is further behind reads all documents instead of the changes. */
 const MAXIMUM_FOLLOWED_CHANGES = 200;
@@ -20,9 +20,9 @@
   /** The version in force is the newest. */
   Confirm: 'confirm',
   /** A peer announced a newer version than the table returned: a stale read or a false hint. */
-  Prove: 'prove',
+  Verify: 'prove',
   /** The table returned an older version than the one in force. */
-  OldRead: 'old-read',
+  StaleRead: 'old-read',
   FollowChanges: 'follow-changes',
   LoadAll: 'load-all',
 } as const;
@@ -31,14 +31,14 @@
 /** Selects the next step after the table has returned a version. */
 export const versionStep = (
   current: ConfigurationView | undefined,
-  toldVersion: number,
-  heardVersion: number,
+  readVersion: number,
+  hintedVersion: number,
 ): VersionStep => {
   if (current === undefined) return VersionStep.LoadAll;
-  if (toldVersion < current.version) return VersionStep.OldRead;
-  if (toldVersion > current.version + MAXIMUM_FOLLOWED_CHANGES) return VersionStep.LoadAll;
-  if (toldVersion > current.version) return VersionStep.FollowChanges;
-  return heardVersion > toldVersion ? VersionStep.Prove : VersionStep.Confirm;
+  if (readVersion < current.version) return VersionStep.StaleRead;
+  if (readVersion > current.version + MAXIMUM_FOLLOWED_CHANGES) return VersionStep.LoadAll;
+  if (readVersion > current.version) return VersionStep.FollowChanges;
+  return hintedVersion > readVersion ? VersionStep.Verify : VersionStep.Confirm;
 };
 
 /** Returns the keys of the changes between two versions, the older version excluded. */
@@ -58,7 +58,7 @@
 ): Either<string, ConfigurationView> => {
   const byKey = new Map(rows.map((row) => [row.key, row]));
   const documents: DocumentRow[] = [];
-  const broken = changeKeysBetween(current.version, toVersion).find((key) => {
+  const malformedKey = changeKeysBetween(current.version, toVersion).find((key) => {
     const row = byKey.get(key);
     const parsed = changeRowSchema.safeParse(row?.value);
     if (row === undefined || !parsed.success || changeKey(parsed.data.version) !== key) return true;
@@ -67,7 +67,7 @@
     );
     return false;
   });
-  if (broken !== undefined) return left(`${broken} is missing or malformed`);
+  if (malformedKey !== undefined) return left(`${malformedKey} is missing or malformed`);
   try {
     return right(withDocuments(current, toVersion, documents));
   } catch (error) {
--- a/src/services/configuration/node/configurationFollower.ts
+++ b/src/services/configuration/node/configurationFollower.ts
@@ -16,7 +16,7 @@
 import {
   changeKeysBetween,
   followChanges,
-  IN_FORCE_BOUND_MS,
+  MAXIMUM_CONFIGURATION_LAG_MS,
   VersionStep,
   versionStep,
 } from '../common/configurationSteps.js';
@@ -24,22 +24,22 @@
 import { DOCUMENT_PREFIX, toVersion, VERSION_KEY } from '../common/documents.js';
 
 /** Why a poll did not confirm the configuration. */
-export const LearningFault = {
+export const PollFault = {
   StoreUnavailable: 'store-unavailable',
-  OldRead: 'old-read',
+  StaleRead: 'old-read',
   Malformed: 'malformed',
 } as const;
-export type LearningFault = (typeof LearningFault)[keyof typeof LearningFault];
+export type PollFault = (typeof PollFault)[keyof typeof PollFault];
 
 /**
  * How many changes beyond the version read are also requested. They may be accepted between the
  * reads of the version and of the changes; if they were left to the next poll, they would wait for
  * an interval and two more reads.
  */
-const LOOK_AHEAD_CHANGES = 4;
+const READ_AHEAD_CHANGE_COUNT = 4;
 
 /** Undefined when the version in force is confirmed. */
-type LookResult = LearningFault | undefined;
+type PollResult = PollFault | undefined;
 
 export class ConfigurationFollower implements ConfigurationService, Disposable {
   readonly #table: TableService;
@@ -58,18 +58,18 @@
 
   #confirmedAtMs = Number.NEGATIVE_INFINITY;
 
-  #heardVersion = 0;
+  #hintedVersion = 0;
 
-  #heardAtMs = Number.POSITIVE_INFINITY;
+  #hintedAtMs = Number.POSITIVE_INFINITY;
 
-  #isReportedConfirmed = true;
+  #wasReportedConfirmed = true;
 
   /** The error of the last malformed row, for the log. */
-  #faultText = '';
+  #malformedRowError = '';
 
   #running: Promise<void> | undefined;
 
-  #isWantedAgain = false;
+  #isPollRequested = false;
 
   constructor(table: TableService, clock: Clock, log: Log, metrics: Metrics) {
     this.#table = table;
@@ -95,8 +95,8 @@
     const nowMs = this.#clock.nowMs();
     return {
       version: this.#current?.version,
-      isConfirmed: nowMs - this.#confirmedAtMs <= IN_FORCE_BOUND_MS,
-      isBehind: nowMs - this.#heardAtMs > IN_FORCE_BOUND_MS,
+      isConfirmed: nowMs - this.#confirmedAtMs <= MAXIMUM_CONFIGURATION_LAG_MS,
+      isBehind: nowMs - this.#hintedAtMs > MAXIMUM_CONFIGURATION_LAG_MS,
     };
   }
 
@@ -105,10 +105,10 @@
    * could put their answers in force in the wrong order, and a burst of hints would cause a burst
    * of reads.
    */
-  refresh(heardVersion = 0): Promise<void> {
-    this.#noteHeard(heardVersion);
+  refresh(hintedVersion = 0): Promise<void> {
+    this.#recordHint(hintedVersion);
     if (this.#running !== undefined) {
-      this.#isWantedAgain = true;
+      this.#isPollRequested = true;
       return this.#running;
     }
     this.#running = this.#run().finally(() => {
@@ -123,39 +123,39 @@
 
   async #run(): Promise<void> {
     do {
-      this.#isWantedAgain = false;
+      this.#isPollRequested = false;
       // Each poll depends on the version that the previous poll put in force.
       // eslint-disable-next-line no-await-in-loop
-      const fault = await this.#lookSafely();
+      const fault = await this.#pollSafely();
       this.#report(fault);
-    } while (this.#isWantedAgain);
+    } while (this.#isPollRequested);
   }
 
   /** A malformed row must not end the polling loop, because that loop reads the correction. */
-  async #lookSafely(): Promise<LookResult> {
+  async #pollSafely(): Promise<PollResult> {
     try {
-      return await this.#look();
+      return await this.#poll();
     } catch (error) {
       this.#metrics.count('configuration_malformed');
-      this.#faultText = (error as Error).message;
-      return LearningFault.Malformed;
+      this.#malformedRowError = (error as Error).message;
+      return PollFault.Malformed;
     }
   }
 
-  async #look(): Promise<LookResult> {
+  async #poll(): Promise<PollResult> {
     const sentAtMs = this.#clock.nowMs();
     const read = await this.#table.read({ keys: [VERSION_KEY], prefixes: [] })();
-    if (isLeft(read)) return LearningFault.StoreUnavailable;
+    if (isLeft(read)) return PollFault.StoreUnavailable;
     const row = read.right.rows[0];
     const version = toVersion(read.right.rows);
-    switch (versionStep(this.#current, version, this.#heardVersion)) {
+    switch (versionStep(this.#current, version, this.#hintedVersion)) {
       case VersionStep.Confirm:
         this.#confirm(sentAtMs);
         return undefined;
-      case VersionStep.Prove:
-        return this.#prove(row, sentAtMs);
-      case VersionStep.OldRead:
-        return this.#noteOldRead();
+      case VersionStep.Verify:
+        return this.#verify(row, sentAtMs);
+      case VersionStep.StaleRead:
+        return this.#recordStaleRead();
       case VersionStep.FollowChanges:
         return this.#follow(version, sentAtMs);
       default:
@@ -163,20 +163,24 @@
     }
   }
 
-  async #follow(version: number, sentAtMs: number): Promise<LookResult> {
+  async #follow(version: number, sentAtMs: number): Promise<PollResult> {
     const current = this.#current as ConfigurationView;
-    const lastVersion = version + LOOK_AHEAD_CHANGES;
-    const keys = [VERSION_KEY, ...changeKeysBetween(current.version, lastVersion)];
+    const lastRequestedVersion = version + READ_AHEAD_CHANGE_COUNT;
+    const keys = [VERSION_KEY, ...changeKeysBetween(current.version, lastRequestedVersion)];
     const read = await this.#table.read({ keys, prefixes: [] })();
-    if (isLeft(read)) return LearningFault.StoreUnavailable;
-    const toldVersion = toVersion(read.right.rows);
-    if (toldVersion < version) return this.#noteOldRead();
-    const followed = followChanges(current, Math.min(toldVersion, lastVersion), read.right.rows);
+    if (isLeft(read)) return PollFault.StoreUnavailable;
+    const readVersion = toVersion(read.right.rows);
+    if (readVersion < version) return this.#recordStaleRead();
+    const followed = followChanges(
+      current,
+      Math.min(readVersion, lastRequestedVersion),
+      read.right.rows,
+    );
     if (isLeft(followed)) {
       this.#metrics.count('configuration_change_malformed');
       return this.#loadAll();
     }
-    if (toldVersion > lastVersion) this.#isWantedAgain = true;
+    if (readVersion > lastRequestedVersion) this.#isPollRequested = true;
     return this.#putInForce(followed.right, sentAtMs);
   }
 
@@ -185,14 +189,14 @@
    * version to compare a read with, so a stale read could bring back a configuration that this
    * instance had already replaced before its restart. The first view is therefore verified.
    */
-  async #loadAll(): Promise<LookResult> {
+  async #loadAll(): Promise<PollResult> {
     const sentAtMs = this.#clock.nowMs();
     const read = await this.#table.read({ keys: [VERSION_KEY], prefixes: [DOCUMENT_PREFIX] })();
-    if (isLeft(read)) return LearningFault.StoreUnavailable;
+    if (isLeft(read)) return PollFault.StoreUnavailable;
     const view = toConfigurationView(read.right.rows);
-    if (this.#current === undefined || this.#heardVersion > view.version) {
+    if (this.#current === undefined || this.#hintedVersion > view.version) {
       const row = read.right.rows.find(({ key }) => key === VERSION_KEY);
-      const fault = await this.#prove(row, sentAtMs);
+      const fault = await this.#verify(row, sentAtMs);
       if (fault !== undefined) return fault;
     }
     return this.#putInForce(view, sentAtMs);
@@ -202,15 +206,15 @@
    * Verifies that a version row is the newest by a transaction that writes nothing and commits only
    * if the row is unchanged. A read alone may be stale.
    */
-  async #prove(row: TableRow | undefined, sentAtMs: number): Promise<LookResult> {
+  async #verify(row: TableRow | undefined, sentAtMs: number): Promise<PollResult> {
     const result = await this.#table.transact({
       operationId: 'configuration-proof',
       conditions: [{ key: VERSION_KEY, version: row?.version ?? ABSENT_VERSION }],
       writes: [],
     })();
-    if (isLeft(result)) return LearningFault.StoreUnavailable;
-    if (result.right.outcome === TransactionOutcome.Conflict) return this.#noteOldRead();
-    this.#heardVersion = 0;
+    if (isLeft(result)) return PollFault.StoreUnavailable;
+    if (result.right.outcome === TransactionOutcome.Conflict) return this.#recordStaleRead();
+    this.#hintedVersion = 0;
     if (this.#current !== undefined) this.#confirm(sentAtMs);
     return undefined;
   }
@@ -219,11 +223,11 @@
    * Invariant: the version in force never decreases. A lower version is always refused, because it
    * would bring a withdrawn zone back into use.
    */
-  #putInForce(view: ConfigurationView, sentAtMs: number): LookResult {
+  #putInForce(view: ConfigurationView, sentAtMs: number): PollResult {
     const version = this.#current?.version;
     if (version !== undefined && view.version < version) {
       this.#metrics.count('invariant_configuration_never_reverts');
-      return LearningFault.OldRead;
+      return PollFault.StaleRead;
     }
     if (version !== view.version) {
       this.#current = view;
@@ -237,36 +241,38 @@
 
   #confirm(sentAtMs: number): void {
     this.#confirmedAtMs = Math.max(this.#confirmedAtMs, sentAtMs);
-    if (this.#heardVersion <= (this.#current?.version ?? 0)) {
-      this.#heardAtMs = Number.POSITIVE_INFINITY;
+    if (this.#hintedVersion <= (this.#current?.version ?? 0)) {
+      this.#hintedAtMs = Number.POSITIVE_INFINITY;
     }
   }
 
-  #noteHeard(heardVersion: number): void {
-    if (heardVersion <= Math.max(this.#heardVersion, this.#current?.version ?? 0)) return;
-    this.#heardVersion = heardVersion;
-    this.#heardAtMs = Math.min(this.#heardAtMs, this.#clock.nowMs());
+  #recordHint(hintedVersion: number): void {
+    if (hintedVersion <= Math.max(this.#hintedVersion, this.#current?.version ?? 0)) return;
+    this.#hintedVersion = hintedVersion;
+    this.#hintedAtMs = Math.min(this.#hintedAtMs, this.#clock.nowMs());
   }
 
-  #noteOldRead(): LearningFault {
+  #recordStaleRead(): PollFault {
     this.#metrics.count('configuration_old_read');
-    return LearningFault.OldRead;
+    return PollFault.StaleRead;
   }
 
   /** Logs one line when the configuration can no longer be confirmed, and one when it can again. */
-  #report(fault: LookResult): void {
+  #report(fault: PollResult): void {
     if (fault !== undefined) this.#metrics.count('configuration_look_failed', { fault });
     const { isConfirmed } = this.health;
     const isStarting =
-      this.#current === undefined && this.#clock.nowMs() - this.#startedAtMs <= IN_FORCE_BOUND_MS;
+      this.#current === undefined &&
+      this.#clock.nowMs() - this.#startedAtMs <= MAXIMUM_CONFIGURATION_LAG_MS;
     if (isStarting && !isConfirmed) return;
     this.#metrics.gauge('configuration_is_confirmed', isConfirmed ? 1 : 0);
-    if (isConfirmed === this.#isReportedConfirmed) return;
-    this.#isReportedConfirmed = isConfirmed;
+    if (isConfirmed === this.#wasReportedConfirmed) return;
+    this.#wasReportedConfirmed = isConfirmed;
     const version = this.#current?.version ?? 0;
     if (isConfirmed) this.#log.info('configuration-confirmed-again', { version });
     else {
-      const cause = fault === LearningFault.Malformed ? this.#faultText : (fault ?? 'slow answers');
+      const cause =
+        fault === PollFault.Malformed ? this.#malformedRowError : (fault ?? 'slow answers');
       this.#log.warn('configuration-cannot-be-learnt', { version, cause });
     }
   }
--- a/src/services/configuration/test/virtualTable.ts
+++ b/src/services/configuration/test/virtualTable.ts
@@ -69,13 +69,13 @@
       } else if (step === undefined || step.atMs > untilMs) break;
       else {
         idleTurnCount = 0;
-        this.#take(step);
+        this.#runStep(step);
       }
     }
     this.#nowMs = untilMs;
   }
 
-  #take(step: TimedStep): void {
+  #runStep(step: TimedStep): void {
     this.#steps.shift();
     this.#nowMs = Math.max(this.#nowMs, step.atMs);
     step.run();
@@ -94,7 +94,7 @@
   lateEffectRatio: number;
 }
 
-export const PROMPT_TABLE: TableBehaviour = {
+export const DEFAULT_BEHAVIOUR: TableBehaviour = {
   isDown: false,
   minimumDelayMs: 1,
   maximumDelayMs: 5,
@@ -103,8 +103,8 @@
   lateEffectRatio: 0,
 };
 
-const lost = failure(ErrorKind.StoreAnswerLost, 'no answer in time');
-const down = failure(ErrorKind.StoreUnavailable, 'the store is down');
+const answerLost = failure(ErrorKind.StoreAnswerLost, 'no answer in time');
+const storeDown = failure(ErrorKind.StoreUnavailable, 'the store is down');
 /** The maximum delay of a transaction that takes effect late. */
 const LATE_EFFECT_MS = 3_000;
 
@@ -121,25 +121,27 @@
   readByteCount = 0;
 
   /** Answers reads with stale rows when set. */
-  oldReader: ((request: ReadRequest) => ReadResult) | undefined;
+  staleReader: ((request: ReadRequest) => ReadResult) | undefined;
 
   constructor(time: VirtualTime, random: RandomSource, behaviour: Partial<TableBehaviour> = {}) {
     this.#time = time;
     this.#random = random;
-    this.behaviour = { ...PROMPT_TABLE, ...behaviour };
+    this.behaviour = { ...DEFAULT_BEHAVIOUR, ...behaviour };
   }
 
   read(request: ReadRequest): TaskEither<Failure, ReadResult> {
     return () =>
       new Promise((resolve) => {
         const { isDown } = this.behaviour;
-        this.#time.after(this.#legMs(), () => {
-          const read = (this.oldReader ?? ((asked) => this.truth.read(asked)))(request);
+        this.#time.after(this.#oneWayDelayMs(), () => {
+          const read = (this.staleReader ?? ((asked) => this.truth.read(asked)))(request);
           // As over a network, the result shares no object with the table or with another read.
           const text = JSON.stringify(read);
           const result = JSON.parse(text) as ReadResult;
           this.readByteCount += text.length;
-          this.#time.after(this.#legMs(), () => resolve(isDown ? left(down) : right(result)));
+          this.#time.after(this.#oneWayDelayMs(), () =>
+            resolve(isDown ? left(storeDown) : right(result)),
+          );
         });
       });
   }
@@ -148,24 +150,26 @@
     return () =>
       new Promise((resolve) => {
         const { isDown, lostAnswerRatio, lateEffectRatio, timeoutMs } = this.behaviour;
-        const lot = this.#random.nextFraction();
+        const draw = this.#random.nextFraction();
         if (isDown) {
-          this.#time.after(this.#legMs(), () => resolve(left(down)));
+          this.#time.after(this.#oneWayDelayMs(), () => resolve(left(storeDown)));
           return;
         }
-        const isLate = lot < lateEffectRatio;
-        const isLost = lot < lateEffectRatio + lostAnswerRatio;
-        const effectAfterMs = isLate ? this.#random.nextFraction() * LATE_EFFECT_MS : this.#legMs();
+        const isLate = draw < lateEffectRatio;
+        const isLost = draw < lateEffectRatio + lostAnswerRatio;
+        const effectAfterMs = isLate
+          ? this.#random.nextFraction() * LATE_EFFECT_MS
+          : this.#oneWayDelayMs();
         this.#time.after(effectAfterMs, () => {
           const result = this.truth.transact(transaction);
-          if (!isLost) this.#time.after(this.#legMs(), () => resolve(right(result)));
+          if (!isLost) this.#time.after(this.#oneWayDelayMs(), () => resolve(right(result)));
         });
-        if (isLost) this.#time.after(timeoutMs, () => resolve(left(lost)));
+        if (isLost) this.#time.after(timeoutMs, () => resolve(left(answerLost)));
       });
   }
 
   /** The random delay of one direction; a round trip stays within the timeout. */
-  #legMs(): number {
+  #oneWayDelayMs(): number {
     const { minimumDelayMs, maximumDelayMs } = this.behaviour;
     const spanMs = maximumDelayMs - minimumDelayMs;
     return (minimumDelayMs + this.#random.nextFraction() * spanMs) / 2;
--- a/src/services/fleet/common/fleetConfiguration.ts
+++ b/src/services/fleet/common/fleetConfiguration.ts
@@ -69,18 +69,18 @@
  * Queues by name, cached for each configuration. Configurations have hundreds of queues, and each
  * scheduling round looks up the queue of every step.
  */
-const knownQueues = new WeakMap<FleetConfiguration, ReadonlyMap<string, Queue>>();
+const queuesByConfiguration = new WeakMap<FleetConfiguration, ReadonlyMap<string, Queue>>();
 
 export const findQueueByName = (
   configuration: FleetConfiguration,
   name: string,
 ): Queue | undefined => {
-  const known = knownQueues.get(configuration);
-  if (known !== undefined) return known.get(name);
+  const cached = queuesByConfiguration.get(configuration);
+  if (cached !== undefined) return cached.get(name);
   const queues = new Map<string, Queue>();
   configuration.queues.forEach((queue) => {
     if (!queues.has(queue.name)) queues.set(queue.name, queue);
   });
-  knownQueues.set(configuration, queues);
+  queuesByConfiguration.set(configuration, queues);
   return queues.get(name);
 };
--- a/src/services/fleet/node/operatorFollower.ts
+++ b/src/services/fleet/node/operatorFollower.ts
@@ -37,9 +37,9 @@
 
   #position: number | undefined;
 
-  #isReached = false;
+  #isReachable = false;
 
-  #reachedAtMs = Number.NEGATIVE_INFINITY;
+  #lastAnswerAtMs = Number.NEGATIVE_INFINITY;
 
   #timer: NodeJS.Timeout | undefined;
 
@@ -58,12 +58,12 @@
 
   /** Whether the last call to the store succeeded and its answer is recent. */
   isStoreReached(nowMs: number): boolean {
-    return this.#isReached && nowMs - this.#reachedAtMs < SILENCE_MS;
+    return this.#isReachable && nowMs - this.#lastAnswerAtMs < SILENCE_MS;
   }
 
   /** The time since the store last answered. */
   silenceMs(nowMs: number): number {
-    return nowMs - this.#reachedAtMs;
+    return nowMs - this.#lastAnswerAtMs;
   }
 
   dispose(): void {
@@ -76,25 +76,25 @@
     const result = await this.#directory.operatorChanges(this.#position, WAIT_MS)();
     if (this.#isDisposed) return;
     if (isLeft(result)) {
-      if (this.#isReached) this.#log.warn('store-lost', { message: result.left.message });
-      this.#isReached = false;
+      if (this.#isReachable) this.#log.warn('store-lost', { message: result.left.message });
+      this.#isReachable = false;
       this.#timer = setTimeout(() => void this.#follow(), RETRY_MS);
       return;
     }
-    if (!this.#isReached) this.#log.info('store-regained');
-    this.#isReached = true;
-    this.#reachedAtMs = this.#clock.nowMs();
-    this.#take(result.right);
+    if (!this.#isReachable) this.#log.info('store-regained');
+    this.#isReachable = true;
+    this.#lastAnswerAtMs = this.#clock.nowMs();
+    this.#apply(result.right);
     this.#timer = setTimeout(() => void this.#follow(), 0);
   }
 
-  #take(news: OperatorChanges): void {
-    this.#position = news.position;
-    if (!news.isWhole && news.changes.length === 0) return;
-    news.changes.forEach((change) => {
+  #apply(update: OperatorChanges): void {
+    this.#position = update.position;
+    if (!update.isWhole && update.changes.length === 0) return;
+    update.changes.forEach((change) => {
       if (change.kind === 'unreadable') this.#log.warn('row-unreadable', { key: change.key });
     });
-    this.#state = withOperatorChanges(this.#state, news);
+    this.#state = withOperatorChanges(this.#state, update);
     this.#log.info('operator-state-in-force', {
       version: this.#state.configuration?.version ?? 0,
       withdrawnZones: [...this.#state.withdrawnZones].join(','),
--- a/src/services/instanceList/common/listPace.ts
+++ b/src/services/instanceList/common/readSchedule.ts
@@ -1,7 +1,7 @@
 /** Decides at which intervals of the reader's timer the instance list is read. */
 import type { InstanceListAnswer } from './instanceList.js';
 
-export interface ListPace {
+export interface ReadSchedule {
   /** The number of consecutive full lists that were identical to the previous list. */
   readonly repeatCount: number;
   /** Whether the next interval is skipped. */
@@ -15,13 +15,14 @@
  */
 const QUIET_REPEAT_COUNT = 5;
 
-export const initialListPace = (): ListPace => ({ repeatCount: 0, isSkipDue: false });
+export const initialReadSchedule = (): ReadSchedule => ({ repeatCount: 0, isSkipDue: false });
 
-export const isReadDue = (
-  pace: ListPace,
-): { readonly isDue: boolean; readonly pace: ListPace } => ({
-  isDue: !pace.isSkipDue,
-  pace: { ...pace, isSkipDue: false },
+/** Advances the schedule by one interval and returns whether a read is due in it. */
+export const nextInterval = (
+  schedule: ReadSchedule,
+): { readonly isDue: boolean; readonly schedule: ReadSchedule } => ({
+  isDue: !schedule.isSkipDue,
+  schedule: { ...schedule, isSkipDue: false },
 });
 
 /**
@@ -32,8 +33,11 @@
  * list shows it. A leaving instance may receive work for 3 s, so this leaves 1 s for the lag of the
  * list itself. A change or a failure restores the full rate immediately.
  */
-export const paceAfterRead = (pace: ListPace, answer: InstanceListAnswer): ListPace => {
-  if (answer.isConditional || answer.instances !== undefined) return initialListPace();
-  const repeatCount = pace.repeatCount + 1;
+export const scheduleAfterRead = (
+  schedule: ReadSchedule,
+  answer: InstanceListAnswer,
+): ReadSchedule => {
+  if (answer.isConditional || answer.instances !== undefined) return initialReadSchedule();
+  const repeatCount = schedule.repeatCount + 1;
   return { repeatCount, isSkipDue: repeatCount >= QUIET_REPEAT_COUNT };
 };
--- a/src/services/instanceList/node/httpInstanceList.ts
+++ b/src/services/instanceList/node/httpInstanceList.ts
@@ -22,7 +22,7 @@
 const HTTP_OK = 200;
 const HTTP_NOT_MODIFIED = 304;
 /** Status codes of a platform that does not support GET for the list. */
-const GET_NOT_OFFERED: ReadonlySet<number> = new Set([400, 404, 405, 501]);
+const GET_UNSUPPORTED_STATUSES: ReadonlySet<number> = new Set([400, 404, 405, 501]);
 
 interface RawAnswer {
   readonly statusCode: number;
@@ -42,7 +42,7 @@
 
   #etag: string | undefined;
 
-  #isGetOffered = true;
+  #isGetSupported = true;
 
   /** The last valid full answer; about 310 bytes per instance. */
   #text: string | undefined;
@@ -74,33 +74,33 @@
         return right({ instances: undefined, isConditional: true });
       }
       if (answer.statusCode === HTTP_OK) return this.#toAnswer(answer);
-      return this.#failed(`answered ${answer.statusCode}`);
+      return this.#toFailure(`answered ${answer.statusCode}`);
     } catch (error) {
-      return this.#failed((error as Error).message);
+      return this.#toFailure((error as Error).message);
     }
   }
 
   #toAnswer({ etag, text }: RawAnswer): Either<Failure, InstanceListAnswer> {
-    const isConditional = etag !== undefined && this.#isGetOffered;
+    const isConditional = etag !== undefined && this.#isGetSupported;
     if (text === this.#text) {
       this.#etag = etag;
       return right({ instances: undefined, isConditional });
     }
     const parsed = instanceListSchema.safeParse(JSON.parse(text));
-    if (!parsed.success) return this.#failed('gave an answer of another form');
+    if (!parsed.success) return this.#toFailure('gave an answer of another form');
     this.#etag = etag;
     this.#text = text;
     return right({ instances: parsed.data.instances, isConditional });
   }
 
   async #fetch(): Promise<RawAnswer> {
-    if (this.#etag === undefined || !this.#isGetOffered) {
+    if (this.#etag === undefined || !this.#isGetSupported) {
       const headers = { 'content-type': 'application/json' };
       return this.#send({ method: 'POST', headers, body: '{}' });
     }
     const answer = await this.#send({ method: 'GET', headers: { 'if-none-match': this.#etag } });
-    if (!GET_NOT_OFFERED.has(answer.statusCode)) return answer;
-    this.#isGetOffered = false;
+    if (!GET_UNSUPPORTED_STATUSES.has(answer.statusCode)) return answer;
+    this.#isGetSupported = false;
     return this.#fetch();
   }
 
@@ -117,7 +117,7 @@
     return { statusCode, etag: toEtag(headers.etag), text: await body.text() };
   }
 
-  #failed(message: string): Either<Failure, never> {
+  #toFailure(message: string): Either<Failure, never> {
     return left(failure(ErrorKind.StoreUnavailable, `${this.#origin}${PATH} ${message}`));
   }
 }
--- a/src/services/instanceList/node/instanceListReader.ts
+++ b/src/services/instanceList/node/instanceListReader.ts
@@ -8,7 +8,12 @@
 import type { Metrics } from '../../metrics/common/metrics.js';
 import type { InstanceDirectory } from '../common/instanceDirectory.js';
 import type { Instance, InstanceList } from '../common/instanceList.js';
-import { initialListPace, isReadDue, type ListPace, paceAfterRead } from '../common/listPace.js';
+import {
+  initialReadSchedule,
+  nextInterval,
+  type ReadSchedule,
+  scheduleAfterRead,
+} from '../common/readSchedule.js';
 
 export class InstanceListReader implements InstanceDirectory, Disposable {
   readonly #list: InstanceList;
@@ -23,7 +28,7 @@
 
   #fingerprint = '';
 
-  #pace: ListPace = initialListPace();
+  #schedule: ReadSchedule = initialReadSchedule();
 
   constructor(list: InstanceList, metrics: Metrics, intervalMs: number) {
     this.#list = list;
@@ -45,16 +50,16 @@
   }
 
   async #read(): Promise<void> {
-    const step = isReadDue(this.#pace);
-    this.#pace = step.pace;
+    const step = nextInterval(this.#schedule);
+    this.#schedule = step.schedule;
     if (!step.isDue) return;
     const read = await this.#list.read()();
     if (isLeft(read)) {
       this.#metrics.count('instance_list_read_failed');
-      this.#pace = initialListPace();
+      this.#schedule = initialReadSchedule();
       return;
     }
-    this.#pace = paceAfterRead(this.#pace, read.right);
+    this.#schedule = scheduleAfterRead(this.#schedule, read.right);
     const { instances } = read.right;
     if (instances === undefined) return;
     // The same list may have other bytes if the platform changes the order of its fields.
--- a/src/services/instanceList/test/instanceList.test.ts
+++ b/src/services/instanceList/test/instanceList.test.ts
@@ -3,7 +3,7 @@
 
 import { PlatformServer } from '../../../../standIns/platform/platformServer.js';
 import type { InstanceListAnswer } from '../common/instanceList.js';
-import { initialListPace, isReadDue, paceAfterRead } from '../common/listPace.js';
+import { initialReadSchedule, nextInterval, scheduleAfterRead } from '../common/readSchedule.js';
 import { HttpInstanceList } from '../node/httpInstanceList.js';
 import { ListPlatform, workerNamed } from './listPlatform.js';
 
@@ -23,23 +23,23 @@
   await platform.close();
 });
 
-const answerOf = async (from: HttpInstanceList = list): Promise<InstanceListAnswer | undefined> => {
+const readList = async (from: HttpInstanceList = list): Promise<InstanceListAnswer | undefined> => {
   const read = await from.read()();
   return isLeft(read) ? undefined : read.right;
 };
 
-const statesOf = async (): Promise<readonly string[] | undefined> =>
-  (await answerOf())?.instances?.map(({ id, state }) => `${id} ${state}`);
+const readStates = async (): Promise<readonly string[] | undefined> =>
+  (await readList())?.instances?.map(({ id, state }) => `${id} ${state}`);
 
 describe('a platform that supports entity tags', () => {
   it('sends the full list only when it has changed', async () => {
     platform.etag = '"1"';
-    expect(await statesOf()).toEqual(['w1 live']);
-    expect(await answerOf()).toEqual({ instances: undefined, isConditional: true });
+    expect(await readStates()).toEqual(['w1 live']);
+    expect(await readList()).toEqual({ instances: undefined, isConditional: true });
     platform.instances = [workerNamed('w1', 'leaving')];
     platform.etag = '"2"';
-    expect(await statesOf()).toEqual(['w1 leaving']);
-    expect(await answerOf()).toEqual({ instances: undefined, isConditional: true });
+    expect(await readStates()).toEqual(['w1 leaving']);
+    expect(await readList()).toEqual({ instances: undefined, isConditional: true });
     expect(platform.answers).toEqual(['POST 200', 'GET 304', 'GET 200', 'GET 304']);
   });
 
@@ -48,68 +48,71 @@
   // failed in between, the client fetches the full list.
   it('is asked for the full list after an outage, because its tags may have restarted', async () => {
     platform.etag = '"1"';
-    await answerOf();
+    await readList();
     platform.isDown = true;
-    expect(await answerOf()).toBeUndefined();
+    expect(await readList()).toBeUndefined();
     platform.isDown = false;
     platform.instances = [workerNamed('w1', 'leaving')];
-    expect(await statesOf()).toEqual(['w1 leaving']);
+    expect(await readStates()).toEqual(['w1 leaving']);
     expect(platform.answers).toEqual(['POST 200', 'GET 503', 'POST 200']);
   });
 
   it('sends the full list when it no longer knows the tag', async () => {
     platform.etag = '"before"';
-    await answerOf();
+    await readList();
     platform.etag = '"after"';
     platform.instances = [workerNamed('w2')];
-    expect(await statesOf()).toEqual(['w2 live']);
+    expect(await readStates()).toEqual(['w2 live']);
   });
 
   it('is read by POST when it refuses GET', async () => {
     platform.etag = '"1"';
-    platform.offersGet = false;
-    await answerOf();
-    expect(await answerOf()).toEqual({ instances: undefined, isConditional: false });
+    platform.supportsGet = false;
+    await readList();
+    expect(await readList()).toEqual({ instances: undefined, isConditional: false });
     platform.instances = [workerNamed('w1', 'leaving')];
-    expect(await statesOf()).toEqual(['w1 leaving']);
+    expect(await readStates()).toEqual(['w1 leaving']);
     expect(platform.answers).toEqual(['POST 200', 'GET 405', 'POST 200', 'POST 200']);
   });
 
   it('has its tag remembered only with a valid list', async () => {
     platform.etag = '"1"';
     platform.instances = [{ kind: 'unheard of' }];
-    expect(await answerOf()).toBeUndefined();
+    expect(await readList()).toBeUndefined();
     platform.instances = [workerNamed('w1')];
-    expect(await statesOf()).toEqual(['w1 live']);
+    expect(await readStates()).toEqual(['w1 live']);
   });
 });
 
 describe('a platform without entity tags', () => {
   it('sends the full list each time, and identical bytes do not count as a change', async () => {
-    expect(await statesOf()).toEqual(['w1 live']);
-    expect(await answerOf()).toEqual({ instances: undefined, isConditional: false });
+    expect(await readStates()).toEqual(['w1 live']);
+    expect(await readList()).toEqual({ instances: undefined, isConditional: false });
     platform.instances = [workerNamed('w1', 'leaving')];
-    expect(await statesOf()).toEqual(['w1 leaving']);
+    expect(await readStates()).toEqual(['w1 leaving']);
     expect(platform.answers).toEqual(['POST 200', 'POST 200', 'POST 200']);
   });
 
   it('causes failed reads while it is down and sends the list afterwards', async () => {
-    await answerOf();
+    await readList();
     platform.isDown = true;
-    expect(await answerOf()).toBeUndefined();
+    expect(await readList()).toBeUndefined();
     platform.isDown = false;
     platform.instances = [workerNamed('w2')];
-    expect(await statesOf()).toEqual(['w2 live']);
+    expect(await readStates()).toEqual(['w2 live']);
   });
 });
 
 describe('the stand-in of the platform', () => {
   it('answers a conditional read', async () => {
     const standIn = new PlatformServer(1);
-    const own = new HttpInstanceList(`http://127.0.0.1:${await standIn.listen()}`, TIMEOUT_MS);
-    expect(await answerOf(own)).toEqual({ instances: [], isConditional: true });
-    expect(await answerOf(own)).toEqual({ instances: undefined, isConditional: true });
-    own.dispose();
+    const standInList = new HttpInstanceList(
+      `http://127.0.0.1:${await standIn.listen()}`,
+      TIMEOUT_MS,
+    );
+    expect(await readList(standInList)).toEqual({ instances: [], isConditional: true });
+    expect(await readList(standInList)).toEqual({ instances: undefined, isConditional: true });
+    standInList.dispose();
     await standIn.close();
   });
 });
@@ -119,11 +122,11 @@
 
   /** Returns `r` for each interval with a read and `-` for each skipped one. */
   const readsWith = (answers: readonly InstanceListAnswer[]): string => {
-    let pace = initialListPace();
+    let schedule = initialReadSchedule();
     return answers
       .map((answer) => {
-        const step = isReadDue(pace);
-        pace = step.isDue ? paceAfterRead(step.pace, answer) : step.pace;
+        const step = nextInterval(schedule);
+        schedule = step.isDue ? scheduleAfterRead(step.schedule, answer) : step.schedule;
         return step.isDue ? 'r' : '-';
       })
       .join('');
--- a/src/services/instanceList/test/listPlatform.ts
+++ b/src/services/instanceList/test/listPlatform.ts
@@ -23,7 +23,7 @@
   /** The entity tag of the current list; undefined if the platform does not support tags. */
   etag: string | undefined;
 
-  offersGet = true;
+  supportsGet = true;
 
   isDown = false;
 
@@ -57,7 +57,7 @@
 
   #statusCode(request: FastifyRequest): number {
     if (this.isDown) return 503;
-    if (request.method === 'GET' && !this.offersGet) return 405;
+    if (request.method === 'GET' && !this.supportsGet) return 405;
     const isKnown = this.etag !== undefined && request.headers['if-none-match'] === this.etag;
     return isKnown ? 304 : 200;
   }
--- a/src/services/log/common/boundedLog.ts
+++ b/src/services/log/common/boundedLog.ts
@@ -8,7 +8,7 @@
  * at this rate take 0.3 % of a core. An owner of 45 workers wrote 32 lines a second on average over
  * a day.
  */
-const LINES_PER_S = 150;
+const MAXIMUM_LINES_PER_S = 150;
 const WINDOW_MS = 1_000;
 
 /**
@@ -22,9 +22,9 @@
 
   #windowStartedAtMs = Number.NEGATIVE_INFINITY;
 
-  #written = 0;
+  #writtenCount = 0;
 
-  #leftOut = 0;
+  #droppedCount = 0;
 
   constructor(log: Log, clock: Clock) {
     this.#log = log;
@@ -32,34 +32,34 @@
   }
 
   info(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.info(event, fields);
+    if (this.#admit(event)) this.#log.info(event, fields);
   }
 
   warn(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.warn(event, fields);
+    if (this.#admit(event)) this.#log.warn(event, fields);
   }
 
   error(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.error(event, fields);
+    if (this.#admit(event)) this.#log.error(event, fields);
   }
 
-  #admits(event: LogEvent): boolean {
+  #admit(event: LogEvent): boolean {
     const nowMs = this.#clock.nowMs();
     if (nowMs - this.#windowStartedAtMs >= WINDOW_MS) this.#startWindow(nowMs);
     if (!DECISION_EVENTS.has(event)) return true;
-    if (this.#written >= LINES_PER_S) {
-      this.#leftOut += 1;
+    if (this.#writtenCount >= MAXIMUM_LINES_PER_S) {
+      this.#droppedCount += 1;
       return false;
     }
-    this.#written += 1;
+    this.#writtenCount += 1;
     return true;
   }
 
   #startWindow(nowMs: number): void {
-    const lines = this.#leftOut;
+    const lines = this.#droppedCount;
     this.#windowStartedAtMs = nowMs;
-    this.#written = 0;
-    this.#leftOut = 0;
+    this.#writtenCount = 0;
+    this.#droppedCount = 0;
     if (lines > 0) this.#log.warn('log-lines-left-out', { lines });
   }
 }
--- a/src/services/log/node/lineWriter.ts
+++ b/src/services/log/node/lineWriter.ts
@@ -5,11 +5,11 @@
 /** Holds a few seconds of lines at the rate limit of `BoundedLog`. */
 const MAXIMUM_BUFFERED_BYTES = 256 * 1024;
 /** Lines added within this time are written in one call. */
-const GATHER_MS = 100;
+const BATCH_DELAY_MS = 100;
 /** The retry delay after a failed write, for example when a non-blocking pipe is full. */
 const RETRY_MS = 100;
 /** How often a flush checks whether everything is written. */
-const LOOK_MS = 10;
+const FLUSH_POLL_MS = 10;
 
 /** The system call that writes bytes; tests replace it to simulate a reader that does not read. */
 export type WriteBytes = (
@@ -26,25 +26,25 @@
 export class LineWriter {
   readonly #write: WriteBytes;
 
-  readonly #describeLeftOut: (lines: number) => string;
+  readonly #describeDropped: (lines: number) => string;
 
   #lines: string[] = [];
 
   #bufferedBytes = 0;
 
-  #leftOut = 0;
+  #droppedCount = 0;
 
   #isWriting = false;
 
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(describeLeftOut: (lines: number) => string, writeBytes: WriteBytes) {
-    this.#describeLeftOut = describeLeftOut;
+  constructor(describeDropped: (lines: number) => string, writeBytes: WriteBytes) {
+    this.#describeDropped = describeDropped;
     this.#write = writeBytes;
   }
 
-  static toDescriptor(descriptor: number, describeLeftOut: (lines: number) => string): LineWriter {
-    return new LineWriter(describeLeftOut, (bytes, done) => write(descriptor, bytes, done));
+  static toDescriptor(descriptor: number, describeDropped: (lines: number) => string): LineWriter {
+    return new LineWriter(describeDropped, (bytes, done) => write(descriptor, bytes, done));
   }
 
   get bufferedBytes(): number {
@@ -54,12 +54,12 @@
   add(line: string): void {
     const bytes = Buffer.byteLength(line);
     if (this.#bufferedBytes + bytes > MAXIMUM_BUFFERED_BYTES) {
-      this.#leftOut += 1;
+      this.#droppedCount += 1;
       return;
     }
     this.#lines.push(line);
     this.#bufferedBytes += bytes;
-    this.#schedule(GATHER_MS);
+    this.#schedule(BATCH_DELAY_MS);
   }
 
   /** Writes the buffered lines before the process ends, and gives up after the timeout. */
@@ -67,19 +67,19 @@
     clearTimeout(this.#timer);
     this.#timer = undefined;
     if (!this.#isWriting) this.#sendAll();
-    let leftMs = timeoutMs;
-    while (this.#bufferedBytes > 0 && leftMs > 0) {
+    let remainingMs = timeoutMs;
+    while (this.#bufferedBytes > 0 && remainingMs > 0) {
       // eslint-disable-next-line no-await-in-loop -- polls until everything is written
-      await delay(LOOK_MS);
-      leftMs -= LOOK_MS;
+      await delay(FLUSH_POLL_MS);
+      remainingMs -= FLUSH_POLL_MS;
     }
   }
 
-  #take(): string {
-    if (this.#leftOut > 0) this.#lines.push(this.#describeLeftOut(this.#leftOut));
+  #takeText(): string {
+    if (this.#droppedCount > 0) this.#lines.push(this.#describeDropped(this.#droppedCount));
     const text = this.#lines.join('');
     this.#lines = [];
-    this.#leftOut = 0;
+    this.#droppedCount = 0;
     return text;
   }
 
@@ -93,7 +93,7 @@
   }
 
   #sendAll(): void {
-    const bytes = Buffer.from(this.#take());
+    const bytes = Buffer.from(this.#takeText());
     if (bytes.length > 0) this.#send(bytes);
   }
 
@@ -107,7 +107,7 @@
       }
       this.#isWriting = false;
       this.#bufferedBytes = this.#lines.reduce((sum, line) => sum + Buffer.byteLength(line), 0);
-      if (this.#lines.length > 0 || this.#leftOut > 0) this.#schedule(GATHER_MS);
+      if (this.#lines.length > 0 || this.#droppedCount > 0) this.#schedule(BATCH_DELAY_MS);
     });
   }
 }
--- a/src/services/log/test/boundedLog.test.ts
+++ b/src/services/log/test/boundedLog.test.ts
@@ -9,19 +9,19 @@
   readonly fields: LogFields;
 }
 
-const recording = (): { readonly log: Log; readonly lines: Written[] } => {
+const createRecordingLog = (): { readonly log: Log; readonly lines: Written[] } => {
   const lines: Written[] = [];
-  const note = (event: string, fields: LogFields = {}): void => {
+  const record = (event: string, fields: LogFields = {}): void => {
     lines.push({ event, fields });
   };
-  return { log: { info: note, warn: note, error: note }, lines };
+  return { log: { info: record, warn: record, error: record }, lines };
 };
 
 describe('a log under a burst of decisions', () => {
   it('drops and counts decisions beyond its limit, but never a state change', () => {
     // Ten thousand submissions are refused within a second, and the store is lost at the same time.
     // The log must show the loss and report that lines about requests are missing.
-    const { log, lines } = recording();
+    const { log, lines } = createRecordingLog();
     let nowMs = 0;
     const bounded = new BoundedLog(log, { nowMs: () => nowMs });
     for (let count = 0; count < 10_000; count += 1) {
@@ -34,13 +34,13 @@
     const refused = lines.filter(({ event }) => event === 'submission-refused');
     expect(refused.length).toBe(151);
     expect(lines.some(({ event }) => event === 'store-lost')).toBe(true);
-    const leftOut = lines.find(({ event }) => event === 'log-lines-left-out');
-    expect(leftOut?.fields).toEqual({ lines: 9_850 });
+    const droppedLines = lines.find(({ event }) => event === 'log-lines-left-out');
+    expect(droppedLines?.fields).toEqual({ lines: 9_850 });
   });
 });
 
 describe('the line writer', () => {
-  const describeLeftOut = (lines: number): string => `left out ${lines}\n`;
+  const describeDropped = (lines: number): string => `left out ${lines}\n`;
 
   it('neither blocks nor exceeds its buffer limit while nobody reads', async () => {
     // The log collector stops reading. A blocking write to the pipe would also block every answer
@@ -49,7 +49,7 @@
     const blocked: WriteBytes = (bytes, done) => {
       calls.push({ text: bytes.toString(), done: () => done(null, bytes.length) });
     };
-    const writer = new LineWriter(describeLeftOut, blocked);
+    const writer = new LineWriter(describeDropped, blocked);
     const line = `${'x'.repeat(1_023)}\n`;
     for (let count = 0; count < 10; count += 1) writer.add(line);
     await writer.flush(20);
@@ -69,7 +69,7 @@
     // The pipe accepts a part of the chunk, then nothing for a while. No byte is lost or repeated.
     let text = '';
     let calls = 0;
-    const writer = new LineWriter(describeLeftOut, (bytes, done) => {
+    const writer = new LineWriter(describeDropped, (bytes, done) => {
       calls += 1;
       if (calls === 2) done(new Error('EAGAIN'), 0);
       else {
--- a/src/services/log/test/logEvents.test.ts
+++ b/src/services/log/test/logEvents.test.ts
@@ -8,7 +8,7 @@
  * so that it is reviewed: an event that is logged for each poll would bury the lines that an
  * operator has to see.
  */
-const CHANGES: Readonly<Record<string, string>> = {
+const STATE_CHANGES: Readonly<Record<string, string>> = {
   listening: 'the process starts, once',
   draining: 'the process begins to stop, once',
   drained: 'the process has stopped, once',
@@ -52,19 +52,21 @@
 };
 
 /** Matches the events in the source: calls of the log, and the choice of a cell's event. */
-const EVENT =
+const EVENT_PATTERN =
   /\b(?:log|#log|services\.log)\s*\.(?:info|warn|error)\(\s*'([^']+)'|\b(?:decisionLog|this)\.add\(\s*'([^']+)'|'(cell-(?:acquired|lost))'/gu;
 
 describe('log events', () => {
   it('are exactly the reviewed state changes and decisions', () => {
-    const known = Object.keys({ ...CHANGES, ...DECISIONS });
+    const known = Object.keys({ ...STATE_CHANGES, ...DECISIONS });
     expect(Object.keys(LOG_EVENTS).sort()).toEqual(known.sort());
   });
 
   it('are exactly those that the source writes', async () => {
     const text = await sourceText(['logEvents.ts']);
     const written = new Set(
-      [...text.matchAll(EVENT)].map(([, event, note, cell]) => event ?? note ?? cell),
+      [...text.matchAll(EVENT_PATTERN)].map(
+        ([, event, decision, cell]) => event ?? decision ?? cell,
+      ),
     );
     expect([...written].sort()).toEqual(Object.keys(LOG_EVENTS).sort());
   });
--- a/src/services/metrics/node/prometheusMetrics.ts
+++ b/src/services/metrics/node/prometheusMetrics.ts
@@ -27,12 +27,12 @@
 const Histogram = 'default' in imported ? imported.default : (imported as HistogramClass);
 type Histogram = InstanceType<typeof Histogram>;
 
-interface SeriesMaker<Value> {
+interface ValueFactory<Value> {
   readonly create: () => Value;
 }
 
-const counterMaker: SeriesMaker<number> = { create: () => 0 };
-const histogramMaker: SeriesMaker<Histogram> = {
+const numberFactory: ValueFactory<number> = { create: () => 0 };
+const histogramFactory: ValueFactory<Histogram> = {
   create: () => new Histogram(1, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS),
 };
 
@@ -40,18 +40,18 @@
 
 /** Series by metric name, created when a metric is first used. */
 class SeriesByName<Value> {
-  readonly #maker: SeriesMaker<Value>;
+  readonly #factory: ValueFactory<Value>;
 
   readonly #byName = new Map<string, LabelledSeries<Value>>();
 
-  constructor(maker: SeriesMaker<Value>) {
-    this.#maker = maker;
+  constructor(factory: ValueFactory<Value>) {
+    this.#factory = factory;
   }
 
   of(name: string): LabelledSeries<Value> {
     const known = this.#byName.get(name);
     if (known !== undefined) return known;
-    const created = new LabelledSeries(MAXIMUM_SERIES, this.#maker.create);
+    const created = new LabelledSeries(MAXIMUM_SERIES, this.#factory.create);
     this.#byName.set(name, created);
     return created;
   }
@@ -66,11 +66,11 @@
  * format is built from the values when the metrics are read.
  */
 export class PrometheusMetrics implements Metrics {
-  readonly #counters = new SeriesByName(counterMaker);
+  readonly #counters = new SeriesByName(numberFactory);
 
-  readonly #gauges = new SeriesByName(counterMaker);
+  readonly #gauges = new SeriesByName(numberFactory);
 
-  readonly #histograms = new SeriesByName(histogramMaker);
+  readonly #histograms = new SeriesByName(histogramFactory);
 
   count(name: string, labels?: MetricLabels, amount = 1): void {
     const series = this.#counters.of(name).find(labels);
@@ -125,9 +125,9 @@
     name: string,
     help: string,
     series: LabelledSeries<unknown>,
-    furtherLabels: readonly string[] = [],
+    extraLabels: readonly string[] = [],
   ): Gauge {
-    const labelNames = new Set(furtherLabels);
+    const labelNames = new Set(extraLabels);
     series.forEach(({ labels }) => Object.keys(labels).forEach((label) => labelNames.add(label)));
     return new Gauge({
       name: `${METRIC_PREFIX}${name}`,
--- a/src/services/metrics/test/metrics.test.ts
+++ b/src/services/metrics/test/metrics.test.ts
@@ -5,13 +5,15 @@
 import { PrometheusMetrics } from '../node/prometheusMetrics.js';
 
 /** Matches metric names in the source: metric calls, counter effects, invariants; not log lines. */
-const NAME =
+const NAME_PATTERN =
   /(?:\b(?:count|counted|gauge|recordMs)\(|\bcounter: |\bcounter\()\s*'([a-z][a-z0-9_]+)'|(?<!\.error\()'(invariant_[a-z0-9_]+)'/gu;
 
 describe('metrics', () => {
   it('use only names from the list of metrics', async () => {
     const text = await sourceText(['metricList.ts']);
-    const used = new Set([...text.matchAll(NAME)].map(([, name, invariant]) => name ?? invariant));
+    const used = new Set(
+      [...text.matchAll(NAME_PATTERN)].map(([, name, invariant]) => name ?? invariant),
+    );
     expect([...used].filter((name) => METRICS[name ?? ''] === undefined)).toEqual([]);
   });
 
--- a/src/services/settings/common/settings.ts
+++ b/src/services/settings/common/settings.ts
@@ -163,7 +163,7 @@
 });
 
 /** The sections with fields that `checkRules` compares. */
-const RULED_SECTIONS: Readonly<Record<string, z.ZodObject>> = {
+const CHECKED_SECTIONS: Readonly<Record<string, z.ZodObject>> = {
   platform: platformSchema,
   entry: entrySchema,
   scheduler: schedulerSchema,
@@ -171,7 +171,7 @@
   operator: operatorSchema,
 };
 
-const formSchema = z.strictObject({
+const fieldsSchema = z.strictObject({
   /** The JSON Schema that editors use to check the file; the daemon ignores it. */
   $schema: z.string().optional(),
   instanceId: z.string().min(1),
@@ -194,9 +194,9 @@
   tracing: tracingSchema.prefault({}),
 });
 
-export type Settings = z.infer<typeof formSchema>;
+export type Settings = z.infer<typeof fieldsSchema>;
 /** The settings as an operator writes them; fields with defaults are optional. */
-export type SettingsInput = z.input<typeof formSchema>;
+export type SettingsInput = z.input<typeof fieldsSchema>;
 
 /**
  * Checks the rules between fields. Callers pass `NaN` for an invalid field. Every comparison with
@@ -277,7 +277,7 @@
   );
 };
 
-export const settingsSchema = formSchema.superRefine((settings, context) => {
+export const settingsSchema = fieldsSchema.superRefine((settings, context) => {
   checkRules(settings, (path, message) => context.addIssue({ code: 'custom', path, message }));
 });
 
@@ -291,7 +291,7 @@
   segments.length === 0 ? '(root)' : segments.map(String).join('.');
 
 /** Converts schema errors to faults; each unknown key is a fault with its own path. */
-const formFaults = (error: z.ZodError): readonly SettingsFault[] =>
+const schemaFaults = (error: z.ZodError): readonly SettingsFault[] =>
   error.issues.flatMap((issue) => {
     if (issue.code !== 'unrecognized_keys') {
       return [{ path: toPath(issue.path), message: issue.message }];
@@ -302,17 +302,17 @@
     }));
   });
 
-type Members = Readonly<Record<string, unknown>>;
+type UnknownRecord = Readonly<Record<string, unknown>>;
 
-const isMembers = (value: unknown): value is Members =>
+const isRecord = (value: unknown): value is UnknownRecord =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
 /** Parses each field of the checked sections separately; invalid fields become `NaN`. */
-const sectionsFieldByField = (value: Members): Settings => {
-  const sections = Object.entries(RULED_SECTIONS).map(([name, { shape }]) => {
-    const given = isMembers(value[name]) ? value[name] : {};
+const parseFieldsSeparately = (value: UnknownRecord): Settings => {
+  const sections = Object.entries(CHECKED_SECTIONS).map(([name, { shape }]) => {
+    const section = isRecord(value[name]) ? value[name] : {};
     const fields = Object.entries(shape).map(([field, schema]): [string, unknown] => {
-      const parsed = schema.safeParse(given[field]);
+      const parsed = schema.safeParse(section[field]);
       return [field, parsed.success ? parsed.data : Number.NaN];
     });
     return [name, Object.fromEntries(fields)];
@@ -322,9 +322,11 @@
 
 /** Checks settings; reports all faults against the schema and the rules between fields at once. */
 export const checkSettings = (value: unknown): Either<readonly SettingsFault[], Settings> => {
-  const parsed = formSchema.safeParse(value);
-  const faults: SettingsFault[] = parsed.success ? [] : [...formFaults(parsed.error)];
-  const ruled = parsed.success ? parsed.data : sectionsFieldByField(isMembers(value) ? value : {});
-  checkRules(ruled, (path, message) => faults.push({ path: toPath(path), message }));
+  const parsed = fieldsSchema.safeParse(value);
+  const faults: SettingsFault[] = parsed.success ? [] : [...schemaFaults(parsed.error)];
+  const settingsToCheck = parsed.success
+    ? parsed.data
+    : parseFieldsSeparately(isRecord(value) ? value : {});
+  checkRules(settingsToCheck, (path, message) => faults.push({ path: toPath(path), message }));
   return parsed.success && faults.length === 0 ? right(parsed.data) : left(faults);
 };
--- a/src/services/submissions/common/submissionChecks.ts
+++ b/src/services/submissions/common/submissionChecks.ts
@@ -5,15 +5,15 @@
 /** Far above any real submission; bounds the memory that one request takes on the scheduler. */
 const MAXIMUM_TASKS = 10_000;
 
-const isWhole = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
+const isWholeNumber = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
 
 const stepFault = (step: Step, index: number): string | undefined => {
   const { processorMillis, memoryBytes, acceleratorCount } = step.size;
-  if (!isWhole(step.taskCount) || step.taskCount < 1) return `step ${index} has no tasks`;
-  if (![processorMillis, memoryBytes, acceleratorCount].every(isWhole)) {
+  if (!isWholeNumber(step.taskCount) || step.taskCount < 1) return `step ${index} has no tasks`;
+  if (![processorMillis, memoryBytes, acceleratorCount].every(isWholeNumber)) {
     return `step ${index} has a size that is no amount`;
   }
-  if (step.after.some((earlier) => !isWhole(earlier) || earlier >= index)) {
+  if (step.after.some((earlier) => !isWholeNumber(earlier) || earlier >= index)) {
     return `step ${index} waits for a step that does not come before it`;
   }
   return undefined;
--- a/src/services/submissions/common/submissionRows.ts
+++ b/src/services/submissions/common/submissionRows.ts
@@ -9,25 +9,25 @@
 import { resourcesSchema } from '../../worker/common/resources.js';
 import { SubmissionState } from './submission.js';
 
-const wholeSchema = z.number().int().nonnegative();
+const wholeNumberSchema = z.number().int().nonnegative();
 
 const stepSchema = z.strictObject({
-  taskCount: wholeSchema,
+  taskCount: wholeNumberSchema,
   size: resourcesSchema,
   estimateMs: z.number().nonnegative(),
-  after: z.array(wholeSchema),
+  after: z.array(wholeNumberSchema),
   isGang: z.boolean(),
   prefersOneRack: z.boolean(),
   requiredLabel: z.string(),
   dataRack: z.string(),
-  maximumPerWorker: wholeSchema,
+  maximumPerWorker: wholeNumberSchema,
   isSpeculative: z.boolean(),
   isPersistent: z.boolean(),
   savesProgress: z.boolean(),
   image: z.string(),
   targetLatencyMs: z.number().nonnegative(),
   isFiller: z.boolean(),
-  toleratedAwayCount: wholeSchema,
+  toleratedAwayCount: wholeNumberSchema,
 });
 
 export const submissionSchema = z.strictObject({
@@ -36,7 +36,7 @@
   serviceName: z.string(),
   spec: z.string(),
   steps: z.array(stepSchema),
-  occurrenceCount: wholeSchema,
+  occurrenceCount: wholeNumberSchema,
   firstDueWallMs: z.number(),
   occurrenceIntervalMs: z.number().nonnegative(),
   acceptedWallMs: z.number(),
@@ -49,9 +49,9 @@
 export const progressSchema = z.strictObject({
   state: z.enum(SubmissionState),
   /** Indexes of the tasks that have succeeded. */
-  done: z.array(wholeSchema),
+  done: z.array(wholeNumberSchema),
   /** Run numbers of failed attempts by the task's index. */
-  failedRuns: z.record(z.string(), z.array(wholeSchema)),
+  failedRuns: z.record(z.string(), z.array(wholeNumberSchema)),
 });
 export type Progress = z.infer<typeof progressSchema>;
 
@@ -62,14 +62,14 @@
  * that are over. The empty worker name lists persistent tasks that wait for a restart, with their
  * last run.
  */
-export const assignmentsSchema = z.record(z.string(), z.array(wholeSchema));
+export const assignmentsSchema = z.record(z.string(), z.array(wholeNumberSchema));
 export type Assignments = z.infer<typeof assignmentsSchema>;
 
 /** The number of submissions of each queue that wait for their first start. */
 export const waitingCountsSchema = z.strictObject({
   /** The epoch of the scheduler that wrote the row. */
-  epoch: wholeSchema,
-  byQueue: z.record(z.string(), wholeSchema),
+  epoch: wholeNumberSchema,
+  byQueue: z.record(z.string(), wholeNumberSchema),
 });
 export type WaitingCounts = z.infer<typeof waitingCountsSchema>;
 
@@ -108,7 +108,7 @@
  * time.
  */
 export const rosterSchema = z.strictObject({
-  epoch: wholeSchema,
+  epoch: wholeNumberSchema,
   /** Id, address, and limit or null; tuples, because one row holds the whole fleet. */
   workers: z.array(z.tuple([z.string(), z.string(), z.number().nullable()])),
 });
--- a/src/services/worker/common/reportMirror.ts
+++ b/src/services/worker/common/reportMirror.ts
@@ -8,7 +8,7 @@
 } from './workerClient.js';
 import type { WireCommand, WireReport } from './workerExchange.js';
 
-interface Held {
+interface KnownState {
   readonly workerId: string;
   readonly incarnation: string;
   readonly cellEpoch: number;
@@ -30,8 +30,8 @@
 const toAttempt = ({ taskId, attempt }: TaskAttempt): TaskAttempt => ({ taskId, attempt });
 
 /** Replaces a command's renewals by one blanket renewal, as far as the known tasks allow. */
-const foldedRenewals = (
-  held: Held,
+const toBlanketRenewal = (
+  known: KnownState,
   { renewals }: WorkerCommand,
 ): Pick<WireCommand, 'renewals' | 'blanketRenewal'> => {
   const leaseUntilWorkerMs = renewals[0]?.leaseUntilWorkerMs;
@@ -40,9 +40,9 @@
     return { renewals };
   }
   const isRunning = (key: string): boolean =>
-    held.tasks.get(key)?.state === WorkerTaskState.Running;
+    known.tasks.get(key)?.state === WorkerTaskState.Running;
   const renewed = new Set(renewals.map(keyOf));
-  const except = held.taskList.filter(
+  const except = known.taskList.filter(
     (task) => task.state === WorkerTaskState.Running && !renewed.has(keyOf(task)),
   );
   const others = renewals.filter((renewal) => !isRunning(keyOf(renewal)));
@@ -56,7 +56,7 @@
 };
 
 /** Returns the non-empty lists; empty ones are left out of the message. */
-const filledLists = ({
+const nonEmptyLists = ({
   starts,
   evictions,
   throttles,
@@ -98,7 +98,7 @@
  * names R again.
  */
 export class ReportMirror {
-  #held: Held | undefined;
+  #known: KnownState | undefined;
 
   /** The incarnation and epoch that `#latestLeaseUntilWorkerMs` applies to. */
   #leaseScope = '';
@@ -108,15 +108,15 @@
 
   toMessage(command: WorkerCommand): SentCommand {
     const { incarnation, cellEpoch } = command;
-    const held = this.#heldFor(command);
-    this.#noteLeases(command, [...command.renewals, ...command.starts]);
-    if (held === undefined) return { message: command, incarnation, cellEpoch };
+    const known = this.#knownStateFor(command);
+    this.#recordLeases(command, [...command.renewals, ...command.starts]);
+    if (known === undefined) return { message: command, incarnation, cellEpoch };
     const message = {
       incarnation,
       cellEpoch,
-      knownRevision: held.revision,
-      ...foldedRenewals(held, command),
-      ...filledLists(command),
+      knownRevision: known.revision,
+      ...toBlanketRenewal(known, command),
+      ...nonEmptyLists(command),
     };
     return { message, incarnation, cellEpoch };
   }
@@ -126,23 +126,23 @@
    * revision; the next message then requests a full report.
    */
   toReport(sent: SentCommand, answer: WireReport): WorkerReport | undefined {
-    if (!('baseRevision' in answer)) return this.#takeWhole(sent, answer);
-    const held = this.#heldFor(sent);
-    if (held?.revision !== answer.baseRevision) {
-      this.#held = undefined;
+    if (!('baseRevision' in answer)) return this.#acceptFullReport(sent, answer);
+    const known = this.#knownStateFor(sent);
+    if (known?.revision !== answer.baseRevision) {
+      this.#known = undefined;
       return undefined;
     }
     const { revision, workerNowMs } = answer;
-    this.#held = { ...ReportMirror.#withChanges(held, answer), revision };
-    return this.#toReport(this.#held, workerNowMs);
+    this.#known = { ...ReportMirror.#withChanges(known, answer), revision };
+    return this.#toReport(this.#known, workerNowMs);
   }
 
-  #heldFor({ incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>) {
-    const held = this.#held;
-    return held?.incarnation === incarnation && held.cellEpoch === cellEpoch ? held : undefined;
+  #knownStateFor({ incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>) {
+    const known = this.#known;
+    return known?.incarnation === incarnation && known.cellEpoch === cellEpoch ? known : undefined;
   }
 
-  #noteLeases(
+  #recordLeases(
     { incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>,
     leases: readonly { readonly leaseUntilWorkerMs: number }[],
   ): void {
@@ -156,38 +156,38 @@
     );
   }
 
-  #takeWhole(
+  #acceptFullReport(
     { cellEpoch }: SentCommand,
     { revision, ...report }: WorkerReport & { readonly revision?: number | undefined },
   ): WorkerReport {
     if (revision === undefined) {
-      this.#held = undefined;
+      this.#known = undefined;
       return report;
     }
     const { workerId, incarnation, workerNowMs, tasks: taskList } = report;
-    this.#noteLeases({ incarnation, cellEpoch }, taskList);
+    this.#recordLeases({ incarnation, cellEpoch }, taskList);
     const tasks = new Map(taskList.map((task) => [keyOf(task), task]));
-    this.#held = { workerId, incarnation, cellEpoch, revision, tasks, taskList };
-    return this.#toReport(this.#held, workerNowMs);
+    this.#known = { workerId, incarnation, cellEpoch, revision, tasks, taskList };
+    return this.#toReport(this.#known, workerNowMs);
   }
 
-  #toReport({ workerId, incarnation, taskList }: Held, workerNowMs: number): WorkerReport {
+  #toReport({ workerId, incarnation, taskList }: KnownState, workerNowMs: number): WorkerReport {
     const report = { workerId, incarnation, workerNowMs, tasks: taskList };
     if (taskList.length === 0) return report;
     return { ...report, latestLeaseUntilWorkerMs: this.#latestLeaseUntilWorkerMs };
   }
 
   static #withChanges(
-    held: Held,
+    known: KnownState,
     changes: {
       readonly tasks: readonly WorkerTaskReport[];
       readonly forgotten: readonly TaskAttempt[];
     },
-  ): Held {
-    if (changes.tasks.length + changes.forgotten.length === 0) return held;
-    const tasks = new Map(held.tasks);
+  ): KnownState {
+    if (changes.tasks.length + changes.forgotten.length === 0) return known;
+    const tasks = new Map(known.tasks);
     changes.forgotten.forEach((attempt) => tasks.delete(keyOf(attempt)));
     changes.tasks.forEach((task) => tasks.set(keyOf(task), task));
-    return { ...held, tasks, taskList: [...tasks.values()] };
+    return { ...known, tasks, taskList: [...tasks.values()] };
   }
 }
--- a/src/services/worker/common/revisedWorker.ts
+++ b/src/services/worker/common/revisedWorker.ts
@@ -12,7 +12,7 @@
 } from './workerClient.js';
 import type { ReceivedCommand, SentReport } from './workerExchange.js';
 
-interface NotedTask {
+interface TrackedTask {
   /** The last report of the task that counted as a change. */
   readonly report: WorkerTaskReport;
   /** The first revision that contains the attempt. */
@@ -31,7 +31,7 @@
  * little all the time and lags by seconds anyway. No decision based on it needs more precision than
  * a tenth of the size.
  */
-const USAGE_SHARE = 0.1;
+const REPORTED_USAGE_CHANGE_SHARE = 0.1;
 
 /**
  * The maximum number of forgotten attempts that are kept while the owner names no revision. Beyond
@@ -41,16 +41,16 @@
 
 const keyOf = ({ taskId, attempt }: TaskAttempt): string => `${taskId}#${attempt}`;
 
-const hasMoved = (before: WorkerTaskReport, { usage, size }: WorkerTaskReport): boolean =>
+const hasUsageChanged = (before: WorkerTaskReport, { usage, size }: WorkerTaskReport): boolean =>
   (['processorMillis', 'memoryBytes', 'acceleratorCount'] as const).some(
-    (name) => Math.abs(usage[name] - before.usage[name]) > USAGE_SHARE * size[name],
+    (name) => Math.abs(usage[name] - before.usage[name]) > REPORTED_USAGE_CHANGE_SHARE * size[name],
   );
 
 const isChanged = (before: WorkerTaskReport, now: WorkerTaskReport): boolean =>
   before.state !== now.state ||
   before.checkpoint !== now.checkpoint ||
   before.processorShare !== now.processorShare ||
-  hasMoved(before, now);
+  hasUsageChanged(before, now);
 
 /** Tracks the revisions of a worker's tasks for one incarnation of the worker. */
 export class RevisedWorker {
@@ -63,7 +63,7 @@
   /** The changes since earlier revisions are no longer completely known. */
   #oldestRevision = 0;
 
-  readonly #noted = new Map<string, NotedTask>();
+  readonly #tracked = new Map<string, TrackedTask>();
 
   readonly #forgotten = new Map<string, ForgottenTask>();
 
@@ -73,8 +73,8 @@
   }
 
   command(command: ReceivedCommand): SentReport {
-    const report = this.#command(this.#toWholeCommand(command));
-    this.#note(report);
+    const report = this.#command(this.#toFullCommand(command));
+    this.#trackReport(report);
     const { knownRevision, cellEpoch, incarnation } = command;
     const isCurrent = cellEpoch >= this.#highestEpoch && incarnation === report.incarnation;
     this.#highestEpoch = Math.max(this.#highestEpoch, cellEpoch);
@@ -82,17 +82,17 @@
       knownRevision !== undefined &&
       knownRevision >= this.#oldestRevision &&
       knownRevision <= this.#revision;
-    if (!isCurrent || !isKnown) return this.#toWholeReport(report);
+    if (!isCurrent || !isKnown) return this.#toFullReport(report);
     this.#dropUpTo(knownRevision);
     return this.#toChanges(knownRevision, report.workerNowMs);
   }
 
   /** Expands the blanket renewal to the attempts that ran at the revision that the owner knows. */
-  #toWholeCommand({ knownRevision, blanketRenewal, ...command }: ReceivedCommand): WorkerCommand {
+  #toFullCommand({ knownRevision, blanketRenewal, ...command }: ReceivedCommand): WorkerCommand {
     if (blanketRenewal === undefined || knownRevision === undefined) return command;
     const { leaseUntilWorkerMs } = blanketRenewal;
     const except = new Set(blanketRenewal.except.map(keyOf));
-    const renewed = [...this.#noted.values()]
+    const renewed = [...this.#tracked.values()]
       .filter(
         ({ report, sinceRevision }) =>
           report.state === WorkerTaskState.Running &&
@@ -103,21 +103,21 @@
     return { ...command, renewals: [...command.renewals, ...renewed] };
   }
 
-  #note({ tasks }: WorkerReport): void {
+  #trackReport({ tasks }: WorkerReport): void {
     const next = this.#revision + 1;
     const present = new Set<string>();
     tasks.forEach((report) => {
       const key = keyOf(report);
-      const known = this.#noted.get(key);
+      const known = this.#tracked.get(key);
       present.add(key);
       if (known !== undefined && !isChanged(known.report, report)) return;
       const sinceRevision = known?.sinceRevision ?? next;
-      this.#noted.set(key, { report, sinceRevision, changedRevision: next });
+      this.#tracked.set(key, { report, sinceRevision, changedRevision: next });
       this.#revision = next;
     });
-    this.#noted.forEach(({ report: { taskId, attempt } }, key) => {
+    this.#tracked.forEach(({ report: { taskId, attempt } }, key) => {
       if (present.has(key)) return;
-      this.#noted.delete(key);
+      this.#tracked.delete(key);
       this.#forgotten.set(key, { attempt: { taskId, attempt }, revision: next });
       this.#revision = next;
     });
@@ -131,16 +131,16 @@
     });
   }
 
-  #toWholeReport(report: WorkerReport): SentReport {
+  #toFullReport(report: WorkerReport): SentReport {
     report.tasks.forEach((task) => {
-      const noted = this.#noted.get(keyOf(task));
-      if (noted !== undefined) this.#noted.set(keyOf(task), { ...noted, report: task });
+      const tracked = this.#tracked.get(keyOf(task));
+      if (tracked !== undefined) this.#tracked.set(keyOf(task), { ...tracked, report: task });
     });
     return { ...report, revision: this.#revision };
   }
 
   #toChanges(baseRevision: number, workerNowMs: number): SentReport {
-    const tasks = [...this.#noted.values()]
+    const tasks = [...this.#tracked.values()]
       .filter(({ changedRevision }) => changedRevision > baseRevision)
       .map(({ report }) => report);
     const forgotten = [...this.#forgotten.values()].map(({ attempt }) => attempt);
--- a/src/services/worker/common/workerExchange.ts
+++ b/src/services/worker/common/workerExchange.ts
@@ -53,13 +53,13 @@
   forgotten: attemptsSchema.default([]),
 });
 
-export const wholeReportSchema = z.strictObject({
+export const fullReportSchema = z.strictObject({
   ...workerReportSchema.omit({ latestLeaseUntilWorkerMs: true }).shape,
   /** Absent from workers that do not support revisions. */
   revision: z.number().int().nonnegative().optional(),
 });
 
-export const wireReportSchema = z.union([changesReportSchema, wholeReportSchema]);
+export const wireReportSchema = z.union([changesReportSchema, fullReportSchema]);
 export type WireReport = z.output<typeof wireReportSchema>;
 /** The report as sent; absent lists are empty. */
 export type SentReport = z.input<typeof wireReportSchema>;
--- a/src/services/worker/test/exchangeTwin.ts
+++ b/src/services/worker/test/exchangeComparison.ts
@@ -69,7 +69,7 @@
   report: WorkerReport | undefined;
 }
 
-export class ExchangeTwin {
+export class ExchangeComparison {
   nowMs = 0;
 
   listWorker = new WorkerStandIn('w', 'w@1', CAPACITY, () => undefined);
@@ -78,7 +78,7 @@
 
   readonly messageBytes: number[] = [];
 
-  #revised = this.#newRevised();
+  #revisionedWorker = this.#createRevisionedWorker();
 
   #incarnationCount = 1;
 
@@ -87,14 +87,14 @@
     const incarnation = `w@${this.#incarnationCount}`;
     this.listWorker = new WorkerStandIn('w', incarnation, CAPACITY, () => undefined);
     this.wireWorker = new WorkerStandIn('w', incarnation, CAPACITY, () => undefined);
-    this.#revised = this.#newRevised();
+    this.#revisionedWorker = this.#createRevisionedWorker();
   }
 
   /** Delivers a message to both workers; returns a function that decodes the answer. */
   deliver(mirror: ReportMirror, { sent, command }: Message): () => WorkerReport | undefined {
     this.listWorker.command(command, this.nowMs);
     const received = overTheWire(wireCommandSchema, sent.message);
-    const answer = this.#revised.command(received);
+    const answer = this.#revisionedWorker.command(received);
     this.messageBytes.push(JSON.stringify(sent.message).length + JSON.stringify(answer).length);
     return () => mirror.toReport(sent, overTheWire(wireReportSchema, answer));
   }
@@ -118,24 +118,24 @@
     );
   }
 
-  #newRevised(): RevisedWorker {
+  #createRevisionedWorker(): RevisedWorker {
     return new RevisedWorker((command) => this.wireWorker.command(command, this.nowMs));
   }
 }
 
 /** Successive and sometimes concurrent owners that send random commands under random faults. */
 export class RandomOwners {
-  readonly twin = new ExchangeTwin();
+  readonly comparison = new ExchangeComparison();
 
   readonly #random: SeededRandom;
 
-  readonly #late: { readonly mirror: ReportMirror; readonly message: Message }[] = [];
+  readonly #delayedMessages: { readonly mirror: ReportMirror; readonly message: Message }[] = [];
 
-  readonly #lateAnswers: (() => void)[] = [];
+  readonly #delayedAnswers: (() => void)[] = [];
 
   #owner: Owner = { cellEpoch: 1, mirror: new ReportMirror(), report: undefined };
 
-  #former: Owner | undefined;
+  #formerOwner: Owner | undefined;
 
   #taskCount = 0;
 
@@ -145,58 +145,58 @@
 
   /** Runs one step; returns a description of the first difference, or an empty string. */
   step(): string {
-    this.twin.nowMs += 20 + this.#random.nextIndex(120);
+    this.comparison.nowMs += 20 + this.#random.nextIndex(120);
     const choice = this.#random.nextFraction();
-    if (choice < 0.02) this.twin.restart();
+    if (choice < 0.02) this.comparison.restart();
     else if (choice < 0.06) this.#takeOver();
-    else if (choice < 0.1) this.#deliverLate();
-    else if (choice < 0.14) this.#lateAnswers.shift()?.();
-    const owner = this.#former !== undefined && choice > 0.9 ? this.#former : this.#owner;
+    else if (choice < 0.1) this.#deliverDelayed();
+    else if (choice < 0.14) this.#delayedAnswers.shift()?.();
+    const owner = this.#formerOwner !== undefined && choice > 0.9 ? this.#formerOwner : this.#owner;
     return this.#exchange(owner) || this.#difference();
   }
 
   #exchange(owner: Owner): string {
     const command = this.#nextCommand(owner);
     const message = { sent: owner.mirror.toMessage(command), command };
-    const fate = this.#random.nextFraction();
-    if (fate < 0.06) {
-      this.#late.push({ mirror: owner.mirror, message });
+    const draw = this.#random.nextFraction();
+    if (draw < 0.06) {
+      this.#delayedMessages.push({ mirror: owner.mirror, message });
       return '';
     }
-    const toReport = this.twin.deliver(owner.mirror, message);
-    if (fate < 0.14) return '';
-    if (fate < 0.2) {
-      this.#lateAnswers.push(() => RandomOwners.#takeIn(owner, toReport()));
+    const toReport = this.comparison.deliver(owner.mirror, message);
+    if (draw < 0.14) return '';
+    if (draw < 0.2) {
+      this.#delayedAnswers.push(() => RandomOwners.#storeReport(owner, toReport()));
       return '';
     }
-    const truth = this.twin.listWorker.report(this.twin.nowMs);
+    const expected = this.comparison.listWorker.report(this.comparison.nowMs);
     const report = toReport();
-    RandomOwners.#takeIn(owner, report);
+    RandomOwners.#storeReport(owner, report);
     if (report === undefined) return '';
-    const told = JSON.stringify(statesOf(report));
-    const latestMs = Math.max(...truth.tasks.map((task) => task.leaseUntilWorkerMs), 0);
+    const reported = JSON.stringify(statesOf(report));
+    const latestMs = Math.max(...expected.tasks.map((task) => task.leaseUntilWorkerMs), 0);
     const boundMs = report.latestLeaseUntilWorkerMs ?? 0;
     // The bound of a former owner is not checked: it covers only leases of its own epoch.
     if (owner === this.#owner && boundMs < latestMs) return `bound ${boundMs} below ${latestMs}`;
-    return told === JSON.stringify(statesOf(truth)) ? '' : `told ${told}`;
+    return reported === JSON.stringify(statesOf(expected)) ? '' : `reported ${reported}`;
   }
 
   #difference(): string {
-    const { listWorker, wireWorker, nowMs } = this.twin;
-    const byList = JSON.stringify(ExchangeTwin.tasksAt(listWorker, nowMs));
-    const byWire = JSON.stringify(ExchangeTwin.tasksAt(wireWorker, nowMs));
+    const { listWorker, wireWorker, nowMs } = this.comparison;
+    const byList = JSON.stringify(ExchangeComparison.tasksAt(listWorker, nowMs));
+    const byWire = JSON.stringify(ExchangeComparison.tasksAt(wireWorker, nowMs));
     return byList === byWire ? '' : `by list ${byList}, by wire ${byWire}`;
   }
 
   #takeOver(): void {
-    this.#former = this.#owner;
+    this.#formerOwner = this.#owner;
     const cellEpoch = this.#owner.cellEpoch + 1;
     this.#owner = { cellEpoch, mirror: new ReportMirror(), report: undefined };
   }
 
-  #deliverLate(): void {
-    const late = this.#late.shift();
-    if (late !== undefined) this.twin.deliver(late.mirror, late.message);
+  #deliverDelayed(): void {
+    const delayed = this.#delayedMessages.shift();
+    if (delayed !== undefined) this.comparison.deliver(delayed.mirror, delayed.message);
   }
 
   /**
@@ -230,7 +230,7 @@
     });
   }
 
-  static #takeIn(into: Owner, report: WorkerReport | undefined): void {
+  static #storeReport(into: Owner, report: WorkerReport | undefined): void {
     if (report !== undefined) Object.assign(into, { report });
   }
 }
--- a/src/services/worker/test/workerExchange.test.ts
+++ b/src/services/worker/test/workerExchange.test.ts
@@ -6,13 +6,13 @@
 import { wireCommandSchema } from '../common/workerExchange.js';
 import {
   commandOf,
-  ExchangeTwin,
+  ExchangeComparison,
   LEASE_MS,
   RandomOwners,
   SIZE,
   startOf,
   statesOf,
-} from './exchangeTwin.js';
+} from './exchangeComparison.js';
 
 const STEP_COUNT = 120;
 const SEED_COUNT = 150;
@@ -21,12 +21,12 @@
 
 /** Creates a worker with the tasks `a`, `b` and `c`, and an owner that knows them. */
 const withThreeTasks = () => {
-  const twin = new ExchangeTwin();
+  const comparison = new ExchangeComparison();
   const mirror = new ReportMirror();
-  twin.call(mirror, commandOf({ incarnation: '' }));
+  comparison.call(mirror, commandOf({ incarnation: '' }));
   const starts = ['a', 'b', 'c'].map((taskId) => startOf(taskId, 0));
-  const report = twin.call(mirror, commandOf({ starts }));
-  return { twin, mirror, report };
+  const report = comparison.call(mirror, commandOf({ starts }));
+  return { comparison, mirror, report };
 };
 
 const renewalsOf = (taskIds: readonly string[], nowMs: number) =>
@@ -49,23 +49,23 @@
   });
 
   it('name no task while no task changes', () => {
-    const { twin, mirror } = withThreeTasks();
-    const bytes = twin.messageBytes.length;
-    twin.call(mirror, commandOf({ renewals: renewalsOf(['a', 'b', 'c'], 0) }));
-    expect(twin.messageBytes[bytes]).toBeLessThan(200);
+    const { comparison, mirror } = withThreeTasks();
+    const bytes = comparison.messageBytes.length;
+    comparison.call(mirror, commandOf({ renewals: renewalsOf(['a', 'b', 'c'], 0) }));
+    expect(comparison.messageBytes[bytes]).toBeLessThan(200);
   });
 
   // A running transaction takes `b` off the worker. The task starts elsewhere when its lease has
   // expired, so no message may renew it from now on, not even by the blanket renewal.
   it('do not renew an attempt that the command does not name', () => {
-    const { twin, mirror } = withThreeTasks();
-    twin.nowMs = LEASE_MS - 100;
-    const kept = renewalsOf(['a', 'c'], twin.nowMs);
+    const { comparison, mirror } = withThreeTasks();
+    comparison.nowMs = LEASE_MS - 100;
+    const kept = renewalsOf(['a', 'c'], comparison.nowMs);
     const { message } = mirror.toMessage(commandOf({ renewals: kept }));
     expect(message.blanketRenewal?.except).toEqual([attemptOf('b')]);
-    twin.call(mirror, commandOf({ renewals: kept }));
-    twin.nowMs = LEASE_MS + 100;
-    const report = twin.call(mirror, commandOf({}));
+    comparison.call(mirror, commandOf({ renewals: kept }));
+    comparison.nowMs = LEASE_MS + 100;
+    const report = comparison.call(mirror, commandOf({}));
     expect(statesOf(report)).toMatchObject({
       'a#1': 'running null',
       'b#1': 'lapsed null',
@@ -76,47 +76,50 @@
   // The answer that reports `d` is lost, and the transaction that assigned it to this worker fails.
   // The owner renews every attempt that it knows; `d` must not be renewed with them.
   it('do not renew an attempt whose start has not been reported to the owner', () => {
-    const { twin, mirror } = withThreeTasks();
+    const { comparison, mirror } = withThreeTasks();
     const command = commandOf({ starts: [startOf('d', 0)] });
-    twin.deliver(mirror, { sent: mirror.toMessage(command), command });
-    twin.nowMs = LEASE_MS - 100;
-    const renewals = renewalsOf(['a', 'b', 'c'], twin.nowMs);
-    expect(statesOf(twin.call(mirror, commandOf({ renewals })))['d#1']).toBe('running null');
-    twin.nowMs = LEASE_MS + 100;
-    expect(statesOf(twin.call(mirror, commandOf({})))['d#1']).toBe('lapsed null');
+    comparison.deliver(mirror, { sent: mirror.toMessage(command), command });
+    comparison.nowMs = LEASE_MS - 100;
+    const renewals = renewalsOf(['a', 'b', 'c'], comparison.nowMs);
+    expect(statesOf(comparison.call(mirror, commandOf({ renewals })))['d#1']).toBe('running null');
+    comparison.nowMs = LEASE_MS + 100;
+    expect(statesOf(comparison.call(mirror, commandOf({})))['d#1']).toBe('lapsed null');
   });
 
   // The first answer arrives after the second. It is based on a revision that the owner no longer
   // keeps, so it is dropped, and the next answer is a full report.
   it('cause an out-of-order answer to be dropped and a full report to be requested', () => {
-    const { twin, mirror } = withThreeTasks();
+    const { comparison, mirror } = withThreeTasks();
     const first = commandOf({ starts: [startOf('d', 0)] });
-    const late = twin.deliver(mirror, { sent: mirror.toMessage(first), command: first });
-    twin.call(mirror, commandOf({ evictions: [attemptOf('a')] }));
-    expect(late()).toBeUndefined();
-    const report = twin.call(mirror, commandOf({}));
-    expect(statesOf(report)).toEqual(statesOf(twin.listWorker.report(twin.nowMs)));
+    const decodeLateAnswer = comparison.deliver(mirror, {
+      sent: mirror.toMessage(first),
+      command: first,
+    });
+    comparison.call(mirror, commandOf({ evictions: [attemptOf('a')] }));
+    expect(decodeLateAnswer()).toBeUndefined();
+    const report = comparison.call(mirror, commandOf({}));
+    expect(statesOf(report)).toEqual(statesOf(comparison.listWorker.report(comparison.nowMs)));
   });
 
   // An owner is paused past its lease, another owner renews the leases for longer, and the first
   // regains the cell with a new epoch. It must learn the leases granted in between, or it would
   // consider the worker's tasks lapsed while they run.
   it('begin with a full report after a takeover, even by a previous owner', () => {
-    const { twin, mirror } = withThreeTasks();
-    const between = new ReportMirror();
-    twin.call(between, commandOf({ incarnation: '', cellEpoch: 2 }));
+    const { comparison, mirror } = withThreeTasks();
+    const interimMirror = new ReportMirror();
+    comparison.call(interimMirror, commandOf({ incarnation: '', cellEpoch: 2 }));
     const renewals = renewalsOf(['a', 'b', 'c'], 5_000);
-    twin.call(between, commandOf({ cellEpoch: 2, renewals }));
+    comparison.call(interimMirror, commandOf({ cellEpoch: 2, renewals }));
     const { message } = mirror.toMessage(commandOf({ cellEpoch: 3 }));
     expect(message.knownRevision).toBeUndefined();
-    const report = twin.call(mirror, commandOf({ incarnation: '', cellEpoch: 3 }));
+    const report = comparison.call(mirror, commandOf({ incarnation: '', cellEpoch: 3 }));
     expect(report?.latestLeaseUntilWorkerMs).toBe(5_000 + LEASE_MS);
   });
 
   it('have no effect on a restarted worker, which sends a full report', () => {
-    const { twin, mirror } = withThreeTasks();
-    twin.restart();
-    const report = twin.call(mirror, commandOf({ renewals: renewalsOf(['a'], 0) }));
+    const { comparison, mirror } = withThreeTasks();
+    comparison.restart();
+    const report = comparison.call(mirror, commandOf({ renewals: renewalsOf(['a'], 0) }));
     expect(report).toMatchObject({ incarnation: 'w@2', tasks: [] });
   });
 });
@@ -126,12 +129,12 @@
     const mirror = new ReportMirror();
     const first = mirror.toMessage(commandOf({ incarnation: '' }));
     const task = { ...attemptOf('a'), state: WorkerTaskState.Running, size: SIZE, usage: SIZE };
-    const told = { ...task, checkpoint: null, leaseUntilWorkerMs: LEASE_MS };
+    const taskReport = { ...task, checkpoint: null, leaseUntilWorkerMs: LEASE_MS };
     const whole: WorkerReport = {
       workerId: 'w',
       incarnation: 'w@1',
       workerNowMs: 0,
-      tasks: [told],
+      tasks: [taskReport],
     };
     expect(mirror.toReport(first, whole)).toEqual(whole);
     const command = commandOf({ renewals: renewalsOf(['a'], 0) });
--- a/src/services/workload/common/ledgerColumns.ts
+++ b/src/services/workload/common/ledgerColumns.ts
@@ -43,7 +43,7 @@
   positions.every((position) => position < count);
 
 /** Rejects inconsistent columns: a task without a worker would be forgotten while it runs. */
-const isWhole = (columns: LedgerColumns): boolean => {
+const isConsistent = (columns: LedgerColumns): boolean => {
   const { workers, kinds, workerPositions, kindPositions, taskIds, taskIndexes } = columns;
   const taskCount = taskIds.length;
   return (
@@ -73,20 +73,20 @@
 
 /** Parses the columns of a row into the original assignments, in the same order. */
 export const ledgerColumnsSchema = columnsSchema
-  .refine(isWhole, 'columns of different lengths, or positions beyond the end')
+  .refine(isConsistent, 'columns of different lengths, or positions beyond the end')
   .transform((columns) => ({ assignments: toAssignments(columns) }));
 
 /** Collects distinct values and their positions. */
-class Positions<Value> {
+class PositionIndex<Value> {
   readonly values: Value[] = [];
 
   readonly #known = new Map<string, number>();
 
-  of(key: string, make: () => Value): number {
+  of(key: string, create: () => Value): number {
     const known = this.#known.get(key);
     if (known !== undefined) return known;
     this.#known.set(key, this.values.length);
-    this.values.push(make());
+    this.values.push(create());
     return this.values.length - 1;
   }
 }
@@ -97,18 +97,18 @@
     ...[size.processorMillis, size.memoryBytes, size.acceleratorCount],
   ].join(' ');
 
-const toKind = (one: Assignment): TaskKind => ({
-  taskClass: one.taskClass,
-  serviceName: one.serviceName,
-  shardId: one.shardId,
-  size: one.size,
-  workMs: one.workMs,
+const toKind = (assignment: Assignment): TaskKind => ({
+  taskClass: assignment.taskClass,
+  serviceName: assignment.serviceName,
+  shardId: assignment.shardId,
+  size: assignment.size,
+  workMs: assignment.workMs,
 });
 
 /** Converts assignments to columns; `ledgerColumnsSchema` converts them back. */
 export const toLedgerColumns = (assignments: readonly Assignment[]): LedgerColumns => {
-  const workers = new Positions<LedgerColumns['workers'][number]>();
-  const kinds = new Positions<TaskKind>();
+  const workers = new PositionIndex<LedgerColumns['workers'][number]>();
+  const kinds = new PositionIndex<TaskKind>();
   const columns: LedgerColumns = {
     workers: workers.values,
     kinds: kinds.values,
@@ -119,16 +119,16 @@
     attempts: {},
     checkpoints: {},
   };
-  assignments.forEach((one, position) => {
-    const { workerId, incarnation } = one;
-    columns.taskIds.push(one.taskId);
+  assignments.forEach((assignment, position) => {
+    const { workerId, incarnation } = assignment;
+    columns.taskIds.push(assignment.taskId);
     columns.workerPositions.push(
       workers.of(`${workerId} ${incarnation}`, () => ({ workerId, incarnation })),
     );
-    columns.kindPositions.push(kinds.of(kindKey(one), () => toKind(one)));
-    columns.taskIndexes.push(one.taskIndex);
-    if (one.attempt !== FIRST_ATTEMPT) columns.attempts[position] = one.attempt;
-    if (one.checkpoint !== null) columns.checkpoints[position] = one.checkpoint;
+    columns.kindPositions.push(kinds.of(kindKey(assignment), () => toKind(assignment)));
+    columns.taskIndexes.push(assignment.taskIndex);
+    if (assignment.attempt !== FIRST_ATTEMPT) columns.attempts[position] = assignment.attempt;
+    if (assignment.checkpoint !== null) columns.checkpoints[position] = assignment.checkpoint;
   });
   return columns;
 };
--- a/src/services/workload/test/arrivals.test.ts
+++ b/src/services/workload/test/arrivals.test.ts
@@ -89,7 +89,7 @@
   const CELLS = ['zone-a', 'zone-b'];
 
   /** Creates a table and a writer that marks its changes if `isMarking`. */
-  const published = () => {
+  const createPublishedServers = () => {
     const table = new TableStandIn();
     const write = (cell: string, workerId: string, isMarking: boolean): void => {
       const row = { key: endpointKey(cell), value: servers(workerId) };
@@ -104,24 +104,24 @@
     Object.fromEntries([...view.rows].map(([cell, row]) => [cell, row.servers[0]?.workerId]));
 
   it('are read only when their marks have changed', () => {
-    const { table, write } = published();
+    const { table, write } = createPublishedServers();
     CELLS.forEach((cell) => write(cell, 'w1', true));
     const whole = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES });
     const known = withEndpointRows(NO_ENDPOINTS, whole.rows);
     expect(endpointLook(known, CELLS).keys).toEqual([]);
     write('zone-b', 'w2', true);
-    const looked = withEndpointRows(known, table.read(endpointLook(known, CELLS)).rows);
-    expect(looked.rows).toBe(known.rows);
-    expect(endpointKeysDue(looked)).toEqual([endpointKey('zone-b')]);
-    const keys = endpointKeysDue(looked);
-    const read = withEndpointRows(looked, table.read({ keys, prefixes: [] }).rows);
+    const withNewMarks = withEndpointRows(known, table.read(endpointLook(known, CELLS)).rows);
+    expect(withNewMarks.rows).toBe(known.rows);
+    expect(endpointKeysDue(withNewMarks)).toEqual([endpointKey('zone-b')]);
+    const keys = endpointKeysDue(withNewMarks);
+    const read = withEndpointRows(withNewMarks, table.read({ keys, prefixes: [] }).rows);
     expect(workersIn(read)).toEqual({ 'zone-a': 'w1', 'zone-b': 'w2' });
     expect(endpointKeysDue(read)).toEqual([]);
   });
 
   // During a rolling upgrade a cell may have an older owner, which writes no marks.
   it('are read each time if their writer sets no marks', () => {
-    const { table, write } = published();
+    const { table, write } = createPublishedServers();
     write('zone-a', 'w1', false);
     let view = withEndpointRows(NO_ENDPOINTS, []);
     view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
@@ -137,7 +137,7 @@
   });
 
   it('do not revert to an older row', () => {
-    const { table, write } = published();
+    const { table, write } = createPublishedServers();
     write('zone-a', 'w1', true);
     const older = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES }).rows;
     write('zone-a', 'w2', true);
