--- a/src/scheduler/common/cellEvents.ts
+++ b/src/scheduler/common/cellEvents.ts
@@ -1,4 +1,6 @@
-/** Takes an event into the state of a cell, without saying yet what follows from it. */
+/**
+ * Applies an event to the state of a cell. The steps of `decide` act on the new state afterwards.
+ */
 import { type Either, isLeft } from 'fp-ts/lib/Either.js';
 
 import { isZoneInUse } from '../../services/configuration/common/configurationView.js';
@@ -21,7 +23,7 @@
   withLeaseLost,
   withLeaseRows,
 } from './cellLease.js';
-import { publishedDivision, withLoaded } from './cellReads.js';
+import { publishedQuotaDivision, withReadResult } from './cellReads.js';
 import { assignmentsOf } from './cellRows.js';
 import type {
   CellDecision,
@@ -31,7 +33,7 @@
   ConfirmedConfiguration,
 } from './cellState.js';
 import { needsFence } from './fence.js';
-import { NO_HAND_ON } from './handOn.js';
+import { INITIAL_TASK_TRANSFER } from './taskTransfer.js';
 import { LearntSizes } from './learntSizes.js';
 import { initialInterference, withPendingSamples } from './interference/interferenceState.js';
 import { unrecordedFinishes } from './lateFinishes.js';
@@ -41,15 +43,15 @@
 import {
   attemptKey,
   presumedLeaseEndMs,
-  unreachedWorker,
+  unreachedWorkerView,
   withReport,
   type WorkerView,
 } from './workerView.js';
 import { returnedAtMs } from './zoneReturn.js';
 
-export const unchanged = (state: CellState): CellDecision => ({ state, effects: [] });
+export const withoutEffects = (state: CellState): CellDecision => ({ state, effects: [] });
 
-export const counted = (counter: string, amount = 1): CellEffect => ({
+export const countEffect = (counter: string, amount = 1): CellEffect => ({
   kind: 'count',
   counter,
   amount,
@@ -61,22 +63,23 @@
       .filter(({ availabilityZone }) => availabilityZone === state.cell)
       .map((instance) => [instance.id, instance]),
   );
-  // A worker that left the list keeps its view, for its tasks may still run; it takes no new
-  // ones, and is forgotten once nothing is assigned to it any more.
+  // A worker that left the list keeps its view while tasks are assigned to it, because they may
+  // still run. It gets no new tasks.
   const unlisted = [...state.workers]
     .filter(([id]) => !listed.has(id))
     .filter(([id]) => state.rows === undefined || state.rows.assignmentsByWorker.has(id))
     .map(([id, view]): [string, WorkerView] => [id, { ...view, isListed: false }]);
   const views = [...listed].map(([id, instance]): [string, WorkerView] => {
-    const known = state.workers.get(id) ?? unreachedWorker(instance, presumedLeaseEndMs(state));
-    return [id, { ...known, instance, isListed: true }];
+    const knownView =
+      state.workers.get(id) ?? unreachedWorkerView(instance, presumedLeaseEndMs(state));
+    return [id, { ...knownView, instance, isListed: true }];
   });
   return withAllStale({ ...state, workers: new Map([...unlisted, ...views]) });
 };
 
 /**
- * Invariant: the configuration never goes back. A zone that was withdrawn in a later version
- * would otherwise be started in again by a reader that got an old answer.
+ * Invariant: the configuration never reverts to an older version. Otherwise a late answer to an
+ * earlier read would allow starts in a zone that has been withdrawn since.
  */
 const withConfiguration = (
   state: CellState,
@@ -85,7 +88,7 @@
 ): CellDecision => {
   const before = state.configuration;
   if (before !== undefined && configuration.view.version < before.view.version) {
-    return { state, effects: [counted('invariant_configuration_reverted')] };
+    return { state, effects: [countEffect('invariant_configuration_reverted')] };
   }
   const isInUse = isZoneInUse(configuration.view, state.cell);
   const next = {
@@ -96,24 +99,25 @@
   };
   const isSame =
     before?.view === configuration.view || before?.view.version === configuration.view.version;
-  if (!isSame) return unchanged(withAllStale(next));
+  if (!isSame) return withoutEffects(withAllStale(next));
   const isRoundStale = state.isRoundStale || (!mayAssign(state, nowMs) && mayAssign(next, nowMs));
-  return unchanged({ ...next, isRoundStale });
+  return withoutEffects({ ...next, isRoundStale });
 };
 
-/** Forgets everything that only an owner may know; it is learnt anew after a take-over. */
+/** Resets the state that belongs to an ownership. A new owner learns it again after a takeover. */
 const withOwnershipChange = (before: CellState, after: CellState, nowMs: number): CellDecision => {
   const isSameOwnership =
     before.lease.isOwner === after.lease.isOwner && before.lease.epoch === after.lease.epoch;
-  if (isSameOwnership || (!before.lease.isOwner && !after.lease.isOwner)) return unchanged(after);
-  const fresh = {
+  if (isSameOwnership || (!before.lease.isOwner && !after.lease.isOwner))
+    return withoutEffects(after);
+  const reset = {
     ...after,
     rows: undefined,
-    lastRows: undefined,
+    lastKnownRows: undefined,
     unreachedWorkerIds: new Set<string>(),
     pending: undefined,
     arrivals: undefined,
-    // The owner row's new version stops whatever a former ownership left under way.
+    // The new version of the owner row blocks every transaction that a former ownership sent.
     isFenceDue: false,
     tookOverAtMs: nowMs,
     isRoundStale: true,
@@ -123,19 +127,19 @@
     oversizedSinceMs: new Map<string, number>(),
     workerHealth: new WorkerHealth(),
     retryAtMs: new Map<string, number>(),
-    handOn: NO_HAND_ON,
+    taskTransfer: INITIAL_TASK_TRANSFER,
     learntSizes: new LearntSizes(),
-    readDivision: '',
+    readQuotaDivision: '',
     quotaWaits: new Map<string, number>(),
   };
   const workers = new Map(
     [...after.workers].map(([id, view]): [string, WorkerView] => [
       id,
-      unreachedWorker(view.instance, presumedLeaseEndMs(fresh)),
+      unreachedWorkerView(view.instance, presumedLeaseEndMs(reset)),
     ]),
   );
   const event = after.lease.isOwner ? 'cell-acquired' : 'cell-lost';
-  return { state: { ...fresh, workers }, effects: [{ kind: 'log', event }] };
+  return { state: { ...reset, workers }, effects: [{ kind: 'log', event }] };
 };
 
 const withLeaseRead = (
@@ -158,7 +162,10 @@
   nowMs: number,
 ): CellDecision => {
   if (isLeft(result)) {
-    return unchanged({ ...state, lease: withLeaseCallFailed(state.lease, state.timing, nowMs) });
+    return withoutEffects({
+      ...state,
+      lease: withLeaseCallFailed(state.lease, state.timing, nowMs),
+    });
   }
   const lease =
     result.right.outcome === TransactionOutcome.Committed
@@ -168,58 +175,66 @@
 };
 
 /**
- * True when an answer belongs to this ownership of the cell. A daemon that lost the cell and got
- * it back would otherwise take a worker's old answer for first contact: it would believe the
- * leases named there, although the owner in between granted longer ones, give the worker's tasks
- * up while they run, and start them a second time.
+ * True if an answer belongs to this ownership of the cell. A daemon that lost the cell and regained
+ * it would otherwise take a worker's old answer for the first report of this ownership. It would
+ * rely on the leases named there, although the owner in between granted longer ones, give up the
+ * worker's tasks while they run, and start them a second time.
  */
 const isOfThisOwnership = (state: CellState, epoch: number): boolean =>
   state.lease.isOwner && state.lease.epoch === epoch;
 
-/** Takes in the end of a write to the fence; it stays due until one has surely taken effect. */
-const withFenced = (state: CellState, result: Either<Failure, TransactionResult>): CellDecision => {
+/**
+ * Applies the result of a fence write. The fence stays due until a write is known to have
+ * committed.
+ */
+const withFenceResult = (
+  state: CellState,
+  result: Either<Failure, TransactionResult>,
+): CellDecision => {
   const settled = { ...state, pending: undefined };
   const isFenced = !isLeft(result) && result.right.outcome === TransactionOutcome.Committed;
   return isFenced
-    ? { state: { ...settled, isFenceDue: false }, effects: [counted('cell_fenced')] }
-    : unchanged(settled);
+    ? { state: { ...settled, isFenceDue: false }, effects: [countEffect('cell_fenced')] }
+    : withoutEffects(settled);
 };
 
 /**
- * Takes in the end of a transaction. After a conflict or a lost answer the rows are read again
- * before anything depends on them, after a lost one behind a fence.
+ * Applies the result of a transaction. After a conflict or a lost answer the rows are read again
+ * before anything depends on them; after a lost answer the fence is written first.
  */
-const withCommitted = (
+const withCommitResult = (
   state: CellState,
   result: Either<Failure, TransactionResult>,
   nowMs: number,
 ): CellDecision => {
   const { pending } = state;
-  if (pending?.kind === 'fence') return withFenced(state, result);
-  if (pending?.kind !== 'commit') return unchanged(state);
+  if (pending?.kind === 'fence') return withFenceResult(state, result);
+  if (pending?.kind !== 'commit') return withoutEffects(state);
   const settled = { ...state, pending: undefined };
   if (isLeft(result)) {
     const isFenceDue = needsFence(result.left);
     const next = withRowsInDoubt({ ...settled, isFenceDue });
-    return { state: next, effects: [counted('cell_transaction_failed')] };
+    return { state: next, effects: [countEffect('cell_transaction_failed')] };
   }
   if (result.right.outcome === TransactionOutcome.Conflict) {
-    return { state: withRowsInDoubt(settled), effects: [counted('cell_transaction_conflict')] };
+    return { state: withRowsInDoubt(settled), effects: [countEffect('cell_transaction_conflict')] };
   }
   const provedAtMs = pending.provesZone ? pending.sentAtMs : Number.NEGATIVE_INFINITY;
   const proved = { ...settled, zoneProvedAtMs: Math.max(state.zoneProvedAtMs, provedAtMs) };
   const rows = pending.draft.committed(result.right.version);
-  // Nothing of a team with a quota starts until the others are read behind a new division.
-  const isDivisionNew = publishedDivision(rows) !== state.readDivision;
-  const nextLookAtMs = isDivisionNew ? nowMs : state.nextLookAtMs;
-  return unchanged(withNewRows({ ...proved, nextLookAtMs }, rows));
+  // No task of a team with a quota starts under a new quota division until the other cells' rows
+  // have been read after its publication, so they are read at once.
+  const isDivisionNew = publishedQuotaDivision(rows) !== state.readQuotaDivision;
+  const nextPollAtMs = isDivisionNew ? nowMs : state.nextPollAtMs;
+  return withoutEffects(withNewRows({ ...proved, nextPollAtMs }, rows));
 };
 
 /**
- * True when the report tells of something that a round may have to record: an end, or a change
- * of a service's task, which its entry points depend on. A batch task that has started is none.
+ * True if the report contains a change that a round may have to record: the end of a task, or a
+ * change of a service task, on which the published endpoints depend. The start of a batch task
+ * needs no round.
  */
-const tellsNews = (state: CellState, before: WorkerView, after: WorkerView): boolean => {
+const requiresRound = (state: CellState, before: WorkerView, after: WorkerView): boolean => {
   if (before.report?.incarnation !== after.report?.incarnation) return true;
   if (before.tasks === after.tasks) return false;
   if (state.rows === undefined) return true;
@@ -244,35 +259,38 @@
   const next = isLeft(result)
     ? { ...view, isCommandInFlight: false }
     : withReport(view, result.right, nowMs);
-  // A call that failed may have been the last that a worker's assignments waited for.
-  const isRoundStale = state.isRoundStale || isLeft(result) || tellsNews(state, view, next);
+  // The end of a worker's assignments may have been waiting for this call, even if it failed.
+  const isRoundStale = state.isRoundStale || isLeft(result) || requiresRound(state, view, next);
   return { ...state, isRoundStale, workers: new Map(state.workers).set(workerId, next) };
 };
 
-/** Answers to calls that only an owner makes. */
-const absorbAnswer = (
+/** Applies an answer to a call that only an owner makes. */
+const applyOwnerAnswer = (
   state: CellState,
   event: CellEvent & { readonly kind: 'loaded' | 'committed' | 'worker-answered' },
   nowMs: number,
 ): CellDecision => {
   if (!isOfThisOwnership(state, event.epoch)) {
-    return { state, effects: [counted('cell_stale_answer')] };
+    return { state, effects: [countEffect('cell_stale_answer')] };
   }
-  if (event.kind === 'loaded') return unchanged(withLoaded(state, event.result));
-  if (event.kind === 'committed') return withCommitted(state, event.result, nowMs);
-  return unchanged(withWorkerAnswer(state, event.workerId, event.result, nowMs));
+  if (event.kind === 'loaded') return withoutEffects(withReadResult(state, event.result));
+  if (event.kind === 'committed') return withCommitResult(state, event.result, nowMs);
+  return withoutEffects(withWorkerAnswer(state, event.workerId, event.result, nowMs));
 };
 
-export const absorb = (state: CellState, event: CellEvent, nowMs: number): CellDecision => {
+export const applyEvent = (state: CellState, event: CellEvent, nowMs: number): CellDecision => {
   switch (event.kind) {
     case 'configuration':
       return withConfiguration(state, event.configuration, nowMs);
     case 'instances':
-      return unchanged(withInstances(state, event.workers));
+      return withoutEffects(withInstances(state, event.workers));
     case 'latency-measured': {
-      if (!state.lease.isOwner) return unchanged(state);
-      const own = event.samples.filter(({ workerId }) => state.workers.has(workerId));
-      return unchanged({ ...state, interference: withPendingSamples(state.interference, own) });
+      if (!state.lease.isOwner) return withoutEffects(state);
+      const ownSamples = event.samples.filter(({ workerId }) => state.workers.has(workerId));
+      return withoutEffects({
+        ...state,
+        interference: withPendingSamples(state.interference, ownSamples),
+      });
     }
     case 'lease-read':
       return withLeaseRead(state, event.result, event.sentAtMs, nowMs);
@@ -281,8 +299,8 @@
     case 'loaded':
     case 'committed':
     case 'worker-answered':
-      return absorbAnswer(state, event, nowMs);
+      return applyOwnerAnswer(state, event, nowMs);
     default:
-      return unchanged(state);
+      return withoutEffects(state);
   }
 };
--- a/src/scheduler/common/fleet/waitReport.ts
+++ b/src/scheduler/common/fleet/waitReport.ts
@@ -1,4 +1,4 @@
-/** Tells the log, in a bounded number of lines, what waits longer than it should and why. */
+/** Reports long waits for placement or for workers, in a bounded number of log lines. */
 import type { LogFields } from '../../../services/log/common/log.js';
 import type { FleetWorkerView } from './fleetWorkerView.js';
 import type { PlacementObstacle } from './placementObstacle.js';
@@ -6,9 +6,9 @@
 
 /** Why a task that is due was not placed in a round. */
 export const WaitReason = {
-  /** No usable worker has room for it. */
+  /** No usable worker has enough free capacity. */
   NoRoom: 'no-room',
-  /** The limit of starts in one round was reached before its turn. */
+  /** The round reached its limit of starts before the task's turn. */
   RoundFull: 'round-full',
 } as const;
 export type WaitReason = (typeof WaitReason)[keyof typeof WaitReason];
@@ -16,27 +16,28 @@
 export type WaitCounts = ReadonlyMap<WaitReason, number>;
 
 const REPORT_INTERVAL_MS = 1_000;
-/** A task that has waited for less is told of when it starts. */
-const NOTABLE_WAIT_MS = 1_000;
-/** Workers named in one line; the count tells of the others. */
-const NAMED_WORKERS = 20;
+/** Shorter waits are logged when the task starts. */
+const MINIMUM_REPORTED_WAIT_MS = 1_000;
+/** Workers named in one line; the count in the line includes the others. */
+const MAXIMUM_NAMED_WORKERS = 20;
 
-/** Kinds of tasks that wait for different reasons, the most urgent one first. */
+/** Kinds of tasks that wait for different reasons, the most urgent kind first. */
 export const WaitingKind = {
-  /** Lasts, and has run before: its users are without service. */
+  /** A persistent task that has run before: its users are without service. */
   Interrupted: 'interrupted',
-  Lasting: 'lasting',
+  /** A persistent task that has never run. */
+  Persistent: 'lasting',
   Batch: 'batch',
   Filler: 'filler',
 } as const;
 export type WaitingKind = (typeof WaitingKind)[keyof typeof WaitingKind];
 
-/** What stands against the workers of a task, by how many. */
+/** Returns, for each obstacle to placing a task, the number of workers that it affects. */
 export type ObstaclesOf = (task: TaskRecord) => ReadonlyMap<PlacementObstacle, number>;
 
 const kindOf = (task: TaskRecord): WaitingKind => {
   if (isInterrupted(task)) return WaitingKind.Interrupted;
-  if (task.step.isPersistent) return WaitingKind.Lasting;
+  if (task.step.isPersistent) return WaitingKind.Persistent;
   return task.step.isFiller ? WaitingKind.Filler : WaitingKind.Batch;
 };
 
@@ -45,7 +46,7 @@
   readonly count: number;
 }
 
-/** What waits of each kind. */
+/** The longest-waiting task of each kind, and the number of tasks of that kind. */
 const waitingByKind = (tasks: Iterable<TaskRecord>): ReadonlyMap<WaitingKind, Waiting> => {
   const byKind = new Map<WaitingKind, Waiting>();
   [...tasks].forEach((task) => {
@@ -65,7 +66,7 @@
 
   #nextWorkersAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The fields of lines on tasks that wait, one for each kind, when they are due. */
+  /** Returns the fields of a log line for each kind of waiting task, or none while not due. */
   tasks(
     waiting: Iterable<TaskRecord>,
     counts: WaitCounts,
@@ -74,7 +75,7 @@
   ): readonly LogFields[] {
     if (nowMs < this.#nextTasksAtMs || counts.size === 0) return [];
     const notable = [...waitingByKind(waiting)].filter(
-      ([, { oldest }]) => nowMs - oldest.waitingSinceMs >= NOTABLE_WAIT_MS,
+      ([, { oldest }]) => nowMs - oldest.waitingSinceMs >= MINIMUM_REPORTED_WAIT_MS,
     );
     if (notable.length === 0) return [];
     this.#nextTasksAtMs = nowMs + REPORT_INTERVAL_MS;
@@ -88,7 +89,7 @@
     }));
   }
 
-  /** The fields of a line on workers whose runs are not known yet, when one is due. */
+  /** Returns the fields of a log line on workers whose runs are unknown; undefined if not due. */
   workers(views: Iterable<FleetWorkerView>, nowMs: number): LogFields | undefined {
     if (nowMs < this.#nextWorkersAtMs) return undefined;
     const awaited = [...views].filter(
@@ -96,7 +97,7 @@
     );
     if (awaited.length === 0) return undefined;
     this.#nextWorkersAtMs = nowMs + REPORT_INTERVAL_MS;
-    const named = awaited.slice(0, NAMED_WORKERS).map(({ id }) => id);
+    const named = awaited.slice(0, MAXIMUM_NAMED_WORKERS).map(({ id }) => id);
     const longestMs = Math.max(...awaited.map(({ leasesOverAtMs }) => leasesOverAtMs - nowMs));
     return { count: awaited.length, workers: named.join(' '), atMostMs: Math.round(longestMs) };
   }
