--- a/src/services/configuration/common/configurationSteps.ts
+++ b/src/services/configuration/common/configurationSteps.ts
@@ -29,7 +29,7 @@
 export type VersionStep = (typeof VersionStep)[keyof typeof VersionStep];
 
 /** Selects the next step after the table has returned a version. */
-export const versionStep = (
+export const selectVersionStep = (
   current: ConfigurationView | undefined,
   readVersion: number,
   hintedVersion: number,
--- a/src/services/configuration/node/configurationFollower.ts
+++ b/src/services/configuration/node/configurationFollower.ts
@@ -18,7 +18,7 @@
   followChanges,
   MAXIMUM_CONFIGURATION_LAG_MS,
   VersionStep,
-  versionStep,
+  selectVersionStep,
 } from '../common/configurationSteps.js';
 import { type ConfigurationView, toConfigurationView } from '../common/configurationView.js';
 import { DOCUMENT_PREFIX, toVersion, VERSION_KEY } from '../common/documents.js';
@@ -148,7 +148,7 @@
     if (isLeft(read)) return PollFault.StoreUnavailable;
     const row = read.right.rows[0];
     const version = toVersion(read.right.rows);
-    switch (versionStep(this.#current, version, this.#hintedVersion)) {
+    switch (selectVersionStep(this.#current, version, this.#hintedVersion)) {
       case VersionStep.Confirm:
         this.#confirm(sentAtMs);
         return undefined;
