--- a/src/entry/common/secondAttempt.ts
+++ b/src/entry/common/secondAttempt.ts
@@ -1,42 +1,42 @@
-/** Decides when a request under way is sent a second time beside the first. */
-import { ExtraReason } from './admissionDecision.js';
+/** Decides when a running request gets a second, concurrent attempt. */
+import { SecondAttemptReason } from './admissionDecision.js';
 
-export interface UnderWay {
+export interface RunningRequest {
   readonly isIdempotent: boolean;
   readonly attemptCount: number;
   readonly maximumAttemptCount: number;
   readonly ageMs: number;
-  /** Whether any byte of the answer has come. */
+  /** Whether any byte of the answer has arrived. */
   readonly hasProgress: boolean;
-  /** The latency that one in twenty answers of the service exceeds; zero while unknown. */
-  readonly highLatencyMs: number;
+  /** The 95th percentile of the service's latency; zero while unknown. */
+  readonly p95LatencyMs: number;
 }
 
 export interface SecondAttemptSettings {
   readonly silenceFloorMs: number;
 }
 
-/** Factors on the high latency: what is slower than these is slow, or lies on a dead connection. */
+/** Factors on the 95th percentile, after which a request is hedged or its connection is suspect. */
 const HEDGE_FACTOR = 1.5;
 const SILENCE_FACTOR = 4;
 
 /**
- * Made for the slowest few and for connections that went silent. HTTP has no sign of life on a
- * connection that waits for an answer, so slowness and silence look alike from outside. What
- * tells them apart is a second attempt on another connection: if it is answered while the first
- * has not brought a byte, the first connection is closed. Until then the first goes on, so work
- * that is merely long is never cut off by this. Work that is not idempotent is left alone.
+ * Covers the slowest requests and connections that went silent. HTTP has no keep-alive message on
+ * a connection that waits for an answer, so a slow server and a silent connection look the same.
+ * A second attempt on another connection tells them apart: if it is answered before the first one
+ * has brought a byte, the first connection is closed. The first attempt goes on until then, so work
+ * that merely takes long is never cut off here. Work that is not idempotent gets no second attempt.
  */
 export const secondAttemptReason = (
-  underWay: UnderWay,
+  running: RunningRequest,
   settings: SecondAttemptSettings,
-): ExtraReason | undefined => {
-  const { ageMs, highLatencyMs } = underWay;
-  if (!underWay.isIdempotent || underWay.hasProgress) return undefined;
-  if (underWay.attemptCount >= underWay.maximumAttemptCount) return undefined;
-  if (ageMs >= Math.max(settings.silenceFloorMs, highLatencyMs * SILENCE_FACTOR)) {
-    return ExtraReason.Silence;
+): SecondAttemptReason | undefined => {
+  const { ageMs, p95LatencyMs } = running;
+  if (!running.isIdempotent || running.hasProgress) return undefined;
+  if (running.attemptCount >= running.maximumAttemptCount) return undefined;
+  if (ageMs >= Math.max(settings.silenceFloorMs, p95LatencyMs * SILENCE_FACTOR)) {
+    return SecondAttemptReason.Silence;
   }
-  const isHedged = highLatencyMs > 0 && ageMs >= highLatencyMs * HEDGE_FACTOR;
-  return isHedged ? ExtraReason.Hedge : undefined;
+  const isHedged = p95LatencyMs > 0 && ageMs >= p95LatencyMs * HEDGE_FACTOR;
+  return isHedged ? SecondAttemptReason.Hedge : undefined;
 };
--- a/src/entry/common/serviceRoster.ts
+++ b/src/entry/common/serviceRegistry.ts
@@ -1,4 +1,4 @@
-/** The services, servers and workers that requests go to, kept up with the routes. */
+/** Keeps the records of services, servers and workers in line with the routes. */
 import { URGENCY_ORDER, type Urgency } from '../../services/configuration/common/documents.js';
 import { connectionShare, pooledShare } from './connectionShare.js';
 import { ConcurrencyLimit } from './concurrencyLimit.js';
@@ -7,15 +7,15 @@
 import type { BackendServer, RoutingTable } from './routing.js';
 import { ServerRecord, ServiceRecord, WorkerRecord } from './serverRecords.js';
 
-export interface RosterSettings {
+export interface RegistrySettings {
   readonly queueCapacity: number;
   readonly maximumEntryCount: number;
   readonly retryBudgetRatio: number;
   readonly hedgeBudgetRatio: number;
 }
 
-export class ServiceRoster<Waiting extends WaitingRequest> {
-  readonly #settings: RosterSettings;
+export class ServiceRegistry<Waiting extends WaitingRequest> {
+  readonly #settings: RegistrySettings;
 
   readonly #services = new Map<string, ServiceRecord<Waiting>>();
 
@@ -26,7 +26,7 @@
 
   #entryCount = 1;
 
-  constructor(settings: RosterSettings) {
+  constructor(settings: RegistrySettings) {
     this.#settings = settings;
   }
 
@@ -38,15 +38,15 @@
     return this.#services.get(name);
   }
 
-  /** To be called when the last request on a worker has ended. */
+  /** Must be called when the last request on a worker has ended. */
   forgetDeparted({ workerId }: WorkerRecord<Waiting>): void {
     this.#departed.delete(workerId);
   }
 
   /**
-   * Takes new routes over; what is known of servers that stay is kept. The number of entries
-   * comes from a list that lags; it moves the share that is always granted, and the limit on
-   * connections only downwards from what follows from the settings.
+   * Applies new routes and keeps the records of servers that stay. The number of entries comes from
+   * a list that lags behind. This number changes the share of slots that is always granted. It can
+   * only lower the limit on connections, compared with the limit that follows from the settings.
    */
   updateRoutes(
     routes: RoutingTable,
@@ -57,10 +57,10 @@
     const known = new Map([...this.#departed, ...this.#workers]);
     this.#workers.clear();
     this.#departed.clear();
-    routes.forEach((servers) => servers.forEach((server) => this.#keepWorker(server, known)));
+    routes.forEach((servers) => servers.forEach((server) => this.#retainWorker(server, known)));
     known.forEach((worker, workerId) => {
       if (this.#workers.has(workerId)) return;
-      // The record is this class's own.
+      // This class owns the record.
       // eslint-disable-next-line no-param-reassign
       worker.services = [];
       if (worker.inFlightCount > 0) this.#departed.set(workerId, worker);
@@ -76,24 +76,28 @@
       service.urgency = urgencyOf(name);
       this.#setServers(service, servers);
     });
-    this.#relate();
+    this.#linkSharedServices();
   }
 
-  /** Finds for each service those on the same workers, by urgency. */
-  #relate(): void {
+  /** Finds for each service the services on the same workers that are no more or no less urgent. */
+  #linkSharedServices(): void {
     this.#services.forEach((service) => {
       const rank = URGENCY_ORDER[service.urgency];
       const related = new Set(service.servers.flatMap(({ worker }) => worker.services));
       related.add(service);
-      /* eslint-disable no-param-reassign -- the record is this class's own */
-      service.yielding = [...related].filter(({ urgency }) => URGENCY_ORDER[urgency] >= rank);
-      service.overtaking = [...related].filter(({ urgency }) => URGENCY_ORDER[urgency] <= rank);
+      /* eslint-disable no-param-reassign -- this class owns the record */
+      service.servicesNotMoreUrgent = [...related].filter(
+        ({ urgency }) => URGENCY_ORDER[urgency] >= rank,
+      );
+      service.servicesNotLessUrgent = [...related].filter(
+        ({ urgency }) => URGENCY_ORDER[urgency] <= rank,
+      );
       /* eslint-enable no-param-reassign */
     });
-    this.#services.forEach((service) => service.refreshRoom());
+    this.#services.forEach((service) => service.refreshEffectiveLimit());
   }
 
-  #keepWorker(server: BackendServer, known: ReadonlyMap<string, WorkerRecord<Waiting>>): void {
+  #retainWorker(server: BackendServer, known: ReadonlyMap<string, WorkerRecord<Waiting>>): void {
     if (this.#workers.has(server.workerId)) return;
     const worker = known.get(server.workerId) ?? new WorkerRecord<Waiting>(server.workerId);
     worker.inFlightLimit = this.#pooledShare(server);
@@ -110,7 +114,7 @@
     const service = new ServiceRecord<Waiting>(
       name,
       urgency,
-      new ConcurrencyLimit(this.#slotShare(servers), this.#highestLimit(servers)),
+      new ConcurrencyLimit(this.#slotShare(servers), this.#maximumLimit(servers)),
       new FairQueue<Waiting>(queueCapacity),
       new RetryBudget(retryBudgetRatio),
       new HedgeBudget(hedgeBudgetRatio),
@@ -130,13 +134,13 @@
       worker.services.push(service);
       return [record];
     });
-    // The record is this class's own.
+    // This class owns the record.
     /* eslint-disable no-param-reassign */
     service.servers = records;
     service.occupiedCount = records.reduce((sum, { worker }) => sum + worker.inFlightCount, 0);
     service.slotCount = servers.reduce((sum, { slotCount }) => sum + slotCount, 0);
     /* eslint-enable no-param-reassign */
-    service.limit.rescale(this.#slotShare(servers), this.#highestLimit(servers));
+    service.limit.rescale(this.#slotShare(servers), this.#maximumLimit(servers));
   }
 
   #slotShare(servers: readonly BackendServer[]): number {
@@ -144,13 +148,14 @@
     return slotCount / this.#entryCount;
   }
 
-  #highestLimit(servers: readonly BackendServer[]): number {
+  #maximumLimit(servers: readonly BackendServer[]): number {
     return servers.reduce((sum, server) => sum + this.#pooledShare(server), 0);
   }
 
   #pooledShare(server: BackendServer): number {
-    // With more entries than the setting says, fixed shares would add up to more connections
-    // than the server has and it would refuse some. Taking less is safe whoever sees the list how.
+    // With more entries than the setting allows for, fixed shares would add up to more connections
+    // than the server accepts, and it would refuse some. A smaller share is safe even when the
+    // entries hold different lists.
     const entryCount = Math.max(this.#settings.maximumEntryCount, this.#entryCount);
     return pooledShare(connectionShare(server, entryCount));
   }
