--- a/bench/capacity/schedulerCapacity.ts
+++ b/bench/capacity/schedulerCapacity.ts
@@ -20,14 +20,14 @@
 import { ErrorKind, failure } from '../../src/services/errors/common/errorKinds.js';
 import type { WorkerInstance } from '../../src/services/instanceList/common/instanceList.js';
 import { settingsSchema } from '../../src/services/settings/common/settings.js';
-import { inboxWith } from '../../src/services/workload/common/inbox.js';
+import { nextInboxValue } from '../../src/services/workload/common/inbox.js';
 import {
   BatchTaskState,
   cellInboxKey,
   workKey,
 } from '../../src/services/workload/common/workRows.js';
 import { ReportMirror } from '../../src/services/worker/common/reportMirror.js';
-import { RevisedWorker } from '../../src/services/worker/common/revisedWorker.js';
+import { RevisionedWorker } from '../../src/services/worker/common/revisionedWorker.js';
 import {
   wireCommandSchema,
   wireReportSchema,
@@ -100,7 +100,7 @@
   readonly #workers = new Map<string, WorkerStandIn>();
 
   /** Both ends of the exchange with each worker. */
-  readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisedWorker }>();
+  readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisionedWorker }>();
 
   readonly #instances: WorkerInstance[] = [];
 
@@ -187,7 +187,7 @@
     this.#workers.set(id, worker);
     this.#exchanges.set(id, {
       mirror: new ReportMirror(),
-      revised: new RevisedWorker((command) => worker.command(command, this.#nowMs)),
+      revised: new RevisionedWorker((command) => worker.command(command, this.#nowMs)),
     });
     const address = { host: '10.0.0.1', port: 7_000 };
     this.#instances.push({
@@ -230,7 +230,7 @@
     const row = { shardId, jobId, team: 'team-1', size: SIZE, urgency: 'normal', workMs, tasks };
     this.#write([
       { key: workKey(CELL, shardId), value: row },
-      { key: cellInboxKey(CELL), value: inboxWith(inbox, jobId, [workKey(CELL, shardId)]) },
+      { key: cellInboxKey(CELL), value: nextInboxValue(inbox, jobId, [workKey(CELL, shardId)]) },
     ]);
   }
 
--- a/bench/fleet/ownerCost.ts
+++ b/bench/fleet/ownerCost.ts
@@ -3,7 +3,7 @@
  * Each seed is one run; the table has the medians.
  */
 import { DEFAULT_FLEET_POLICY } from '../../src/scheduler/common/fleet/fleetPolicy.js';
-import { BoundedLog } from '../../src/services/log/common/boundedLog.js';
+import { RateLimitedLog } from '../../src/services/log/common/rateLimitedLog.js';
 import { ConsolaLog, LogFormat } from '../../src/services/log/node/consolaLog.js';
 import type { DriverCounts } from './driverCounts.js';
 import { FleetDriver } from './fleetDriver.js';
@@ -59,7 +59,7 @@
   const arrivals = new Workload(shape, truth, seed + SEED_STRIDE).generate();
   const driver = new FleetDriver(shape, truth, DEFAULT_FLEET_POLICY, seed + 2 * SEED_STRIDE);
   const clock = { nowMs: () => driver.time.nowMs };
-  driver.log = new BoundedLog(new ConsolaLog(LogFormat.Json, {}, () => {}), clock);
+  driver.log = new RateLimitedLog(new ConsolaLog(LogFormat.Json, {}, () => {}), clock);
   arrivals.forEach((arrival) => driver.submit(arrival));
   await driver.runUntil(fromMs);
   const before = { ...driver.counts };
--- a/bench/fleet/ownerProfile.ts
+++ b/bench/fleet/ownerProfile.ts
@@ -47,7 +47,7 @@
   decisionLog: OwnerWork.Log,
   waitReport: OwnerWork.Log,
   consolaLog: OwnerWork.Log,
-  boundedLog: OwnerWork.Log,
+  rateLimitedLog: OwnerWork.Log,
   fillerPacing: OwnerWork.Interference,
   harmonicLoad: OwnerWork.Interference,
   imagePairs: OwnerWork.Interference,
--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -53,7 +53,7 @@
   readonly onWasted: (processorSeconds: number) => void;
 }
 
-const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentFigure: 0 };
+const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentMeasurement: 0 };
 
 /** The progress from which the next run of the task would start. */
 const savedMsOf = ({ truth, savedMs, doneMs, run }: SharedRun): number => {
@@ -217,7 +217,7 @@
     return {
       checkpoint: savedMs > 0 ? String(Math.round(savedMs)) : '',
       workedPercent: Math.min(FULL_PERCENT, Math.floor(worked * FULL_PERCENT)),
-      recentFigure: Math.round(figure * (isServing ? scatter : 1)),
+      recentMeasurement: Math.round(figure * (isServing ? scatter : 1)),
     };
   }
 }
--- a/bench/fleet/storedState.ts
+++ b/bench/fleet/storedState.ts
@@ -18,7 +18,7 @@
     },
     {
       operatorChanges: () => () =>
-        Promise.resolve(right({ isWhole: false, changes: [], position: 0 })),
+        Promise.resolve(right({ isSnapshot: false, changes: [], position: 0 })),
       workers: () => () => Promise.resolve(right(entries())),
     },
     silentLog,
--- a/bench/scheduling/cellRun.ts
+++ b/bench/scheduling/cellRun.ts
@@ -11,7 +11,7 @@
   zoneKey,
 } from '../../src/services/configuration/common/documents.js';
 import type { WorkerInstance } from '../../src/services/instanceList/common/instanceList.js';
-import { inboxWith } from '../../src/services/workload/common/inbox.js';
+import { nextInboxValue } from '../../src/services/workload/common/inbox.js';
 import {
   cellInboxKey,
   workKey,
@@ -20,7 +20,7 @@
 } from '../../src/services/workload/common/workRows.js';
 import type { WorkerCommand, WorkerReport } from '../../src/services/worker/common/workerClient.js';
 import { ReportMirror } from '../../src/services/worker/common/reportMirror.js';
-import { RevisedWorker } from '../../src/services/worker/common/revisedWorker.js';
+import { RevisionedWorker } from '../../src/services/worker/common/revisionedWorker.js';
 import {
   wireCommandSchema,
   wireReportSchema,
@@ -85,7 +85,7 @@
   readonly #table = new TableStandIn();
 
   /** Both ends of the exchange with each worker. */
-  readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisedWorker }>();
+  readonly #exchanges = new Map<string, { mirror: ReportMirror; revised: RevisionedWorker }>();
 
   readonly #instances: readonly WorkerInstance[];
 
@@ -185,7 +185,7 @@
     });
     this.#exchanges.set(id, {
       mirror: new ReportMirror(),
-      revised: new RevisedWorker((command) => worker.command(command, this.#nowMs)),
+      revised: new RevisionedWorker((command) => worker.command(command, this.#nowMs)),
     });
     return {
       kind: 'worker',
@@ -246,7 +246,7 @@
     const writes = [
       { key, value: value as never },
       { key: VERSION_KEY, value: { version: 1 } },
-      { key: inboxKey, value: inboxWith(inbox, operationId, arrivals) },
+      { key: inboxKey, value: nextInboxValue(inbox, operationId, arrivals) },
     ];
     this.#table.transact({ operationId, conditions: [], writes });
     // What the submitter reads and writes is not the cell's doing.
--- a/soak/test/platform/orderForms.ts
+++ b/soak/test/platform/orderForms.ts
@@ -50,7 +50,7 @@
     run.run,
     run.checkpoint,
     percentOf(run),
-    run.recentFigure,
+    run.recentMeasurement,
   ]),
   Finished: finished.map((end) => [end.sequence, end.taskName, end.run, end.end, end.checkpoint]),
 });
--- a/src/entry/node/routingReader.ts
+++ b/src/entry/node/routingReader.ts
@@ -9,8 +9,8 @@
 import type { Metrics } from '../../services/metrics/common/metrics.js';
 import type { ReadRequest, TableService } from '../../services/table/common/table.js';
 import {
-  endpointKeysDue,
-  endpointLook,
+  staleEndpointKeys,
+  endpointReadRequest,
   type EndpointView,
   NO_ENDPOINTS,
   WHOLE_ENDPOINT_INTERVAL_MS,
@@ -73,10 +73,10 @@
     const zones = this.#configuration.current?.zones.keys() ?? [];
     const request = isFullRead
       ? { keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES }
-      : endpointLook(before, zones);
+      : endpointReadRequest(before, zones);
     if (!(await this.#readRows(request))) return;
     this.#readCount += 1;
-    const keys = endpointKeysDue(this.#endpoints);
+    const keys = staleEndpointKeys(this.#endpoints);
     if (keys.length > 0) await this.#readRows({ keys, prefixes: [] });
     if (this.#endpoints.rows !== before.rows) this.#rebuild();
   }
--- a/src/intake/node/submissionIntake.ts
+++ b/src/intake/node/submissionIntake.ts
@@ -108,7 +108,7 @@
   }
 
   /** False while the store does not answer. */
-  get isStoreReached(): boolean {
+  get isStoreReachable(): boolean {
     return !this.#reach.isSilent;
   }
 
--- a/src/operator/common/confirmation.ts
+++ b/src/operator/common/confirmation.ts
@@ -17,7 +17,7 @@
   type Transaction,
   unchangedSince,
 } from '../../services/table/common/table.js';
-import { inboxWith } from '../../services/workload/common/inbox.js';
+import { nextInboxValue } from '../../services/workload/common/inbox.js';
 import {
   cancellationPrefix,
   cellInboxKey,
@@ -129,7 +129,7 @@
       ...plan.steps.map(({ key, after }) => ({ key, value: after })),
       ...plan.notifiedCells.map((cell) => ({
         key: cellInboxKey(cell),
-        value: inboxWith(rows.get(cellInboxKey(cell)), operationId, keysForCell(plan, cell)),
+        value: nextInboxValue(rows.get(cellInboxKey(cell)), operationId, keysForCell(plan, cell)),
       })),
     ],
   };
--- a/src/scheduler/common/cellReads.ts
+++ b/src/scheduler/common/cellReads.ts
@@ -4,8 +4,8 @@
 import type { Failure } from '../../services/errors/common/errorKinds.js';
 import type { ReadResult, TableRow } from '../../services/table/common/table.js';
 import {
-  endpointKeysDue,
-  endpointLook,
+  staleEndpointKeys,
+  endpointReadRequest,
   WHOLE_ENDPOINT_INTERVAL_MS,
   WHOLE_ENDPOINT_PREFIXES,
   withEndpointRows,
@@ -62,7 +62,7 @@
     return requestRows(next, { kind: 'poll' }, [inbox], allPrefixes);
   }
   const zones = state.configuration?.view.zones.keys() ?? [];
-  const { keys, prefixes } = endpointLook(state.endpointView, zones);
+  const { keys, prefixes } = endpointReadRequest(state.endpointView, zones);
   const otherKeys = keys.filter((key) => key !== endpointKey(state.cell));
   return requestRows(next, { kind: 'poll' }, [inbox, ...otherKeys], [...prefixes, EXCHANGE_PREFIX]);
 };
@@ -132,7 +132,7 @@
   const knownVersion = state.rows?.versions.get(cellInboxKey(state.cell)) ?? 0;
   const arrived = inboxVersion === knownVersion ? [] : arrivalsSince(inbox, knownVersion);
   if (arrived === undefined) return withRowsInDoubt(next);
-  const endpointKeys = endpointKeysDue(next.endpointView).filter(
+  const endpointKeys = staleEndpointKeys(next.endpointView).filter(
     (key) => key !== endpointKey(state.cell),
   );
   const keys = [...arrived, ...endpointKeys];
--- a/src/scheduler/common/fleet/headroom.ts
+++ b/src/scheduler/common/fleet/headroom.ts
@@ -40,8 +40,8 @@
 export const sizeShare = (view: FleetWorkerView, task: TaskRecord): number =>
   task.step.size.processorMillis / Math.max(1, view.entry.capacity.processorMillis);
 
-const headroomOf = ({ recentFigure, task }: TaskRun): number =>
-  Math.min(MAXIMUM_HEADROOM, task.step.targetLatencyMs / recentFigure);
+const headroomOf = ({ recentMeasurement, task }: TaskRun): number =>
+  Math.min(MAXIMUM_HEADROOM, task.step.targetLatencyMs / recentMeasurement);
 
 /**
  * The newest samples of the tasks of one step on one worker. These tasks share their users and
@@ -67,7 +67,7 @@
 export const servingGroups = (view: FleetWorkerView): readonly ServingGroup[] => {
   const runsByName = new Map<string, TaskRun[]>();
   servingRuns(view).forEach((run) => {
-    if (run.recentFigure <= 0) return;
+    if (run.recentMeasurement <= 0) return;
     const name = stepName(run.task);
     runsByName.set(name, [...(runsByName.get(name) ?? []), run]);
   });
@@ -81,7 +81,7 @@
 
 /** Updates a task's own smoothed headroom with its newest sample. */
 export const updateOwnHeadroom = (run: TaskRun, nowMs: number): void => {
-  if (run.recentFigure <= 0) return;
+  if (run.recentMeasurement <= 0) return;
   run.headroom += (headroomOf(run) - run.headroom) * SAMPLE_WEIGHT;
   if (run.headroom < OVER_HEADROOM) run.overTargetSinceMs ??= nowMs;
   if (run.headroom > RELIEVED_HEADROOM) run.overTargetSinceMs = undefined;
--- a/src/scheduler/common/fleet/interferenceModel.ts
+++ b/src/scheduler/common/fleet/interferenceModel.ts
@@ -281,9 +281,9 @@
   #exposures(view: FleetWorkerView, servingImage: string, nowMs: number): readonly Exposure[] {
     const capacity = Math.max(1, view.entry.capacity.processorMillis);
     const shares = new Map<string, number>();
-    fillerRuns(view).forEach(({ task, recentFigure }) => {
+    fillerRuns(view).forEach(({ task, recentMeasurement }) => {
       const { image } = task.step;
-      shares.set(image, (shares.get(image) ?? 0) + recentFigure / capacity);
+      shares.set(image, (shares.get(image) ?? 0) + recentMeasurement / capacity);
     });
     return [...shares]
       .filter(([, share]) => share > 0)
--- a/src/scheduler/common/fleet/runTracker.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -52,7 +52,7 @@
   workedPercent: 0,
   firstListed: undefined,
   percentUnchangedSinceMs: nowMs,
-  recentFigure: 0,
+  recentMeasurement: 0,
   headroom: UNKNOWN_HEADROOM,
   overTargetSinceMs: undefined,
   pacePercent: FULL_PERCENT,
@@ -118,7 +118,7 @@
     const ended = answer.finished.filter((finished) => this.#handleEnd(view, finished, nowMs));
     this.#decisionLog.addEnds(view.id, ended, nowMs);
     const unknown = answer.running.filter((running) => !this.#handleRunning(view, running, nowMs));
-    if (!answer.isFinishedCut) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
+    if (!answer.isFinishedTruncated) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
     view.unknownRunCount = unknown.length;
     if (view.mayForgetEnds) this.#stopForgettable(view, nowMs);
     return unknown;
@@ -292,7 +292,7 @@
       run.workedPercent = running.workedPercent;
       run.percentUnchangedSinceMs = nowMs;
     }
-    run.recentFigure = running.recentFigure;
+    run.recentMeasurement = running.recentMeasurement;
     if (run.state === RunState.Starting || run.state === RunState.Unanswered) {
       this.#stops.delete(run);
       run.state = RunState.Running;
--- a/src/scheduler/common/fleet/submissionRegistry.ts
+++ b/src/scheduler/common/fleet/submissionRegistry.ts
@@ -1,7 +1,7 @@
 /** The owner's submissions in memory, with their waiting tasks and the changes yet to be stored. */
 import { RunEnd } from '../../../services/fleet/common/fleetWorker.js';
 import {
-  runsOfSteps,
+  stepRunCount,
   type Submission,
   SubmissionState,
 } from '../../../services/submissions/common/submission.js';
@@ -140,7 +140,7 @@
   openDueOccurrences(wallNowMs: number, nowMs: number): void {
     this.#recurring.forEach((record) => {
       const { submission } = record;
-      const count = runsOfSteps(submission);
+      const count = stepRunCount(submission);
       while (record.nextOccurrence < count) {
         const dueWallMs =
           submission.firstDueWallMs + record.nextOccurrence * submission.occurrenceIntervalMs;
--- a/src/scheduler/common/fleet/taskRecords.ts
+++ b/src/scheduler/common/fleet/taskRecords.ts
@@ -3,7 +3,7 @@
   type Submission,
   SubmissionState,
   isFinalState,
-  runsOfSteps,
+  stepRunCount,
   type Step,
 } from '../../../services/submissions/common/submission.js';
 import type { Assignments, Progress } from '../../../services/submissions/common/submissionRows.js';
@@ -39,7 +39,7 @@
   firstListed: { readonly percent: number; readonly atMs: number } | undefined;
   /** Since when `workedPercent` has not changed. */
   percentUnchangedSinceMs: number;
-  recentFigure: number;
+  recentMeasurement: number;
   /** How far the tail latency of a serving task is from its target, smoothed; see `headroom.ts`. */
   headroom: number;
   /** Since when the tail latency has likely been over its target. */
@@ -269,7 +269,7 @@
 export const isOpen = (record: SubmissionRecord): boolean => !isFinalState(record.state);
 
 export const allOccurrencesDone = (record: SubmissionRecord): boolean =>
-  record.finishedOccurrences.size >= runsOfSteps(record.submission);
+  record.finishedOccurrences.size >= stepRunCount(record.submission);
 
 /** The capacity that a run takes on its worker; a filler's processors are not counted. */
 export const countedSize = (step: Step): Resources =>
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -265,12 +265,12 @@
           loop,
           () => 0,
           (reply) => {
-            const isWhole = afterPosition === undefined;
-            const changes = isWhole
+            const isSnapshot = afterPosition === undefined;
+            const changes = isSnapshot
               ? [{ kind: 'configuration' as const, configuration: this.#configuration }]
               : [];
-            this.simulator.outside.after(isWhole ? 0 : 2_000, () =>
-              reply({ isWhole, changes, position: 1 }),
+            this.simulator.outside.after(isSnapshot ? 0 : 2_000, () =>
+              reply({ isSnapshot, changes, position: 1 }),
             );
           },
         ),
--- a/src/scheduler/test/fleet/fillerPlacement.test.ts
+++ b/src/scheduler/test/fleet/fillerPlacement.test.ts
@@ -36,7 +36,7 @@
     );
     const serving = newRun(registry.find('00000000000000d1.0.0.0') as TaskRecord, 1, 'worker', 0);
     serving.state = RunState.Running;
-    serving.recentFigure = 11;
+    serving.recentMeasurement = 11;
     view.addRun(serving);
     const interference = new LearningInterferenceControl();
     const filler = registry.find('00000000000000d2.0.0.0') as TaskRecord;
--- a/src/scheduler/test/fleet/interferenceControl.test.ts
+++ b/src/scheduler/test/fleet/interferenceControl.test.ts
@@ -74,10 +74,10 @@
   for (let nowMs = fromMs; nowMs <= untilMs; nowMs += POLL_MS) {
     scenario.serving.forEach((run, index) => {
       const noise = 1 + amplitude * (2 * random.nextFraction() - 1);
-      run.recentFigure = Math.round(tailMs(run, index) * noise);
+      run.recentMeasurement = Math.round(tailMs(run, index) * noise);
     });
     scenario.fillers.forEach((run) => {
-      run.recentFigure = (run.task.step.size.processorMillis * run.pacePercent) / 100;
+      run.recentMeasurement = (run.task.step.size.processorMillis * run.pacePercent) / 100;
     });
     control.observe(scenario.view, nowMs);
     const { paces, moves } = control.decide(scenario.view, nowMs);
--- a/src/scheduler/test/fleet/newIncarnation.test.ts
+++ b/src/scheduler/test/fleet/newIncarnation.test.ts
@@ -21,7 +21,7 @@
   incarnation,
   running: [],
   finished: [],
-  isFinishedCut: false,
+  isFinishedTruncated: false,
 });
 
 const newView = (): FleetWorkerView =>
--- a/src/scheduler/test/virtualCell.ts
+++ b/src/scheduler/test/virtualCell.ts
@@ -12,7 +12,7 @@
 import type { Transaction, TransactionResult } from '../../services/table/common/table.js';
 import type { Resources } from '../../services/worker/common/resources.js';
 import type { WorkerCommand, WorkerReport } from '../../services/worker/common/workerClient.js';
-import { inboxWith } from '../../services/workload/common/inbox.js';
+import { nextInboxValue } from '../../services/workload/common/inbox.js';
 import { settingsSchema } from '../../services/settings/common/settings.js';
 import type { LatencySample } from '../../services/worker/common/latencySamples.js';
 import { VirtualTime } from '../../../bench/virtualTime.js';
@@ -172,7 +172,7 @@
       conditions: [],
       writes: [
         ...rows.map(({ key, value }) => ({ key, value: value as never })),
-        { key: inboxKey, value: inboxWith(inbox, operationId, keys) },
+        { key: inboxKey, value: nextInboxValue(inbox, operationId, keys) },
       ],
     });
   }
--- a/src/services/fleet/common/fleetDirectory.ts
+++ b/src/services/fleet/common/fleetDirectory.ts
@@ -13,7 +13,7 @@
 
 export interface OperatorChanges {
   /** Whether `changes` is everything in force and not only the changes since a position. */
-  readonly isWhole: boolean;
+  readonly isSnapshot: boolean;
   readonly changes: readonly OperatorChange[];
   readonly position: number;
 }
@@ -34,9 +34,9 @@
 /** Applies changes to a state; the configuration never reverts to a lower version. */
 export const withOperatorChanges = (
   state: OperatorState,
-  { isWhole, changes }: OperatorChanges,
+  { isSnapshot, changes }: OperatorChanges,
 ): OperatorState => {
-  const withdrawnZones = new Set(isWhole ? [] : state.withdrawnZones);
+  const withdrawnZones = new Set(isSnapshot ? [] : state.withdrawnZones);
   let { configuration } = state;
   changes.forEach((change) => {
     if (change.kind === 'zone' && change.isWithdrawn) withdrawnZones.add(change.zone);
--- a/src/services/fleet/common/fleetWorker.ts
+++ b/src/services/fleet/common/fleetWorker.ts
@@ -43,7 +43,7 @@
    * A rough measurement over the last half second: the tail latency in milliseconds of a serving
    * task, or the processor use of any other task in thousandths of a processor.
    */
-  readonly recentFigure: number;
+  readonly recentMeasurement: number;
 }
 
 export interface FinishedRun {
@@ -61,7 +61,7 @@
   readonly running: readonly RunningTask[];
   readonly finished: readonly FinishedRun[];
   /** Whether `finished` is truncated; more ends follow when these are acknowledged. */
-  readonly isFinishedCut: boolean;
+  readonly isFinishedTruncated: boolean;
 }
 
 export interface HoldRequest {
--- a/src/services/fleet/node/operatorFollower.ts
+++ b/src/services/fleet/node/operatorFollower.ts
@@ -57,7 +57,7 @@
   }
 
   /** Whether the last call to the store succeeded and its answer is recent. */
-  isStoreReached(nowMs: number): boolean {
+  isStoreReachable(nowMs: number): boolean {
     return this.#isReachable && nowMs - this.#lastAnswerAtMs < SILENCE_MS;
   }
 
@@ -90,7 +90,7 @@
 
   #apply(update: OperatorChanges): void {
     this.#position = update.position;
-    if (!update.isWhole && update.changes.length === 0) return;
+    if (!update.isSnapshot && update.changes.length === 0) return;
     update.changes.forEach((change) => {
       if (change.kind === 'unreadable') this.#log.warn('row-unreadable', { key: change.key });
     });
--- a/src/services/log/common/boundedLog.ts
+++ b/src/services/log/common/rateLimitedLog.ts
@@ -15,7 +15,7 @@
  * Limits lines during bursts of refusals and restarts, in which logging would take processor time
  * from the work being logged. Dropped lines are counted and reported when the second is over.
  */
-export class BoundedLog implements Log {
+export class RateLimitedLog implements Log {
   readonly #log: Log;
 
   readonly #clock: Clock;
--- a/src/services/log/node/lineWriter.ts
+++ b/src/services/log/node/lineWriter.ts
@@ -2,7 +2,7 @@
 import { write } from 'node:fs';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** Holds a few seconds of lines at the rate limit of `BoundedLog`. */
+/** Holds a few seconds of lines at the rate limit of `RateLimitedLog`. */
 const MAXIMUM_BUFFERED_BYTES = 256 * 1024;
 /** Lines added within this time are written in one call. */
 const BATCH_DELAY_MS = 100;
--- a/src/services/log/test/boundedLog.test.ts
+++ b/src/services/log/test/logLimits.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { BoundedLog } from '../common/boundedLog.js';
+import { RateLimitedLog } from '../common/rateLimitedLog.js';
 import type { Log, LogFields } from '../common/log.js';
 import { LineWriter, type WriteBytes } from '../node/lineWriter.js';
 
@@ -23,7 +23,7 @@
     // The log must show the loss and report that lines about requests are missing.
     const { log, lines } = createRecordingLog();
     let nowMs = 0;
-    const bounded = new BoundedLog(log, { nowMs: () => nowMs });
+    const bounded = new RateLimitedLog(log, { nowMs: () => nowMs });
     for (let count = 0; count < 10_000; count += 1) {
       nowMs = count / 10;
       bounded.info('submission-refused', { id: String(count) });
--- a/src/services/metrics/node/loopDelay.ts
+++ b/src/services/metrics/node/eventLoopDelayMonitor.ts
@@ -6,7 +6,7 @@
 
 const INTERVAL_MS = 100;
 
-export class LoopDelay implements Disposable {
+export class EventLoopDelayMonitor implements Disposable {
   readonly #timer: PeriodicTimer;
 
   constructor(metrics: Metrics, clock: Clock) {
--- a/src/services/submissions/common/submission.ts
+++ b/src/services/submissions/common/submission.ts
@@ -66,5 +66,5 @@
   state !== SubmissionState.Queued && state !== SubmissionState.Running;
 
 /** Returns how many times the steps run. */
-export const runsOfSteps = (submission: Submission): number =>
+export const stepRunCount = (submission: Submission): number =>
   Math.max(1, submission.occurrenceCount);
--- a/src/services/worker/common/revisedWorker.ts
+++ b/src/services/worker/common/revisionedWorker.ts
@@ -53,7 +53,7 @@
   hasUsageChanged(before, now);
 
 /** Tracks the revisions of a worker's tasks for one incarnation of the worker. */
-export class RevisedWorker {
+export class RevisionedWorker {
   readonly #command: (command: WorkerCommand) => WorkerReport;
 
   #revision = 0;
--- a/src/services/worker/common/workerExchange.ts
+++ b/src/services/worker/common/workerExchange.ts
@@ -1,7 +1,7 @@
 /**
  * The wire format of the messages between a cell's owner and a worker. Reports contain the changes
  * since a revision that the owner names, and one blanket renewal covers all attempts that ran at
- * that revision. `ReportMirror` is the owner's side, `RevisedWorker` the worker's.
+ * that revision. `ReportMirror` is the owner's side, `RevisionedWorker` the worker's.
  *
  * A worker that supports revisions adds one to its full report. Only then does the owner send the
  * fields that are added here and leave out empty lists. Workers without support for revisions
--- a/src/services/worker/test/exchangeComparison.ts
+++ b/src/services/worker/test/exchangeComparison.ts
@@ -6,7 +6,7 @@
 import { SeededRandom } from '../../../base/common/random.js';
 import { WorkerStandIn } from '../../../../standIns/workers/workerStandIn.js';
 import { ReportMirror, type SentCommand } from '../common/reportMirror.js';
-import { RevisedWorker } from '../common/revisedWorker.js';
+import { RevisionedWorker } from '../common/revisionedWorker.js';
 import {
   type StartRequest,
   TaskClass,
@@ -118,8 +118,8 @@
     );
   }
 
-  #createRevisionedWorker(): RevisedWorker {
-    return new RevisedWorker((command) => this.wireWorker.command(command, this.nowMs));
+  #createRevisionedWorker(): RevisionedWorker {
+    return new RevisionedWorker((command) => this.wireWorker.command(command, this.nowMs));
   }
 }
 
--- a/src/services/worker/test/workerExchange.test.ts
+++ b/src/services/worker/test/workerExchange.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { ReportMirror } from '../common/reportMirror.js';
-import { RevisedWorker } from '../common/revisedWorker.js';
+import { RevisionedWorker } from '../common/revisionedWorker.js';
 import { type WorkerReport, WorkerTaskState } from '../common/workerClient.js';
 import { wireCommandSchema } from '../common/workerExchange.js';
 import {
@@ -146,7 +146,7 @@
   it('is reported again only after a change of more than a tenth of the size', () => {
     let processorMillis = 1_000;
     const size = { ...SIZE, processorMillis: 1_000 };
-    const worker = new RevisedWorker(() => ({
+    const worker = new RevisionedWorker(() => ({
       workerId: 'w',
       incarnation: 'w@1',
       workerNowMs: 0,
--- a/src/services/workload/common/endpointView.ts
+++ b/src/services/workload/common/endpointView.ts
@@ -44,7 +44,7 @@
   marks.has(cell) && marks.get(cell) === versions.get(cell);
 
 /** Requests the marks of all cells, and the rows of known cells without a matching mark. */
-export const endpointLook = (view: EndpointView, cells: Iterable<string>): ReadRequest => {
+export const endpointReadRequest = (view: EndpointView, cells: Iterable<string>): ReadRequest => {
   const uncovered = new Set([...cells, ...view.versions.keys()]);
   return {
     keys: [...uncovered].filter((cell) => !isMarked(view, cell)).map(endpointKey),
@@ -78,7 +78,7 @@
 };
 
 /** Returns the keys of the rows whose marks have a newer version. */
-export const endpointKeysDue = ({ marks, versions }: EndpointView): readonly string[] =>
+export const staleEndpointKeys = ({ marks, versions }: EndpointView): readonly string[] =>
   [...marks]
     .filter(([cell, version]) => version > (versions.get(cell) ?? 0))
     .map(([cell]) => endpointKey(cell));
--- a/src/services/workload/common/inbox.ts
+++ b/src/services/workload/common/inbox.ts
@@ -37,7 +37,7 @@
  * unchanged. Otherwise two concurrent writers would lose the arrivals of one of them, and an
  * accepted job would wait until the whole cell is read for another reason.
  */
-export const inboxWith = (
+export const nextInboxValue = (
   row: TableRow | undefined,
   operationId: string,
   keys: readonly string[],
--- a/src/services/workload/test/arrivals.test.ts
+++ b/src/services/workload/test/arrivals.test.ts
@@ -3,13 +3,13 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import type { TableRow } from '../../table/common/table.js';
 import {
-  endpointKeysDue,
-  endpointLook,
+  staleEndpointKeys,
+  endpointReadRequest,
   NO_ENDPOINTS,
   WHOLE_ENDPOINT_PREFIXES,
   withEndpointRows,
 } from '../common/endpointView.js';
-import { arrivalsSince, inboxWith } from '../common/inbox.js';
+import { arrivalsSince, nextInboxValue } from '../common/inbox.js';
 import { cellInboxKey, endpointKey, endpointMarkKey } from '../common/workRows.js';
 
 const KEY = cellInboxKey('zone-a');
@@ -37,7 +37,7 @@
   }
 
   add(...keys: readonly string[]): void {
-    this.write(inboxWith(this.row, 'submission', keys));
+    this.write(nextInboxValue(this.row, 'submission', keys));
   }
 }
 
@@ -108,15 +108,18 @@
     CELLS.forEach((cell) => write(cell, 'w1', true));
     const whole = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES });
     const known = withEndpointRows(NO_ENDPOINTS, whole.rows);
-    expect(endpointLook(known, CELLS).keys).toEqual([]);
+    expect(endpointReadRequest(known, CELLS).keys).toEqual([]);
     write('zone-b', 'w2', true);
-    const withNewMarks = withEndpointRows(known, table.read(endpointLook(known, CELLS)).rows);
+    const withNewMarks = withEndpointRows(
+      known,
+      table.read(endpointReadRequest(known, CELLS)).rows,
+    );
     expect(withNewMarks.rows).toBe(known.rows);
-    expect(endpointKeysDue(withNewMarks)).toEqual([endpointKey('zone-b')]);
-    const keys = endpointKeysDue(withNewMarks);
+    expect(staleEndpointKeys(withNewMarks)).toEqual([endpointKey('zone-b')]);
+    const keys = staleEndpointKeys(withNewMarks);
     const read = withEndpointRows(withNewMarks, table.read({ keys, prefixes: [] }).rows);
     expect(workersIn(read)).toEqual({ 'zone-a': 'w1', 'zone-b': 'w2' });
-    expect(endpointKeysDue(read)).toEqual([]);
+    expect(staleEndpointKeys(read)).toEqual([]);
   });
 
   // During a rolling upgrade a cell may have an older owner, which writes no marks.
@@ -124,16 +127,16 @@
     const { table, write } = createPublishedServers();
     write('zone-a', 'w1', false);
     let view = withEndpointRows(NO_ENDPOINTS, []);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w1' });
     write('zone-a', 'w2', false);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w2' });
     write('zone-a', 'w3', true);
     write('zone-a', 'w4', false);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w4' });
-    expect(endpointLook(view, CELLS).keys).toContain(endpointKey('zone-a'));
+    expect(endpointReadRequest(view, CELLS).keys).toContain(endpointKey('zone-a'));
   });
 
   it('do not revert to an older row', () => {
--- a/standIns/fleet/workerModel.ts
+++ b/standIns/fleet/workerModel.ts
@@ -25,7 +25,7 @@
 }
 
 /** The figures that a worker reports for a run. */
-export type RunFigures = Pick<RunningTask, 'checkpoint' | 'workedPercent' | 'recentFigure'>;
+export type RunFigures = Pick<RunningTask, 'checkpoint' | 'workedPercent' | 'recentMeasurement'>;
 
 export interface WorkerModelOptions {
   readonly id: string;
@@ -242,7 +242,7 @@
         workedPercent: Math.floor(
           (WHOLE_PERCENT * progressMs(run, nowMs)) / Math.max(1, progressMs(run, run.endsAtMs)),
         ),
-        recentFigure: 0,
+        recentMeasurement: 0,
       }));
     return {
       workerClockMs: this.#clockMs(nowMs),
@@ -253,7 +253,7 @@
         ...figuresOf(run),
       })),
       finished: this.#finished.slice(0, LISTED_ENDS),
-      isFinishedCut: this.#finished.length >= LISTED_ENDS,
+      isFinishedTruncated: this.#finished.length >= LISTED_ENDS,
     };
   }
 }
--- a/standIns/workers/workersProcess.ts
+++ b/standIns/workers/workersProcess.ts
@@ -5,7 +5,7 @@
 import { systemClock } from '../../src/base/node/systemClock.js';
 import { listeningPort } from '../../src/services/http/node/listening.js';
 import type { WorkerInstance } from '../../src/services/instanceList/common/instanceList.js';
-import { RevisedWorker } from '../../src/services/worker/common/revisedWorker.js';
+import { RevisionedWorker } from '../../src/services/worker/common/revisionedWorker.js';
 import { wireCommandSchema } from '../../src/services/worker/common/workerExchange.js';
 import { BackendServerStandIn } from './backendServer.js';
 import { Judge } from './judge.js';
@@ -43,7 +43,7 @@
   );
   setInterval(() => worker.advance(systemClock.nowMs()), ADVANCE_INTERVAL_MS);
   const control = Fastify();
-  const revised = new RevisedWorker((command) => worker.command(command, systemClock.nowMs()));
+  const revised = new RevisionedWorker((command) => worker.command(command, systemClock.nowMs()));
   control.post('/v1/worker/command', (request) =>
     revised.command(wireCommandSchema.parse(request.body)),
   );
