--- a/src/operator/node/operatorAccess.ts
+++ b/src/operator/node/operatorAccess.ts
@@ -1,4 +1,4 @@
-/** Who may do what on the operators' interface. */
+/** Authenticates operators by bearer token and checks their roles. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
@@ -21,22 +21,22 @@
     this.#tokens = tokens;
   }
 
-  /** The operator's name when the token is known and its role suffices. */
+  /** Returns the operator's name. Fails if the token is unknown or its role is not sufficient. */
   check(authorization: string | undefined, needed: OperatorRole): Either<Failure, string> {
     const [, token = ''] = BEARER.exec(authorization ?? '') ?? [];
     const hash = createHash('sha256').update(token).digest();
-    // All are compared, so the time taken tells nothing about which one matched.
-    const [known] = this.#tokens.filter(({ sha256 }) =>
+    // All hashes are compared, so that the response time does not reveal which one matched.
+    const [operator] = this.#tokens.filter(({ sha256 }) =>
       timingSafeEqual(Buffer.from(sha256, 'hex'), hash),
     );
-    if (known === undefined) {
+    if (operator === undefined) {
       const message = token === '' ? 'no bearer token was given' : 'the token is not known here';
       return left(failure(ErrorKind.Unauthorised, message));
     }
-    if (RANKS[known.role] < RANKS[needed]) {
-      const message = `${known.name} has the role ${known.role}; this needs ${needed}`;
+    if (RANKS[operator.role] < RANKS[needed]) {
+      const message = `${operator.name} has the role ${operator.role}; this needs ${needed}`;
       return left(failure(ErrorKind.Forbidden, message));
     }
-    return right(known.name);
+    return right(operator.name);
   }
 }
--- a/src/services/worker/common/revisedWorker.ts
+++ b/src/services/worker/common/revisionedWorker.ts
@@ -1,7 +1,7 @@
 /**
- * The worker's half of the exchange, around a worker that takes whole commands and gives whole
- * reports. It stands beside the owner's half so that both change together; the stand-ins use it,
- * and the platform's workers may.
+ * The worker's side of the worker exchange. It wraps a worker that accepts full commands and
+ * returns full reports. It is kept next to the owner's side so that both change together. The
+ * stand-ins use it, and the platform's workers may use it too.
  */
 import {
   type TaskAttempt,
@@ -12,10 +12,10 @@
 } from './workerClient.js';
 import type { ReceivedCommand, SentReport } from './workerExchange.js';
 
-interface NotedTask {
-  /** As it was last told. */
+interface TrackedTask {
+  /** The last report of the task that counted as a change. */
   readonly report: WorkerTaskReport;
-  /** The first revision that has the attempt. */
+  /** The first revision that contains the attempt. */
   readonly sinceRevision: number;
   /** The last revision that changed it. */
   readonly changedRevision: number;
@@ -27,51 +27,54 @@
 }
 
 /**
- * How far usage moves, as a share of the task's size, before it is told again. Usage moves a
- * little all the time and lags by seconds anyway; a tenth of a size is finer than any decision
- * made from it.
+ * The minimum change of usage that is reported, as a share of the task's size. Usage varies a
+ * little all the time and lags by seconds anyway. No decision based on it needs more precision than
+ * a tenth of the size.
  */
-const USAGE_SHARE = 0.1;
+const REPORTED_USAGE_CHANGE_SHARE = 0.1;
 
-/** Forgotten attempts that are kept for an owner that names no revision; then all is told. */
+/**
+ * The maximum number of forgotten attempts that are kept while the owner names no revision. Beyond
+ * it they are dropped, and the next report is a full one.
+ */
 const MAXIMUM_FORGOTTEN_COUNT = 1_000;
 
 const keyOf = ({ taskId, attempt }: TaskAttempt): string => `${taskId}#${attempt}`;
 
-const hasMoved = (before: WorkerTaskReport, { usage, size }: WorkerTaskReport): boolean =>
+const hasUsageChanged = (before: WorkerTaskReport, { usage, size }: WorkerTaskReport): boolean =>
   (['processorMillis', 'memoryBytes', 'acceleratorCount'] as const).some(
-    (name) => Math.abs(usage[name] - before.usage[name]) > USAGE_SHARE * size[name],
+    (name) => Math.abs(usage[name] - before.usage[name]) > REPORTED_USAGE_CHANGE_SHARE * size[name],
   );
 
 const isChanged = (before: WorkerTaskReport, now: WorkerTaskReport): boolean =>
   before.state !== now.state ||
   before.checkpoint !== now.checkpoint ||
   before.processorShare !== now.processorShare ||
-  hasMoved(before, now);
+  hasUsageChanged(before, now);
 
-/** Counts the revisions of a worker's tasks; lives as long as the worker's incarnation. */
-export class RevisedWorker {
+/** Tracks the revisions of a worker's tasks for one incarnation of the worker. */
+export class RevisionedWorker {
   readonly #command: (command: WorkerCommand) => WorkerReport;
 
   #revision = 0;
 
   #highestEpoch = 0;
 
-  /** Changes since earlier revisions are not known whole any more. */
+  /** The changes since earlier revisions are no longer completely known. */
   #oldestRevision = 0;
 
-  readonly #noted = new Map<string, NotedTask>();
+  readonly #tracked = new Map<string, TrackedTask>();
 
   readonly #forgotten = new Map<string, ForgottenTask>();
 
-  /** `command` refuses other incarnations and lower epochs itself, as every worker has to. */
+  /** `command` itself must refuse other incarnations and lower epochs, as every worker does. */
   constructor(command: (command: WorkerCommand) => WorkerReport) {
     this.#command = command;
   }
 
   command(command: ReceivedCommand): SentReport {
-    const report = this.#command(this.#toWholeCommand(command));
-    this.#note(report);
+    const report = this.#command(this.#toFullCommand(command));
+    this.#trackReport(report);
     const { knownRevision, cellEpoch, incarnation } = command;
     const isCurrent = cellEpoch >= this.#highestEpoch && incarnation === report.incarnation;
     this.#highestEpoch = Math.max(this.#highestEpoch, cellEpoch);
@@ -79,17 +82,17 @@
       knownRevision !== undefined &&
       knownRevision >= this.#oldestRevision &&
       knownRevision <= this.#revision;
-    if (!isCurrent || !isKnown) return this.#toWholeReport(report);
+    if (!isCurrent || !isKnown) return this.#toFullReport(report);
     this.#dropUpTo(knownRevision);
     return this.#toChanges(knownRevision, report.workerNowMs);
   }
 
-  /** Renews by the blanket only what ran at the revision that the owner knows. */
-  #toWholeCommand({ knownRevision, blanketRenewal, ...command }: ReceivedCommand): WorkerCommand {
+  /** Expands the blanket renewal to the attempts that ran at the revision that the owner knows. */
+  #toFullCommand({ knownRevision, blanketRenewal, ...command }: ReceivedCommand): WorkerCommand {
     if (blanketRenewal === undefined || knownRevision === undefined) return command;
     const { leaseUntilWorkerMs } = blanketRenewal;
     const except = new Set(blanketRenewal.except.map(keyOf));
-    const renewed = [...this.#noted.values()]
+    const renewed = [...this.#tracked.values()]
       .filter(
         ({ report, sinceRevision }) =>
           report.state === WorkerTaskState.Running &&
@@ -100,21 +103,21 @@
     return { ...command, renewals: [...command.renewals, ...renewed] };
   }
 
-  #note({ tasks }: WorkerReport): void {
+  #trackReport({ tasks }: WorkerReport): void {
     const next = this.#revision + 1;
     const present = new Set<string>();
     tasks.forEach((report) => {
       const key = keyOf(report);
-      const known = this.#noted.get(key);
+      const known = this.#tracked.get(key);
       present.add(key);
       if (known !== undefined && !isChanged(known.report, report)) return;
       const sinceRevision = known?.sinceRevision ?? next;
-      this.#noted.set(key, { report, sinceRevision, changedRevision: next });
+      this.#tracked.set(key, { report, sinceRevision, changedRevision: next });
       this.#revision = next;
     });
-    this.#noted.forEach(({ report: { taskId, attempt } }, key) => {
+    this.#tracked.forEach(({ report: { taskId, attempt } }, key) => {
       if (present.has(key)) return;
-      this.#noted.delete(key);
+      this.#tracked.delete(key);
       this.#forgotten.set(key, { attempt: { taskId, attempt }, revision: next });
       this.#revision = next;
     });
@@ -128,16 +131,16 @@
     });
   }
 
-  #toWholeReport(report: WorkerReport): SentReport {
+  #toFullReport(report: WorkerReport): SentReport {
     report.tasks.forEach((task) => {
-      const noted = this.#noted.get(keyOf(task));
-      if (noted !== undefined) this.#noted.set(keyOf(task), { ...noted, report: task });
+      const tracked = this.#tracked.get(keyOf(task));
+      if (tracked !== undefined) this.#tracked.set(keyOf(task), { ...tracked, report: task });
     });
     return { ...report, revision: this.#revision };
   }
 
   #toChanges(baseRevision: number, workerNowMs: number): SentReport {
-    const tasks = [...this.#noted.values()]
+    const tasks = [...this.#tracked.values()]
       .filter(({ changedRevision }) => changedRevision > baseRevision)
       .map(({ report }) => report);
     const forgotten = [...this.#forgotten.values()].map(({ attempt }) => attempt);
--- a/src/services/workload/test/arrivals.test.ts
+++ b/src/services/workload/test/arrivals.test.ts
@@ -3,13 +3,13 @@
 import { TableStandIn } from '../../../../standIns/platform/tableStandIn.js';
 import type { TableRow } from '../../table/common/table.js';
 import {
-  endpointKeysDue,
-  endpointLook,
+  staleEndpointKeys,
+  endpointReadRequest,
   NO_ENDPOINTS,
   WHOLE_ENDPOINT_PREFIXES,
   withEndpointRows,
 } from '../common/endpointView.js';
-import { arrivalsSince, inboxWith } from '../common/inbox.js';
+import { arrivalsSince, nextInboxValue } from '../common/inbox.js';
 import { cellInboxKey, endpointKey, endpointMarkKey } from '../common/workRows.js';
 
 const KEY = cellInboxKey('zone-a');
@@ -37,12 +37,12 @@
   }
 
   add(...keys: readonly string[]): void {
-    this.write(inboxWith(this.row, 'submission', keys));
+    this.write(nextInboxValue(this.row, 'submission', keys));
   }
 }
 
 describe("a cell's inbox", () => {
-  it('tells what was added since a version', () => {
+  it('lists the rows added since a version', () => {
     const inbox = new Inbox();
     inbox.add('work/zone-a/1');
     const knownVersion = inbox.version;
@@ -54,11 +54,11 @@
     expect(arrivalsSince(inbox.row, 0)?.length).toBe(4);
   });
 
-  // An accepted job waits for ever. Between two submissions a writer that names no rows, an older
-  // daemon or an owner that moved a shard here, writes the row; the second submission's list
-  // must not be taken for all there is.
+  // Guards against an accepted job that waits forever. Between two submissions a writer that names
+  // no rows (an older daemon, or an owner that moved a shard here) writes the inbox row. The list
+  // of the second submission must not count as complete.
   it.each([{ operationId: 'older' }, { jobId: 'j' }, 7, { arrivals: 'of another form' }])(
-    'does not tell across a write of another kind: %j',
+    'reports no list across a write that names no rows: %j',
     (value) => {
       const inbox = new Inbox();
       inbox.add('work/zone-a/1');
@@ -71,7 +71,7 @@
     },
   );
 
-  it('stays small, and does not tell what it had to leave out', () => {
+  it('stays small, and reports no list if rows are missing from it', () => {
     const inbox = new Inbox();
     Array.from({ length: 40 }, (_, index) => inbox.add(`work/zone-a/${index}`));
     expect(arrivalsSince(inbox.row, 0)).toBeUndefined();
@@ -82,14 +82,14 @@
   });
 });
 
-describe('the published servers', () => {
+describe('the published backend servers', () => {
   const servers = (workerId: string) => ({
     servers: [{ serviceName: 's', workerId, taskId: 't' }],
   });
   const CELLS = ['zone-a', 'zone-b'];
 
-  /** A table with a writer that marks its changes and one that does not. */
-  const published = () => {
+  /** Creates a table and a writer that marks its changes if `isMarking`. */
+  const createPublishedServers = () => {
     const table = new TableStandIn();
     const write = (cell: string, workerId: string, isMarking: boolean): void => {
       const row = { key: endpointKey(cell), value: servers(workerId) };
@@ -103,41 +103,44 @@
   const workersIn = (view: typeof NO_ENDPOINTS) =>
     Object.fromEntries([...view.rows].map(([cell, row]) => [cell, row.servers[0]?.workerId]));
 
-  it('are read once their marks have moved, and not before', () => {
-    const { table, write } = published();
+  it('are read only when their marks have changed', () => {
+    const { table, write } = createPublishedServers();
     CELLS.forEach((cell) => write(cell, 'w1', true));
     const whole = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES });
     const known = withEndpointRows(NO_ENDPOINTS, whole.rows);
-    expect(endpointLook(known, CELLS).keys).toEqual([]);
+    expect(endpointReadRequest(known, CELLS).keys).toEqual([]);
     write('zone-b', 'w2', true);
-    const looked = withEndpointRows(known, table.read(endpointLook(known, CELLS)).rows);
-    expect(looked.rows).toBe(known.rows);
-    expect(endpointKeysDue(looked)).toEqual([endpointKey('zone-b')]);
-    const keys = endpointKeysDue(looked);
-    const read = withEndpointRows(looked, table.read({ keys, prefixes: [] }).rows);
+    const withNewMarks = withEndpointRows(
+      known,
+      table.read(endpointReadRequest(known, CELLS)).rows,
+    );
+    expect(withNewMarks.rows).toBe(known.rows);
+    expect(staleEndpointKeys(withNewMarks)).toEqual([endpointKey('zone-b')]);
+    const keys = staleEndpointKeys(withNewMarks);
+    const read = withEndpointRows(withNewMarks, table.read({ keys, prefixes: [] }).rows);
     expect(workersIn(read)).toEqual({ 'zone-a': 'w1', 'zone-b': 'w2' });
-    expect(endpointKeysDue(read)).toEqual([]);
+    expect(staleEndpointKeys(read)).toEqual([]);
   });
 
-  // While daemons are being replaced a cell may have an older owner, which writes no marks.
-  it('are read each time where a writer sets no marks', () => {
-    const { table, write } = published();
+  // During a rolling upgrade a cell may have an older owner, which writes no marks.
+  it('are read each time if their writer sets no marks', () => {
+    const { table, write } = createPublishedServers();
     write('zone-a', 'w1', false);
     let view = withEndpointRows(NO_ENDPOINTS, []);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w1' });
     write('zone-a', 'w2', false);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w2' });
     write('zone-a', 'w3', true);
     write('zone-a', 'w4', false);
-    view = withEndpointRows(view, table.read(endpointLook(view, CELLS)).rows);
+    view = withEndpointRows(view, table.read(endpointReadRequest(view, CELLS)).rows);
     expect(workersIn(view)).toEqual({ 'zone-a': 'w4' });
-    expect(endpointLook(view, CELLS).keys).toContain(endpointKey('zone-a'));
+    expect(endpointReadRequest(view, CELLS).keys).toContain(endpointKey('zone-a'));
   });
 
-  it('do not go back to an older row', () => {
-    const { table, write } = published();
+  it('do not revert to an older row', () => {
+    const { table, write } = createPublishedServers();
     write('zone-a', 'w1', true);
     const older = table.read({ keys: [], prefixes: WHOLE_ENDPOINT_PREFIXES }).rows;
     write('zone-a', 'w2', true);
