--- a/src/entry/node/requestHandler.ts
+++ b/src/entry/node/requestHandler.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request: its terms, the claim of its idempotency key, its answer. */
+/** Handles a caller's request: reads its options, claims its idempotency key and answers it. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
@@ -20,38 +20,42 @@
 import { Hop, type TraceSpan, type Tracing } from '../../services/tracing/common/tracing.js';
 import type { RecordedAnswer } from '../../services/workload/common/claimRow.js';
 import type { Admission } from '../common/admission.js';
-import { type CallerRequest, readTerms, type RequestTerms } from '../common/callerRequest.js';
-import type { HangUpNotice } from '../common/hangUpNotice.js';
+import {
+  type CallerRequest,
+  readRequestOptions,
+  type RequestOptions,
+} from '../common/callerRequest.js';
+import type { HangUpSignal } from '../common/hangUpSignal.js';
 import { REPLAYED_HEADER, TRACEPARENT_HEADER } from '../common/headers.js';
-import { endToEndHeaders } from '../common/passedHeaders.js';
+import { endToEndHeaders } from '../common/forwardedHeaders.js';
 import { RequestProgress } from '../common/requestProgress.js';
 import type { BackendAnswer } from './attemptRun.js';
 import type { BackendConnections } from './backendConnections.js';
-import type { ClaimKeeper, ClaimResult, HeldClaim } from './claimKeeper.js';
-import type { Journey } from './journey.js';
+import type { ClaimManager, ClaimResult, HeldClaim } from './claimManager.js';
+import type { ActiveRequest } from './activeRequest.js';
 import { RequestDispatch } from './requestDispatch.js';
 import type { RoutingReader } from './routingReader.js';
 
 type Result = Either<Failure, BackendAnswer>;
 
-/** The entries there are: the platform's list, corrected by what the daemons see of each other. */
+/** The current entries: the platform's list, corrected by what the daemons see of each other. */
 export interface EntryMembers {
-  /** Those that take requests, this one included. */
+  /** The number of entries that take requests, including this one. */
   readonly servingCount: number;
   readonly onDidChangeMembers: Event<void>;
 }
 
 export interface RequestHandlerServices {
   readonly routing: Pick<RoutingReader, 'routes' | 'onDidChange'>;
-  readonly admission: Admission<Journey>;
+  readonly admission: Admission<ActiveRequest>;
   readonly connections: BackendConnections;
-  readonly claims: ClaimKeeper;
+  readonly claims: ClaimManager;
   readonly configuration: Pick<ConfigurationService, 'current'>;
   readonly entries: EntryMembers;
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly tracing: Tracing;
-  /** The wall clock, which only names the generation of a claim. */
+  /** The wall clock, which is only used for the generation of a claim. */
   readonly wallNowMs: () => number;
 }
 
@@ -67,7 +71,7 @@
   body: Buffer.from(answer.bodyBase64, 'base64'),
 });
 
-const outcomeOf = (cause: Failure): WorkOutcome =>
+const workOutcomeOf = (cause: Failure): WorkOutcome =>
   cause.workOutcome ?? ERROR_ANSWERS[cause.kind].workOutcome;
 
 export class RequestHandler implements Disposable {
@@ -83,39 +87,39 @@
     this.#services = services;
     this.#settings = settings;
     this.#dispatch = this.#disposables.add(new RequestDispatch(services, settings));
-    this.#disposables.add(services.routing.onDidChange(() => this.#takeRoutes()));
-    this.#disposables.add(services.entries.onDidChangeMembers(() => this.#takeRoutes()));
-    this.#takeRoutes();
+    this.#disposables.add(services.routing.onDidChange(() => this.#applyRoutes()));
+    this.#disposables.add(services.entries.onDidChangeMembers(() => this.#applyRoutes()));
+    this.#applyRoutes();
   }
 
   dispose(): void {
     this.#disposables.dispose();
   }
 
-  /** Requests that have no answer yet. */
-  get underWayCount(): number {
-    return this.#dispatch.underWayCount;
+  /** The number of requests that have no answer yet. */
+  get activeCount(): number {
+    return this.#dispatch.activeCount;
   }
 
-  /** Gives everything under way its final answer. */
+  /** Gives all active requests their final answer. */
   giveUpAll(): void {
     this.#dispatch.giveUpAll();
   }
 
-  /** Resolves when the answers of idempotent requests are recorded, as far as they can be. */
+  /** Resolves when the writes of recorded answers and released claims have ended. */
   async settle(): Promise<void> {
     await this.#services.claims.settle();
   }
 
-  /** `hangUp` is given when the caller hangs up before the answer. */
-  async handle(request: CallerRequest, hangUp: HangUpNotice): Promise<Result> {
+  /** Serves one request; `hangUp` is raised when the caller hangs up before the answer. */
+  async handle(request: CallerRequest, hangUp: HangUpSignal): Promise<Result> {
     const { clock, tracing, metrics } = this.#services;
     const startedAtMs = clock.nowMs();
-    const terms = readTerms(request, this.#settings);
-    if (isLeft(terms)) return terms;
+    const options = readRequestOptions(request, this.#settings);
+    if (isLeft(options)) return options;
     const header = request.headers[TRACEPARENT_HEADER];
     const span = tracing.startTrace(Hop.Entry, typeof header === 'string' ? header : undefined);
-    const result = await this.#serve(request, terms.right, startedAtMs, span, hangUp);
+    const result = await this.#serve(request, options.right, startedAtMs, span, hangUp);
     const outcome = isLeft(result) ? result.left.kind : 'answered';
     span?.end({ service: request.serviceName, outcome });
     metrics.count('requests', { outcome });
@@ -125,94 +129,105 @@
 
   #serve(
     request: CallerRequest,
-    terms: RequestTerms,
+    options: RequestOptions,
     nowMs: number,
     span: TraceSpan | undefined,
-    hangUp: HangUpNotice,
+    hangUp: HangUpSignal,
   ): Promise<Result> {
     if (!this.#services.routing.routes.has(request.serviceName)) {
       const cause = failure(ErrorKind.UnknownService, `no service ${request.serviceName}`);
       return Promise.resolve(left(cause));
     }
-    const deadlineAtMs = nowMs + terms.timeoutMs;
+    const deadlineAtMs = nowMs + options.timeoutMs;
     const progress = new RequestProgress({
-      isIdempotent: terms.isIdempotent,
+      isIdempotent: options.isIdempotent,
       maximumAttemptCount: this.#settings.maximumAttemptCount,
       deadlineAtMs,
     });
-    const journey: Journey = {
+    const activeRequest: ActiveRequest = {
       request,
-      terms,
+      options,
       progress,
       span,
       hangUp,
       deadlineAtMs,
-      callerId: terms.callerId,
+      callerId: options.callerId,
       waitingSinceMs: nowMs,
       avoidedWorkerId: undefined,
       queueSpan: undefined,
-      running: [],
+      runningAttempts: [],
       isDone: false,
       prepare: undefined,
       preparing: undefined,
       settle: () => {},
     };
-    const { idempotencyKey, isIdempotent } = terms;
-    if (isIdempotent || idempotencyKey === undefined) return this.#dispatchChecked(journey);
-    return this.#serveClaimed(journey, idempotencyKey);
+    const { idempotencyKey, isIdempotent } = options;
+    if (isIdempotent || idempotencyKey === undefined) return this.#dispatchChecked(activeRequest);
+    return this.#serveClaimed(activeRequest, idempotencyKey);
   }
 
-  /** Sends work that is not idempotent only under the claim of its key. */
-  #serveClaimed(journey: Journey, idempotencyKey: string): Promise<Result> {
-    if (this.#services.claims.isEarly) return this.#serveClaimedEarly(journey, idempotencyKey);
-    return this.#serveClaimedLate(journey, idempotencyKey);
+  /** Sends work that is not idempotent only while it holds the claim of its key. */
+  #serveClaimed(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
+    if (this.#services.claims.isEarly)
+      return this.#serveClaimedEarly(activeRequest, idempotencyKey);
+    return this.#serveClaimedLate(activeRequest, idempotencyKey);
   }
 
-  async #serveClaimedEarly(journey: Journey, idempotencyKey: string): Promise<Result> {
-    const claimed = await this.#claimInTime(journey, idempotencyKey);
+  async #serveClaimedEarly(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
+    const claimed = await this.#claimBeforeDeadline(activeRequest, idempotencyKey);
     if (isLeft(claimed)) return claimed;
     if (claimed.right.kind === 'replay') return right(fromRecorded(claimed.right.answer));
-    // The record is still this class's own.
+    // This class still owns the record.
     // eslint-disable-next-line no-param-reassign
-    journey.waitingSinceMs = this.#services.clock.nowMs();
-    const result = await this.#dispatchChecked(journey);
-    this.#endClaim(claimed.right.held, result, journey);
+    activeRequest.waitingSinceMs = this.#services.clock.nowMs();
+    const result = await this.#dispatchChecked(activeRequest);
+    this.#endClaim(claimed.right.held, result, activeRequest);
     return result;
   }
 
-  /** The claim may come after the request was given up; it is given back then. */
-  async #serveClaimedLate(journey: Journey, idempotencyKey: string): Promise<Result> {
+  /** The claim may be granted after the request has failed; the claim is released then. */
+  async #serveClaimedLate(activeRequest: ActiveRequest, idempotencyKey: string): Promise<Result> {
     const { claims, wallNowMs } = this.#services;
     let claiming: Promise<Either<Failure, ClaimResult>> | undefined;
-    // The record is still this class's own.
+    // This class still owns the record.
     // eslint-disable-next-line no-param-reassign
-    journey.prepare = async () => {
-      claiming = claims.claim(journey.request, idempotencyKey, wallNowMs(), journey.span);
+    activeRequest.prepare = async () => {
+      claiming = claims.claim(
+        activeRequest.request,
+        idempotencyKey,
+        wallNowMs(),
+        activeRequest.span,
+      );
       const claimed = await claiming;
       if (isLeft(claimed)) return claimed;
       const isReplay = claimed.right.kind === 'replay';
       return right(isReplay ? fromRecorded(claimed.right.answer) : undefined);
     };
-    const result = await this.#dispatchChecked(journey);
+    const result = await this.#dispatchChecked(activeRequest);
     void claiming?.then((claimed) => {
       if (isLeft(claimed) || claimed.right.kind !== 'held') return;
-      this.#endClaim(claimed.right.held, result, journey);
+      this.#endClaim(claimed.right.held, result, activeRequest);
     });
     return result;
   }
 
   /**
-   * Claims the key, but keeps the caller waiting no longer than its deadline. A store that
-   * answers late may grant the claim afterwards; it is then given back, for nothing was sent.
+   * Claims the key, but lets the caller wait no longer than its deadline. If a slow store grants
+   * the claim afterwards, the claim is released, because nothing was sent.
    */
-  async #claimInTime(
-    journey: Journey,
+  async #claimBeforeDeadline(
+    activeRequest: ActiveRequest,
     idempotencyKey: string,
   ): Promise<Either<Failure, ClaimResult>> {
     const { claims, clock, wallNowMs } = this.#services;
-    const claiming = claims.claim(journey.request, idempotencyKey, wallNowMs(), journey.span);
+    const claiming = claims.claim(
+      activeRequest.request,
+      idempotencyKey,
+      wallNowMs(),
+      activeRequest.span,
+    );
     const timer = new AbortController();
-    const remainingMs = Math.max(0, journey.deadlineAtMs - clock.nowMs());
+    const remainingMs = Math.max(0, activeRequest.deadlineAtMs - clock.nowMs());
     const late = delay(remainingMs, undefined, { signal: timer.signal }).catch(() => undefined);
     const claimed = await Promise.race([claiming, late]);
     timer.abort();
@@ -225,24 +240,27 @@
     return left(failure(ErrorKind.DeadlineExceeded, 'the store gave no claim before the deadline'));
   }
 
-  #endClaim(held: HeldClaim, result: Result, journey: Journey): void {
+  #endClaim(held: HeldClaim, result: Result, activeRequest: ActiveRequest): void {
     const { claims } = this.#services;
     if (!isLeft(result)) claims.recordAnswer(held, toRecorded(result.right));
-    else if (outcomeOf(result.left) === WorkOutcome.NotRun && !journey.progress.mayHaveRun) {
+    else if (
+      workOutcomeOf(result.left) === WorkOutcome.NotRun &&
+      !activeRequest.progress.mayHaveRun
+    ) {
       void claims.release(held);
     }
   }
 
-  /** The last check before a caller is told that its work did not run. */
-  async #dispatchChecked(journey: Journey): Promise<Result> {
-    const result = await this.#dispatch.serve(journey);
-    if (!isLeft(result) || outcomeOf(result.left) !== WorkOutcome.NotRun) return result;
-    if (!journey.progress.mayHaveRun) return result;
+  /** Dispatches, and checks that a result "not run" is true before the caller gets it. */
+  async #dispatchChecked(activeRequest: ActiveRequest): Promise<Result> {
+    const result = await this.#dispatch.serve(activeRequest);
+    if (!isLeft(result) || workOutcomeOf(result.left) !== WorkOutcome.NotRun) return result;
+    if (!activeRequest.progress.mayHaveRun) return result;
     this.#services.metrics.count('invariant_false_not_run');
     return left({ ...result.left, workOutcome: WorkOutcome.Unknown });
   }
 
-  #takeRoutes(): void {
+  #applyRoutes(): void {
     const { routing, admission, connections, configuration, entries } = this.#services;
     const { routes } = routing;
     const view = configuration.current;
