--- a/src/entry/node/attemptRun.ts
+++ b/src/entry/node/attemptRun.ts
@@ -1,4 +1,4 @@
-/** One attempt at a backend server over one connection of undici. */
+/** One attempt at a backend server, over one undici connection. */
 import type { Dispatcher } from 'undici';
 
 import type { Metrics } from '../../services/metrics/common/metrics.js';
@@ -24,19 +24,19 @@
 const HTTP_NOT_MODIFIED = 304;
 const HTTP_UNAVAILABLE = 503;
 
-class GivenUpError extends Error {}
+class AttemptCancelledError extends Error {}
 
 /**
- * Follows the attempt's connection and settles once.
+ * Handles the events of the attempt's connection and settles once.
  *
- * Whether anything was sent is known exactly: `onRequestStart` is called just before the first
- * byte is written, and an attempt that was given up before then is stopped there. An error code
- * would not tell: a broken route gives the same code on a connection that has carried the
- * request as on one that never opened.
+ * It is known exactly whether anything was sent: undici calls `onRequestStart` just before it
+ * writes the first byte, and an attempt that was cancelled before then is stopped there. An error
+ * code would not show this, because a broken route gives the same code for a connection that has
+ * carried the request and for one that never opened.
  *
- * An answer counts as whole only when its framing says where it ends and that end was reached.
- * One that ends with the connection, without a length, looks the same when its server died in
- * the middle; it is taken as lost.
+ * An answer counts as complete only when its framing says where it ends and that end was reached.
+ * An answer without a length that ends with the connection looks the same when its server died in
+ * the middle, so it counts as lost.
  */
 export class AttemptRun implements Dispatcher.DispatchHandler {
   readonly result: Promise<AttemptResult>;
@@ -63,7 +63,7 @@
 
   #chunks: Buffer[] = [];
 
-  #lengthBytes = 0;
+  #receivedBytes = 0;
 
   constructor(method: string, maximumBodyBytes: number, metrics: Metrics) {
     this.#method = method;
@@ -74,29 +74,29 @@
     });
   }
 
-  /** Whether any byte of the answer has come. */
+  /** Whether any byte of the answer has arrived. */
   get hasProgress(): boolean {
     return this.#hasProgress;
   }
 
-  /** Whether a byte of the request may have left. */
+  /** Whether a byte of the request may have been sent. */
   get isSent(): boolean {
     return this.#isSent;
   }
 
-  /** Ends the attempt; a connection that carries it is closed, so its answer meets nobody. */
-  giveUp(): void {
+  /** Cancels the attempt and closes its connection, so that no other request gets its answer. */
+  cancel(): void {
     this.#end(AttemptEnd.TimedOut);
-    this.#controller?.abort(new GivenUpError('given up'));
+    this.#controller?.abort(new AttemptCancelledError('cancelled'));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     if (this.#isSent) {
-      this.#breach('invariant_attempt_sent_twice', controller);
+      this.#reportInvariantViolation('invariant_attempt_sent_twice', controller);
       return;
     }
     if (this.#settle === undefined) {
-      controller.abort(new GivenUpError('given up before it was sent'));
+      controller.abort(new AttemptCancelledError('cancelled before it was sent'));
       return;
     }
     this.#controller = controller;
@@ -111,7 +111,7 @@
     this.#hasProgress = true;
     if (statusCode < FIRST_FINAL_STATUS) return;
     if (this.#statusCode !== 0) {
-      this.#breach('invariant_second_answer', controller);
+      this.#reportInvariantViolation('invariant_second_answer', controller);
       return;
     }
     this.#statusCode = statusCode;
@@ -123,18 +123,18 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    this.#lengthBytes += chunk.length;
-    if (this.#lengthBytes <= this.#maximumBodyBytes) {
+    this.#receivedBytes += chunk.length;
+    if (this.#receivedBytes <= this.#maximumBodyBytes) {
       this.#chunks.push(chunk);
       return;
     }
     this.#metrics.count('answers_too_large');
     this.#end(AttemptEnd.Lost);
-    controller.abort(new GivenUpError('the answer is too large'));
+    controller.abort(new AttemptCancelledError('the answer is too large'));
   }
 
   onResponseEnd(): void {
-    if (!this.#isFramed || !this.#hasStatedLength()) {
+    if (!this.#isFramed || !this.#hasDeclaredLength()) {
       this.#metrics.count('answers_cut');
       this.#end(AttemptEnd.Lost);
       return;
@@ -167,10 +167,10 @@
     settle({ end: this.#isSent ? end : AttemptEnd.NotRun, answer, isServerLeaving });
   }
 
-  #breach(invariant: string, controller: Dispatcher.DispatchController): void {
+  #reportInvariantViolation(invariant: string, controller: Dispatcher.DispatchController): void {
     this.#metrics.count(invariant);
     this.#end(AttemptEnd.Lost);
-    controller.abort(new GivenUpError(invariant));
+    controller.abort(new AttemptCancelledError(invariant));
   }
 
   #hasNoBody(): boolean {
@@ -181,8 +181,8 @@
     );
   }
 
-  #hasStatedLength(): boolean {
-    const stated = this.#headers['content-length'];
-    return stated === undefined || this.#hasNoBody() || Number(stated) === this.#lengthBytes;
+  #hasDeclaredLength(): boolean {
+    const declared = this.#headers['content-length'];
+    return declared === undefined || this.#hasNoBody() || Number(declared) === this.#receivedBytes;
   }
 }
