--- a/bench/fleet/fleetDriver.ts
+++ b/bench/fleet/fleetDriver.ts
@@ -210,7 +210,7 @@
       const holds = this.#holds.get(id);
       if (holds === undefined || holds.length === 0) return;
       const isDue = ({ request, untilMs }: WaitingHold): boolean =>
-        nowMs >= untilMs || worker.model.hasNews(request.acknowledgedSequence, nowMs);
+        nowMs >= untilMs || worker.model.hasNewEnds(request.acknowledgedSequence, nowMs);
       const due = holds.filter(isDue);
       if (due.length === 0) return;
       this.#holds.set(
--- a/soak/test/platform/fleetWorker.ts
+++ b/soak/test/platform/fleetWorker.ts
@@ -177,16 +177,16 @@
   advance(nowMs: number): void {
     if (!this.isUp) return;
     this.#model.advance(nowMs);
-    const { lapsesAtMs } = this.#model;
+    const { leaseEndsAtMs } = this.#model;
     this.#running.forEach((run, taskName) => {
       if (this.#model.runs.get(taskName) === run) return;
       this.#running.delete(taskName);
-      const isOwnEnd = run.endsAtMs <= lapsesAtMs;
+      const isOwnEnd = run.endsAtMs <= leaseEndsAtMs;
       const outcome = isOwnEnd && run.end === 'done' ? RunOutcome.Done : RunOutcome.Other;
-      const endedAtMs = Math.min(run.endsAtMs, lapsesAtMs);
+      const endedAtMs = Math.min(run.endsAtMs, leaseEndsAtMs);
       this.#noteEnd(taskName, outcome, endedAtMs);
     });
-    if (lapsesAtMs <= nowMs) this.#parts.judge.noteLeaseLapsed(this.lifeKey);
+    if (leaseEndsAtMs <= nowMs) this.#parts.judge.noteLeaseLapsed(this.lifeKey);
   }
 
   async close(): Promise<void> {
@@ -281,7 +281,7 @@
 
   #hasNews(acknowledgedSequence: number): boolean {
     this.advance(this.#parts.nowMs());
-    return this.#model.hasNews(acknowledgedSequence, this.#parts.nowMs());
+    return this.#model.hasNewEnds(acknowledgedSequence, this.#parts.nowMs());
   }
 
   async #start(order: Order, reply: FastifyReply): Promise<FastifyReply> {
--- a/soak/test/platform/platformJudge.ts
+++ b/soak/test/platform/platformJudge.ts
@@ -148,7 +148,7 @@
     if (places.length > 0) this.#find(`${name}: runs at ${places.join(', ')} too`, nowMs);
     this.#workers.start(lifeKey, taskName, step.size);
     if (this.#workers.isOverCapacity(lifeKey)) this.#find(`${name}: is over capacity`, nowMs);
-    if (this.#ends.hasRecordedDone(taskName)) this.#find(`${name}: its end is recorded`, nowMs);
+    if (this.#ends.hasAcknowledgedDone(taskName)) this.#find(`${name}: its end is recorded`, nowMs);
     this.#lastStartsMs.set(taskName, nowMs);
     this.lasting.noteStart(taskName, nowMs);
     this.#checkOrder(record.submission, step.after, name, nowMs);
--- a/src/entry/test/brokenSafeguards.test.ts
+++ b/src/entry/test/brokenSafeguards.test.ts
@@ -8,7 +8,7 @@
 import type { Dispatcher } from 'undici';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 
-import { judgeRequests } from '../../../standIns/chaos/requestJudge.js';
+import { checkRequests } from '../../../standIns/chaos/requestChecks.js';
 import { Caller, CALLER_CONCURRENCY } from '../../../standIns/demo/caller.js';
 import { systemClock } from '../../base/node/systemClock.js';
 import { silentMetrics } from '../../services/metrics/common/metrics.js';
@@ -218,8 +218,8 @@
   await entry.listen();
   const caller = new Caller(() => [entry.origin], 's');
   await caller.run(REQUEST_COUNT, 100);
-  const checks = judgeRequests(
-    caller.told,
+  const checks = checkRequests(
+    caller.outcomes,
     (path) => runs.get(path) ?? 0,
     (origin) => departures.get(origin),
   );
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -318,7 +318,8 @@
     const untilMs = outside.nowMs() + request.waitMs;
     const poll = (): void => {
       const isDue =
-        outside.nowMs() >= untilMs || worker.hasNews(request.acknowledgedSequence, outside.nowMs());
+        outside.nowMs() >= untilMs ||
+        worker.hasNewEnds(request.acknowledgedSequence, outside.nowMs());
       if (isDue) reply(worker.hold(request, outside.nowMs()));
       else outside.after(POLL_INTERVAL_MS, poll);
     };
--- a/src/scheduler/test/fleet/drainMoves.test.ts
+++ b/src/scheduler/test/fleet/drainMoves.test.ts
@@ -39,7 +39,7 @@
 const CHECKPOINTED: ModelTask = {
   workMs: WORK_MS,
   end: RunEnd.Done,
-  savesEachMs: CHECKPOINT_INTERVAL_MS,
+  saveIntervalMs: CHECKPOINT_INTERVAL_MS,
 };
 const UNSAVED: ModelTask = { workMs: WORK_MS, end: RunEnd.Done };
 
--- a/src/scheduler/test/fleet/fleetRandom.test.ts
+++ b/src/scheduler/test/fleet/fleetRandom.test.ts
@@ -91,7 +91,7 @@
           : {
               ...taskOf(taskName),
               workMs: 1_000 + Number(taskName.at(-1)) * 900,
-              savesEachMs: 500,
+              saveIntervalMs: 500,
             },
       );
       for (let index = 0; index < 4; index += 1) world.addWorker(`worker-${index}`);
--- a/src/scheduler/test/fleet/invariantChecker.ts
+++ b/src/scheduler/test/fleet/invariantChecker.ts
@@ -52,7 +52,7 @@
     }
     if (progress?.state === 'complete')
       this.broken.push(`${description}: started after it was complete`);
-    if (this.#ends.hasRecordedDone(taskName)) {
+    if (this.#ends.hasAcknowledgedDone(taskName)) {
       this.broken.push(`${description}: started after its end was acknowledged`);
     }
     this.#lastStartAtMs.set(taskName, nowMs);
--- a/src/scheduler/test/fleet/lateHandOver.test.ts
+++ b/src/scheduler/test/fleet/lateHandOver.test.ts
@@ -16,7 +16,7 @@
   const world = new FleetWorld(seed, (taskName) => ({
     workMs: taskName.startsWith(PERSISTENT_ID) ? 90_000 : 700,
     end: RunEnd.Done,
-    savesEachMs: 200,
+    saveIntervalMs: 200,
   }));
   WORKER_IDS.forEach((id) => world.addWorker(id));
   [0, 1, 2].forEach(() => world.addScheduler());
--- a/src/scheduler/test/fleet/savedWork.test.ts
+++ b/src/scheduler/test/fleet/savedWork.test.ts
@@ -14,7 +14,7 @@
   const world = new FleetWorld(7, () => ({
     workMs: WORK_MS,
     end: RunEnd.Done,
-    savesEachMs: SAVES_EACH_MS,
+    saveIntervalMs: SAVES_EACH_MS,
   }));
   ['worker-0', 'worker-1'].forEach((id) => world.addWorker(id));
   [0, 1].forEach(() => world.addScheduler());
--- a/src/scheduler/test/fleet/workerLinks.ts
+++ b/src/scheduler/test/fleet/workerLinks.ts
@@ -80,7 +80,7 @@
         return;
       }
       const isDue =
-        time.nowMs >= untilMs || worker.hasNews(request.acknowledgedSequence, time.nowMs);
+        time.nowMs >= untilMs || worker.hasNewEnds(request.acknowledgedSequence, time.nowMs);
       if (!isDue) time.later(POLL_INTERVAL_MS, () => poll(untilMs, incarnation));
       else {
         const heldResult = right(worker.hold(request, time.nowMs));
--- a/standIns/chaos/chaos.ts
+++ b/standIns/chaos/chaos.ts
@@ -17,7 +17,7 @@
 import { call, HOST, startPlatform, startWorkers, ZONES } from '../demo/platformProcesses.js';
 import { Relays } from '../relay/relays.js';
 import { findInvariantViolations, type Verdict } from '../workers/judge.js';
-import { judgeRequests } from './requestJudge.js';
+import { checkRequests } from './requestChecks.js';
 
 const SERVICE = 'rounds';
 const MINUTE_MS = 60_000;
@@ -217,8 +217,8 @@
   const verdict = await system.judgeRecords<Verdict>('verdict');
   const runs = await system.judgeRecords<Readonly<Record<string, number>>>('runs');
   const checks: readonly [string, string][] = [
-    ...judgeRequests(
-      caller.told,
+    ...checkRequests(
+      caller.outcomes,
       (path) => runs[path] ?? 0,
       (origin) => system.shutdownStartsMs.get(origin),
     ),
--- a/standIns/chaos/requestChecks.ts
+++ b/standIns/chaos/requestChecks.ts
@@ -2,7 +2,7 @@
 import type { RequestOutcome } from '../demo/caller.js';
 
 /** Returns each check with the paths of the requests that violate it, or an empty text if none do. */
-export const judgeRequests = (
+export const checkRequests = (
   outcomes: readonly RequestOutcome[],
   runCount: (path: string) => number,
   shutdownStartedAtMs: (origin: string) => number | undefined,
--- a/standIns/demo/caller.ts
+++ b/standIns/demo/caller.ts
@@ -28,7 +28,7 @@
 const MICROSECONDS_PER_MS = 1_000;
 
 export class Caller {
-  readonly told: RequestOutcome[] = [];
+  readonly outcomes: RequestOutcome[] = [];
 
   readonly #latency: Histogram = build({ numberOfSignificantValueDigits: 2 });
 
@@ -69,7 +69,7 @@
 
   get report(): CallerReport {
     const count = (outcomes: readonly RequestOutcome['outcome'][]): number =>
-      this.told.filter(({ outcome }) => outcomes.includes(outcome)).length;
+      this.outcomes.filter(({ outcome }) => outcomes.includes(outcome)).length;
     return {
       whole: count(['whole']),
       refused: count(['not-run', 'not-connected']),
@@ -86,7 +86,7 @@
     const isIdempotent = index % 2 === 0;
     const startedAtMs = systemClock.nowMs();
     const outcome = await this.#outcomeOf(origin, path, isIdempotent);
-    this.told.push({ path, isIdempotent, outcome, origin, startedAtMs });
+    this.outcomes.push({ path, isIdempotent, outcome, origin, startedAtMs });
     if (outcome !== 'whole') return;
     const elapsedMs = systemClock.nowMs() - startedAtMs;
     this.#latency.recordValue(Math.round(elapsedMs * MICROSECONDS_PER_MS));
--- a/standIns/fleet/endRecords.ts
+++ b/standIns/fleet/endRecords.ts
@@ -48,7 +48,7 @@
     return this.#byTask.has(taskName);
   }
 
-  hasRecordedDone(taskName: string): boolean {
+  hasAcknowledgedDone(taskName: string): boolean {
     return (this.#byTask.get(taskName) ?? []).some(({ isAcknowledged }) => isAcknowledged);
   }
 }
--- a/standIns/fleet/workerModel.ts
+++ b/standIns/fleet/workerModel.ts
@@ -21,7 +21,7 @@
   readonly workMs: number;
   readonly end: RunEnd;
   /** The work between two saves of its progress; undefined if the task saves none. */
-  readonly savesEachMs?: number;
+  readonly saveIntervalMs?: number;
 }
 
 /** The figures that a worker reports for a run. */
@@ -51,7 +51,7 @@
   readonly startedAtMs: number;
   /** The work done before this run. The checkpoints of the model are this number as text. */
   readonly resumedMs: number;
-  readonly savesEachMs: number | undefined;
+  readonly saveIntervalMs: number | undefined;
   endsAtMs: number;
   end: RunEnd;
 }
@@ -61,11 +61,11 @@
 
 /** Returns the checkpoint of the last save, or of the end if the task was stopped. */
 const checkpointOf = (run: ModelRun, nowMs: number): string => {
-  const { savesEachMs } = run;
-  if (savesEachMs === undefined) return '';
+  const { saveIntervalMs } = run;
+  if (saveIntervalMs === undefined) return '';
   const workedMs = progressMs(run, nowMs);
   if (run.end === RunEnd.Stopped && nowMs >= run.endsAtMs) return String(workedMs);
-  const savedMs = Math.max(run.resumedMs, Math.floor(workedMs / savesEachMs) * savesEachMs);
+  const savedMs = Math.max(run.resumedMs, Math.floor(workedMs / saveIntervalMs) * saveIntervalMs);
   return savedMs === 0 ? '' : String(savedMs);
 };
 
@@ -112,7 +112,7 @@
   }
 
   /** The time at which the lease of all running tasks ends. */
-  get lapsesAtMs(): number {
+  get leaseEndsAtMs(): number {
     return this.#bootedAtMs + this.#leaseEndWorkerMs / this.#options.clockRate;
   }
 
@@ -139,11 +139,11 @@
     [...this.runs.values()]
       .sort((left, right) => left.endsAtMs - right.endsAtMs)
       .forEach((run) => {
-        const { lapsesAtMs } = this;
-        if (run.endsAtMs <= Math.min(nowMs, lapsesAtMs)) this.#finish(run, run.end);
-        else if (lapsesAtMs <= nowMs) this.#finish(run, RunEnd.Lapsed);
+        const { leaseEndsAtMs } = this;
+        if (run.endsAtMs <= Math.min(nowMs, leaseEndsAtMs)) this.#finish(run, run.end);
+        else if (leaseEndsAtMs <= nowMs) this.#finish(run, RunEnd.Lapsed);
       });
-    if (this.lapsesAtMs <= nowMs) this.#options.onLapse?.();
+    if (this.leaseEndsAtMs <= nowMs) this.#options.onLapse?.();
   }
 
   hold(request: HoldRequest, nowMs: number): HoldOutcome {
@@ -156,7 +156,7 @@
   }
 
   /** Whether a hold request that may wait gets its answer now. */
-  hasNews(acknowledgedSequence: number, nowMs: number): boolean {
+  hasNewEnds(acknowledgedSequence: number, nowMs: number): boolean {
     this.advance(nowMs);
     return this.#finished.some(({ sequence }) => sequence > acknowledgedSequence);
   }
@@ -170,13 +170,13 @@
     this.#extendLease(request.leaseEndWorkerMs, nowMs);
     if (request.run <= (this.#refusedUpTo.get(request.taskName) ?? 0))
       return StartOutcome.Superseded;
-    const { workMs, end, savesEachMs } = this.#options.taskOf(request.taskName);
-    const resumedMs = savesEachMs === undefined ? 0 : Number(request.checkpoint);
+    const { workMs, end, saveIntervalMs } = this.#options.taskOf(request.taskName);
+    const resumedMs = saveIntervalMs === undefined ? 0 : Number(request.checkpoint);
     this.runs.set(request.taskName, {
       taskName: request.taskName,
       run: request.run,
       startedAtMs: nowMs,
-      ...{ resumedMs, savesEachMs, end },
+      ...{ resumedMs, saveIntervalMs, end },
       endsAtMs: nowMs + workMs - resumedMs,
     });
     this.#options.onStart(request.taskName, request.run, nowMs);
@@ -219,7 +219,7 @@
     );
     this.#sequence += 1;
     const { taskName } = run;
-    const endedAtMs = Math.min(run.endsAtMs, this.lapsesAtMs);
+    const endedAtMs = Math.min(run.endsAtMs, this.leaseEndsAtMs);
     const finished = {
       sequence: this.#sequence,
       taskName,
