--- a/src/daemon/test/daemonHarness.ts
+++ b/src/daemon/test/daemonHarness.ts
@@ -1,4 +1,4 @@
-/** One daemon as a real process, with the platform's stand-in and bare backend servers. */
+/** Runs one daemon as a real process, with a stand-in for the platform and raw backend servers. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -23,13 +23,13 @@
 const SIZE = { processorMillis: 1_000, memoryBytes: 1_000_000, acceleratorCount: 0 };
 const CAPACITY = { processorMillis: 32_000, memoryBytes: 1_000_000_000, acceleratorCount: 0 };
 
-/** A backend server and the zone it is in. */
-export interface Placed {
+/** A backend server and its availability zone. */
+export interface BackendPlacement {
   readonly zone: string;
   readonly port: number;
 }
 
-const toWorker = ({ zone, port }: Placed): WorkerInstance => ({
+const toWorker = ({ zone, port }: BackendPlacement): WorkerInstance => ({
   kind: 'worker',
   id: `w${port}`,
   availabilityZone: zone,
@@ -51,7 +51,7 @@
 
   peersPort = 0;
 
-  /** Events of the daemon's log so far. */
+  /** The events that the daemon has logged so far. */
   readonly events: string[] = [];
 
   #platformOrigin = '';
@@ -64,8 +64,8 @@
 
   #version = 0;
 
-  /** Writes rows as an accepted plan does. */
-  accept(rows: Readonly<Record<string, JsonValue>>): void {
+  /** Writes rows in the same way as an accepted plan. */
+  acceptChange(rows: Readonly<Record<string, JsonValue>>): void {
     this.#version += 1;
     const version = this.#version;
     const change = { version, planId: `p${version}`, author: 'ann', summary: 'test' };
@@ -78,11 +78,14 @@
   }
 
   setZone(name: string, state: 'in-use' | 'withdrawn'): void {
-    this.accept({ [zoneKey(name)]: { name, region: 'r', state } });
+    this.acceptChange({ [zoneKey(name)]: { name, region: 'r', state } });
   }
 
-  /** Starts the daemon with the service `s` on the servers given. */
-  async start(servers: readonly Placed[], entry: SettingsInput['entry'] = {}): Promise<void> {
+  /** Starts the daemon with the service `s` on the given servers. */
+  async start(
+    servers: readonly BackendPlacement[],
+    entry: SettingsInput['entry'] = {},
+  ): Promise<void> {
     const origin = `http://${HOST}:${await this.platform.listen()}`;
     this.#platformOrigin = origin;
     const workers = servers.map(toWorker);
@@ -92,7 +95,7 @@
       body: JSON.stringify({ instances: workers }),
     });
     const service = { name: 's', team: 't', replicaCount: 1, size: SIZE, urgency: 'urgent' };
-    this.accept({ [serviceKey('s')]: service });
+    this.acceptChange({ [serviceKey('s')]: service });
     workers.forEach(({ id, availabilityZone: zone }) => {
       this.setZone(zone, 'in-use');
       this.#write({
@@ -119,7 +122,7 @@
     this.#child?.kill(signal);
   }
 
-  /** Takes the whole platform out of service, or brings it back. */
+  /** Takes the whole platform down, or brings it back. */
   async setPlatformDown(isDown: boolean): Promise<void> {
     const response = await request(`${this.#platformOrigin}/control/faults`, {
       method: 'POST',
@@ -129,7 +132,7 @@
     await response.body.dump();
   }
 
-  /** The value of a metric without labels; undefined when there is none. */
+  /** Returns the value of a metric without labels, or undefined if there is no such metric. */
   async metric(name: string): Promise<number | undefined> {
     const { body } = await request(`${this.operatorOrigin}/metrics`);
     const line = (await body.text()).split('\n').find((text) => text.startsWith(`${name} `));
@@ -159,7 +162,7 @@
 
   async #spawn(settingsFile: string): Promise<void> {
     const script = 'dist/src/daemon/node/snipethreadd.js';
-    // The logging library says nothing in the environment that the test runner sets.
+    // The logging library is silent if it finds the environment variables of the test runner.
     const { TEST, VITEST, NODE_ENV, ...env } = process.env;
     const child = spawn(process.execPath, [script, '--settings', settingsFile], {
       env,
@@ -184,7 +187,7 @@
 
   async #waitUntilServing(): Promise<void> {
     for (;;) {
-      // eslint-disable-next-line no-await-in-loop -- the test's own timeout bounds it
+      // eslint-disable-next-line no-await-in-loop -- the timeout of the test limits the wait
       const response = await request(`${this.callerOrigin}/services/s/ready`);
       // eslint-disable-next-line no-await-in-loop
       await response.body.dump();
--- a/src/scheduler/test/fleet/busyFleet.ts
+++ b/src/scheduler/test/fleet/busyFleet.ts
@@ -265,12 +265,12 @@
           loop,
           () => 0,
           (reply) => {
-            const isWhole = afterPosition === undefined;
-            const changes = isWhole
+            const isSnapshot = afterPosition === undefined;
+            const changes = isSnapshot
               ? [{ kind: 'configuration' as const, configuration: this.#configuration }]
               : [];
-            this.simulator.outside.after(isWhole ? 0 : 2_000, () =>
-              reply({ isWhole, changes, position: 1 }),
+            this.simulator.outside.after(isSnapshot ? 0 : 2_000, () =>
+              reply({ isSnapshot, changes, position: 1 }),
             );
           },
         ),
@@ -318,7 +318,8 @@
     const untilMs = outside.nowMs() + request.waitMs;
     const poll = (): void => {
       const isDue =
-        outside.nowMs() >= untilMs || worker.hasNews(request.acknowledgedSequence, outside.nowMs());
+        outside.nowMs() >= untilMs ||
+        worker.hasNewEnds(request.acknowledgedSequence, outside.nowMs());
       if (isDue) reply(worker.hold(request, outside.nowMs()));
       else outside.after(POLL_INTERVAL_MS, poll);
     };
