--- a/bench/colocation/modelWorker.ts
+++ b/bench/colocation/modelWorker.ts
@@ -1,4 +1,4 @@
-/** A worker of the load model: tasks slow each other down, and it reports late. */
+/** A worker of the load model. Its tasks slow each other down, and its usage reports lag. */
 import type { Resources } from '../../src/services/worker/common/resources.js';
 import {
   type StartRequest,
@@ -11,41 +11,41 @@
 } from '../../src/services/worker/common/workerClient.js';
 import {
   type ColocationSize,
-  kindOf,
-  type KindTruth,
+  kindOfTask,
+  type BatchKind,
   loadAt,
   RESTART_COST_MS,
-  type ServiceTruth,
-} from './truth.js';
+  type ServiceModel,
+} from './workloadModel.js';
 
-/** How old the measured use in a report is. */
+/** The age of the measured usage in a report. */
 export const USAGE_LAG_MS = 5_000;
 
 const OVERLOAD_SLOWDOWN = 0.5;
 
 interface ModelTask {
   readonly request: StartRequest;
-  readonly kind: KindTruth | undefined;
-  readonly service: ServiceTruth | undefined;
+  readonly kind: BatchKind | undefined;
+  readonly service: ServiceModel | undefined;
   readonly startedAtMs: number;
   readonly workMs: number;
   state: WorkerTaskState;
   leaseUntilMs: number;
   processorShare: number;
   throttledAtMs: number;
-  shareBefore: number;
+  previousShare: number;
   doneMs: number;
   savedMs: number;
   checkpoint: string | null;
 }
 
-/** What a worker did since it was last asked. */
+/** The worker's totals since the start of the run. */
 export interface WorkerProgress {
-  /** Batch work done, in processor-milliseconds, without what evictions lost. */
+  /** Batch work done, in processor-milliseconds, without the work that evictions lost. */
   processorMs: number;
-  /** Without those for a withdrawn zone or for the room of replicas. */
+  /** Evictions, except those from a withdrawn zone and those that make room for replicas. */
   evictionCount: number;
-  /** Evictions without which a service would have stayed slow however much was throttled. */
+  /** Evictions while a service stays too slow even with all batch work throttled to 0. */
   neededEvictionCount: number;
 }
 
@@ -57,34 +57,39 @@
 
   readonly availabilityZone: string;
 
-  /** True while operators have taken the zone out. */
+  /** True while the worker's zone is withdrawn. */
   isWithdrawn = false;
 
-  /** True while replicas of the zone have no place yet: batch work has to make room for them. */
+  /** True while the zone lacks replicas, so that batch work has to make room for them. */
   isShortOfReplicas = false;
 
   readonly progress: WorkerProgress = { processorMs: 0, evictionCount: 0, neededEvictionCount: 0 };
 
   readonly #size: ColocationSize;
 
-  /** The slowdown of a service that evictions are judged by. */
-  readonly #tolerated: number;
+  /** Evictions count as needed if a service is slowed by more than this factor. */
+  readonly #toleratedSlowdown: number;
 
   readonly #tasks = new Map<string, ModelTask>();
 
-  constructor(id: string, availabilityZone: string, size: ColocationSize, tolerated: number) {
+  constructor(
+    id: string,
+    availabilityZone: string,
+    size: ColocationSize,
+    toleratedSlowdown: number,
+  ) {
     this.id = id;
     this.availabilityZone = availabilityZone;
     this.#size = size;
-    this.#tolerated = tolerated;
+    this.#toleratedSlowdown = toleratedSlowdown;
   }
 
-  /** The services that a replica of runs here. */
-  get services(): readonly ServiceTruth[] {
+  /** The service of each replica that runs on this worker. */
+  get services(): readonly ServiceModel[] {
     return this.#running.map(({ service }) => service).filter((one) => one !== undefined);
   }
 
-  /** Processors that services use here. */
+  /** The processor use of the services on this worker, in thousandths of a processor. */
   serviceMillis(nowMs: number): number {
     return this.services.reduce(
       (sum, { declared, useRatio }) => sum + declared.processorMillis * useRatio * loadAt(nowMs),
@@ -92,17 +97,20 @@
     );
   }
 
-  /** How many times slower than alone a service answers here, all batch throttled to `floor`. */
-  slowdown(service: ServiceTruth, nowMs: number, floor = 1): number {
+  /**
+   * The factor by which a service on this worker is slower than alone, if each batch task is
+   * throttled to at most `shareLimit` of its processors.
+   */
+  slowdown(service: ServiceModel, nowMs: number, shareLimit = 1): number {
     const { processorMillis } = this.#size.capacity;
     const pressure = this.#batch.reduce((sum, { kind, processorShare }) => {
-      const share = Math.min(floor, processorShare);
-      const felt = kind.rigidShare + (1 - kind.rigidShare) * share;
+      const share = Math.min(shareLimit, processorShare);
+      const effectiveShare = kind.rigidShare + (1 - kind.rigidShare) * share;
       const use = (kind.declared.processorMillis * kind.useRatio) / processorMillis;
-      return sum + kind.pressure(service.name, nowMs) * use * felt;
+      return sum + kind.pressure(service.name, nowMs) * use * effectiveShare;
     }, 0);
-    const wanted = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, floor);
-    const overload = Math.max(0, wanted / processorMillis - 1);
+    const wantedMillis = this.serviceMillis(nowMs) + this.#wantedMillis * Math.min(1, shareLimit);
+    const overload = Math.max(0, wantedMillis / processorMillis - 1);
     return 1 + loadAt(nowMs) * pressure + OVERLOAD_SLOWDOWN * overload;
   }
 
@@ -125,10 +133,10 @@
     };
   }
 
-  /** Lets the tasks run for `elapsedMs`; services have what they need of the processors first. */
+  /** Runs the tasks for `elapsedMs`. Services get their processors before batch tasks. */
   advance(nowMs: number, elapsedMs: number): void {
-    const room = this.#size.capacity.processorMillis - this.serviceMillis(nowMs);
-    const speed = Math.min(1, room / Math.max(1, this.#wantedMillis));
+    const freeMillis = this.#size.capacity.processorMillis - this.serviceMillis(nowMs);
+    const speed = Math.min(1, freeMillis / Math.max(1, this.#wantedMillis));
     this.#batch.forEach((running) => {
       const task = running;
       if (nowMs - task.startedAtMs < RESTART_COST_MS) return;
@@ -150,9 +158,9 @@
     return [...this.#tasks.values()].filter(({ state }) => state === WorkerTaskState.Running);
   }
 
-  get #batch(): readonly (ModelTask & { readonly kind: KindTruth })[] {
+  get #batch(): readonly (ModelTask & { readonly kind: BatchKind })[] {
     return this.#running.filter(
-      (task): task is ModelTask & { readonly kind: KindTruth } => task.kind !== undefined,
+      (task): task is ModelTask & { readonly kind: BatchKind } => task.kind !== undefined,
     );
   }
 
@@ -167,7 +175,7 @@
     const key = ModelWorker.#key(request);
     if (this.#tasks.has(key) || nowMs > request.startBeforeWorkerMs) return;
     const isBatch = request.taskClass === TaskClass.Batch;
-    const kind = isBatch ? kindOf(this.#size, request.taskId) : undefined;
+    const kind = isBatch ? kindOfTask(this.#size, request.taskId) : undefined;
     const doneMs = savedMsOf(request.checkpoint);
     this.#tasks.set(key, {
       request,
@@ -179,7 +187,7 @@
       leaseUntilMs: request.leaseUntilWorkerMs,
       processorShare: 1,
       throttledAtMs: nowMs,
-      shareBefore: 0,
+      previousShare: 0,
       doneMs,
       savedMs: doneMs,
       checkpoint: request.checkpoint,
@@ -189,7 +197,7 @@
   #throttle(throttle: TaskAttempt & { readonly processorShare: number }, nowMs: number): void {
     const task = this.#tasks.get(ModelWorker.#key(throttle));
     if (task === undefined || task.processorShare === throttle.processorShare) return;
-    task.shareBefore = task.processorShare;
+    task.previousShare = task.processorShare;
     task.processorShare = throttle.processorShare;
     task.throttledAtMs = nowMs;
   }
@@ -200,7 +208,9 @@
     if (task.kind !== undefined) {
       const lostMs = task.doneMs - task.savedMs;
       this.progress.processorMs -= (lostMs * ModelWorker.#trueMillis(task.kind)) / 1_000;
-      const isSlow = this.services.some((one) => this.slowdown(one, nowMs, 0) > this.#tolerated);
+      const isSlow = this.services.some(
+        (one) => this.slowdown(one, nowMs, 0) > this.#toleratedSlowdown,
+      );
       const isUnavoidable = this.isWithdrawn || this.isShortOfReplicas;
       if (!isUnavoidable) this.progress.evictionCount += 1;
       if (!isUnavoidable && isSlow) this.progress.neededEvictionCount += 1;
@@ -209,7 +219,7 @@
     task.state = WorkerTaskState.Evicted;
   }
 
-  static #trueMillis(kind: KindTruth): number {
+  static #trueMillis(kind: BatchKind): number {
     return kind.declared.processorMillis * kind.useRatio;
   }
 
@@ -220,10 +230,10 @@
   static #toReport(task: ModelTask, nowMs: number): WorkerTaskReport {
     const { request, kind, state, checkpoint, leaseUntilMs } = task;
     const share =
-      nowMs - task.throttledAtMs < USAGE_LAG_MS ? task.shareBefore : task.processorShare;
+      nowMs - task.throttledAtMs < USAGE_LAG_MS ? task.previousShare : task.processorShare;
     const { service } = task;
     const serviceMillis = (service?.declared.processorMillis ?? 0) * (service?.useRatio ?? 0);
-    // By the truth, not by what was committed, which may be of a size learnt from these reports.
+    // The true usage, not the committed size, which may have been learnt from these reports.
     const processorMillis = Math.round(
       kind === undefined
         ? serviceMillis * loadAt(nowMs - USAGE_LAG_MS)
--- a/bench/traceCost/traceCost.ts
+++ b/bench/traceCost/traceCost.ts
@@ -1,8 +1,8 @@
 /**
- * What tracing costs a request that is not sampled, beside doing nothing. It is a figure to
- * read, with a bound far above it that only a change of kind would cross.
+ * Measures the cost of tracing for a request that is not sampled. The bound is far above the
+ * usual figure, so only a fundamental change violates it.
  */
-// Benchmarks are no part of the product, so what they need is not among its dependencies.
+// Benchmarks are not part of the product, so their packages are development dependencies.
 // eslint-disable-next-line import-x/no-extraneous-dependencies
 import { Bench } from 'tinybench';
 
@@ -15,23 +15,23 @@
 const RING_CAPACITY = 200;
 const RUN_MS = 1_000;
 const MICROSECONDS_PER_MS = 1_000;
-const UNSAMPLED = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00';
+const UNSAMPLED_TRACEPARENT = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00';
 
-const never = new OpenTelemetryTracing(0, RING_CAPACITY, new SeededRandom(1));
-const always = new OpenTelemetryTracing(1, RING_CAPACITY, new SeededRandom(1));
+const unsampledTracing = new OpenTelemetryTracing(0, RING_CAPACITY, new SeededRandom(1));
+const sampledTracing = new OpenTelemetryTracing(1, RING_CAPACITY, new SeededRandom(1));
 
 export const traceCost: Benchmark = {
   name: 'trace-cost',
   run: async () => {
     const bench = new Bench({ time: RUN_MS })
       .add('unsampled, no header', () => {
-        never.startTrace(Hop.Entry, undefined);
+        unsampledTracing.startTrace(Hop.Entry, undefined);
       })
       .add('unsampled, with header', () => {
-        never.startTrace(Hop.Entry, UNSAMPLED);
+        unsampledTracing.startTrace(Hop.Entry, UNSAMPLED_TRACEPARENT);
       })
       .add('sampled', () => {
-        always.startTrace(Hop.Entry, undefined)?.end();
+        sampledTracing.startTrace(Hop.Entry, undefined)?.end();
       });
     await bench.run();
     const { maximumUnsampledMicroseconds = 0 } = await readBounds('trace-cost');
--- a/src/entry/common/serverLessons.ts
+++ b/src/entry/common/serverFeedback.ts
@@ -1,20 +1,20 @@
-/** What an entry learns of servers from how attempts at them ended. */
+/** Updates the records of servers with the outcomes of attempts. */
 import type { RandomSource } from '../../base/common/random.js';
-import { type PlaceEnd, ServerVerdict } from './admissionDecision.js';
+import { type AttemptOutcome, ServerVerdict } from './admissionDecision.js';
 import type { WaitingRequest } from './fairQueue.js';
 import { LatencyWindows } from './latencyWindows.js';
 import type { ServerRecord, ServiceRecord } from './serverRecords.js';
 
 /**
- * Apart from admission, which only asks whether a server may be chosen: here is what makes one
- * less likely to be chosen, or sets it aside.
+ * Makes a server less likely to be chosen, or sets it aside. Admission only asks whether a server
+ * may be chosen.
  */
-export class ServerLessons<Waiting extends WaitingRequest> {
+export class ServerFeedback<Waiting extends WaitingRequest> {
   readonly #maximumSetAsideRatio: number;
 
   readonly #random: RandomSource;
 
-  /** What the servers' answers took, for whoever places work beside them. */
+  /** Latencies of the servers' answers, for the scheduler that places tasks on the same workers. */
   readonly latencyWindows = new LatencyWindows();
 
   #setAsideCount = 0;
@@ -31,24 +31,27 @@
     return count;
   }
 
-  /** Takes the end of an attempt in, whatever becomes of its place. */
+  /** Records the outcome of an attempt, whether or not its permit is released now. */
   note(
     service: ServiceRecord<Waiting>,
     server: ServerRecord<Waiting>,
-    end: PlaceEnd,
+    outcome: AttemptOutcome,
     nowMs: number,
   ): void {
-    if (end.verdict === ServerVerdict.Unused) return;
-    if (end.verdict === ServerVerdict.Overtaken || end.verdict === ServerVerdict.Abandoned) {
-      server.latency.noteAtLeast(end.latencyMs, nowMs);
+    if (outcome.verdict === ServerVerdict.Unused) return;
+    if (
+      outcome.verdict === ServerVerdict.Overtaken ||
+      outcome.verdict === ServerVerdict.Abandoned
+    ) {
+      server.latency.noteAtLeast(outcome.latencyMs, nowMs);
       return;
     }
-    if (end.verdict === ServerVerdict.Success) {
-      server.latency.note(end.latencyMs, nowMs);
-      this.latencyWindows.note(server.worker.workerId, service.name, end.latencyMs, nowMs);
+    if (outcome.verdict === ServerVerdict.Success) {
+      server.latency.note(outcome.latencyMs, nowMs);
+      this.latencyWindows.note(server.worker.workerId, service.name, outcome.latencyMs, nowMs);
       server.health.noteSuccess();
-      if (service.limit.note(end.latencyMs, service.occupiedCount)) {
-        service.overtaking.forEach((each) => each.refreshRoom());
+      if (service.limit.note(outcome.latencyMs, service.occupiedCount)) {
+        service.servicesNotLessUrgent.forEach((each) => each.refreshEffectiveLimit());
       }
       return;
     }
@@ -59,14 +62,14 @@
   }
 
   /**
-   * Only a part of a service's servers is ever set aside. When more than that fail, the cause
-   * is hardly the servers, and the few that are left would only be overrun.
+   * Only a part of a service's servers may be set aside. When more of them fail, the servers are
+   * hardly the cause, and the few that are left would only be overloaded.
    */
   #maySetAside(service: ServiceRecord<Waiting>, nowMs: number): boolean {
     const { servers } = service;
     if (servers.length < 2) return false;
     const allowed = Math.max(1, Math.floor(servers.length * this.#maximumSetAsideRatio));
-    const asideCount = servers.filter(({ health }) => health.isSetAside(nowMs)).length;
-    return asideCount < allowed;
+    const setAsideCount = servers.filter(({ health }) => health.isSetAside(nowMs)).length;
+    return setAsideCount < allowed;
   }
 }
--- a/src/entry/test/claimTiming.test.ts
+++ b/src/entry/test/claimTiming.test.ts
@@ -19,17 +19,17 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-/** One entry with a view of the table of its own. */
-interface Member {
+/** One entry with its own access to the shared table. */
+interface EntryWithTable {
   readonly entry: EntryHarness;
   readonly table: FaultyTable;
 }
 
 interface Setup {
-  readonly one: Member;
-  readonly other: Member;
+  readonly one: EntryWithTable;
+  readonly other: EntryWithTable;
   readonly backend: RawBackend;
-  /** Answers what the backend server holds, which is all but orders under `answer`. */
+  /** Answers the requests that the backend server holds. It holds all requests but orders. */
   readonly answerHeld: () => void;
   readonly claimCount: () => number;
 }
@@ -45,9 +45,9 @@
   });
   cleanups.push(() => backend.close());
   const port = await backend.listen();
-  const stand = new TableStandIn();
-  const addMember = async (): Promise<Member> => {
-    const table = new FaultyTable(stand);
+  const standIn = new TableStandIn();
+  const addEntry = async (): Promise<EntryWithTable> => {
+    const table = new FaultyTable(standIn);
     const quiet = { hedgeBudgetRatio: 0, silenceFloorMs: 60_000, maximumWaitMs: 60_000 };
     const entry = new EntryHarness(entrySettings(quiet), table);
     entry.route('s', [backendServer(port)]);
@@ -56,64 +56,69 @@
     return { entry, table };
   };
   const setup: Setup = {
-    one: await addMember(),
-    other: await addMember(),
+    one: await addEntry(),
+    other: await addEntry(),
     backend,
     answerHeld: () => held.splice(0).forEach((socket) => socket.write(wholeAnswer('menu'))),
-    claimCount: () => stand.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length,
+    claimCount: () => standIn.read({ keys: [], prefixes: [CLAIM_PREFIX] }).rows.length,
   };
   return setup;
 };
 
-const PATIENT = { 'snipethread-timeout-ms': '60000' };
+const LONG_TIMEOUT_HEADERS = { 'snipethread-timeout-ms': '60000' };
 
-const order = ({ entry }: Member) =>
-  entry.call('/orders', { ...PATIENT, 'idempotency-key': 'order-17' }, 'POST', 'bronze');
+const order = ({ entry }: EntryWithTable) =>
+  entry.call(
+    '/orders',
+    { ...LONG_TIMEOUT_HEADERS, 'idempotency-key': 'order-17' },
+    'POST',
+    'bronze',
+  );
 
-/** Takes all places of an entry, so that what comes next has to wait. */
-const fill = async ({ entry }: Member, backend: RawBackend): Promise<void> => {
+/** Takes all permits of an entry, so that the next request has to wait. */
+const occupyAllPermits = async ({ entry }: EntryWithTable, backend: RawBackend): Promise<void> => {
   const arrivedCount = (): number => backend.requests.length + entry.counter('requests_queued');
   for (let index = 0; entry.counter('requests_queued') === 0; index += 1) {
     const before = arrivedCount();
-    void entry.call(`/menu${index}`, PATIENT).catch(() => undefined);
-    // The next one follows once this one is at the backend server or waits, so that none comes
-    // after the counter was read.
+    void entry.call(`/menu${index}`, LONG_TIMEOUT_HEADERS).catch(() => undefined);
+    // The next request follows when this one has arrived at the backend server or waits, so that
+    // no request arrives after the counter was read.
     // eslint-disable-next-line no-await-in-loop
     await expect.poll(arrivedCount, { interval: 5 }).toBeGreaterThan(before);
   }
 };
 
-/** Ends at once: nothing reaches the table any more, and nobody is answered. */
-const kill = ({ entry, table }: Member): void => {
+/** Kills an entry: its calls no longer reach the table, and its callers get no answer. */
+const killEntry = ({ entry, table }: EntryWithTable): void => {
   Object.assign(table, { isOut: true });
   void entry.dispose();
 };
 
 describe('an order whose entry is killed', () => {
-  // All places are taken and the order waits in the entry, which dies. Nothing was sent, so the
-  // caller's repeat through another entry must run. Claimed before it waited, the key would
-  // answer "unknown" for a day.
-  it('runs by its repeat when it had only waited', async () => {
+  // All permits are taken, and the order waits in an entry that is then killed. Nothing was sent,
+  // so the caller's repeat through another entry must run. If the key were claimed before the wait,
+  // the repeat would get "unknown" for a day.
+  it('runs when it is repeated, if it had only waited', async () => {
     const { one, other, backend, claimCount } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const lost = order(one).catch(() => undefined);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
     expect(claimCount()).toBe(0);
-    kill(one);
+    killEntry(one);
     const repeat = await order(other);
     expect([repeat.statusCode, repeat.text]).toEqual([200, 'cast']);
     expect(orderCount(backend)).toBe(1);
     void lost;
   });
 
-  // The order was sent and the entry dies before the answer. It may have run, so a repeat must
-  // neither run it again nor be told that it did not.
-  it('stays unknown when it was sent', async () => {
+  // The order was sent, and the entry is killed before the answer. The order may have run, so a
+  // repeat must neither run it again nor be told that it did not run.
+  it('keeps the outcome "unknown" if it was sent', async () => {
     const { one, other, backend } = await setUp(() => {});
     const lost = order(one).catch(() => undefined);
     await expect.poll(() => orderCount(backend)).toBe(1);
-    kill(one);
+    killEntry(one);
     const repeat = await order(other);
     expect([repeat.statusCode, workOutcome(repeat)]).toEqual([409, 'unknown']);
     expect(orderCount(backend)).toBe(1);
@@ -122,30 +127,30 @@
 });
 
 describe('an order whose entry is paused and resumed', () => {
-  // The claim is committed and the entry sleeps before it learns of it. The repeat must be told
-  // "unknown", for the sleeper will send; when it wakes it sends, once.
-  it('runs once when it slept between claim and send', async () => {
+  // The claim is committed, and the entry is paused before it gets the answer. The repeat must get
+  // "unknown", because the paused entry will still send the order. After it resumes it sends once.
+  it('runs once if the entry was paused between claim and send', async () => {
     const { one, other, backend } = await setUp();
-    const sleeping: (() => void)[] = [];
+    const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
       new Promise((resolve) => {
-        sleeping.push(resolve);
+        pausedAnswers.push(resolve);
       });
     const first = order(one);
-    await expect.poll(() => sleeping.length).toBe(1);
+    await expect.poll(() => pausedAnswers.length).toBe(1);
     expect(workOutcome(await order(other))).toBe('unknown');
     expect(orderCount(backend)).toBe(0);
     one.table.onDidTransact = () => Promise.resolve();
-    sleeping.forEach((wake) => wake());
+    pausedAnswers.forEach((wake) => wake());
     expect((await first).text).toBe('cast');
     expect(orderCount(backend)).toBe(1);
   });
 
-  // The order waits without a claim; meanwhile its caller's repeat has run through another
-  // entry. When its place comes it must not run again; it gets the recorded answer.
-  it('does not run again when it slept while it waited', async () => {
+  // The order waits without a claim while its caller's repeat runs through another entry. When the
+  // order gets its permit it must not run again; its caller gets the recorded answer.
+  it('does not run again if its repeat ran while it waited', async () => {
     const { one, other, backend, answerHeld } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const first = order(one);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
@@ -158,10 +163,11 @@
     expect(orderCount(backend)).toBe(1);
   });
 
-  // As before, and the store loses its answer to the claim of the sleeper, which reads then.
-  it('does not run again when the answer of its late claim is lost', async () => {
+  // As in the test before, but the store's answer to the late claim is lost, so the entry reads the
+  // rows of the key.
+  it('does not run again if the answer to its late claim is lost', async () => {
     const { one, other, backend, answerHeld } = await setUp();
-    await fill(one, backend);
+    await occupyAllPermits(one, backend);
     const waitingCount = one.entry.counter('requests_queued');
     const first = order(one);
     await expect.poll(() => one.entry.counter('requests_queued')).toBe(waitingCount + 1);
@@ -174,8 +180,8 @@
   });
 });
 
-describe('a claim that is slow', () => {
-  it('makes the next ones early, until one is quick again', () => {
+describe('a slow claim', () => {
+  it('makes the next claims early until a claim is fast again', () => {
     const timing = new ClaimTiming();
     expect(timing.isEarly).toBe(false);
     timing.noteClaim(30, true);
@@ -186,29 +192,29 @@
     expect(timing.isEarly).toBe(true);
   });
 
-  // The store hangs. Twenty orders have got places and wait there for their claims, more than
-  // there are places. Requests that need no store must be served meanwhile.
-  it('does not hold the places of requests that need no claim', async () => {
+  // The store hangs. Twenty orders, more than there are permits, get permits and wait for their
+  // claims. Requests that need no store must be served meanwhile.
+  it('does not keep permits from requests that need no claim', async () => {
     const { one, backend, answerHeld } = await setUp();
-    const sleeping: (() => void)[] = [];
+    const pausedAnswers: (() => void)[] = [];
     one.table.onDidTransact = () =>
       new Promise((resolve) => {
-        sleeping.push(resolve);
+        pausedAnswers.push(resolve);
       });
     const orders = Array.from({ length: 20 }, (_, index) => {
-      const headers = { ...PATIENT, 'idempotency-key': `order-${index}` };
+      const headers = { ...LONG_TIMEOUT_HEADERS, 'idempotency-key': `order-${index}` };
       return one.entry.call('/orders', headers, 'POST', 'bronze');
     });
-    await expect.poll(() => sleeping.length).toBe(20);
-    const menu = one.entry.call('/menu', PATIENT);
+    await expect.poll(() => pausedAnswers.length).toBe(20);
+    const menu = one.entry.call('/menu', LONG_TIMEOUT_HEADERS);
     await expect.poll(() => backend.requests.length).toBe(1);
     answerHeld();
     expect((await menu).text).toBe('menu');
     one.table.onDidTransact = () => Promise.resolve();
-    sleeping.forEach((answer) => answer());
+    pausedAnswers.forEach((answer) => answer());
     const answers = await Promise.all(orders);
     expect(answers.map(({ text }) => text)).toEqual(Array(20).fill('cast'));
     expect(orderCount(backend)).toBe(20);
-    expect(one.entry.breaches).toEqual([]);
+    expect(one.entry.brokenInvariants).toEqual([]);
   });
 });
--- a/src/operator/common/planEffects.ts
+++ b/src/operator/common/planEffects.ts
@@ -1,4 +1,4 @@
-/** Works out what would follow from a plan's steps by comparing the views before and after. */
+/** Predicts the effects of a plan's steps by comparing the configuration before and after. */
 import {
   type ConfigurationView,
   isZoneInUse,
@@ -12,45 +12,45 @@
 } from '../../services/worker/common/resources.js';
 import type { AffectedTask, PlanEffects, TaskGroup } from './plan.js';
 import type { PlanningBasis } from './planningBasis.js';
-import { ServiceTotals } from './replicas.js';
-import { capacityOfZone, missingTasks, roomFor } from './zoneRoom.js';
+import { ServiceTotals } from './serviceTotals.js';
+import { capacityOfZone, missingReplicaCount, taskRoom } from './zoneRoom.js';
 
-/** How many of a group's tasks a plan names. */
+/** How many tasks of a group a plan lists by name. */
 const NAMED_TASK_COUNT = 5;
 
-const isLarger = (one: Resources, other: Resources): number =>
+const compareSizesDescending = (one: Resources, other: Resources): number =>
   other.acceleratorCount - one.acceleratorCount ||
   other.processorMillis - one.processorMillis ||
   other.memoryBytes - one.memoryBytes;
 
-const isSame = (one: unknown, other: unknown): boolean =>
+const isEqual = (one: unknown, other: unknown): boolean =>
   one === other || JSON.stringify(one) === JSON.stringify(other);
 
-/** Tasks of one kind, of which a service or job has several of the same size. */
+/** Several tasks of one service or job, all of the same size. */
 export interface CountedTasks extends AffectedTask {
   readonly count: number;
 }
 
 const toGroup = (tasks: readonly CountedTasks[]): TaskGroup => {
-  const present = tasks.filter(({ count }) => count > 0);
-  const largest = [...present]
-    .sort((one, other) => isLarger(one.size, other.size))
+  const nonEmpty = tasks.filter(({ count }) => count > 0);
+  const largest = [...nonEmpty]
+    .sort((one, other) => compareSizesDescending(one.size, other.size))
     .slice(0, NAMED_TASK_COUNT)
     .map(({ taskId, size, count }) => ({
       taskId: count === 1 ? taskId : `${taskId} (${count} tasks)`,
       size,
     }));
-  return { count: present.reduce((sum, { count }) => sum + count, 0), largest };
+  return { count: nonEmpty.reduce((sum, { count }) => sum + count, 0), largest };
 };
 
-interface ServiceShift {
+interface ReplicaChange {
   readonly service: ServiceDocument;
   readonly starting: number;
   readonly moving: number;
   readonly ending: number;
 }
 
-/** The views that a plan leads from and to, with their sums. */
+/** The configuration before and after a plan, with the sums over its services. */
 interface Comparison {
   readonly basis: PlanningBasis;
   readonly before: ConfigurationView;
@@ -59,34 +59,34 @@
   readonly totalsAfter: ServiceTotals;
 }
 
-/** How many replicas of a service come, go, or go from one zone to another. */
-const serviceShift = (
+/** How many replicas of a service start, end, or move from one zone to another. */
+const replicaChange = (
   comparison: Comparison,
   zones: ReadonlySet<string>,
   name: string,
-): ServiceShift => {
+): ReplicaChange => {
   const { before, after, totalsBefore, totalsAfter } = comparison;
-  let coming = 0;
-  let going = 0;
+  let added = 0;
+  let removed = 0;
   zones.forEach((zone) => {
     const difference = totalsAfter.replicas(name, zone) - totalsBefore.replicas(name, zone);
-    coming += Math.max(0, difference);
-    going += Math.max(0, -difference);
+    added += Math.max(0, difference);
+    removed += Math.max(0, -difference);
   });
-  const moving = Math.min(coming, going);
+  const moving = Math.min(added, removed);
   const service = (after.services.get(name) ?? before.services.get(name)) as ServiceDocument;
-  return { service, moving, starting: coming - moving, ending: going - moving };
+  return { service, moving, starting: added - moving, ending: removed - moving };
 };
 
-/** Shifts of the services that can have any: all when zones change, else those that changed. */
-const serviceShifts = (comparison: Comparison): readonly ServiceShift[] => {
+/** Replica changes of the affected services: all services if zones change, else changed ones. */
+const replicaChanges = (comparison: Comparison): readonly ReplicaChange[] => {
   const { before, after, totalsBefore, totalsAfter } = comparison;
   const zones = new Set([...totalsBefore.zones, ...totalsAfter.zones]);
-  const areZonesSame = isSame(totalsBefore.zones, totalsAfter.zones);
+  const hasSameZones = isEqual(totalsBefore.zones, totalsAfter.zones);
   const names = new Set([...before.services.keys(), ...after.services.keys()]);
   return [...names]
-    .filter((name) => !areZonesSame || before.services.get(name) !== after.services.get(name))
-    .map((name) => serviceShift(comparison, zones, name));
+    .filter((name) => !hasSameZones || before.services.get(name) !== after.services.get(name))
+    .map((name) => replicaChange(comparison, zones, name));
 };
 
 const zoneCapacity = (comparison: Comparison, zone: string): PlanEffects['capacity'][number] => {
@@ -99,29 +99,32 @@
     totalAfter: sumResources(workersAfter),
     reservedBefore: totalsBefore.inZone(zone),
     reservedAfter: totalsAfter.inZone(zone),
-    missingTaskCount: isKnown ? missingTasks(totalsAfter, zone, workersAfter) : 0,
+    missingTaskCount: isKnown ? missingReplicaCount(totalsAfter, zone, workersAfter) : 0,
   };
 };
 
-/** Maps that no step has touched are the same objects in both views. */
-const isCapacityTouched = ({ before, after }: Comparison): boolean =>
+/** Views share the maps that no step has changed, so comparing references is enough. */
+const canCapacityDiffer = ({ before, after }: Comparison): boolean =>
   before.zones !== after.zones ||
   before.services !== after.services ||
   before.workers !== after.workers;
 
 const capacityEffects = (comparison: Comparison): PlanEffects['capacity'] => {
-  if (!isCapacityTouched(comparison)) return [];
+  if (!canCapacityDiffer(comparison)) return [];
   return [...new Set([...comparison.before.zones.keys(), ...comparison.after.zones.keys()])]
     .sort()
     .map((zone) => zoneCapacity(comparison, zone))
     .filter(
       (zone) =>
-        !isSame(zone.totalBefore, zone.totalAfter) ||
-        !isSame(zone.reservedBefore, zone.reservedAfter),
+        !isEqual(zone.totalBefore, zone.totalAfter) ||
+        !isEqual(zone.reservedBefore, zone.reservedAfter),
     );
 };
 
-/** What a team's jobs run, as far as it was read for the plan: always for a change of its quota. */
+/**
+ * Resources of the team's running jobs, as far as they were read for the plan. They are always
+ * read for a change of the team's quota.
+ */
 const runningJobsOf = ({ running }: PlanningBasis, team: string): Resources =>
   sumResources(running.filter(({ jobId }) => jobId.startsWith(`${team}.`)).map(({ size }) => size));
 
@@ -142,22 +145,22 @@
   return [...teams].flatMap((team) => {
     const limitBefore = before.quotas.get(team)?.limit ?? null;
     const limit = after.quotas.get(team)?.limit ?? null;
-    // Most teams are not touched; their documents are the same objects in both views.
+    // Most teams are not affected; both views hold the same objects as their documents.
     if (limitBefore === limit && !changedTeams.has(team)) return [];
     const jobs = runningJobsOf(comparison.basis, team);
     const usedBefore = addResources(totalsBefore.ofTeam(team), jobs);
     const usedAfter = addResources(totalsAfter.ofTeam(team), jobs);
-    if (isSame(limitBefore, limit) && isSame(usedBefore, usedAfter)) return [];
+    if (isEqual(limitBefore, limit) && isEqual(usedBefore, usedAfter)) return [];
     return [{ team, limit, before: usedBefore, after: usedAfter }];
   });
 };
 
-/** Whether tasks of jobs have to leave a worker: it drains, or its zone is out. */
+/** Whether tasks of jobs have to leave a worker: it is draining or its zone is not in use. */
 const mustLeave = (view: ConfigurationView, workerId: string, zone: string | undefined): boolean =>
   view.workers.get(workerId)?.isDraining === true ||
   (zone !== undefined && !isZoneInUse(view, zone));
 
-/** Tasks of jobs that would have to leave, those aside that are leaving without the plan. */
+/** Tasks of jobs that the plan evicts. Excludes tasks that already have to leave without it. */
 const evictedTasks = (basis: PlanningBasis, after: ConfigurationView): readonly CountedTasks[] => {
   const zoneOf = new Map(basis.workers.map(({ id, availabilityZone }) => [id, availabilityZone]));
   return basis.running
@@ -169,7 +172,7 @@
     .map(({ taskId, size }) => ({ taskId, size, count: 1 }));
 };
 
-/** Tasks of services that leave a worker without leaving its zone. */
+/** Tasks of services that the plan moves off drained workers; they can stay in their zone. */
 const drainedTasks = (basis: PlanningBasis, after: ConfigurationView): readonly CountedTasks[] =>
   basis.running
     .filter(({ serviceName }) => serviceName !== '')
@@ -177,22 +180,22 @@
     .filter(({ workerId }) => basis.view.workers.get(workerId)?.isDraining !== true)
     .map(({ taskId, size }) => ({ taskId, size, count: 1 }));
 
-const toCounted = (
-  shifts: readonly ServiceShift[],
-  member: 'starting' | 'moving' | 'ending',
+const countedTasks = (
+  changes: readonly ReplicaChange[],
+  field: 'starting' | 'moving' | 'ending',
 ): readonly CountedTasks[] =>
-  shifts.map((shift) => ({
-    taskId: shift.service.name,
-    size: shift.service.size,
-    count: shift[member],
+  changes.map((change) => ({
+    taskId: change.service.name,
+    size: change.service.size,
+    count: change[field],
   }));
 
-/** Tasks of one job that a plan starts or ends, which the configuration does not tell of. */
+/** Tasks of one job that a plan starts or ends. The configuration does not contain jobs. */
 export interface JobTasks extends CountedTasks {
   readonly team: string;
 }
 
-/** Tasks of a job that a plan gives to a zone. */
+/** Tasks of a job that a plan assigns to a zone. */
 export interface ZoneTasks {
   readonly zone: string;
   readonly jobId: string;
@@ -206,7 +209,7 @@
   readonly inZones: readonly ZoneTasks[];
 }
 
-/** What the teams of jobs take up, services and the jobs that the plan names together. */
+/** Resource use of the jobs' teams: their services and the jobs that the plan names. */
 const jobQuotas = ({ after, totalsAfter }: Comparison, jobs: JobChanges): PlanEffects['quotas'] => {
   const teams = new Set([...jobs.starting, ...jobs.ending].map(({ team }) => team));
   const sizeOf = (tasks: readonly JobTasks[], team: string): Resources =>
@@ -223,19 +226,19 @@
   }));
 };
 
-/** Which of a job's tasks have to wait for others to end, however empty the zone is. */
-const waitingTasks = (
+/** Messages for jobs with more tasks in a zone than fit at a time, even without other jobs. */
+const insufficientRoomMessages = (
   { basis, after, totalsAfter }: Comparison,
   { inZones }: JobChanges,
 ): readonly string[] =>
   inZones.flatMap(({ zone, jobId, size, count }) => {
     if (basis.workers.length === 0) return [];
-    const room = roomFor(size, totalsAfter, zone, capacityOfZone(basis, after, zone), count);
+    const room = taskRoom(size, totalsAfter, zone, capacityOfZone(basis, after, zone), count);
     if (room >= count) return [];
     return [`${zone} has room for ${room} of the ${count} tasks of ${jobId} at a time`];
   });
 
-/** The effects of going from the basis's view to another one. */
+/** The effects of a plan that changes the configuration from the basis's view to `after`. */
 export const planEffects = (
   basis: PlanningBasis,
   after: ConfigurationView,
@@ -248,13 +251,13 @@
     totalsBefore: ServiceTotals.of(basis.view),
     totalsAfter: ServiceTotals.of(after),
   };
-  const shifts = serviceShifts(comparison);
+  const changes = replicaChanges(comparison);
   const capacity = capacityEffects(comparison);
   return {
-    starting: toGroup([...toCounted(shifts, 'starting'), ...jobs.starting]),
-    moving: toGroup([...toCounted(shifts, 'moving'), ...drainedTasks(basis, after)]),
+    starting: toGroup([...countedTasks(changes, 'starting'), ...jobs.starting]),
+    moving: toGroup([...countedTasks(changes, 'moving'), ...drainedTasks(basis, after)]),
     evicted: toGroup(evictedTasks(basis, after)),
-    ending: toGroup([...toCounted(shifts, 'ending'), ...jobs.ending]),
+    ending: toGroup([...countedTasks(changes, 'ending'), ...jobs.ending]),
     quotas: [...quotaEffects(comparison), ...jobQuotas(comparison, jobs)],
     capacity,
     notDone: [
@@ -264,7 +267,7 @@
           const wait = 'which wait until there is room';
           return `${zone} lacks capacity for at least ${missingTaskCount} tasks, ${wait}`;
         }),
-      ...waitingTasks(comparison, jobs),
+      ...insufficientRoomMessages(comparison, jobs),
     ],
   };
 };
--- a/src/operator/node/planService.ts
+++ b/src/operator/node/planService.ts
@@ -21,52 +21,54 @@
   TransactionOutcome,
 } from '../../services/table/common/table.js';
 import {
-  confirmationFault,
+  confirmationViolation,
   confirmationKeys,
   type ConfirmationRequest,
   decideConfirmation,
-  OpenAttempts,
-  staleKey,
+  LostAttempts,
+  firstChangedKey,
   WriteInvariant,
 } from '../common/confirmation.js';
 import type { Intent } from '../common/intent.js';
-import { type Plan, planKey, keptPlanSchema, type PlanStep } from '../common/plan.js';
+import { type Plan, planKey, storedPlanSchema, type PlanStep } from '../common/plan.js';
 import { planDigest, PlanMaker, type PlanMakerServices } from './planMaker.js';
-import { withTasksWrittenOut } from './planSteps.js';
+import { withFullSteps } from './planExpansion.js';
 
 export interface PlanServices extends PlanMakerServices {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly delay: (delayMs: number) => Promise<void>;
-  /** A text that no two calls share. */
+  /** Returns a text that is unique for each call. */
   readonly newOperationId: () => string;
 }
 
 export interface PlanLimits {
   readonly planLifetimeMs: number;
-  /** How long a confirmation goes on before it answers that the outcome is not known. */
+  /** Time after which a confirmation stops retrying and reports an unknown outcome. */
   readonly confirmTimeoutMs: number;
 }
 
-/** Why a plan was not accepted; a stale one comes with a plan made anew. */
+/** Why a plan was not accepted. */
 export interface ConfirmationRefusal extends Failure {
+  /** For a stale plan, a new plan for the same intent, if it can still be carried out. */
   readonly newPlan?: Plan;
 }
 
 type ConfirmationResult = Either<ConfirmationRefusal, Plan>;
 
 /**
- * Plans on different things conflict only on the version row, and each round lets one through.
- * With twenty operators at once, waits that grow to 200 ms spread the rest over a second or
- * two; without the random part all would come back at the same moment and conflict again.
+ * Retry backoff. Plans for different objects conflict only on the version row, and one of the
+ * concurrent confirmations succeeds in each round. With twenty operators at once, delays that
+ * grow to 200 ms spread the others over a second or two. Without random jitter all of them would
+ * retry at the same moment and conflict again.
  */
-const FIRST_WAIT_MS = 5;
-const LONGEST_WAIT_MS = 200;
+const INITIAL_BACKOFF_MS = 5;
+const MAXIMUM_BACKOFF_MS = 200;
 
-/** How far back it is looked up who changed what a stale plan was made from. */
+/** How many versions are searched for the change that made a plan stale. */
 const MAXIMUM_CHANGES_SEARCHED = 100;
 
-const isStoreFault = ({ kind }: Failure): boolean =>
+const isStoreFailure = ({ kind }: Failure): boolean =>
   kind === ErrorKind.StoreUnavailable || kind === ErrorKind.StoreAnswerLost;
 
 const OUTCOME_UNKNOWN = failure(
@@ -74,8 +76,8 @@
   'it is not known whether the plan was accepted; confirm it again to find out',
 );
 
-/** A transaction whose rows of the steps have the tasks written out. */
-const withValuesOf = (transaction: Transaction, steps: readonly PlanStep[]): Transaction => {
+/** The transaction with the values of the steps, which have the full tasks of new shards. */
+const withStepValues = (transaction: Transaction, steps: readonly PlanStep[]): Transaction => {
   const values = new Map(steps.map(({ key, after }) => [key, after]));
   const writes = transaction.writes.map(({ key, value }) => ({
     key,
@@ -99,7 +101,7 @@
     this.#maker = new PlanMaker(services, limits.planLifetimeMs);
   }
 
-  /** Fires for each plan that was found accepted here. */
+  /** Fires for each confirmation through this daemon that finds the plan accepted. */
   get onDidAccept(): Emitter<Plan>['event'] {
     return this.#didAccept.event;
   }
@@ -108,69 +110,74 @@
     this.#didAccept.dispose();
   }
 
-  /** Makes a plan and keeps it; nothing else changes. */
+  /** Makes a plan and stores it; nothing else is written. */
   plan(intent: Intent, author: string): Promise<Either<Failure, Plan>> {
     return this.#maker.plan(intent, author);
   }
 
+  /** Returns a plan with its full tasks. Fails with `UnknownObject` if there is no such plan. */
   async find(planId: string): Promise<Either<Failure, Plan>> {
-    const plan = await this.#findInShort(planId);
-    return isLeft(plan) ? plan : right(await withTasksWrittenOut(plan.right));
+    const plan = await this.#findStored(planId);
+    return isLeft(plan) ? plan : right(await withFullSteps(plan.right));
   }
 
-  /** The plan as it is kept, its new tasks in short. */
-  async #findInShort(planId: string): Promise<Either<Failure, Plan>> {
+  /** The plan as stored, with new tasks in compact form. */
+  async #findStored(planId: string): Promise<Either<Failure, Plan>> {
     const read = await this.#services.table.read({ keys: [planKey(planId)], prefixes: [] })();
     if (isLeft(read)) return read;
     const row = read.right.rows[0];
     if (row === undefined) return left(failure(ErrorKind.UnknownObject, `no plan ${planId}`));
-    return right(keptPlanSchema.parse(row.value));
+    return right(storedPlanSchema.parse(row.value));
   }
 
   /**
-   * Confirms a plan. It is tried again after conflicts with other plans and after lost answers,
-   * until the plan's row tells what has become of it or the time is up.
+   * Confirms a plan. Retries after conflicts with other plans and after lost answers, until the
+   * plan's row shows the outcome or the timeout has passed.
    */
   async confirm(request: ConfirmationRequest): Promise<ConfirmationResult> {
     const { clock, delay, random } = this.#services;
-    const giveUpAtMs = clock.nowMs() + this.#limits.confirmTimeoutMs;
-    const attempts = new OpenAttempts();
-    for (let waitMs = FIRST_WAIT_MS; ; waitMs = Math.min(waitMs * 2, LONGEST_WAIT_MS)) {
-      // Each try depends on what the one before has found.
+    const deadlineMs = clock.nowMs() + this.#limits.confirmTimeoutMs;
+    const attempts = new LostAttempts();
+    for (
+      let backoffMs = INITIAL_BACKOFF_MS;
+      ;
+      backoffMs = Math.min(backoffMs * 2, MAXIMUM_BACKOFF_MS)
+    ) {
+      // Each try depends on the outcome of the previous one.
       // eslint-disable-next-line no-await-in-loop
       const result = await this.#tryConfirm(request, attempts);
       if (result !== undefined) {
         if (!isLeft(result)) this.#didAccept.fire(result.right);
         return result;
       }
-      if (clock.nowMs() + waitMs > giveUpAtMs) return left(OUTCOME_UNKNOWN);
+      if (clock.nowMs() + backoffMs > deadlineMs) return left(OUTCOME_UNKNOWN);
       // eslint-disable-next-line no-await-in-loop
-      await delay(waitMs * (1 + random.nextFraction()));
+      await delay(backoffMs * (1 + random.nextFraction()));
     }
   }
 
-  /** Undefined when the plan should be tried again. */
+  /** Tries to confirm a plan once. Returns undefined if the confirmation should be retried. */
   async #tryConfirm(
     request: ConfirmationRequest,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
   ): Promise<ConfirmationResult | undefined> {
     const { table, newOperationId, wallNowMs } = this.#services;
-    const known = await this.#findInShort(request.planId);
-    if (isLeft(known)) return this.#afterFailure(known.left, request, attempts, new Map());
-    const read = await table.read({ keys: confirmationKeys(known.right), prefixes: [] })();
-    if (isLeft(read)) return this.#afterFailure(read.left, request, attempts, new Map());
+    const stored = await this.#findStored(request.planId);
+    if (isLeft(stored)) return this.#resultAfterFailure(stored.left, request, attempts, new Map());
+    const read = await table.read({ keys: confirmationKeys(stored.right), prefixes: [] })();
+    if (isLeft(read)) return this.#resultAfterFailure(read.left, request, attempts, new Map());
     const rows = rowsByKey(read.right.rows);
     const nowAt = new Date(wallNowMs()).toISOString();
     const step = decideConfirmation(request, rows, newOperationId(), nowAt);
-    if (isLeft(step)) return this.#afterFailure(step.left, request, attempts, rows);
-    const accepted = await withTasksWrittenOut(step.right.plan);
+    if (isLeft(step)) return this.#resultAfterFailure(step.left, request, attempts, rows);
+    const accepted = await withFullSteps(step.right.plan);
     if (step.right.kind === 'accepted') return right(accepted);
-    attempts.noteStillPending(rows);
-    // What is written is what is digested, the same objects: nothing is looked through twice.
-    // The digest tells whether they are as shown.
-    const shown = { ...step.right.pending, steps: accepted.steps };
-    const transaction = withValuesOf(step.right.transaction, accepted.steps);
-    return this.#write(shown, accepted, transaction, rows, attempts);
+    attempts.updateFromPendingPlan(rows);
+    // The written steps are the same objects as the digested ones, so comparing them is cheap.
+    // The digest shows whether they are the steps that the operator saw.
+    const shownPlan = { ...step.right.pending, steps: accepted.steps };
+    const transaction = withStepValues(step.right.transaction, accepted.steps);
+    return this.#write(shownPlan, accepted, transaction, rows, attempts);
   }
 
   async #write(
@@ -178,54 +185,55 @@
     accepted: Plan,
     transaction: Transaction,
     rows: ReadonlyMap<string, TableRow>,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
   ): Promise<ConfirmationResult | undefined> {
     const { table, metrics } = this.#services;
     const isAltered = (await planDigest(pending)) !== pending.digest;
-    const fault = isAltered
+    const violation = isAltered
       ? WriteInvariant.OnlyWhatWasShown
-      : confirmationFault(pending, rows, transaction);
-    if (fault !== undefined) {
-      metrics.count(fault);
-      const workOutcome = attempts.isAnyOpen ? WorkOutcome.Unknown : WorkOutcome.NotRun;
+      : confirmationViolation(pending, rows, transaction);
+    if (violation !== undefined) {
+      metrics.count(violation);
+      const workOutcome = attempts.hasAny ? WorkOutcome.Unknown : WorkOutcome.NotRun;
       return left({ ...failure(ErrorKind.Internal, 'the plan is not as shown'), workOutcome });
     }
     const written = await table.transact(transaction)();
     if (!isLeft(written)) {
       return written.right.outcome === TransactionOutcome.Committed ? right(accepted) : undefined;
     }
-    if (written.left.kind === ErrorKind.StoreAnswerLost) attempts.addLost(transaction);
-    if (!isStoreFault(written.left)) return written;
-    // A store that is out cannot tell what became of an earlier attempt; it may come back.
-    return attempts.isAnyOpen ? undefined : left(OUTCOME_UNKNOWN);
+    if (written.left.kind === ErrorKind.StoreAnswerLost) attempts.add(transaction);
+    if (!isStoreFailure(written.left)) return written;
+    // The store is unavailable, so the outcome of an earlier attempt is unknown. Retry if there
+    // was such an attempt, because the store may become available again.
+    return attempts.hasAny ? undefined : left(OUTCOME_UNKNOWN);
   }
 
   /**
-   * What a failure of one try means. A refusal that says "not run" must be true for ever, so it
-   * is proved against the table first: the read may come from the past, and an attempt whose
-   * answer was lost, of this call or of another daemon's, may still be on its way. While the
-   * store cannot be asked, an earlier call may have been accepted, so that is "unknown" too.
-   * Undefined when it is worth another try.
+   * Decides the result after a failed try; undefined if the confirmation should be retried. A
+   * refusal that says "not run" must stay true forever, so it is verified against the table
+   * first: the read may be out of date, and an attempt whose answer was lost, by this daemon or
+   * another one, may still take effect later. While the store is unavailable the outcome is
+   * "unknown", because an earlier call may have been accepted.
    */
-  async #afterFailure(
+  async #resultAfterFailure(
     cause: Failure,
     request: ConfirmationRequest,
-    attempts: OpenAttempts,
+    attempts: LostAttempts,
     rows: ReadonlyMap<string, TableRow>,
   ): Promise<ConfirmationResult | undefined> {
-    if (isStoreFault(cause)) return attempts.isAnyOpen ? undefined : left(OUTCOME_UNKNOWN);
+    if (isStoreFailure(cause)) return attempts.hasAny ? undefined : left(OUTCOME_UNKNOWN);
     const row = rows.get(planKey(request.planId));
-    if (!(await this.#isProved(request.planId, row))) return undefined;
+    if (!(await this.#verifyUnchanged(request.planId, row))) return undefined;
     if (cause.kind !== ErrorKind.PlanStale || row === undefined) return left(cause);
-    return left(await this.#staleRefusal(cause, keptPlanSchema.parse(row.value), request, rows));
+    return left(await this.#staleRefusal(cause, storedPlanSchema.parse(row.value), request, rows));
   }
 
   /**
-   * Proves that the plan's row is as read by writing it again as it is, or that there is none.
-   * The row's version moves, and any attempt under way named the former one, so none of them can
-   * take effect any more.
+   * Verifies that the plan's row is still as read, or still absent. An existing row is rewritten
+   * unchanged, which increments its version. Attempts in flight require the old version, so none
+   * of them can take effect any more.
    */
-  async #isProved(planId: string, row: TableRow | undefined): Promise<boolean> {
+  async #verifyUnchanged(planId: string, row: TableRow | undefined): Promise<boolean> {
     const key = planKey(planId);
     const result = await this.#services.table.transact({
       operationId: this.#services.newOperationId(),
@@ -235,24 +243,27 @@
     return !isLeft(result) && result.right.outcome === TransactionOutcome.Committed;
   }
 
-  /** Tells what the plan lost to and offers one made from where things stand now. */
+  /** Adds to a refusal the change that made the plan stale, and a plan for the current state. */
   async #staleRefusal(
     cause: Failure,
     plan: Plan,
     request: ConfirmationRequest,
     rows: ReadonlyMap<string, TableRow>,
   ): Promise<ConfirmationRefusal> {
-    const winner = await this.#winnerOf(plan, rows);
-    const message = winner === undefined ? cause.message : `${cause.message} by ${winner}`;
-    const again = await this.#maker.plan(plan.intent, request.author);
-    if (isLeft(again)) {
-      return { ...cause, message: `${message}; planned anew: ${again.left.message}` };
+    const conflict = await this.#conflictingChange(plan, rows);
+    const message = conflict === undefined ? cause.message : `${cause.message} by ${conflict}`;
+    const replanned = await this.#maker.plan(plan.intent, request.author);
+    if (isLeft(replanned)) {
+      return { ...cause, message: `${message}; planned anew: ${replanned.left.message}` };
     }
-    return { ...cause, message, newPlan: again.right };
+    return { ...cause, message, newPlan: replanned.right };
   }
 
-  async #winnerOf(plan: Plan, rows: ReadonlyMap<string, TableRow>): Promise<string | undefined> {
-    const key = staleKey(plan, rows);
+  async #conflictingChange(
+    plan: Plan,
+    rows: ReadonlyMap<string, TableRow>,
+  ): Promise<string | undefined> {
+    const key = firstChangedKey(plan, rows);
     const version = toVersion([...rows.values()]);
     const from = Math.max(plan.baseVersion, version - MAXIMUM_CHANGES_SEARCHED);
     if (key === undefined || from >= version) return undefined;
@@ -260,7 +271,7 @@
     const read = await this.#services.table.read({ keys, prefixes: [] })();
     if (isLeft(read)) return undefined;
     const changes = read.right.rows.map((row) => changeRowSchema.parse(row.value));
-    const winner = changes.filter((change) => change.keys.includes(key)).at(-1);
-    return winner && `version ${winner.version} of ${winner.author}: ${winner.summary}`;
+    const latest = changes.filter((change) => change.keys.includes(key)).at(-1);
+    return latest && `version ${latest.version} of ${latest.author}: ${latest.summary}`;
   }
 }
--- a/src/services/fleet/node/operatorFollower.ts
+++ b/src/services/fleet/node/operatorFollower.ts
@@ -1,4 +1,4 @@
-/** Follows what operators write in the platform's store. */
+/** Follows the operators' changes in the platform's store. */
 import { isLeft } from 'fp-ts/lib/Either.js';
 
 import type { Clock } from '../../../base/common/clock.js';
@@ -13,13 +13,13 @@
 } from '../common/fleetDirectory.js';
 
 /**
- * How long the store may hold a call back without news. An answer at least so often also shows
- * that the store can be reached; a change is answered at once.
+ * How long the store may delay its answer while nothing changes. The regular answer also shows that
+ * the store is reachable. The store answers immediately when there is a change.
  */
 const WAIT_MS = 2_000;
-/** After a failure; a quarter of the time in which a change must be in force. */
+/** The retry delay after a failure: a quarter of the time in which a change must be in force. */
 const RETRY_MS = 400;
-/** Without an answer for this long the store counts as out of reach, whatever the calls do. */
+/** The store counts as unreachable after this long without an answer, even if no call fails. */
 const SILENCE_MS = 3_500;
 
 export class OperatorFollower implements Disposable {
@@ -37,9 +37,9 @@
 
   #position: number | undefined;
 
-  #isReached = false;
+  #isReachable = false;
 
-  #reachedAtMs = Number.NEGATIVE_INFINITY;
+  #lastAnswerAtMs = Number.NEGATIVE_INFINITY;
 
   #timer: NodeJS.Timeout | undefined;
 
@@ -56,14 +56,14 @@
     return this.#state;
   }
 
-  /** Whether the store has answered lately and its last call did not fail. */
-  isStoreReached(nowMs: number): boolean {
-    return this.#isReached && nowMs - this.#reachedAtMs < SILENCE_MS;
+  /** Whether the last call to the store succeeded and its answer is recent. */
+  isStoreReachable(nowMs: number): boolean {
+    return this.#isReachable && nowMs - this.#lastAnswerAtMs < SILENCE_MS;
   }
 
-  /** How long ago the store last answered. */
+  /** The time since the store last answered. */
   silenceMs(nowMs: number): number {
-    return nowMs - this.#reachedAtMs;
+    return nowMs - this.#lastAnswerAtMs;
   }
 
   dispose(): void {
@@ -76,25 +76,25 @@
     const result = await this.#directory.operatorChanges(this.#position, WAIT_MS)();
     if (this.#isDisposed) return;
     if (isLeft(result)) {
-      if (this.#isReached) this.#log.warn('store-lost', { message: result.left.message });
-      this.#isReached = false;
+      if (this.#isReachable) this.#log.warn('store-lost', { message: result.left.message });
+      this.#isReachable = false;
       this.#timer = setTimeout(() => void this.#follow(), RETRY_MS);
       return;
     }
-    if (!this.#isReached) this.#log.info('store-regained');
-    this.#isReached = true;
-    this.#reachedAtMs = this.#clock.nowMs();
-    this.#take(result.right);
+    if (!this.#isReachable) this.#log.info('store-regained');
+    this.#isReachable = true;
+    this.#lastAnswerAtMs = this.#clock.nowMs();
+    this.#apply(result.right);
     this.#timer = setTimeout(() => void this.#follow(), 0);
   }
 
-  #take(news: OperatorChanges): void {
-    this.#position = news.position;
-    if (!news.isWhole && news.changes.length === 0) return;
-    news.changes.forEach((change) => {
+  #apply(update: OperatorChanges): void {
+    this.#position = update.position;
+    if (!update.isSnapshot && update.changes.length === 0) return;
+    update.changes.forEach((change) => {
       if (change.kind === 'unreadable') this.#log.warn('row-unreadable', { key: change.key });
     });
-    this.#state = withOperatorChanges(this.#state, news);
+    this.#state = withOperatorChanges(this.#state, update);
     this.#log.info('operator-state-in-force', {
       version: this.#state.configuration?.version ?? 0,
       withdrawnZones: [...this.#state.withdrawnZones].join(','),
--- a/src/services/log/common/boundedLog.ts
+++ b/src/services/log/common/rateLimitedLog.ts
@@ -1,29 +1,30 @@
-/** Bounds how many lines on requests are written; lines of changed beliefs are always written. */
+/** Limits the rate of log lines about requests; lines about state changes are always written. */
 import type { Clock } from '../../../base/common/clock.js';
 import type { Log, LogFields } from './log.js';
 import { DECISION_EVENTS, type LogEvent } from './logEvents.js';
 
 /**
- * A line with twenty runs takes 18 us of processor time (20,000 of them on an idle machine), so that
- * this many take 0.3 % of a core. An owner of 45 workers wrote 32 a second in the mean of a day.
+ * A line with twenty runs takes 18 us of processor time (20,000 lines on an idle machine), so lines
+ * at this rate take 0.3 % of a core. An owner of 45 workers wrote 32 lines a second on average over
+ * a day.
  */
-const LINES_PER_S = 150;
+const MAXIMUM_LINES_PER_S = 150;
 const WINDOW_MS = 1_000;
 
 /**
- * Made for storms of refusals and restarts, in which the log would take the processor from the
- * work that it tells of. What is left out is counted, and told once the second is over.
+ * Limits lines during bursts of refusals and restarts, in which logging would take processor time
+ * from the work being logged. Dropped lines are counted and reported when the second is over.
  */
-export class BoundedLog implements Log {
+export class RateLimitedLog implements Log {
   readonly #log: Log;
 
   readonly #clock: Clock;
 
   #windowStartedAtMs = Number.NEGATIVE_INFINITY;
 
-  #written = 0;
+  #writtenCount = 0;
 
-  #leftOut = 0;
+  #droppedCount = 0;
 
   constructor(log: Log, clock: Clock) {
     this.#log = log;
@@ -31,34 +32,34 @@
   }
 
   info(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.info(event, fields);
+    if (this.#admit(event)) this.#log.info(event, fields);
   }
 
   warn(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.warn(event, fields);
+    if (this.#admit(event)) this.#log.warn(event, fields);
   }
 
   error(event: LogEvent, fields: LogFields = {}): void {
-    if (this.#admits(event)) this.#log.error(event, fields);
+    if (this.#admit(event)) this.#log.error(event, fields);
   }
 
-  #admits(event: LogEvent): boolean {
+  #admit(event: LogEvent): boolean {
     const nowMs = this.#clock.nowMs();
     if (nowMs - this.#windowStartedAtMs >= WINDOW_MS) this.#startWindow(nowMs);
     if (!DECISION_EVENTS.has(event)) return true;
-    if (this.#written >= LINES_PER_S) {
-      this.#leftOut += 1;
+    if (this.#writtenCount >= MAXIMUM_LINES_PER_S) {
+      this.#droppedCount += 1;
       return false;
     }
-    this.#written += 1;
+    this.#writtenCount += 1;
     return true;
   }
 
   #startWindow(nowMs: number): void {
-    const lines = this.#leftOut;
+    const lines = this.#droppedCount;
     this.#windowStartedAtMs = nowMs;
-    this.#written = 0;
-    this.#leftOut = 0;
+    this.#writtenCount = 0;
+    this.#droppedCount = 0;
     if (lines > 0) this.#log.warn('log-lines-left-out', { lines });
   }
 }
--- a/src/services/log/test/boundedLog.test.ts
+++ b/src/services/log/test/logLimits.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { BoundedLog } from '../common/boundedLog.js';
+import { RateLimitedLog } from '../common/rateLimitedLog.js';
 import type { Log, LogFields } from '../common/log.js';
 import { LineWriter, type WriteBytes } from '../node/lineWriter.js';
 
@@ -9,21 +9,21 @@
   readonly fields: LogFields;
 }
 
-const recording = (): { readonly log: Log; readonly lines: Written[] } => {
+const createRecordingLog = (): { readonly log: Log; readonly lines: Written[] } => {
   const lines: Written[] = [];
-  const note = (event: string, fields: LogFields = {}): void => {
+  const record = (event: string, fields: LogFields = {}): void => {
     lines.push({ event, fields });
   };
-  return { log: { info: note, warn: note, error: note }, lines };
+  return { log: { info: record, warn: record, error: record }, lines };
 };
 
-describe('a log under a storm of decisions', () => {
-  it('leaves out decisions beyond its limit, tells how many, and never a change of belief', () => {
-    // Ten thousand submissions are refused within a second, and the store is lost meanwhile. An
-    // engineer must find the loss, and must be told that lines on requests are missing.
-    const { log, lines } = recording();
+describe('a log under a burst of decisions', () => {
+  it('drops and counts decisions beyond its limit, but never a state change', () => {
+    // Ten thousand submissions are refused within a second, and the store is lost at the same time.
+    // The log must show the loss and report that lines about requests are missing.
+    const { log, lines } = createRecordingLog();
     let nowMs = 0;
-    const bounded = new BoundedLog(log, { nowMs: () => nowMs });
+    const bounded = new RateLimitedLog(log, { nowMs: () => nowMs });
     for (let count = 0; count < 10_000; count += 1) {
       nowMs = count / 10;
       bounded.info('submission-refused', { id: String(count) });
@@ -34,22 +34,22 @@
     const refused = lines.filter(({ event }) => event === 'submission-refused');
     expect(refused.length).toBe(151);
     expect(lines.some(({ event }) => event === 'store-lost')).toBe(true);
-    const leftOut = lines.find(({ event }) => event === 'log-lines-left-out');
-    expect(leftOut?.fields).toEqual({ lines: 9_850 });
+    const droppedLines = lines.find(({ event }) => event === 'log-lines-left-out');
+    expect(droppedLines?.fields).toEqual({ lines: 9_850 });
   });
 });
 
-describe('the writer of lines', () => {
-  const describeLeftOut = (lines: number): string => `left out ${lines}\n`;
+describe('the line writer', () => {
+  const describeDropped = (lines: number): string => `left out ${lines}\n`;
 
-  it('holds nobody up and no more than its limit while nobody reads', async () => {
-    // Whoever collects the log stops reading. Writing to the pipe would then stand still, and with
-    // it every answer to callers. Lines go into a buffer, and beyond its limit are counted.
+  it('neither blocks nor exceeds its buffer limit while nobody reads', async () => {
+    // The log collector stops reading. A blocking write to the pipe would also block every answer
+    // to callers. Instead lines are buffered, and lines beyond the limit are dropped and counted.
     const calls: { readonly text: string; readonly done: () => void }[] = [];
     const blocked: WriteBytes = (bytes, done) => {
       calls.push({ text: bytes.toString(), done: () => done(null, bytes.length) });
     };
-    const writer = new LineWriter(describeLeftOut, blocked);
+    const writer = new LineWriter(describeDropped, blocked);
     const line = `${'x'.repeat(1_023)}\n`;
     for (let count = 0; count < 10; count += 1) writer.add(line);
     await writer.flush(20);
@@ -65,11 +65,11 @@
     expect(second).toContain('left out 754');
   });
 
-  it('writes the rest of a piece that was taken in part, and again what was not taken', async () => {
-    // A pipe takes a part of what it is given, then nothing for a while. No byte is lost or doubled.
+  it('writes the rest of a partly written chunk, and repeats a failed write', async () => {
+    // The pipe accepts a part of the chunk, then nothing for a while. No byte is lost or repeated.
     let text = '';
     let calls = 0;
-    const writer = new LineWriter(describeLeftOut, (bytes, done) => {
+    const writer = new LineWriter(describeDropped, (bytes, done) => {
       calls += 1;
       if (calls === 2) done(new Error('EAGAIN'), 0);
       else {
--- a/standIns/fleet/workerModel.ts
+++ b/standIns/fleet/workerModel.ts
@@ -1,6 +1,6 @@
 /**
- * A worker of the users' platform as a model in any time: it keeps its own leases by its own clock,
- * lists what runs and what has ended, and does not guard its room.
+ * Models a worker of the platform in virtual or real time. The worker enforces its leases by its own
+ * clock and lists running and finished tasks. It does not check its capacity.
  */
 import {
   type FinishedRun,
@@ -16,30 +16,30 @@
 } from '../../src/services/fleet/common/fleetWorker.js';
 import type { Resources } from '../../src/services/worker/common/resources.js';
 
-/** What a task of the model does once it is started. */
+/** The behaviour of a task after its start. */
 export interface ModelTask {
   readonly workMs: number;
   readonly end: RunEnd;
-  /** How often it saves its progress, in milliseconds of work; left out for one that does not. */
-  readonly savesEachMs?: number;
+  /** The work between two saves of its progress; undefined if the task saves none. */
+  readonly saveIntervalMs?: number;
 }
 
 /** The figures that a worker reports for a run. */
-export type RunFigures = Pick<RunningTask, 'checkpoint' | 'workedPercent' | 'recentFigure'>;
+export type RunFigures = Pick<RunningTask, 'checkpoint' | 'workedPercent' | 'recentMeasurement'>;
 
 export interface WorkerModelOptions {
   readonly id: string;
   readonly capacity: Resources;
   readonly maximumLeaseMs: number;
   readonly stopMs: number;
-  /** How fast its clock runs beside real time. */
+  /** The rate of the worker's clock relative to real time. */
   readonly clockRate: number;
   readonly taskOf: (taskName: string) => ModelTask;
   readonly onStart: (taskName: string, run: number, nowMs: number) => void;
   readonly onEnd?: (finished: FinishedRun, endedAtMs: number) => void;
-  /** The lease has run out; called again for as long as there is none. */
+  /** Called on each advance while the worker has no valid lease. */
   readonly onLapse?: () => void;
-  /** Ends up to `sequence` are acknowledged. */
+  /** Called when ends up to `sequence` are acknowledged. */
   readonly onAcknowledge?: (sequence: number, nowMs: number) => void;
   /** By default, progress is proportional to elapsed time. */
   readonly figuresOf?: (run: ModelRun) => RunFigures;
@@ -49,9 +49,9 @@
   readonly taskName: string;
   readonly run: number;
   readonly startedAtMs: number;
-  /** The progress that it began with; its checkpoints are such numbers. */
+  /** The work done before this run. The checkpoints of the model are this number as text. */
   readonly resumedMs: number;
-  readonly savesEachMs: number | undefined;
+  readonly saveIntervalMs: number | undefined;
   endsAtMs: number;
   end: RunEnd;
 }
@@ -59,13 +59,13 @@
 const progressMs = (run: ModelRun, nowMs: number): number =>
   run.resumedMs + nowMs - run.startedAtMs;
 
-/** The checkpoint at its last save, or at its end. */
+/** Returns the checkpoint of the last save, or of the end if the task was stopped. */
 const checkpointOf = (run: ModelRun, nowMs: number): string => {
-  const { savesEachMs } = run;
-  if (savesEachMs === undefined) return '';
+  const { saveIntervalMs } = run;
+  if (saveIntervalMs === undefined) return '';
   const workedMs = progressMs(run, nowMs);
   if (run.end === RunEnd.Stopped && nowMs >= run.endsAtMs) return String(workedMs);
-  const savedMs = Math.max(run.resumedMs, Math.floor(workedMs / savesEachMs) * savesEachMs);
+  const savedMs = Math.max(run.resumedMs, Math.floor(workedMs / saveIntervalMs) * saveIntervalMs);
   return savedMs === 0 ? '' : String(savedMs);
 };
 
@@ -85,13 +85,13 @@
 
   #sequence = 0;
 
-  /** Ends up to this sequence are forgotten, also those that are yet to come. */
+  /** Ends up to this sequence are removed, including later ones. */
   #acknowledgedSequence = 0;
 
   #finished: FinishedRun[] = [];
 
-  /** Runs up to these numbers are refused, by task. */
-  readonly #barred = new Map<string, number>();
+  /** The highest run number that the worker refuses to start, by task. */
+  readonly #refusedUpTo = new Map<string, number>();
 
   readonly runs = new Map<string, ModelRun>();
 
@@ -111,17 +111,17 @@
     return this.#incarnation;
   }
 
-  /** When the lease of all that runs here ends. */
-  get lapsesAtMs(): number {
+  /** The time at which the lease of all running tasks ends. */
+  get leaseEndsAtMs(): number {
     return this.#bootedAtMs + this.#leaseEndWorkerMs / this.#options.clockRate;
   }
 
-  /** The process ends; all that ran and all that was known is lost. */
+  /** Ends the process. All running tasks and all state are lost. */
   crash(): void {
     this.isUp = false;
     this.runs.clear();
     this.#finished = [];
-    this.#barred.clear();
+    this.#refusedUpTo.clear();
   }
 
   restart(nowMs: number): void {
@@ -134,48 +134,49 @@
     this.#acknowledgedSequence = 0;
   }
 
-  /** Lets everything happen that is due. */
+  /** Ends all runs that are due and detects a lapsed lease. */
   advance(nowMs: number): void {
     [...this.runs.values()]
       .sort((left, right) => left.endsAtMs - right.endsAtMs)
       .forEach((run) => {
-        const { lapsesAtMs } = this;
-        if (run.endsAtMs <= Math.min(nowMs, lapsesAtMs)) this.#finish(run, run.end);
-        else if (lapsesAtMs <= nowMs) this.#finish(run, RunEnd.Lapsed);
+        const { leaseEndsAtMs } = this;
+        if (run.endsAtMs <= Math.min(nowMs, leaseEndsAtMs)) this.#finish(run, run.end);
+        else if (leaseEndsAtMs <= nowMs) this.#finish(run, RunEnd.Lapsed);
       });
-    if (this.lapsesAtMs <= nowMs) this.#options.onLapse?.();
+    if (this.leaseEndsAtMs <= nowMs) this.#options.onLapse?.();
   }
 
   hold(request: HoldRequest, nowMs: number): HoldOutcome {
     this.advance(nowMs);
-    if (!this.#admits(request.fence)) return { kind: 'fenced' };
+    if (!this.#acceptsFence(request.fence)) return { kind: 'fenced' };
     this.#acknowledgedSequence = Math.max(this.#acknowledgedSequence, request.acknowledgedSequence);
     this.#forgetAcknowledged(nowMs);
-    if (request.leaseEndWorkerMs !== undefined) this.#extend(request.leaseEndWorkerMs, nowMs);
+    if (request.leaseEndWorkerMs !== undefined) this.#extendLease(request.leaseEndWorkerMs, nowMs);
     return { kind: 'held', answer: this.#answer(nowMs) };
   }
 
-  /** Whether a hold that may wait would be answered now. */
-  hasNews(acknowledgedSequence: number, nowMs: number): boolean {
+  /** Whether a hold request that may wait gets its answer now. */
+  hasNewEnds(acknowledgedSequence: number, nowMs: number): boolean {
     this.advance(nowMs);
     return this.#finished.some(({ sequence }) => sequence > acknowledgedSequence);
   }
 
   start(request: StartRequest, nowMs: number): StartOutcome {
     this.advance(nowMs);
-    if (!this.#admits(request.fence)) return StartOutcome.Fenced;
-    const known = this.runs.get(request.taskName);
-    if (known?.run === request.run) return StartOutcome.Started;
+    if (!this.#acceptsFence(request.fence)) return StartOutcome.Fenced;
+    const runningRun = this.runs.get(request.taskName);
+    if (runningRun?.run === request.run) return StartOutcome.Started;
     if (request.leaseEndWorkerMs <= this.#clockMs(nowMs)) return StartOutcome.Late;
-    this.#extend(request.leaseEndWorkerMs, nowMs);
-    if (request.run <= (this.#barred.get(request.taskName) ?? 0)) return StartOutcome.Superseded;
-    const { workMs, end, savesEachMs } = this.#options.taskOf(request.taskName);
-    const resumedMs = savesEachMs === undefined ? 0 : Number(request.checkpoint);
+    this.#extendLease(request.leaseEndWorkerMs, nowMs);
+    if (request.run <= (this.#refusedUpTo.get(request.taskName) ?? 0))
+      return StartOutcome.Superseded;
+    const { workMs, end, saveIntervalMs } = this.#options.taskOf(request.taskName);
+    const resumedMs = saveIntervalMs === undefined ? 0 : Number(request.checkpoint);
     this.runs.set(request.taskName, {
       taskName: request.taskName,
       run: request.run,
       startedAtMs: nowMs,
-      ...{ resumedMs, savesEachMs, end },
+      ...{ resumedMs, saveIntervalMs, end },
       endsAtMs: nowMs + workMs - resumedMs,
     });
     this.#options.onStart(request.taskName, request.run, nowMs);
@@ -184,8 +185,8 @@
 
   stop({ taskName, run, fence }: RunReference, nowMs: number): OrderOutcome {
     this.advance(nowMs);
-    if (!this.#admits(fence)) return OrderOutcome.Fenced;
-    this.#barred.set(taskName, Math.max(run, this.#barred.get(taskName) ?? 0));
+    if (!this.#acceptsFence(fence)) return OrderOutcome.Fenced;
+    this.#refusedUpTo.set(taskName, Math.max(run, this.#refusedUpTo.get(taskName) ?? 0));
     const running = this.runs.get(taskName);
     if (running?.run === run && running.endsAtMs > nowMs + this.#options.stopMs) {
       running.endsAtMs = nowMs + this.#options.stopMs;
@@ -194,7 +195,7 @@
     return OrderOutcome.Accepted;
   }
 
-  #admits(fence: number): boolean {
+  #acceptsFence(fence: number): boolean {
     if (fence < this.#highestFence) return false;
     this.#highestFence = fence;
     return true;
@@ -204,7 +205,7 @@
     return Math.floor((nowMs - this.#bootedAtMs) * this.#options.clockRate);
   }
 
-  #extend(leaseEndWorkerMs: number, nowMs: number): void {
+  #extendLease(leaseEndWorkerMs: number, nowMs: number): void {
     const latest = this.#clockMs(nowMs) + this.#options.maximumLeaseMs;
     const granted = Math.min(leaseEndWorkerMs, latest);
     this.#leaseEndWorkerMs = Math.max(this.#leaseEndWorkerMs, granted);
@@ -212,10 +213,13 @@
 
   #finish(run: ModelRun, end: RunEnd): void {
     this.runs.delete(run.taskName);
-    this.#barred.set(run.taskName, Math.max(run.run, this.#barred.get(run.taskName) ?? 0));
+    this.#refusedUpTo.set(
+      run.taskName,
+      Math.max(run.run, this.#refusedUpTo.get(run.taskName) ?? 0),
+    );
     this.#sequence += 1;
     const { taskName } = run;
-    const endedAtMs = Math.min(run.endsAtMs, this.lapsesAtMs);
+    const endedAtMs = Math.min(run.endsAtMs, this.leaseEndsAtMs);
     const finished = {
       sequence: this.#sequence,
       taskName,
@@ -242,7 +246,7 @@
         workedPercent: Math.floor(
           (WHOLE_PERCENT * progressMs(run, nowMs)) / Math.max(1, progressMs(run, run.endsAtMs)),
         ),
-        recentFigure: 0,
+        recentMeasurement: 0,
       }));
     return {
       workerClockMs: this.#clockMs(nowMs),
@@ -253,7 +257,7 @@
         ...figuresOf(run),
       })),
       finished: this.#finished.slice(0, LISTED_ENDS),
-      isFinishedCut: this.#finished.length >= LISTED_ENDS,
+      isFinishedTruncated: this.#finished.length >= LISTED_ENDS,
     };
   }
 }
--- a/standIns/workers/workersProcess.ts
+++ b/standIns/workers/workersProcess.ts
@@ -1,11 +1,11 @@
-/** A dozen workers with their backend servers and the judge over them, as one process. */
+/** Runs a dozen workers with their backend servers, and the judge, in one process. */
 import Fastify from 'fastify';
 import { z } from 'zod';
 
 import { systemClock } from '../../src/base/node/systemClock.js';
 import { listeningPort } from '../../src/services/http/node/listening.js';
 import type { WorkerInstance } from '../../src/services/instanceList/common/instanceList.js';
-import { RevisedWorker } from '../../src/services/worker/common/revisedWorker.js';
+import { RevisionedWorker } from '../../src/services/worker/common/revisionedWorker.js';
 import { wireCommandSchema } from '../../src/services/worker/common/workerExchange.js';
 import { BackendServerStandIn } from './backendServer.js';
 import { Judge } from './judge.js';
@@ -26,12 +26,12 @@
 const SLOT_COUNT = 8;
 const CONNECTION_COUNT = 64;
 const WORKERS_PER_RACK = 2;
-/** After how long no task may start in a zone whose withdrawal was accepted. */
+/** The time after an accepted withdrawal from which no task may start in the zone. */
 const WITHDRAWAL_BOUND_MS = 3_000;
 
 const options = optionsSchema.parse(JSON.parse(process.argv[2] ?? '{}'));
 const zoneOf = new Map<string, string>();
-/** How often each request ran, by its path. */
+/** The number of runs of each request, by path. */
 const runCounts = new Map<string, number>();
 const judge = new Judge(zoneOf, WITHDRAWAL_BOUND_MS);
 
@@ -43,7 +43,7 @@
   );
   setInterval(() => worker.advance(systemClock.nowMs()), ADVANCE_INTERVAL_MS);
   const control = Fastify();
-  const revised = new RevisedWorker((command) => worker.command(command, systemClock.nowMs()));
+  const revised = new RevisionedWorker((command) => worker.command(command, systemClock.nowMs()));
   control.post('/v1/worker/command', (request) =>
     revised.command(wireCommandSchema.parse(request.body)),
   );
