--- a/bench/configuration/inForce.ts
+++ b/bench/configuration/inForce.ts
@@ -2,7 +2,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 
 import { SeededRandom } from '../../src/base/common/random.js';
-import { chosenPeers } from '../../src/peers/common/peerTable.js';
+import { selectPeers } from '../../src/peers/common/peerTable.js';
 import { ConfigurationFollower } from '../../src/services/configuration/node/configurationFollower.js';
 import { acceptChange } from '../../src/services/configuration/test/acceptedChanges.js';
 import {
@@ -102,7 +102,7 @@
     });
     if (!scenario.hasPeers) return;
     instances.forEach(({ id }, index) => {
-      const peers = chosenPeers(instances, id).map((peer) => Number(peer.id.slice(1)));
+      const peers = selectPeers(instances, id).map((peer) => Number(peer.id.slice(1)));
       this.#startHeartbeats(index, peers, random.nextFraction() * HEARTBEAT_INTERVAL_MS);
     });
   }
--- a/src/base/common/hash.ts
+++ b/src/base/common/hash.ts
@@ -22,7 +22,7 @@
  * differ only in their last character, such as the ids of successive jobs. A second mixing step
  * spreads them.
  */
-export const fractionOf = (text: string): number => {
+export const hashFraction = (text: string): number => {
   let hash = hashOf(text);
   hash = Math.imul(hash ^ (hash >>> 16), MIX_FACTOR_1);
   hash = Math.imul(hash ^ (hash >>> 13), MIX_FACTOR_2);
--- a/src/operator/common/taskDistribution.ts
+++ b/src/operator/common/taskDistribution.ts
@@ -1,5 +1,5 @@
 /** Distributes a job's tasks over the availability zones in use. */
-import { fractionOf } from '../../base/common/hash.js';
+import { hashFraction } from '../../base/common/hash.js';
 import {
   InstanceState,
   type WorkerInstance,
@@ -64,7 +64,7 @@
 ): readonly ZoneShare[] => {
   const weights = zoneWeights(workers, zones, size);
   const totalWeight = weights.reduce((sum, weight) => sum + weight, 0);
-  const offset = fractionOf(jobId);
+  const offset = hashFraction(jobId);
   // A rounding error can place the last task beyond the last interval.
   const lastUsedIndex = weights.findLastIndex((weight) => weight > 0);
   const zoneIndexOf = (taskIndex: number): number => {
--- a/src/peers/common/peerTable.ts
+++ b/src/peers/common/peerTable.ts
@@ -21,7 +21,7 @@
  * stays linked, because otherwise its return would go unnoticed. In addition, the next daemon
  * after it that is not known to be gone is linked as its replacement.
  */
-export const chosenPeers = (
+export const selectPeers = (
   listed: readonly DaemonInstance[],
   ownId: string,
   isGone: (id: string) => boolean = () => false,
--- a/src/peers/node/peerService.ts
+++ b/src/peers/node/peerService.ts
@@ -15,7 +15,7 @@
 import { Hop, type TraceSpan, type Tracing } from '../../services/tracing/common/tracing.js';
 import { type Heartbeat, HEARTBEAT_METHOD, heartbeatSchema } from '../common/peerMessages.js';
 import {
-  chosenPeers,
+  selectPeers,
   memberStates,
   MemberState,
   linkChanges,
@@ -149,7 +149,7 @@
     this.#lastHeartbeatAtMs = this.#clock.nowMs();
     const listed = this.#directory.instances.filter(isDaemon);
     const states = this.members;
-    const wanted = chosenPeers(listed, this.#settings.instanceId, (id) => isGone(states.get(id)));
+    const wanted = selectPeers(listed, this.#settings.instanceId, (id) => isGone(states.get(id)));
     const changes = linkChanges(this.#linkedPeers, wanted);
     changes.removedIds.forEach((id) => {
       this.#links.get(id)?.dispose();
--- a/src/peers/test/peers.test.ts
+++ b/src/peers/test/peers.test.ts
@@ -7,7 +7,7 @@
 import type { DaemonInstance } from '../../services/instanceList/common/instanceList.js';
 import { silentMetrics } from '../../services/metrics/common/metrics.js';
 import { silentTracing } from '../../services/tracing/common/tracing.js';
-import { chosenPeers, memberStates, MemberState, linkChanges } from '../common/peerTable.js';
+import { selectPeers, memberStates, MemberState, linkChanges } from '../common/peerTable.js';
 import { PeerLink } from '../node/peerLink.js';
 
 const SILENCE_MS = 100;
@@ -36,7 +36,7 @@
     [70, 7],
   ])('connect all of %i daemons with %i links each', (count, linkCount) => {
     const all = daemons(count);
-    const links = new Map(all.map(({ id }) => [id, chosenPeers(all, id).map((peer) => peer.id)]));
+    const links = new Map(all.map(({ id }) => [id, selectPeers(all, id).map((peer) => peer.id)]));
     links.forEach((ids) => expect(new Set(ids).size).toBe(linkCount));
     let reached = new Set(['d000']);
     for (let step = 0; step < linkCount; step += 1) {
@@ -52,8 +52,8 @@
     const gone = new Set(all.filter((_, index) => index % 3 === 1).map(({ id }) => id));
     const remaining = all.filter(({ id }) => !gone.has(id));
     const isGone = (id: string): boolean => gone.has(id);
-    const links = new Map(remaining.map(({ id }) => [id, chosenPeers(all, id, isGone)]));
-    const linkCount = chosenPeers(all, 'd000').length;
+    const links = new Map(remaining.map(({ id }) => [id, selectPeers(all, id, isGone)]));
+    const linkCount = selectPeers(all, 'd000').length;
     let reached = new Set(['d000']);
     for (let step = 0; step < linkCount; step += 1) {
       const next = [...reached].flatMap((id) => links.get(id)?.map((peer) => peer.id) ?? []);
@@ -61,7 +61,7 @@
     }
     expect(reached.size).toBe(remaining.length);
     // A gone daemon stays linked, because otherwise its return would go unnoticed.
-    const selectedIds = chosenPeers(all, 'd000').map(({ id }) => id);
+    const selectedIds = selectPeers(all, 'd000').map(({ id }) => id);
     expect(links.get('d000')?.map(({ id }) => id)).toEqual(expect.arrayContaining(selectedIds));
     links.forEach((peers) => expect(peers.length).toBeLessThanOrEqual(linkCount * 2));
   });
--- a/src/scheduler/common/round.ts
+++ b/src/scheduler/common/round.ts
@@ -1,5 +1,5 @@
 /** Plans one round of a cell's owner: collects all changes that are due in one transaction. */
-import { fractionOf } from '../../base/common/hash.js';
+import { hashFraction } from '../../base/common/hash.js';
 import { zonesInUse } from '../../services/configuration/common/configurationView.js';
 import { WorkerTaskState } from '../../services/worker/common/workerClient.js';
 import {
@@ -67,7 +67,7 @@
     if (row === undefined || isRunning || row.tasks.every(isEnded)) return;
     // The zone is derived from the shard id. In turn order, shards that move one at a time would
     // all go to the first zone.
-    const zoneIndex = Math.floor(fractionOf(shardId) * zones.length);
+    const zoneIndex = Math.floor(hashFraction(shardId) * zones.length);
     draft.moveWork(shardId, zones[zoneIndex] as string);
   });
 };
