--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -57,7 +57,7 @@
   readonly onWasted: (processorSeconds: number) => void;
 }
 
-const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentFigure: 0 };
+const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentMeasurement: 0 };
 
 /** The progress that the task's next run starts from. */
 const savedMsOf = ({ truth, savedMs, doneMs, run }: SharedRun): number => {
@@ -223,7 +223,7 @@
     return {
       checkpoint: savedMs > 0 ? String(Math.round(savedMs)) : '',
       workedPercent: Math.min(FULL_PERCENT, Math.floor(worked * FULL_PERCENT)),
-      recentFigure: Math.round(figure * (isServing ? noise : 1)),
+      recentMeasurement: Math.round(figure * (isServing ? noise : 1)),
     };
   }
 }
--- a/bench/requests/outcome.ts
+++ b/bench/requests/outcome.ts
@@ -1,4 +1,4 @@
-/** What one kind of traffic got. */
+/** Counts and latencies of one kind of traffic. */
 export class Outcome {
   offered = 0;
 
@@ -10,13 +10,14 @@
 
   usefulWorkMs = 0;
 
+  /** Latencies of all answers, also of those after the deadline. */
   readonly latenciesMs: number[] = [];
 
-  count(what: 'offered' | 'refused' | 'failed'): void {
-    this[what] += 1;
+  count(counter: 'offered' | 'refused' | 'failed'): void {
+    this[counter] += 1;
   }
 
-  answered(latencyMs: number, deadlineMs: number, workMs: number): void {
+  recordAnswer(latencyMs: number, deadlineMs: number, workMs: number): void {
     this.latenciesMs.push(latencyMs);
     if (latencyMs > deadlineMs) return;
     this.inTime += 1;
--- a/bench/requests/scenarios.ts
+++ b/bench/requests/scenarios.ts
@@ -1,4 +1,4 @@
-/** The loads that the request path's decisions are measured under. */
+/** The load scenarios of the request path benchmark. */
 import { Urgency } from '../../src/services/configuration/common/documents.js';
 import type { Scenario, Traffic } from './arrivals.js';
 
@@ -17,7 +17,7 @@
 const DEADLINE_MS = 1_000;
 const DURATION_MS = 8_000;
 const WARM_UP_MS = 2_000;
-const STEADY = 0.7;
+const STEADY_LOAD = 0.7;
 const LONG_MEAN_MS = 2_000;
 
 const urgent: Traffic = {
@@ -40,10 +40,10 @@
 const isBetween = (nowMs: number, startMs: number, endMs: number): boolean =>
   nowMs >= startMs && nowMs < endMs;
 
-/** One worker in fifty is ten times slower, another one every 100 ms. */
-const noise = (worker: number, nowMs: number): number => {
-  const wave = Math.floor(nowMs / 100);
-  return (worker * 7_919 + wave * 104_729) % 50 === 0 ? 10 : 1;
+/** About one worker in fifty is ten times slower. The slow workers change every 100 ms. */
+const noisyServiceTimeFactor = (worker: number, nowMs: number): number => {
+  const period = Math.floor(nowMs / 100);
+  return (worker * 7_919 + period * 104_729) % 50 === 0 ? 10 : 1;
 };
 
 export const steady = ({ workerCount }: Size): Scenario => ({
@@ -53,50 +53,50 @@
   durationMs: DURATION_MS,
   warmUpMs: WARM_UP_MS,
   traffic: [urgent, low],
-  utilisation: () => STEADY,
+  utilisation: () => STEADY_LOAD,
 });
 
-/** How callers hang up and send the same again, and whether servers notice closed connections. */
+/** When callers hang up and resend, and whether servers cancel work for closed connections. */
 export interface Impatience {
   readonly name: string;
-  readonly patienceMs: number;
-  readonly repeatCount: number;
-  readonly areServersNoticing: boolean;
+  readonly callerTimeoutMs: number;
+  readonly resendCount: number;
+  readonly areServersCancelling: boolean;
 }
 
 export const IMPATIENT = {
   name: 'impatient',
-  patienceMs: 150,
-  repeatCount: 3,
-  areServersNoticing: true,
+  callerTimeoutMs: 150,
+  resendCount: 3,
+  areServersCancelling: true,
 } as const satisfies Impatience;
-export const IMPATIENT_UNNOTICED = {
+export const IMPATIENT_WITHOUT_CANCELLATION = {
   ...IMPATIENT,
   name: 'impatient, servers work on',
-  areServersNoticing: false,
+  areServersCancelling: false,
 } as const satisfies Impatience;
-/** Hangs up before an ordinary answer can come, on servers that then work for nobody. */
+/** Callers hang up before a usual answer arrives, and the servers go on with the unwanted work. */
 export const HASTY = {
   name: 'hasty, servers work on',
-  patienceMs: 10,
-  repeatCount: 20,
-  areServersNoticing: false,
+  callerTimeoutMs: 10,
+  resendCount: 20,
+  areServersCancelling: false,
 } as const satisfies Impatience;
 
-/** A burst of hang-ups and repeats beside patient callers. */
+/** A burst of hang-ups and resent requests while other callers are patient. */
 export const impatientCallers = (
   size: Size,
-  { name, patienceMs, repeatCount, areServersNoticing }: Impatience,
+  { name, callerTimeoutMs, resendCount, areServersCancelling }: Impatience,
 ): Scenario => ({
   ...steady(size),
   name,
   traffic: [
     urgent,
     { ...low, share: 0.3 },
-    { ...low, serviceName: 'proofs', share: 0.4, patienceMs, repeatCount },
+    { ...low, serviceName: 'proofs', share: 0.4, callerTimeoutMs, resendCount },
   ],
-  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY),
-  areServersNoticing,
+  utilisation: (nowMs) => (isBetween(nowMs, 3_000, 6_000) ? 1.5 : STEADY_LOAD),
+  areServersCancelling,
 });
 
 export const scenarios = (size: Size): readonly Scenario[] => {
@@ -106,11 +106,15 @@
     {
       ...base,
       name: 'burst',
-      utilisation: (nowMs) => (isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY : STEADY),
+      utilisation: (nowMs) => (isBetween(nowMs, 4_000, 6_000) ? 3 * STEADY_LOAD : STEADY_LOAD),
     },
     { ...base, name: 'skewed', entryWeight: (entry) => (entry === 0 ? 1 : 0.5) },
-    { ...base, name: 'slow-worker', slowness: (worker) => (worker === 3 ? 10 : 1) },
-    { ...base, name: 'noisy-neighbours', slowness: (worker, nowMs) => noise(worker, nowMs) },
+    { ...base, name: 'slow-worker', serviceTimeFactor: (worker) => (worker === 3 ? 10 : 1) },
+    {
+      ...base,
+      name: 'noisy-neighbours',
+      serviceTimeFactor: (worker, nowMs) => noisyServiceTimeFactor(worker, nowMs),
+    },
     { ...base, name: 'failing-worker', isFailing: (worker) => worker === 3 },
     {
       ...base,
@@ -124,7 +128,7 @@
       ...base,
       name: 'zone-leaves',
       utilisation: () => 0.55,
-      isZoneOut: (zone, nowMs) => zone === 0 && isBetween(nowMs, 3_500, 6_000),
+      isZoneWithdrawn: (zone, nowMs) => zone === 0 && isBetween(nowMs, 3_500, 6_000),
     },
   ];
 };
--- a/src/cli/common/intentFlags.ts
+++ b/src/cli/common/intentFlags.ts
@@ -1,4 +1,4 @@
-/** Intents stated by flags instead of JSON; the daemon's schema checks what comes of them. */
+/** Builds intents from command-line flags instead of JSON. The daemon's schema validates them. */
 
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
@@ -22,7 +22,7 @@
   'policy',
 ] as const;
 
-/** Flags of `snipethread plan INTENT`, as the command line gives them. */
+/** Flags of `snipethread plan INTENT`, as parsed from the command line. */
 export type IntentFlags = Readonly<
   Partial<Record<(typeof FLAG_NAMES)[number], string | undefined>>
 >;
@@ -30,14 +30,14 @@
 const MILLIS_PER_PROCESSOR = 1_000;
 const MEBIBYTE = 1_048_576;
 
-/** A number, or the text itself, which the schema then refuses by its name. */
+/** Parses a number. Text that is no number is returned as is, so that the schema reports it. */
 const toNumber = (text: string | undefined, factor = 1): number | string | undefined => {
   if (text === undefined) return undefined;
   const value = Number(text);
   return text.trim() === '' || Number.isNaN(value) ? text : value * factor;
 };
 
-const withoutAbsent = (members: Readonly<Record<string, unknown>>): Record<string, unknown> =>
+const omitUndefined = (members: Readonly<Record<string, unknown>>): Record<string, unknown> =>
   Object.fromEntries(Object.entries(members).filter(([, value]) => value !== undefined));
 
 const toSize = (flags: IntentFlags): Record<string, unknown> | undefined => {
@@ -46,14 +46,14 @@
   if (processors === undefined && memory === undefined && accelerators === undefined) {
     return undefined;
   }
-  return withoutAbsent({
+  return omitUndefined({
     processorMillis: toNumber(processors, MILLIS_PER_PROCESSOR),
     memoryBytes: toNumber(memory, MEBIBYTE),
     acceleratorCount: toNumber(accelerators ?? '0'),
   });
 };
 
-/** `a=1,b=true` as members. */
+/** Parses `a=1,b=true` into members. */
 const toPolicy = (text: string | undefined): Record<string, unknown> | undefined => {
   if (text === undefined) return undefined;
   const entries = text.split(',').map((entry): [string, unknown] => {
@@ -69,9 +69,9 @@
   if (kind === 'create-service' || kind === 'change-service') {
     const { name, team, urgency } = flags;
     const replicaCount = toNumber(flags.replicas);
-    return { intent: kind, service: withoutAbsent({ name, team, replicaCount, size, urgency }) };
+    return { intent: kind, service: omitUndefined({ name, team, replicaCount, size, urgency }) };
   }
-  return withoutAbsent({
+  return omitUndefined({
     intent: kind,
     name: flags.name,
     team: flags.team,
@@ -89,14 +89,16 @@
 };
 
 /**
- * The intent that flags state; members that no flag gives are left out. The command line makes
- * `false` of `--no-NAME`, whatever the flag is declared as.
+ * Returns the intent that the flags describe, without the members that have no flag. A flag without
+ * a text value is an error: the command-line parser sets `--no-NAME` to `false` for every flag type.
  */
-export const intentOfFlags = (
+export const intentFromFlags = (
   kind: string,
   flags: IntentFlags,
 ): Either<Failure, Record<string, unknown>> => {
-  const denied = FLAG_NAMES.find((name) => !['string', 'undefined'].includes(typeof flags[name]));
-  if (denied === undefined) return right(toIntent(kind, flags));
-  return left(failure(ErrorKind.BadRequest, `--${denied}: a value is missing`));
+  const flagWithoutText = FLAG_NAMES.find(
+    (name) => !['string', 'undefined'].includes(typeof flags[name]),
+  );
+  if (flagWithoutText === undefined) return right(toIntent(kind, flags));
+  return left(failure(ErrorKind.BadRequest, `--${flagWithoutText}: a value is missing`));
 };
--- a/src/cli/node/snipethread.ts
+++ b/src/cli/node/snipethread.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command line: `snipethread COMMAND`. */
+/** The command-line tool for operators: `snipethread COMMAND`. */
 import { type CommandDef, defineCommand } from 'citty';
 
 import { runProgram } from '../../services/commandLine/node/runProgram.js';
@@ -12,7 +12,7 @@
   runSettingsCheck,
   runTrace,
   runWatch,
-  SHOWN_KINDS,
+  GETTABLE_KINDS,
 } from './commands.js';
 
 const VERSION = '0.1.0';
@@ -37,7 +37,7 @@
   isJson: args.json,
 });
 
-/** Members of an intent, for those that are stated by flags. */
+/** Flags for the members of an intent. */
 const intentArgs = {
   name: { type: 'string', description: 'of a service' },
   team: { type: 'string', description: 'that owns the service, job or quota' },
@@ -92,7 +92,7 @@
 });
 
 const get = defineCommand({
-  meta: { name: 'get', description: `List ${SHOWN_KINDS.join(', ')}` },
+  meta: { name: 'get', description: `List ${GETTABLE_KINDS.join(', ')}` },
   args: { ...connectionArgs, kind: { type: 'positional', required: true } },
   async run({ args }) {
     process.exitCode = await runGet(toConnection(args), args.kind);
--- a/src/operator/common/jobPlanning.ts
+++ b/src/operator/common/jobPlanning.ts
@@ -14,7 +14,7 @@
   workKey,
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
-import { dealTasks } from './dealing.js';
+import { distributeTasks } from './taskDistribution.js';
 import type { SubmitJobIntent } from './intent.js';
 import type { PlanStep } from './plan.js';
 import {
@@ -27,9 +27,10 @@
 } from './planningBasis.js';
 import { checkPlaceable, sizeText } from './sizeChecks.js';
 
+/** How many missing jobs an error message names. */
 const NAMED_JOB_COUNT = 5;
 
-/** A shard of the job for each zone that its tasks are dealt out to. */
+/** Steps that create one shard of the job for each zone that gets tasks. */
 const shardSteps = (
   basis: PlanningBasis,
   intent: SubmitJobIntent,
@@ -37,7 +38,7 @@
   zones: readonly string[],
 ): readonly PlanStep[] => {
   const { taskCount, size, team, urgency, workMs } = intent;
-  const shares = dealTasks(jobId, taskCount, size, zones, basis.workers);
+  const shares = distributeTasks(jobId, taskCount, size, zones, basis.workers);
   return shares.flatMap(({ zone, firstIndex, count }) => {
     const shardId = toShardId(jobId, zone);
     const shard: WorkRow = { shardId, jobId, team, size, urgency, workMs, tasks: [] };
@@ -58,8 +59,8 @@
   workMs: intent.workMs,
 });
 
-/** Why a job can never run, or may not be submitted; undefined when there is no reason. */
-const refusalOf = (basis: PlanningBasis, intent: SubmitJobIntent): string | undefined => {
+/** Why a job cannot run or must not be submitted; undefined if it can be planned. */
+const refusalReason = (basis: PlanningBasis, intent: SubmitJobIntent): string | undefined => {
   const { policy, quotas } = basis.view;
   if (!policy.isSubmissionOpen) return 'the policy takes no new jobs at present';
   if (intent.taskCount > policy.maximumTaskCountOfJob) {
@@ -74,15 +75,16 @@
 
 const jobWarnings = (basis: PlanningBasis, intent: SubmitJobIntent): readonly string[] => {
   const limit = basis.view.quotas.get(intent.team)?.limit;
-  const whole = multipliedResources(intent.size, intent.taskCount);
-  if (limit === undefined || fitsInto(whole, limit)) return [];
+  const allTasksSize = multipliedResources(intent.size, intent.taskCount);
+  if (limit === undefined || fitsInto(allTasksSize, limit)) return [];
   return [`all ${intent.taskCount} tasks at once would exceed the quota of ${intent.team}`];
 };
 
 /**
- * A job is dealt out to the zones that are in use when it is planned. Were one of them withdrawn
- * before the confirmation, its shard would be written to a cell that starts nothing, so the plan
- * relies on the zones' rows, and on the quota and policy that it was checked against.
+ * Plans the submission of a job. Its tasks are distributed over the zones that are in use now. If
+ * one of them were withdrawn before the confirmation, its shard would be written to a cell that
+ * starts no tasks. The plan is therefore guarded by the zones' rows, and also by the quota and
+ * the policy that the job was checked against.
  */
 export const planJob = (basis: PlanningBasis, intent: SubmitJobIntent): Planned => {
   const jobId = toJobId(intent.team, intent.submissionKey);
@@ -93,7 +95,7 @@
     if (isSame) return planned(`job ${jobId} has been submitted before`, []);
     return impossible(`job ${jobId} was submitted with other contents`);
   }
-  const refusal = refusalOf(basis, intent);
+  const refusal = refusalReason(basis, intent);
   if (refusal !== undefined) return impossible(refusal);
   const placeable = checkPlaceable(basis, intent.size);
   if (isLeft(placeable)) return placeable;
@@ -110,17 +112,17 @@
 };
 
 export const planCancellation = (basis: PlanningBasis, jobIds: readonly string[]): Planned => {
-  const allowed = basis.view.policy.maximumCancelledJobCount;
-  if (jobIds.length > allowed) {
+  const maximumCount = basis.view.policy.maximumCancelledJobCount;
+  if (jobIds.length > maximumCount) {
     return impossible(
-      `the policy allows ${allowed} jobs in one cancellation, not ${jobIds.length}`,
+      `the policy allows ${maximumCount} jobs in one cancellation, not ${jobIds.length}`,
     );
   }
   const missing = jobIds.filter((jobId) => !basis.rows.has(jobKey(jobId)));
   if (missing.length > 0) {
     return impossible(`no such jobs: ${missing.slice(0, NAMED_JOB_COUNT).join(', ')}`);
   }
-  // Every cell gets the same row, for shards may move between cells.
+  // Every cell gets the same row, because shards may move between cells.
   const zones = [...basis.view.zones.keys()];
   const uniqueIds = [...new Set(jobIds)];
   const steps = zones.flatMap((zone) =>
--- a/src/operator/node/operatorQueries.ts
+++ b/src/operator/node/operatorQueries.ts
@@ -1,4 +1,4 @@
-/** Reads what operators ask to see. */
+/** Answers the read requests of operators. */
 import { type Either, isLeft, left, right } from 'fp-ts/lib/Either.js';
 
 import type { ConfigurationService } from '../../services/configuration/common/configurationService.js';
@@ -20,21 +20,21 @@
   workPrefix,
   type WorkRow,
 } from '../../services/workload/common/workRows.js';
-import { planPrefixesBefore, keptPlanSchema } from '../common/plan.js';
-import { ServiceTotals } from '../common/replicas.js';
-import { racksOf, surveyLedger } from './ledgerSurvey.js';
-import { checkShards } from './shardRows.js';
+import { planPrefixesBefore, storedPlanSchema } from '../common/plan.js';
+import { ServiceTotals } from '../common/serviceTotals.js';
+import { racksOf, readAssignments } from './ledgerAssignments.js';
+import { parseShards } from './shardParsing.js';
 
 export interface JobStatus {
   readonly job: JobRow;
   readonly taskCounts: Readonly<Record<BatchTaskState, number>>;
   readonly evictionCount: number;
   readonly isEnded: boolean;
-  /** Why tasks that can never run were given up. */
+  /** Why the scheduler gave up tasks that can never run. */
   readonly refusals: readonly string[];
 }
 
-/** Kinds of objects that can be listed and described. */
+/** Kinds of objects that operators can list and describe. */
 export const ObjectKind = {
   Services: 'services',
   Jobs: 'jobs',
@@ -47,20 +47,20 @@
 } as const;
 export type ObjectKind = (typeof ObjectKind)[keyof typeof ObjectKind];
 
-/** The daemons there are as this one sees them, by id. */
-export interface SeenMembers {
+/** The states of the daemons as observed by this daemon, by id. */
+export interface ObservedDaemons {
   readonly members: ReadonlyMap<string, string>;
 }
 
-type Listed = Either<Failure, readonly Readonly<Record<string, unknown>>[]>;
+type ListResult = Either<Failure, readonly Readonly<Record<string, unknown>>[]>;
 
-/** Versions that `history` goes back by. */
+/** The maximum number of versions that `history` returns. */
 const HISTORY_LENGTH = 200;
-/** Hours that `get plans` goes back by; a pending plan lives for minutes. */
+/** `get plans` lists the plans of this many hours. A pending plan expires after minutes. */
 const PLAN_HOURS = 2;
 const HOUR_MS = 3_600_000;
 
-const ID_MEMBERS: Readonly<Record<ObjectKind, string>> = {
+const ID_FIELDS: Readonly<Record<ObjectKind, string>> = {
   [ObjectKind.Services]: 'name',
   [ObjectKind.Jobs]: 'jobId',
   [ObjectKind.Tasks]: 'taskId',
@@ -102,7 +102,7 @@
 
   readonly #directory: Pick<InstanceDirectory, 'instances'>;
 
-  readonly #peers: SeenMembers;
+  readonly #peers: ObservedDaemons;
 
   readonly #wallNowMs: () => number;
 
@@ -110,7 +110,7 @@
     table: TableService,
     configuration: ConfigurationService,
     directory: Pick<InstanceDirectory, 'instances'>,
-    peers: SeenMembers,
+    peers: ObservedDaemons,
     wallNowMs: () => number,
   ) {
     this.#table = table;
@@ -121,8 +121,9 @@
   }
 
   /**
-   * The configuration in force here, looked up once more, so that operators see what they have
-   * confirmed through another daemon. While the store is out they see the last version.
+   * Returns the current configuration. It is refreshed first, so that operators see changes that
+   * they confirmed through another daemon. While the store is unavailable this is the last known
+   * version. Fails with `ConfigurationUnknown` if no version has been read yet.
    */
   async view(): Promise<Either<Failure, ConfigurationView>> {
     await this.#configuration.refresh();
@@ -131,7 +132,7 @@
     return left(failure(ErrorKind.ConfigurationUnknown, 'no configuration has been read yet'));
   }
 
-  /** The last accepted changes, the newest last. */
+  /** Returns the latest accepted changes, oldest first. */
   async history(): Promise<Either<Failure, readonly ChangeRow[]>> {
     const view = await this.view();
     if (isLeft(view)) return view;
@@ -153,12 +154,12 @@
     if (isLeft(read)) return read;
     const jobRow = read.right.rows.find((row) => row.key === jobKey(jobId));
     if (jobRow === undefined) return left(failure(ErrorKind.UnknownObject, `no job ${jobId}`));
-    const shards = await checkShards(read.right.rows.filter((row) => row !== jobRow));
+    const shards = await parseShards(read.right.rows.filter((row) => row !== jobRow));
     return right(toJobStatus(jobRowSchema.parse(jobRow.value), shards));
   }
 
-  /** All objects of a kind, one flat record each. */
-  async list(kind: ObjectKind): Promise<Listed> {
+  /** Lists all objects of a kind as flat records. */
+  async list(kind: ObjectKind): Promise<ListResult> {
     switch (kind) {
       case ObjectKind.Instances:
         return right(this.#instances());
@@ -175,12 +176,12 @@
     }
   }
 
-  /** One object with what belongs to it. */
+  /** Returns one object; workers and services come with their tasks. */
   async describe(kind: ObjectKind, id: string): Promise<Either<Failure, unknown>> {
     if (kind === ObjectKind.Jobs) return this.job(id);
     const listed = await this.list(kind);
     if (isLeft(listed)) return listed;
-    const found = listed.right.find((item) => item[ID_MEMBERS[kind]] === id);
+    const found = listed.right.find((item) => item[ID_FIELDS[kind]] === id);
     if (found === undefined) {
       const name = kind.slice(0, -1);
       return left(failure(ErrorKind.UnknownObject, `no ${name} ${id}`));
@@ -190,7 +191,10 @@
     return right(tasks.right === undefined ? found : { ...found, tasks: tasks.right });
   }
 
-  /** What the platform's list says, and beside it what this daemon sees of the others. */
+  /**
+   * The instances in the platform's list, where each daemon has its state as observed by this
+   * daemon, followed by the observed daemons that are not on the list.
+   */
   #instances(): readonly Readonly<Record<string, unknown>>[] {
     const { members } = this.#peers;
     const { instances } = this.#directory;
@@ -248,14 +252,14 @@
   ): Promise<Either<Failure, readonly Assignment[]>> {
     const workers = this.#directory.instances.filter(isWorker);
     const racks = racksOf(workers, ({ id }) => workerId === undefined || id === workerId);
-    return surveyLedger(this.#table, racks, isWanted);
+    return readAssignments(this.#table, racks, isWanted);
   }
 
-  /** Plans of the last hours, without their steps. */
-  async #plans(): Promise<Listed> {
+  /** Plans of the last `PLAN_HOURS` hours, without their steps and guards. */
+  async #plans(): Promise<ListResult> {
     const prefixes = planPrefixesBefore(this.#wallNowMs() + HOUR_MS, PLAN_HOURS);
     return this.#rows(prefixes, (value) => {
-      const { steps, guards, ...plan } = keptPlanSchema.parse(value);
+      const { steps, guards, ...plan } = storedPlanSchema.parse(value);
       return { ...plan, stepCount: steps.length };
     });
   }
--- a/src/scheduler/common/fleet/runTracker.ts
+++ b/src/scheduler/common/fleet/runTracker.ts
@@ -51,8 +51,8 @@
   isStopConfirmed: false,
   workedPercent: 0,
   firstListed: undefined,
-  percentSinceMs: nowMs,
-  recentFigure: 0,
+  percentUnchangedSinceMs: nowMs,
+  recentMeasurement: 0,
   headroom: UNKNOWN_HEADROOM,
   overTargetSinceMs: undefined,
   pacePercent: FULL_PERCENT,
@@ -118,7 +118,7 @@
     const ended = answer.finished.filter((finished) => this.#handleEnd(view, finished, nowMs));
     this.#decisionLog.addEnds(view.id, ended, nowMs);
     const unknown = answer.running.filter((running) => !this.#handleRunning(view, running, nowMs));
-    if (!answer.isFinishedCut) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
+    if (!answer.isFinishedTruncated) this.#dropUnlisted(view, answer, sentAtMs, nowMs);
     view.unknownRunCount = unknown.length;
     if (view.mayForgetEnds) this.#stopForgettable(view, nowMs);
     return unknown;
@@ -149,7 +149,7 @@
     if (run.state !== RunState.Starting) return;
     run.state = RunState.Running;
     run.settledAtMs = nowMs;
-    run.percentSinceMs = nowMs;
+    run.percentUnchangedSinceMs = nowMs;
   }
 
   handleStopped(run: TaskRun, result: Either<Failure, OrderOutcome>, nowMs: number): void {
@@ -290,14 +290,14 @@
     run.firstListed ??= { percent: running.workedPercent, atMs: nowMs };
     if (running.workedPercent !== run.workedPercent) {
       run.workedPercent = running.workedPercent;
-      run.percentSinceMs = nowMs;
+      run.percentUnchangedSinceMs = nowMs;
     }
-    run.recentFigure = running.recentFigure;
+    run.recentMeasurement = running.recentMeasurement;
     if (run.state === RunState.Starting || run.state === RunState.Unanswered) {
       this.#stops.delete(run);
       run.state = RunState.Running;
       run.settledAtMs = nowMs;
-      run.percentSinceMs = nowMs;
+      run.percentUnchangedSinceMs = nowMs;
     }
     this.#registry.noteStarted(task.submission);
     return true;
@@ -309,7 +309,7 @@
     if (task === undefined) return undefined;
     const isWanted = isOpen(task.submission) && !task.isDone && task.runs.length === 0;
     const run = this.#addListed(view, task, running.run, nowMs);
-    this.#registry.markUnrecorded(task.submission);
+    this.#registry.markAssignmentsDirty(task.submission);
     if (isWanted) this.#registry.noteStarted(task.submission);
     else this.requestStops([run], StopReason.NotWanted, nowMs);
     return run;
--- a/src/services/commandLine/node/runProgram.ts
+++ b/src/services/commandLine/node/runProgram.ts
@@ -1,19 +1,22 @@
-/** Runs a program's command line and gives its exit code the documented meaning. */
+/** Runs a program's command line and maps errors to the documented exit codes. */
 import { type ArgsDef, type CommandDef, runCommand, runMain } from 'citty';
 
 import { BaseError, SettingsError, UnknownError } from '../../errors/node/snipethreadError.js';
 
-export const FAULT_EXIT_CODE = 1;
-export const WRONG_USE_EXIT_CODE = 2;
+export const FAILURE_EXIT_CODE = 1;
+export const USAGE_ERROR_EXIT_CODE = 2;
 
 const HELP_FLAGS: readonly string[] = ['--help', '-h'];
 const VERSION_FLAGS: readonly string[] = ['--version', '-v'];
-const WRONG_USE_ERROR = 'CLIError';
+const USAGE_ERROR_NAME = 'CLIError';
 
-const isWrongUse = (error: unknown): error is Error =>
-  error instanceof Error && error.name === WRONG_USE_ERROR;
+const isUsageError = (error: unknown): error is Error =>
+  error instanceof Error && error.name === USAGE_ERROR_NAME;
 
-/** citty ends with 1 for wrong use, which an operator's script must tell from a refusal. */
+/**
+ * Runs a command. citty exits with 1 on wrong usage; this function exits with 2, so that an
+ * operator's script can distinguish wrong usage from a refusal.
+ */
 export const runProgram = async <Args extends ArgsDef>(
   command: CommandDef<Args>,
   args: readonly string[],
@@ -27,12 +30,12 @@
   try {
     await runCommand(command, { rawArgs: [...args] });
   } catch (thrown) {
-    if (isWrongUse(thrown)) {
+    if (isUsageError(thrown)) {
       process.stderr.write(`${thrown.message}; --help tells the use\n`);
-      process.exit(WRONG_USE_EXIT_CODE);
+      process.exit(USAGE_ERROR_EXIT_CODE);
     }
     const error = BaseError.normalize(thrown, UnknownError);
     process.stderr.write(`${error.message}\n`);
-    process.exit(error instanceof SettingsError ? WRONG_USE_EXIT_CODE : FAULT_EXIT_CODE);
+    process.exit(error instanceof SettingsError ? USAGE_ERROR_EXIT_CODE : FAILURE_EXIT_CODE);
   }
 };
--- a/src/services/workload/common/ledgerColumns.ts
+++ b/src/services/workload/common/ledgerColumns.ts
@@ -1,8 +1,9 @@
 /**
- * The form in which the assignments of a ledger row are kept in the table. A round writes whole
- * rows of some 160 assignments, and written out each repeats its worker, its shard, its size and
- * its run time. Here each worker and each kind of task stands once, and a task is a position in
- * columns, with its id whole so that a row can be searched for it. No row more is written.
+ * The column format in which the table stores the assignments of a ledger row. A round writes whole
+ * rows of about 160 assignments, and in plain format each assignment repeats its worker, shard,
+ * size and run time. The column format stores each worker and each kind of task once, and a task is
+ * a position in the columns. Task ids are stored in full, so that a row can be searched for them.
+ * The format needs no additional rows.
  */
 import { z } from 'zod';
 
@@ -14,7 +15,7 @@
 
 const positionSchema = z.number().int().nonnegative();
 
-/** What the tasks of a shard or of a service that were given the same size have in common. */
+/** The common properties of the tasks of a shard or a service that have the same size. */
 const taskKindSchema = z.strictObject({
   taskClass: taskClassSchema,
   serviceName: z.string(),
@@ -27,12 +28,12 @@
 const columnsSchema = z.strictObject({
   workers: z.array(z.strictObject({ workerId: z.string(), incarnation: z.string() })),
   kinds: z.array(taskKindSchema),
-  /** Columns: a task's id, its position among the workers and the kinds, and its index. */
+  /** The columns: each task's id, the positions of its worker and its kind, and its index. */
   taskIds: z.array(z.string()),
   workerPositions: z.array(positionSchema),
   kindPositions: z.array(positionSchema),
   taskIndexes: z.array(positionSchema),
-  /** By the task's position, for the few that differ from the usual. */
+  /** By task position; only attempts after the first and checkpoints that exist are stored. */
   attempts: z.record(z.string(), z.number().int().positive()),
   checkpoints: z.record(z.string(), z.string()),
 });
@@ -41,8 +42,8 @@
 const isWithin = (positions: readonly number[], count: number): boolean =>
   positions.every((position) => position < count);
 
-/** A row with a task that has no worker would have that task forgotten while it runs. */
-const isWhole = (columns: LedgerColumns): boolean => {
+/** Rejects inconsistent columns: a task without a worker would be forgotten while it runs. */
+const isConsistent = (columns: LedgerColumns): boolean => {
   const { workers, kinds, workerPositions, kindPositions, taskIds, taskIndexes } = columns;
   const taskCount = taskIds.length;
   return (
@@ -70,22 +71,22 @@
     };
   });
 
-/** Reads the columns of a row as the assignments that they were made from, in the same order. */
+/** Parses the columns of a row into the original assignments, in the same order. */
 export const ledgerColumnsSchema = columnsSchema
-  .refine(isWhole, 'columns of different lengths, or positions beyond the end')
+  .refine(isConsistent, 'columns of different lengths, or positions beyond the end')
   .transform((columns) => ({ assignments: toAssignments(columns) }));
 
-/** Distinct values with their positions. */
-class Positions<Value> {
+/** Collects distinct values and their positions. */
+class PositionIndex<Value> {
   readonly values: Value[] = [];
 
   readonly #known = new Map<string, number>();
 
-  of(key: string, make: () => Value): number {
+  of(key: string, create: () => Value): number {
     const known = this.#known.get(key);
     if (known !== undefined) return known;
     this.#known.set(key, this.values.length);
-    this.values.push(make());
+    this.values.push(create());
     return this.values.length - 1;
   }
 }
@@ -96,18 +97,18 @@
     ...[size.processorMillis, size.memoryBytes, size.acceleratorCount],
   ].join(' ');
 
-const toKind = (one: Assignment): TaskKind => ({
-  taskClass: one.taskClass,
-  serviceName: one.serviceName,
-  shardId: one.shardId,
-  size: one.size,
-  workMs: one.workMs,
+const toKind = (assignment: Assignment): TaskKind => ({
+  taskClass: assignment.taskClass,
+  serviceName: assignment.serviceName,
+  shardId: assignment.shardId,
+  size: assignment.size,
+  workMs: assignment.workMs,
 });
 
-/** The columns for some assignments; `ledgerColumnsSchema` gives the same assignments back. */
+/** Converts assignments to columns; `ledgerColumnsSchema` converts them back. */
 export const toLedgerColumns = (assignments: readonly Assignment[]): LedgerColumns => {
-  const workers = new Positions<LedgerColumns['workers'][number]>();
-  const kinds = new Positions<TaskKind>();
+  const workers = new PositionIndex<LedgerColumns['workers'][number]>();
+  const kinds = new PositionIndex<TaskKind>();
   const columns: LedgerColumns = {
     workers: workers.values,
     kinds: kinds.values,
@@ -118,16 +119,16 @@
     attempts: {},
     checkpoints: {},
   };
-  assignments.forEach((one, position) => {
-    const { workerId, incarnation } = one;
-    columns.taskIds.push(one.taskId);
+  assignments.forEach((assignment, position) => {
+    const { workerId, incarnation } = assignment;
+    columns.taskIds.push(assignment.taskId);
     columns.workerPositions.push(
       workers.of(`${workerId} ${incarnation}`, () => ({ workerId, incarnation })),
     );
-    columns.kindPositions.push(kinds.of(kindKey(one), () => toKind(one)));
-    columns.taskIndexes.push(one.taskIndex);
-    if (one.attempt !== FIRST_ATTEMPT) columns.attempts[position] = one.attempt;
-    if (one.checkpoint !== null) columns.checkpoints[position] = one.checkpoint;
+    columns.kindPositions.push(kinds.of(kindKey(assignment), () => toKind(assignment)));
+    columns.taskIndexes.push(assignment.taskIndex);
+    if (assignment.attempt !== FIRST_ATTEMPT) columns.attempts[position] = assignment.attempt;
+    if (assignment.checkpoint !== null) columns.checkpoints[position] = assignment.checkpoint;
   });
   return columns;
 };
--- a/standIns/demo/caller.ts
+++ b/standIns/demo/caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends requests through all entries and checks whose answers it gets. */
+/** A caller that sends requests through all entries and checks that each answer is its own. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { build, type Histogram } from 'hdr-histogram-js';
@@ -13,8 +13,8 @@
   readonly wrongAnswers: number;
 }
 
-/** What a caller was told of one request. */
-export interface ToldOutcome {
+/** The outcome of one request as the caller sees it. */
+export interface RequestOutcome {
   readonly path: string;
   readonly isIdempotent: boolean;
   readonly outcome: 'whole' | 'not-run' | 'unknown' | 'wrong' | 'cut' | 'not-connected';
@@ -22,13 +22,13 @@
   readonly startedAtMs: number;
 }
 
-/** Requests at a time. */
+/** The number of concurrent requests. */
 export const CALLER_CONCURRENCY = 8;
 const HTTP_OK = 200;
 const MICROSECONDS_PER_MS = 1_000;
 
 export class Caller {
-  readonly told: ToldOutcome[] = [];
+  readonly outcomes: RequestOutcome[] = [];
 
   readonly #latency: Histogram = build({ numberOfSignificantValueDigits: 2 });
 
@@ -43,23 +43,23 @@
     this.#serviceName = serviceName;
   }
 
-  /** Sends `count` requests in turn through the entries, spread over about `durationMs`. */
+  /** Sends `count` requests to the entries in turn, spread over about `durationMs`. */
   async run(count: number, durationMs: number): Promise<void> {
     const startedAtMs = systemClock.nowMs();
     let nextIndex = 0;
-    const lane = async (): Promise<void> => {
+    const sendInTurn = async (): Promise<void> => {
       while (nextIndex < count) {
         const index = nextIndex;
         nextIndex += 1;
         const dueAtMs = startedAtMs + (index / count) * durationMs;
         const waitMs = Math.max(0, dueAtMs - systemClock.nowMs());
-        // eslint-disable-next-line no-await-in-loop -- a lane sends one request at a time
+        // eslint-disable-next-line no-await-in-loop -- a sender sends one request at a time
         await delay(waitMs);
         // eslint-disable-next-line no-await-in-loop
         await this.#send(index);
       }
     };
-    await Promise.all(Array.from({ length: CALLER_CONCURRENCY }, lane));
+    await Promise.all(Array.from({ length: CALLER_CONCURRENCY }, sendInTurn));
     await this.#agent.close();
   }
 
@@ -68,8 +68,8 @@
   }
 
   get report(): CallerReport {
-    const count = (outcomes: readonly ToldOutcome['outcome'][]): number =>
-      this.told.filter(({ outcome }) => outcomes.includes(outcome)).length;
+    const count = (outcomes: readonly RequestOutcome['outcome'][]): number =>
+      this.outcomes.filter(({ outcome }) => outcomes.includes(outcome)).length;
     return {
       whole: count(['whole']),
       refused: count(['not-run', 'not-connected']),
@@ -86,7 +86,7 @@
     const isIdempotent = index % 2 === 0;
     const startedAtMs = systemClock.nowMs();
     const outcome = await this.#outcomeOf(origin, path, isIdempotent);
-    this.told.push({ path, isIdempotent, outcome, origin, startedAtMs });
+    this.outcomes.push({ path, isIdempotent, outcome, origin, startedAtMs });
     if (outcome !== 'whole') return;
     const elapsedMs = systemClock.nowMs() - startedAtMs;
     this.#latency.recordValue(Math.round(elapsedMs * MICROSECONDS_PER_MS));
@@ -96,7 +96,7 @@
     origin: string,
     path: string,
     isIdempotent: boolean,
-  ): Promise<ToldOutcome['outcome']> {
+  ): Promise<RequestOutcome['outcome']> {
     try {
       const response = await request(`${origin}/services/${this.#serviceName}${path}`, {
         dispatcher: this.#agent,
@@ -106,7 +106,7 @@
       if (response.statusCode === HTTP_OK) return answer.url === path ? 'whole' : 'wrong';
       return answer.workOutcome === 'not-run' ? 'not-run' : 'unknown';
     } catch (error) {
-      // It came as whole, and is a part.
+      // The answer arrived as complete, but its body is truncated.
       if (error instanceof SyntaxError) return 'wrong';
       return (error as { code?: string }).code === 'ECONNREFUSED' ? 'not-connected' : 'cut';
     }
