--- a/bench/bench.ts
+++ b/bench/bench.ts
@@ -1,4 +1,4 @@
-/** The benchmarks: `npm run bench -- NAME`, all of them without a name. */
+/** Runs the benchmark that `npm run bench -- NAME` names, or all benchmarks without a name. */
 
 import type { Benchmark } from './benchmark.js';
 import { capacity } from './capacity/capacity.js';
@@ -23,15 +23,17 @@
   traceCost,
 ];
 
-const [wanted, ...args] = process.argv.slice(2);
-const chosen = BENCHMARKS.filter(({ name }) => wanted === undefined || name === wanted);
-if (chosen.length === 0) {
+const [requestedName, ...args] = process.argv.slice(2);
+const selectedBenchmarks = BENCHMARKS.filter(
+  ({ name }) => requestedName === undefined || name === requestedName,
+);
+if (selectedBenchmarks.length === 0) {
   process.stderr.write(
-    `no benchmark ${wanted ?? ''}; there are: ${BENCHMARKS.map(({ name }) => name).join(', ')}\n`,
+    `no benchmark ${requestedName ?? ''}; there are: ${BENCHMARKS.map(({ name }) => name).join(', ')}\n`,
   );
   process.exitCode = 2;
 }
-const allWithinBounds = await chosen.reduce(async (before, benchmark) => {
+const allWithinBounds = await selectedBenchmarks.reduce(async (before, benchmark) => {
   const isWithinBounds = await before;
   return (await benchmark.run(args)) && isWithinBounds;
 }, Promise.resolve(true));
--- a/bench/capacity/daemonCapacity.ts
+++ b/bench/capacity/daemonCapacity.ts
@@ -1,6 +1,6 @@
 /**
- * What a whole daemon costs as a process of its own: processor time and memory from the
- * operating system, bytes to and from the platform from a counting relay.
+ * Measures the cost of a daemon in its own process. The operating system gives its processor time
+ * and memory, and a counting relay the bytes to and from the platform.
  */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { type AddressInfo, connect, createServer, type Server } from 'node:net';
@@ -21,12 +21,12 @@
 import { ChildProcesses } from '../../standIns/demo/childProcesses.js';
 import type { TableCounts } from '../../standIns/platform/tableStandIn.js';
 import { processorMs, residentMegabytes } from '../passThrough/processUsage.js';
-import { fieldLine, inTurn, type Line, toFigure } from './slopes.js';
+import { fitRows, runSequentially, type Line, roundFigure } from './slopes.js';
 
 const HOST = '127.0.0.1';
 const WARM_UP_MS = 4_000;
 const MEASURED_MS = 6_000;
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 const KIBIBYTE = 1_024;
 const ZONE_COUNT = 7;
 const TASKS_PER_WORKER = 4;
@@ -39,7 +39,7 @@
   readonly daemonCount: number;
   readonly coreRatio: number;
   readonly residentMegabytes: number;
-  /** Bytes to and from table and instance list together. */
+  /** Bytes to and from the table and the instance list. */
   readonly platformBytesPerSecond: number;
   readonly readsPerSecond: number;
   readonly readRowsPerSecond: number;
@@ -61,21 +61,21 @@
   await response.body.dump();
 };
 
-/** Passes connections on and counts the bytes both ways. */
+/** Forwards connections and counts the bytes in both directions. */
 class CountingRelay {
   byteCount = 0;
 
   readonly #server: Server;
 
   constructor(targetPort: number) {
-    this.#server = createServer((near) => {
-      const far = connect(targetPort, HOST);
+    this.#server = createServer((client) => {
+      const upstream = connect(targetPort, HOST);
       const count = (chunk: Buffer): void => {
         this.byteCount += chunk.length;
       };
-      near.on('data', count).on('error', () => far.destroy());
-      far.on('data', count).on('error', () => near.destroy());
-      near.pipe(far).pipe(near);
+      client.on('data', count).on('error', () => upstream.destroy());
+      upstream.on('data', count).on('error', () => client.destroy());
+      client.pipe(upstream).pipe(client);
     });
   }
 
@@ -106,7 +106,7 @@
   connectionCount: 64,
 });
 
-/** Configuration and endpoints of a system with that many workers. */
+/** Writes the configuration and the endpoints of a system with `workerCount` workers. */
 const fillTable = async (origin: string, workerCount: number): Promise<void> => {
   const indexes = Array.from({ length: workerCount }, (_, index) => index);
   const zones = Array.from({ length: ZONE_COUNT }, (_, index) => zoneName(index));
@@ -190,7 +190,7 @@
 const readCounts = async (origin: string): Promise<TableCounts> =>
   (await (await request(`${origin}/control/counts`)).body.json()) as TableCounts;
 
-/** The first daemon is measured; the others are its peers and reach the platform directly. */
+/** Measures the first daemon. The others are its peers and reach the platform directly. */
 const measure = async (workerCount: number, daemonCount: number): Promise<DaemonFigures> => {
   const children = new ChildProcesses();
   const folder = await mkdtemp(join(tmpdir(), 'snipethread-capacity-'));
@@ -225,14 +225,14 @@
     };
     await delay(MEASURED_MS);
     const counts = await readCounts(origin);
-    const perSecond = (value: number): number => toFigure((value * SECOND_MS) / MEASURED_MS);
-    // Reads and transactions are those of all daemons, so they are shared out.
-    const perDaemon = (value: number): number => toFigure(perSecond(value) / daemonCount);
+    const perSecond = (value: number): number => roundFigure((value * MS_PER_SECOND) / MEASURED_MS);
+    // The table counts the reads and transactions of all daemons, so this is the mean per daemon.
+    const perDaemon = (value: number): number => roundFigure(perSecond(value) / daemonCount);
     return {
       workerCount,
       daemonCount,
-      coreRatio: toFigure(((await processorMs(pid)) - before.usedMs) / MEASURED_MS),
-      residentMegabytes: toFigure(await residentMegabytes(pid)),
+      coreRatio: roundFigure(((await processorMs(pid)) - before.usedMs) / MEASURED_MS),
+      residentMegabytes: roundFigure(await residentMegabytes(pid)),
       platformBytesPerSecond: perSecond(relay.byteCount - before.bytes),
       readsPerSecond: perDaemon(counts.readCount - before.counts.readCount),
       readRowsPerSecond: perDaemon(counts.readRowCount - before.counts.readRowCount),
@@ -245,31 +245,40 @@
   }
 };
 
-export const measureDaemons = async (say: (row: DaemonFigures) => void): Promise<DaemonResults> => {
-  const measured = async (workerCount: number, daemonCount: number): Promise<DaemonFigures> => {
+export const measureDaemons = async (
+  onRow: (row: DaemonFigures) => void,
+): Promise<DaemonResults> => {
+  const measureAndReport = async (
+    workerCount: number,
+    daemonCount: number,
+  ): Promise<DaemonFigures> => {
     const row = await measure(workerCount, daemonCount);
-    say(row);
+    onRow(row);
     return row;
   };
-  const byWorkers = await inTurn(WORKER_COUNTS, (workerCount) => measured(workerCount, 1));
-  const byPeers = await inTurn(PEER_COUNTS, (count) => measured(WORKER_COUNTS[0], count + 1));
+  const byWorkers = await runSequentially(WORKER_COUNTS, (workerCount) =>
+    measureAndReport(workerCount, 1),
+  );
+  const byPeers = await runSequentially(PEER_COUNTS, (count) =>
+    measureAndReport(WORKER_COUNTS[0], count + 1),
+  );
   const lines = {
-    coreRatioByWorkers: fieldLine(
+    coreRatioByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.coreRatio,
     ),
-    megabytesByWorkers: fieldLine(
+    megabytesByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.residentMegabytes,
     ),
-    bytesByWorkers: fieldLine(
+    bytesByWorkers: fitRows(
       byWorkers,
       (row) => row.workerCount,
       (row) => row.platformBytesPerSecond,
     ),
-    coreRatioByPeers: fieldLine(
+    coreRatioByPeers: fitRows(
       byPeers,
       (row) => row.daemonCount - 1,
       (row) => row.coreRatio,
--- a/bench/colocation/colocation.ts
+++ b/bench/colocation/colocation.ts
@@ -1,6 +1,7 @@
 /**
- * Services and batch work together, as the two users run them: `npm run bench -- colocation`.
- * Everything is of virtual time and of a seed, so the figures are the same on every machine.
+ * Benchmarks services colocated with batch work at the sizes of two users:
+ * `npm run bench -- colocation`. All runs are in virtual time and drawn from seeds, so the figures
+ * are the same on every machine.
  */
 import { settingsSchema } from '../../src/services/settings/common/settings.js';
 import { fitsInto } from '../../src/services/worker/common/resources.js';
@@ -13,13 +14,13 @@
 } from '../../src/scheduler/common/placement.js';
 import type { Benchmark } from '../benchmark.js';
 import { readBounds } from '../bounds.js';
-import { type ColocationFigures, ColocationRun, type ColocationWay } from './colocationRun.js';
-import { AMMAN, BAJIO, type ColocationSize } from './truth.js';
+import { type ColocationFigures, ColocationRun, type ColocationVariant } from './colocationRun.js';
+import { AMMAN, BAJIO, type ColocationSize } from './workloadModel.js';
 
 const SEEDS = [11, 12] as const;
 const TOLERATED_SLOWDOWN = 1.15;
 
-/** The baseline: batch tasks go to the first worker with room for the declared size. */
+/** The baseline: a batch task goes to the first worker with free capacity for its declared size. */
 class FirstFitPolicy implements PlacementPolicy {
   readonly #services = new SpreadAndPackPolicy();
 
@@ -35,7 +36,7 @@
 const DEFAULTS = settingsSchema.shape.scheduler.parse({}).interference;
 const OFF: InterferencePolicy = { ...DEFAULTS, isEnabled: false };
 
-/** The weighting of each user, as it would stand in its settings. */
+/** The interference policy in each user's settings. */
 const AMMAN_POLICY: InterferencePolicy = DEFAULTS;
 const BAJIO_POLICY: InterferencePolicy = {
   ...DEFAULTS,
@@ -46,7 +47,7 @@
   evictionSlowdown: 0.13,
 };
 
-const BASELINES: readonly ColocationWay[] = [
+const BASELINES: readonly ColocationVariant[] = [
   {
     name: 'first fit by declared size',
     policy: new FirstFitPolicy(),
@@ -72,11 +73,11 @@
   { size: BAJIO, policy: BAJIO_POLICY },
 ] as const;
 
-/** Evictions beside the smallest number that would have kept the tail. */
+/** The ratio of evictions to the evictions that the latency bound needed. */
 const evictionRatio = ({ evictionCount, neededEvictionCount }: ColocationFigures): number =>
   evictionCount === 0 ? 1 : evictionCount / Math.max(1, neededEvictionCount);
 
-const line = (name: string, figures: ColocationFigures): string =>
+const formatFigures = (name: string, figures: ColocationFigures): string =>
   [
     `  ${name.padEnd(28)}`,
     `p99 beside no batch ${figures.p99Ratio.toFixed(3)}`,
@@ -85,27 +86,31 @@
     `zone leaves and returns ${figures.zoneRatio.toFixed(3)}, beside own pace ${figures.zoneToOwnPace.toFixed(3)}`,
   ].join(' | ');
 
-const runOne = (size: ColocationSize, way: ColocationWay, seed: number): ColocationFigures => {
-  const figures = new ColocationRun(size, way, TOLERATED_SLOWDOWN, seed).run();
-  process.stdout.write(`${line(`${way.name}, seed ${seed}`, figures)}\n`);
+const runOne = (
+  size: ColocationSize,
+  variant: ColocationVariant,
+  seed: number,
+): ColocationFigures => {
+  const figures = new ColocationRun(size, variant, TOLERATED_SLOWDOWN, seed).run();
+  process.stdout.write(`${formatFigures(`${variant.name}, seed ${seed}`, figures)}\n`);
   return figures;
 };
 
-/** Shares are averaged, evictions summed. */
-const together = (all: readonly ColocationFigures[]): ColocationFigures => {
-  const sum = (of: (figures: ColocationFigures) => number): number =>
-    all.reduce((total, figures) => total + of(figures), 0);
+/** Combines the figures of several seeds: ratios are averaged and evictions are added. */
+const combineFigures = (figuresBySeed: readonly ColocationFigures[]): ColocationFigures => {
+  const sum = (select: (figures: ColocationFigures) => number): number =>
+    figuresBySeed.reduce((total, figures) => total + select(figures), 0);
   return {
-    p99Ratio: sum(({ p99Ratio }) => p99Ratio) / all.length,
-    throughputRatio: sum(({ throughputRatio }) => throughputRatio) / all.length,
+    p99Ratio: sum(({ p99Ratio }) => p99Ratio) / figuresBySeed.length,
+    throughputRatio: sum(({ throughputRatio }) => throughputRatio) / figuresBySeed.length,
     evictionCount: sum(({ evictionCount }) => evictionCount),
     neededEvictionCount: sum(({ neededEvictionCount }) => neededEvictionCount),
-    zoneRatio: sum(({ zoneRatio }) => zoneRatio) / all.length,
-    zoneToOwnPace: sum(({ zoneToOwnPace }) => zoneToOwnPace) / all.length,
+    zoneRatio: sum(({ zoneRatio }) => zoneRatio) / figuresBySeed.length,
+    zoneToOwnPace: sum(({ zoneToOwnPace }) => zoneToOwnPace) / figuresBySeed.length,
   };
 };
 
-/** Prints each figure beside its bound and tells whether all hold. */
+/** Prints each figure with its bound. Returns whether all figures are within their bounds. */
 const checkBounds = (
   name: string,
   figures: ColocationFigures,
@@ -125,28 +130,28 @@
     ...lowest.map(([figure, value]) => ({ key: `minimum${figure}`, value, isHighest: false })),
   ].map(({ key, value, isHighest }) => {
     const bound = bounds[`${name}.${key}`] ?? Number.NaN;
-    const isHeld = isHighest ? value <= bound : value >= bound;
-    const mark = isHeld ? 'ok     ' : 'CROSSED';
+    const isWithinBound = isHighest ? value <= bound : value >= bound;
+    const mark = isWithinBound ? 'ok     ' : 'CROSSED';
     process.stdout.write(`  ${mark} ${name} ${key} ${value.toFixed(3)} (bound ${bound})\n`);
-    return isHeld;
+    return isWithinBound;
   });
   return verdicts.every(Boolean);
 };
 
-/** With the argument `bounds` only the product is run, without the ways it is compared with. */
+/** With the argument `bounds`, only the product runs and the baselines are left out. */
 const run = async ([mode]: readonly string[]): Promise<boolean> => {
   const bounds = await readBounds('colocation');
   const verdicts = SIZES.map(({ size, policy }) => {
     process.stdout.write(`${size.name}: ${size.workerCount} workers in 3 zones; virtual time\n`);
-    if (mode !== 'bounds') BASELINES.forEach((way) => runOne(size, way, SEEDS[0]));
-    const way = {
+    if (mode !== 'bounds') BASELINES.forEach((variant) => runOne(size, variant, SEEDS[0]));
+    const variant = {
       name: 'product',
       policy: new SpreadAndPackPolicy(),
       isSizeLearnt: true,
       interference: policy,
     };
-    const figures = together(SEEDS.map((seed) => runOne(size, way, seed)));
-    process.stdout.write(`${line('product, both seeds', figures)}\n`);
+    const figures = combineFigures(SEEDS.map((seed) => runOne(size, variant, seed)));
+    process.stdout.write(`${formatFigures('product, both seeds', figures)}\n`);
     return checkBounds(size.name, figures, bounds);
   });
   return verdicts.every(Boolean);
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -1,12 +1,15 @@
 /**
- * Simulates a deployment under the fleet scheduler: services with periodic load beside batch work
- * that slows some of them, a burst, lost and faulty workers and a change of the owner.
+ * Simulates a deployment under the fleet scheduler. Services with periodic load run next to batch
+ * work that slows some of them. The simulation includes a burst of fillers, lost workers, faulty
+ * workers and a crash of the owner.
  *
  * `npm run bench -- fleet [--workers 46 [--cores C]] [--seeds 10] [--backlog F] [--ablate] [--baselines]
- * [--owner-cores C]`; `--owner-cores` charges the owner's decisions and calls to a processor of so
- * many cores. `bounds` runs the seeds of CI and checks the results against the committed bounds.
- * `profile` divides the owner's processor time by what it does; `calls` measures that of its calls
- * over loopback.
+ * [--owner-cores C]`
+ *
+ * - `--owner-cores` charges the owner's decisions and calls to a processor with that many cores.
+ * - `fleet bounds` runs the seeds of CI and checks the results against the committed bounds.
+ * - `fleet profile` breaks down the owner's processor time by activity.
+ * - `fleet calls` measures the processor time of the owner's calls over loopback.
  */
 import { type ArgsDef, parseArgs } from 'citty';
 
@@ -35,19 +38,44 @@
   workers: {
     type: 'string',
     default: '46',
-    description: 'size of the fleet: 46, 57, 342, 380 or 860',
+    description: 'number of workers: 46, 57, 342, 380 or 860',
+  },
+  cores: {
+    type: 'string',
+    description: 'cores of the smallest worker, to select between fleets of the same size',
+  },
+  backlog: {
+    type: 'string',
+    description: 'multiplies the arrival rate of fillers for all traffic',
   },
-  cores: { type: 'string', description: 'smallest worker, where fleets of one size differ' },
-  backlog: { type: 'string', description: 'how many times the fillers, for as long as any come' },
-  seeds: { type: 'string', default: '10', description: 'number of seeds, counted from 1' },
+  seeds: { type: 'string', default: '10', description: 'number of seeds, starting at 1' },
   ablate: { type: 'boolean', description: 'disable one mechanism at a time' },
   baselines: { type: 'boolean', description: 'also run the baselines' },
-  'owner-cores': { type: 'string', description: 'processor that the owner is charged on' },
-  from: { type: 'string', default: '12', description: 'profile: virtual second to measure from' },
-  seconds: { type: 'string', default: '8', description: 'profile, calls: how long to measure' },
-  rate: { type: 'string', default: '600', description: 'calls: holds or starts a second' },
-  runs: { type: 'string', default: '9', description: 'calls: runs that each hold lists' },
-  stretch: { type: 'string', default: '1', description: 'profile: fewer and longer batch tasks' },
+  'owner-cores': {
+    type: 'string',
+    description: 'cores of the processor that the owner is charged to',
+  },
+  from: {
+    type: 'string',
+    default: '12',
+    description: 'profile: virtual second at which the measurement starts',
+  },
+  seconds: {
+    type: 'string',
+    default: '8',
+    description: 'profile, calls: duration of the measurement',
+  },
+  rate: { type: 'string', default: '600', description: 'calls: hold or start requests per second' },
+  runs: {
+    type: 'string',
+    default: '9',
+    description: 'calls: runs listed in the answer to each hold request',
+  },
+  stretch: {
+    type: 'string',
+    default: '1',
+    description: 'profile: factor by which batch tasks are longer and arrive less often',
+  },
 } as const satisfies ArgsDef;
 
 type PolicyFactory = (truth: FleetTruth, shape: FleetShape) => FleetPolicy;
@@ -72,7 +100,7 @@
   'known interference costs': ORACLE,
 };
 
-/** Results of several seeds. */
+/** The results of a policy for several seeds, and the mean of their shares. */
 interface Summary {
   readonly share: number;
   readonly results: readonly FleetResult[];
@@ -96,8 +124,8 @@
 };
 
 const batchText = (name: string, outcomes: readonly BatchOutcome[]): string => {
-  const count = (of: (outcome: BatchOutcome) => number): string =>
-    mean(outcomes.map(of)).toFixed(0);
+  const count = (toValue: (outcome: BatchOutcome) => number): string =>
+    mean(outcomes.map(toValue)).toFixed(0);
   const counts = [
     count(({ inTime }) => inTime),
     count(({ late }) => late),
@@ -114,13 +142,13 @@
     outcomes,
     largeOutcomes.map(({ largest }) => largest),
     largeOutcomes.map(({ nextLargest }) => nextLargest),
-  ].map((those) => mean(those.map(shareServed)).toFixed(3));
+  ].map((outcomesOfSize) => mean(outcomesOfSize.map(shareServed)).toFixed(3));
   return `served ${served[0]}, largest tenth ${served[1]}, next fifth ${served[2]}`;
 };
 
-const line = (name: string, { share, results }: Summary): string => {
-  const meanOf = (of: (result: FleetResult) => number, digits = 0): string =>
-    mean(results.map(of)).toFixed(digits);
+const summaryLine = (name: string, { share, results }: Summary): string => {
+  const meanOf = (toValue: (result: FleetResult) => number, digits = 0): string =>
+    mean(results.map(toValue)).toFixed(digits);
   const startCount = mean(results.map(({ counts }) => counts.startCount));
   const schedulerMs = mean(results.map(({ counts }) => counts.schedulerMs));
   return [
@@ -164,12 +192,12 @@
   for (let index = 0; index < entries.length; index += 1) {
     const [name, policyOf] = entries[index] as [string, PolicyFactory];
     // eslint-disable-next-line no-await-in-loop -- runs one policy at a time
-    print(line(name, await runSeeds(shape, policyOf, seedCount, ownerCores)));
+    print(summaryLine(name, await runSeeds(shape, policyOf, seedCount, ownerCores)));
   }
 };
 
-/** The fleet with so many times the fillers for as long as any arrive. */
-const withBacklog = (shape: FleetShape, factor: number): FleetShape => {
+/** Multiplies the arrival rate of fillers by `factor` for the whole traffic period. */
+const withFillerBurst = (shape: FleetShape, factor: number): FleetShape => {
   const { trafficFromMs: fromMs, trafficUntilMs: untilMs } = shape;
   return { ...shape, burst: { fromMs, untilMs, factor } };
 };
@@ -177,35 +205,39 @@
 const findShape = (workerCount: number, cores: string | undefined): FleetShape | undefined =>
   FLEET_SHAPES.find((shape) => {
     const [smallest] = shape.processorMillis;
-    const isOfCores = cores === undefined || smallest === Number(cores) * MILLIS_PER_CORE;
-    return shape.workerCount === workerCount && isOfCores;
+    const hasCores = cores === undefined || smallest === Number(cores) * MILLIS_PER_CORE;
+    return shape.workerCount === workerCount && hasCores;
   });
 
 const checkBounds = async (shape: FleetShape): Promise<boolean> => {
   const bounds = await readBounds(NAME);
-  const own = await runSeeds(shape, DEFAULT, BOUNDS_SEEDS);
-  const known = await runSeeds(shape, ORACLE, BOUNDS_SEEDS);
+  const defaultPolicy = await runSeeds(shape, DEFAULT, BOUNDS_SEEDS);
+  const oracle = await runSeeds(shape, ORACLE, BOUNDS_SEEDS);
   const uncontrolled = await runSeeds(shape, UNCONTROLLED, BOUNDS_SEEDS);
   const firstCome = await runSeeds(shape, FIRST_COME, BOUNDS_SEEDS);
-  print(line('default policy', own));
-  print(line('known interference costs', known));
-  print(line('no interference control', uncontrolled));
-  print(line('first come, first served', firstCome));
-  const noticed = Math.max(...own.results.map(({ noticedCount }) => noticedCount));
+  print(summaryLine('default policy', defaultPolicy));
+  print(summaryLine('known interference costs', oracle));
+  print(summaryLine('no interference control', uncontrolled));
+  print(summaryLine('first come, first served', firstCome));
+  const mostNoticed = Math.max(...defaultPolicy.results.map(({ noticedCount }) => noticedCount));
   const checks: readonly (readonly [string, number, boolean])[] = [
-    ['minimumShareToKnown', own.share / known.share, true],
-    ['minimumShareToUncontrolled', own.share / uncontrolled.share, true],
-    ['minimumShareToFirstCome', own.share / firstCome.share, true],
-    ['minimumServiceShare', mean(own.results.map(({ service }) => shareEarned(service))), true],
-    ['maximumNoticedSpells', noticed, false],
+    ['minimumShareToKnown', defaultPolicy.share / oracle.share, true],
+    ['minimumShareToUncontrolled', defaultPolicy.share / uncontrolled.share, true],
+    ['minimumShareToFirstCome', defaultPolicy.share / firstCome.share, true],
+    [
+      'minimumServiceShare',
+      mean(defaultPolicy.results.map(({ service }) => shareEarned(service))),
+      true,
+    ],
+    ['maximumNoticedSpells', mostNoticed, false],
   ];
-  const areHeld = checks.map(([name, value, isMinimum]) => {
+  const checkResults = checks.map(([name, value, isMinimum]) => {
     const bound = bounds[name] ?? Number.NaN;
-    const isHeld = isMinimum ? value >= bound : value <= bound;
-    print(`${isHeld ? 'ok' : 'CROSSED'}  ${name} ${bound}, measured ${value.toFixed(3)}`);
-    return isHeld;
+    const isWithinBound = isMinimum ? value >= bound : value <= bound;
+    print(`${isWithinBound ? 'ok' : 'CROSSED'}  ${name} ${bound}, measured ${value.toFixed(3)}`);
+    return isWithinBound;
   });
-  return areHeld.every(Boolean);
+  return checkResults.every(Boolean);
 };
 
 export const fleet: Benchmark = {
@@ -213,21 +245,21 @@
   run: async (args) => {
     const parsed = parseArgs<typeof ARGUMENTS>([...args], ARGUMENTS);
     const workerCount = Number(parsed.workers);
-    const known = findShape(workerCount, parsed.cores);
-    if (known === undefined) {
+    const foundShape = findShape(workerCount, parsed.cores);
+    if (foundShape === undefined) {
       const cores = parsed.cores === undefined ? '' : ` of ${parsed.cores} cores`;
       print(`no fleet of ${parsed.workers} workers${cores}`);
       return false;
     }
-    if (parsed.mode === 'bounds') return checkBounds(known);
+    if (parsed.mode === 'bounds') return checkBounds(foundShape);
     const { seeds, from, seconds, stretch, rate, runs, backlog } = parsed;
-    const positive = { seeds, from, seconds, stretch, rate, runs, backlog: backlog ?? '1' };
-    const badOption = Object.entries(positive).find(([, value]) => !(Number(value) > 0));
-    if (badOption !== undefined) {
-      print(`--${badOption[0]} has to be a number above 0, not '${badOption[1]}'`);
+    const positiveOptions = { seeds, from, seconds, stretch, rate, runs, backlog: backlog ?? '1' };
+    const invalidOption = Object.entries(positiveOptions).find(([, value]) => !(Number(value) > 0));
+    if (invalidOption !== undefined) {
+      print(`--${invalidOption[0]} has to be a number above 0, not '${invalidOption[1]}'`);
       return false;
     }
-    const shape = backlog === undefined ? known : withBacklog(known, Number(backlog));
+    const shape = backlog === undefined ? foundShape : withFillerBurst(foundShape, Number(backlog));
     if (parsed.mode === 'profile') {
       const options = {
         seedCount: Number(seeds),
--- a/bench/fleet/fleetDriver.ts
+++ b/bench/fleet/fleetDriver.ts
@@ -1,4 +1,6 @@
-/** Drives the fleet scheduler with a model of the table and workers, in virtual time, without sockets. */
+/**
+ * Drives the fleet scheduler in virtual time with models of the table and workers, without sockets.
+ */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 
 import type { JsonValue } from '../../src/base/common/json.js';
@@ -24,25 +26,25 @@
 import type { Transaction, TransactionResult } from '../../src/services/table/common/table.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 import { VirtualTime } from '../virtualTime.js';
-import { countCommit, countHold, countNote, newDriverCounts } from './driverCounts.js';
+import { countCommit, countHold, countLoggedDecision, newDriverCounts } from './driverCounts.js';
 import { configurationOf } from './fleetConfiguration.js';
 import { CALL_COST_MS, OwnerProcessor } from './ownerProcessor.js';
 import type { FleetShape } from './fleetShape.js';
 import { SharedWorker, STOP_MS } from './sharedWorker.js';
-import { storedStateReader } from './storedState.js';
+import { newStoredStateReader } from './storedState.js';
 import type { FleetTruth } from './truth.js';
 import type { Arrival } from './workload.js';
 
 const NETWORK_DELAY_MS = 3;
 const TABLE_DELAY_MS = 8;
 const FEED_DELAY_MS = 12;
-/** Minimum interval between two steps of a scheduler. */
+/** Minimum interval between two steps of the scheduler. */
 const STEP_INTERVAL_MS = 10;
 const TICK_MS = 50;
 const WORKER_TICK_MS = 20;
 const WORKERS_INTERVAL_MS = 1_000;
 const CALL_TIMEOUT_MS = 800;
-/** How long a lost worker remains listed. */
+/** How long a lost worker stays on the worker list. */
 const LISTING_RETENTION_MS = 3_000;
 const TIMING: FleetTiming = {
   ...FLEET_TIMING,
@@ -52,6 +54,7 @@
   workerStopMs: STOP_MS,
 };
 
+/** A hold request that the worker answers when it has news, or at `untilMs`. */
 interface WaitingHold {
   readonly request: HoldRequest;
   readonly untilMs: number;
@@ -69,7 +72,7 @@
 
   readonly #processor: OwnerProcessor;
 
-  /** When submissions were stored as complete, by id. */
+  /** The time at which each submission was stored as complete, by submission id. */
   readonly completedAtMs = new Map<string, number>();
 
   readonly #shape: FleetShape;
@@ -98,7 +101,7 @@
 
   #loading: Promise<void> | undefined;
 
-  /** Receives the scheduler's decision log. Writing it is part of the scheduler's cost. */
+  /** Receives the scheduler's decision log. The time to write it counts as the scheduler's cost. */
   log: Log = silentLog;
 
   constructor(
@@ -118,10 +121,10 @@
     this.#scheduler = this.#newScheduler();
     this.#repeat(WORKER_TICK_MS, () => this.#tickWorkers());
     this.#repeat(TICK_MS, () => this.#scheduleStep());
-    this.#repeat(WORKERS_INTERVAL_MS, () => this.#listWorkers());
+    this.#repeat(WORKERS_INTERVAL_MS, () => this.#deliverWorkerList());
   }
 
-  /** Schedules an arrival and its cancellation. */
+  /** Schedules the arrival of a submission, and its cancellation if it has one. */
   submit(arrival: Arrival): void {
     const { atMs, submission, cancelledAtMs } = arrival;
     const { id } = submission;
@@ -146,12 +149,13 @@
     this.#lostAtMs.set(id, this.time.nowMs);
   }
 
-  /** Crashes the owner; another daemon takes over the fleet. */
+  /** Crashes the owner. Another daemon takes over the fleet. */
   replaceOwner(): void {
     this.#generation += 1;
     this.#scheduler = this.#newScheduler();
   }
 
+  /** Virtual time during which the owner's processor was busy; 0 if it is not charged. */
   get ownerBusyMs(): number {
     return this.#processor.busyMs;
   }
@@ -210,7 +214,7 @@
       const holds = this.#holds.get(id);
       if (holds === undefined || holds.length === 0) return;
       const isDue = ({ request, untilMs }: WaitingHold): boolean =>
-        nowMs >= untilMs || worker.model.hasNews(request.acknowledgedSequence, nowMs);
+        nowMs >= untilMs || worker.model.hasNewEnds(request.acknowledgedSequence, nowMs);
       const due = holds.filter(isDue);
       if (due.length === 0) return;
       this.#holds.set(
@@ -221,12 +225,14 @@
     });
   }
 
-  #listWorkers(): void {
+  #deliverWorkerList(): void {
     const { nowMs } = this.time;
-    this.#deliver((epoch) => this.#scheduler.handleWorkers(epoch, this.#entries(), nowMs, nowMs));
+    this.#deliver((epoch) =>
+      this.#scheduler.handleWorkers(epoch, this.#listedWorkers(), nowMs, nowMs),
+    );
   }
 
-  #entries(): readonly FleetWorkerEntry[] {
+  #listedWorkers(): readonly FleetWorkerEntry[] {
     const { nowMs } = this.time;
     return [...this.workers.values()]
       .filter(({ model }) => nowMs < (this.#lostAtMs.get(model.id) ?? nowMs) + LISTING_RETENTION_MS)
@@ -239,39 +245,40 @@
 
   #capacityOf(index: number): FleetWorkerEntry['capacity'] {
     const { processorMillis, memoryBytes } = this.#shape;
-    const own = processorMillis[index % processorMillis.length] as number;
-    return { processorMillis: own, memoryBytes, acceleratorCount: 0 };
+    const workerMillis = processorMillis[index % processorMillis.length] as number;
+    return { processorMillis: workerMillis, memoryBytes, acceleratorCount: 0 };
   }
 
   #write(key: string, value: JsonValue): void {
     this.table.transact({ operationId: key, conditions: [], writes: [{ key, value }] });
   }
 
-  /** Delivers a change after the feed delay if the scheduler then owns the fleet. */
+  /** Delivers a change after the feed delay, if the scheduler owns the fleet at that time. */
   #deliver(deliver: (epoch: number) => void): void {
-    const take = (): void => {
+    const handle = (): void => {
       const { epoch } = this.#scheduler;
       if (epoch !== undefined) deliver(epoch);
     };
-    this.#reply(FEED_DELAY_MS, take, CALL_COST_MS.feed);
+    this.#runOnOwnerAfter(FEED_DELAY_MS, handle, CALL_COST_MS.feed);
   }
 
-  /** Runs the callback after a delay unless the calling daemon has been replaced. */
-  #reply(delayMs: number, run: () => void, costMs = 0): void {
+  /** Runs the callback on the owner's processor after a delay, unless the owner was replaced. */
+  #runOnOwnerAfter(delayMs: number, run: () => void, costMs = 0): void {
     const generation = this.#generation;
     this.time.after(delayMs, () =>
       this.#processor.run(costMs, () => {
         if (generation !== this.#generation) return;
-        this.#timed(run);
+        this.#runTimed(run);
         this.#scheduleStep();
       }),
     );
   }
 
-  #timed<Result>(run: () => Result): Result {
-    const beganAtMs = performance.now();
+  /** Runs the callback and adds its duration to the scheduler's cost. */
+  #runTimed<Result>(run: () => Result): Result {
+    const startedAtMs = performance.now();
     const result = run();
-    this.counts.schedulerMs += performance.now() - beganAtMs;
+    this.counts.schedulerMs += performance.now() - startedAtMs;
     return result;
   }
 
@@ -290,10 +297,10 @@
     const { epoch } = this.#scheduler;
     if (epoch !== undefined) this.#scheduler.handleCaughtUp(epoch, nowMs);
     this.counts.stepCount += 1;
-    const beganAtMs = performance.now();
-    const effects = this.#timed(() => this.#scheduler.step(nowMs, nowMs));
-    const tookMs = this.#processor.inVirtualMs(performance.now() - beganAtMs);
-    this.#scheduler.handleStepTaken(dueAtMs, nowMs, nowMs + tookMs);
+    const startedAtMs = performance.now();
+    const effects = this.#runTimed(() => this.#scheduler.step(nowMs, nowMs));
+    const durationMs = this.#processor.toVirtualMs(performance.now() - startedAtMs);
+    this.#scheduler.handleStepTaken(dueAtMs, nowMs, nowMs + durationMs);
     effects.forEach((effect) => this.#perform(effect));
   }
 
@@ -317,7 +324,7 @@
       case 'commit':
         countCommit(this.counts, effect.transaction);
         this.#transact(effect.transaction, (result) => {
-          this.#noteCompleted(effect.transaction);
+          this.#recordCompletions(effect.transaction);
           scheduler
             .handleCommitted(effect.epoch, result, this.time.nowMs)
             .forEach((next) => this.#perform(next));
@@ -354,12 +361,12 @@
         );
         break;
       default:
-        countNote(this.counts, effect);
-        this.#timed(() => this.log.info(effect.event, effect.fields));
+        countLoggedDecision(this.counts, effect);
+        this.#runTimed(() => this.log.info(effect.event, effect.fields));
     }
   }
 
-  #noteCompleted({ writes }: Transaction): void {
+  #recordCompletions({ writes }: Transaction): void {
     writes.forEach(({ key, value }) => {
       const id = key.slice(progressKey('').length);
       const isProgress = key === progressKey(id);
@@ -370,27 +377,27 @@
 
   #read(
     request: Parameters<TableStandIn['read']>[0],
-    take: (result: Either<Failure, ReturnType<TableStandIn['read']>>) => void,
+    handle: (result: Either<Failure, ReturnType<TableStandIn['read']>>) => void,
   ): void {
     const answer = this.table.read(request);
-    const answered = (): void => take(right({ ...answer, tableNowMs: this.time.nowMs }));
-    this.#reply(TABLE_DELAY_MS, answered, CALL_COST_MS.read);
+    const deliverAnswer = (): void => handle(right({ ...answer, tableNowMs: this.time.nowMs }));
+    this.#runOnOwnerAfter(TABLE_DELAY_MS, deliverAnswer, CALL_COST_MS.read);
   }
 
   #transact(
     transaction: Transaction,
-    take: (result: Either<Failure, TransactionResult>) => void,
+    handle: (result: Either<Failure, TransactionResult>) => void,
   ): void {
     const answer = this.table.transact(transaction);
-    const answered = (): void => take(right({ ...answer, tableNowMs: this.time.nowMs }));
-    this.#reply(TABLE_DELAY_MS, answered, CALL_COST_MS.commit);
+    const deliverAnswer = (): void => handle(right({ ...answer, tableNowMs: this.time.nowMs }));
+    this.#runOnOwnerAfter(TABLE_DELAY_MS, deliverAnswer, CALL_COST_MS.commit);
   }
 
   #load(epoch: number): void {
-    const reader = storedStateReader(this.table, () => this.#entries());
+    const reader = newStoredStateReader(this.table, () => this.#listedWorkers());
     this.#loading = reader.readAll().then((loaded) => {
       this.#loading = undefined;
-      this.#reply(TABLE_DELAY_MS, () =>
+      this.#runOnOwnerAfter(TABLE_DELAY_MS, () =>
         this.#scheduler.handleLoaded(epoch, loaded?.stored, this.time.nowMs),
       );
     });
@@ -402,14 +409,14 @@
     const answer = (): void => {
       const outcome = worker.model.hold(request, this.time.nowMs);
       countHold(this.counts, outcome);
-      const answered = (): void =>
+      const deliverAnswer = (): void =>
         this.#scheduler.handleHeld(epoch, workerId, right(outcome), sentAtMs, this.time.nowMs);
-      this.#reply(NETWORK_DELAY_MS, answered, CALL_COST_MS.hold);
+      this.#runOnOwnerAfter(NETWORK_DELAY_MS, deliverAnswer, CALL_COST_MS.hold);
     };
     this.time.after(NETWORK_DELAY_MS, () => {
       if (this.isLost(workerId)) {
         const noAnswer = left(failure(ErrorKind.AnswerLost, 'no answer'));
-        this.#reply(CALL_TIMEOUT_MS, () =>
+        this.#runOnOwnerAfter(CALL_TIMEOUT_MS, () =>
           this.#scheduler.handleHeld(epoch, workerId, noAnswer, sentAtMs, this.time.nowMs),
         );
         return;
@@ -418,7 +425,7 @@
         answer();
         return;
       }
-      // The lease and the acknowledgements of the call take effect on arrival.
+      // The lease and the acknowledgements in the request take effect when it arrives.
       worker.model.hold(request, this.time.nowMs);
       const holds = this.#holds.get(workerId) ?? [];
       const untilMs = this.time.nowMs + request.waitMs;
@@ -432,7 +439,7 @@
       (worker) => {
         const { nowMs } = this.time;
         const outcome = worker.model.start(request, nowMs);
-        worker.noteStart(request.taskName, request.checkpoint, nowMs);
+        worker.trackStart(request.taskName, request.checkpoint, nowMs);
         this.counts.startCount += 1;
         return outcome;
       },
@@ -443,12 +450,12 @@
   #callWorker<Answer>(
     workerId: string,
     call: (worker: SharedWorker) => Answer,
-    take: (result: Either<Failure, Answer>) => void,
+    handle: (result: Either<Failure, Answer>) => void,
   ): void {
     this.time.after(NETWORK_DELAY_MS, () => {
       if (this.isLost(workerId)) return;
       const answer = call(this.workers.get(workerId) as SharedWorker);
-      this.#reply(NETWORK_DELAY_MS, () => take(right(answer)), CALL_COST_MS.order);
+      this.#runOnOwnerAfter(NETWORK_DELAY_MS, () => handle(right(answer)), CALL_COST_MS.order);
     });
   }
 }
--- a/bench/fleet/ownerProfile.ts
+++ b/bench/fleet/ownerProfile.ts
@@ -1,13 +1,13 @@
-/** Samples this process while it simulates a fleet and divides the owner's time by what it does. */
+/** Samples this process while it simulates a fleet and breaks down the owner's time by activity. */
 import { readFile } from 'node:fs/promises';
 import { type Profiler, Session } from 'node:inspector';
 
 const SAMPLING_INTERVAL_US = 250;
-/** Outside what is measured. */
-const BETWEEN_INTERVAL_US = 100_000;
+/** Sampling interval outside the measured periods. */
+const IDLE_SAMPLING_INTERVAL_US = 100_000;
 const US_PER_MS = 1_000;
 const NS_PER_MS = 1_000_000;
-/** Processor time of the main thread in nanoseconds comes first; Linux only. */
+/** The first field is the processor time of the main thread in nanoseconds. Linux only. */
 const SCHEDULER_STATISTICS = '/proc/self/schedstat';
 
 export const OwnerWork = {
@@ -27,7 +27,7 @@
 } as const;
 export type OwnerWork = (typeof OwnerWork)[keyof typeof OwnerWork];
 
-/** Work by the file of a function, or by its file and name; the innermost match counts. */
+/** Kinds of work by a function's file, or by its file and name. The innermost match applies. */
 const WORK_OF: Readonly<Record<string, OwnerWork>> = {
   'fleetCalls.holdEffects': OwnerWork.HoldCalls,
   holdTiming: OwnerWork.HoldCalls,
@@ -47,7 +47,7 @@
   decisionLog: OwnerWork.Log,
   waitReport: OwnerWork.Log,
   consolaLog: OwnerWork.Log,
-  boundedLog: OwnerWork.Log,
+  rateLimitedLog: OwnerWork.Log,
   fillerPacing: OwnerWork.Interference,
   harmonicLoad: OwnerWork.Interference,
   imagePairs: OwnerWork.Interference,
@@ -58,91 +58,112 @@
   serviceLoad: OwnerWork.Interference,
 };
 
-/** Only what the driver times is the owner's; the rest is the model of its surroundings. */
-const OWNER_ENTRY = 'fleetDriver.#timed';
-/** What the driver does with the scheduler's effects, also where it is called within what it times. */
-const MODEL_ENTRIES: readonly string[] = ['fleetDriver.#perform', 'fleetDriver.#noteCompleted'];
+/** Only time within this function is the owner's. The rest simulates the owner's environment. */
+const OWNER_ENTRY = 'fleetDriver.#runTimed';
+/**
+ * Driver functions that handle the scheduler's effects. They belong to the simulation even if the
+ * owner's entry function calls them.
+ */
+const MODEL_ENTRIES: readonly string[] = ['fleetDriver.#perform', 'fleetDriver.#recordCompletions'];
 
-interface Classified {
+/** How the samples of one stack frame are attributed. */
+interface FrameClass {
   readonly isOwner: boolean;
   readonly isCollection: boolean;
   readonly work: OwnerWork;
-  /** The innermost function of the product that has a name, by its file. */
-  readonly place: string;
+  /** File and name of the innermost named function that has a source file. */
+  readonly functionPath: string;
 }
 
-const workOf = (file: string, functionName: string, above: OwnerWork): OwnerWork => {
-  const own = WORK_OF[`${file}.${functionName}`] ?? WORK_OF[file];
-  if (own === undefined) return above;
-  if (own !== OwnerWork.Interference) return own;
-  const isPlacing = above === OwnerWork.Placing || above === OwnerWork.PlacingInterference;
-  return isPlacing ? OwnerWork.PlacingInterference : own;
+const workOf = (file: string, functionName: string, callerWork: OwnerWork): OwnerWork => {
+  const ownWork = WORK_OF[`${file}.${functionName}`] ?? WORK_OF[file];
+  if (ownWork === undefined) return callerWork;
+  if (ownWork !== OwnerWork.Interference) return ownWork;
+  const isCallerPlacing =
+    callerWork === OwnerWork.Placing || callerWork === OwnerWork.PlacingInterference;
+  return isCallerPlacing ? OwnerWork.PlacingInterference : ownWork;
 };
 
-const classify = ({ nodes }: Profiler.Profile): ReadonlyMap<number, Classified> => {
-  const classified = new Map<number, Classified>();
+const classify = ({ nodes }: Profiler.Profile): ReadonlyMap<number, FrameClass> => {
+  const classified = new Map<number, FrameClass>();
   const byId = new Map(nodes.map((node) => [node.id, node]));
-  const visit = (id: number, { isOwner: isOwnerAbove, work: above, place }: Classified): void => {
+  const visit = (
+    id: number,
+    { isOwner: isCallerOwner, work: callerWork, functionPath: callerPath }: FrameClass,
+  ): void => {
     const node = byId.get(id);
     if (node === undefined) return;
     const { functionName, url } = node.callFrame;
     const file = url.slice(url.lastIndexOf('/') + 1).replace(/\.[jt]s$/, '');
     const name = `${file}.${functionName}`;
-    const isOwner = name === OWNER_ENTRY || (isOwnerAbove && !MODEL_ENTRIES.includes(name));
-    const work = isOwner ? workOf(file, functionName, above) : OwnerWork.Other;
+    const isOwner = name === OWNER_ENTRY || (isCallerOwner && !MODEL_ENTRIES.includes(name));
+    const work = isOwner ? workOf(file, functionName, callerWork) : OwnerWork.Other;
     const isCollection = functionName === '(garbage collector)';
     const isNamed = file !== '' && functionName !== '';
-    const own = { isOwner, isCollection, work, place: isNamed ? name : place };
-    classified.set(id, own);
-    node.children?.forEach((child) => visit(child, own));
+    const frame = { isOwner, isCollection, work, functionPath: isNamed ? name : callerPath };
+    classified.set(id, frame);
+    node.children?.forEach((child) => visit(child, frame));
   };
   const [root] = nodes;
-  const outside = { isOwner: false, isCollection: false, work: OwnerWork.Other, place: '' };
-  if (root !== undefined) visit(root.id, outside);
+  const outermost = {
+    isOwner: false,
+    isCollection: false,
+    work: OwnerWork.Other,
+    functionPath: '',
+  };
+  if (root !== undefined) visit(root.id, outermost);
   return classified;
 };
 
+/** Processor time that the main thread has used so far. */
 export const mainThreadMs = async (): Promise<number> =>
   Number((await readFile(SCHEDULER_STATISTICS, 'utf8')).split(' ')[0]) / NS_PER_MS;
 
 export interface OwnerTimes {
   readonly msByWork: ReadonlyMap<OwnerWork, number>;
-  /** Without collections; what a function calls within the language counts as its own. */
-  readonly msByPlace: ReadonlyMap<string, number>;
-  /** Processor time of the main thread per sampled time; below 1 where the thread had to wait. */
+  /**
+   * Time by kind of work and function, without garbage collection. Built-in functions count towards
+   * their caller.
+   */
+  readonly msByFunction: ReadonlyMap<string, number>;
+  /** Processor time of the main thread per sampled time; below 1 if it waited for a processor. */
   readonly processorShare: number;
 }
 
 /**
- * Sampled times include waiting for a processor. They are reduced to the processor time of the
- * main thread, so that a busy machine stretches them less. Collections are the owner's when they
- * interrupt it. Other threads, which collect and compile, are not counted.
+ * Attributes the samples to the owner's kinds of work and functions.
+ *
+ * Sampled times include waiting for a processor. They are scaled down to the processor time of the
+ * main thread, so that a busy machine distorts them less. Garbage collection that interrupts the
+ * owner counts as the owner's. Other threads, which collect garbage and compile, are not counted.
  */
-const divide = (profile: Profiler.Profile, processorMs: number): OwnerTimes => {
+const attributeSamples = (profile: Profiler.Profile, processorMs: number): OwnerTimes => {
   const classified = classify(profile);
   const sampledMs = new Map<OwnerWork, number>();
-  const placeMs = new Map<string, number>();
+  const functionMs = new Map<string, number>();
   let totalMs = 0;
-  let isOwnerBefore = false;
+  let isOwnerRunning = false;
   (profile.samples ?? []).forEach((id, index) => {
-    const passedMs = (profile.timeDeltas?.[index + 1] ?? 0) / US_PER_MS;
-    totalMs += passedMs;
+    const sampleMs = (profile.timeDeltas?.[index + 1] ?? 0) / US_PER_MS;
+    totalMs += sampleMs;
     const sample = classified.get(id);
     if (sample === undefined) return;
-    if (!sample.isCollection) isOwnerBefore = sample.isOwner;
-    if (!isOwnerBefore) return;
+    if (!sample.isCollection) isOwnerRunning = sample.isOwner;
+    if (!isOwnerRunning) return;
     const work = sample.isCollection ? OwnerWork.GarbageCollection : sample.work;
-    sampledMs.set(work, (sampledMs.get(work) ?? 0) + passedMs);
+    sampledMs.set(work, (sampledMs.get(work) ?? 0) + sampleMs);
     if (sample.isCollection) return;
-    const place = `${work}: ${sample.place}`;
-    placeMs.set(place, (placeMs.get(place) ?? 0) + passedMs);
+    const label = `${work}: ${sample.functionPath}`;
+    functionMs.set(label, (functionMs.get(label) ?? 0) + sampleMs);
   });
   const processorShare = processorMs / Math.max(1, totalMs);
-  const entries = Object.values(OwnerWork).map(
+  const workEntries = Object.values(OwnerWork).map(
     (work) => [work, (sampledMs.get(work) ?? 0) * processorShare] as const,
   );
-  const places = [...placeMs].map(([place, ms]) => [place, ms * processorShare] as const);
-  return { msByWork: new Map(entries), msByPlace: new Map(places), processorShare };
+  const functionEntries = [...functionMs].map(
+    ([label, ms]) => [label, ms * processorShare] as const,
+  );
+  return { msByWork: new Map(workEntries), msByFunction: new Map(functionEntries), processorShare };
 };
 
 const post = (session: Session, method: string, parameters: object = {}): Promise<unknown> =>
@@ -163,21 +184,22 @@
 };
 
 /**
- * Functions that are optimised while no profiler is on do not tell what has been inlined into them,
- * so that one has to be on before and between the measured parts too. Returns what ends it.
+ * Keeps a profiler running outside the measured periods. Functions that are optimised while no
+ * profiler runs lose the information about which functions are inlined into them. Returns a
+ * function that stops the profiler.
  */
 export const keepProfilerOn = async (): Promise<() => void> => {
-  const session = await startProfiler(BETWEEN_INTERVAL_US);
+  const session = await startProfiler(IDLE_SAMPLING_INTERVAL_US);
   return () => session.disconnect();
 };
 
-/** Samples this process while `run` runs. */
+/** Samples this process during `run` and returns the owner's times. */
 export const profileOwner = async (run: () => Promise<void>): Promise<OwnerTimes> => {
   const session = await startProfiler(SAMPLING_INTERVAL_US);
-  const beganAtMs = await mainThreadMs();
+  const usedBeforeMs = await mainThreadMs();
   await run();
-  const processorMs = (await mainThreadMs()) - beganAtMs;
+  const processorMs = (await mainThreadMs()) - usedBeforeMs;
   const { profile } = (await post(session, 'Profiler.stop')) as Profiler.StopReturnType;
   session.disconnect();
-  return divide(profile, processorMs);
+  return attributeSamples(profile, processorMs);
 };
--- a/bench/fleet/storedState.ts
+++ b/bench/fleet/storedState.ts
@@ -1,4 +1,4 @@
-/** Reads what the table of a simulation holds, as a new owner does. */
+/** Lets a new owner read its stored state from the table of a simulation. */
 import { right } from 'fp-ts/lib/Either.js';
 
 import { StoredStateReader } from '../../src/scheduler/node/storedStateReader.js';
@@ -6,7 +6,7 @@
 import { silentLog } from '../../src/services/log/common/log.js';
 import type { TableStandIn } from '../../standIns/platform/tableStandIn.js';
 
-export const storedStateReader = (
+export const newStoredStateReader = (
   table: TableStandIn,
   entries: () => readonly FleetWorkerEntry[],
 ): StoredStateReader =>
@@ -18,7 +18,7 @@
     },
     {
       operatorChanges: () => () =>
-        Promise.resolve(right({ isWhole: false, changes: [], position: 0 })),
+        Promise.resolve(right({ isSnapshot: false, changes: [], position: 0 })),
       workers: () => () => Promise.resolve(right(entries())),
     },
     silentLog,
--- a/bench/requests/arrivals.ts
+++ b/bench/requests/arrivals.ts
@@ -1,4 +1,4 @@
-/** Scenarios: what arrives when, and what one shared queue would make of it. */
+/** The scenarios' arrivals, and the latency of an ideal shared queue as a reference. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import { SeededRandom } from '../../src/base/common/random.js';
 import type { Urgency } from '../../src/services/configuration/common/documents.js';
@@ -7,21 +7,21 @@
 
 export const ONE_WAY_MS = 1;
 export const SLOT_COUNT = 8;
-/** Service times are log-normal: most near the median, a few several times as long. */
+/** Service times are log-normal: most are near the median, a few are several times as long. */
 const SIGMA = 0.6;
 
 export interface Traffic {
   readonly serviceName: string;
   readonly urgency: Urgency;
-  /** Its share of all arrivals. */
+  /** The share of all arrivals. */
   readonly share: number;
   readonly deadlineMs: number;
   readonly meanMs: number;
   readonly callerId?: string;
-  /** After how long without an answer its callers hang up and send the same again at once. */
-  readonly patienceMs?: number;
-  /** How often they do so before they stay away. */
-  readonly repeatCount?: number;
+  /** Callers without an answer hang up after this time and resend the request at once. */
+  readonly callerTimeoutMs?: number;
+  /** How many times a caller resends a request before it gives up. */
+  readonly resendCount?: number;
 }
 
 export interface Scenario {
@@ -31,18 +31,18 @@
   readonly durationMs: number;
   readonly warmUpMs: number;
   readonly traffic: readonly Traffic[];
-  /** Offered work as a share of what all slots can do. */
+  /** Offered work as a share of the capacity of all slots. */
   readonly utilisation: (nowMs: number) => number;
-  /** Factor on a worker's service times. */
-  readonly slowness?: (worker: number, nowMs: number) => number;
-  /** Whether the worker refuses connections at once. */
+  /** The factor by which a worker's service times are longer than usual. */
+  readonly serviceTimeFactor?: (worker: number, nowMs: number) => number;
+  /** Whether the worker refuses connections immediately. */
   readonly isFailing?: (worker: number, nowMs: number) => boolean;
-  /** Whether backend servers end work whose connection was closed. */
-  readonly areServersNoticing?: boolean;
-  /** Zones whose workers are out of the routes, by number. */
-  readonly isZoneOut?: (zone: number, nowMs: number) => boolean;
+  /** Whether backend servers cancel a request when its connection is closed. */
+  readonly areServersCancelling?: boolean;
+  /** Whether the workers of the zone with this number are removed from the routes. */
+  readonly isZoneWithdrawn?: (zone: number, nowMs: number) => boolean;
   readonly isEntryDead?: (entry: number, nowMs: number) => boolean;
-  /** The chance of an entry to get a request, against the others. */
+  /** The relative probability that an entry receives a request, at most 1. */
   readonly entryWeight?: (entry: number) => number;
 }
 
@@ -59,16 +59,16 @@
   traffic.reduce((sum, { share, meanMs }) => sum + share * meanMs, 0);
 
 const pickTraffic = (traffic: readonly Traffic[], random: RandomSource): Traffic => {
-  let rest = random.nextFraction();
-  const found = traffic.find(({ share }) => {
-    rest -= share;
-    return rest < 0;
+  let remainingShare = random.nextFraction();
+  const picked = traffic.find(({ share }) => {
+    remainingShare -= share;
+    return remainingShare < 0;
   });
-  return found ?? (traffic[0] as Traffic);
+  return picked ?? (traffic[0] as Traffic);
 };
 
-/** Draws the arrivals of a scenario; the same seed gives the same ones to every policy. */
-export const arrive = (
+/** Generates the arrivals of a scenario. The same seed gives every policy the same arrivals. */
+export const generateArrivals = (
   scenario: Scenario,
   time: VirtualTime,
   random: RandomSource,
@@ -79,31 +79,31 @@
   const next = (): void => {
     const kind = pickTraffic(traffic, random);
     handle(kind, logNormal(random, kind.meanMs));
-    const perMs = (utilisation(time.nowMs) * slotCount) / meanWorkMs(traffic);
-    if (time.nowMs < durationMs) time.after(exponential(random, 1 / perMs), next);
+    const arrivalsPerMs = (utilisation(time.nowMs) * slotCount) / meanWorkMs(traffic);
+    if (time.nowMs < durationMs) time.after(exponential(random, 1 / arrivalsPerMs), next);
   };
   next();
 };
 
-/** The 99th percentile of one shared queue in front of all slots, which knows all. */
+/** The percentile (`share` 0.99 for the 99th) of one shared, ideal queue in front of all slots. */
 export const idealPercentileMs = (scenario: Scenario, seed: number, share: number): number => {
   const time = new VirtualTime();
   const outcome = new Outcome();
   const waiting: (() => void)[] = [];
-  let freeCount = scenario.workerCount * SLOT_COUNT;
-  arrive(scenario, time, new SeededRandom(seed), (_traffic, workMs) => {
+  let freeSlotCount = scenario.workerCount * SLOT_COUNT;
+  generateArrivals(scenario, time, new SeededRandom(seed), (_traffic, workMs) => {
     const arrivedAtMs = time.nowMs;
     const begin = (): void => {
-      freeCount -= 1;
+      freeSlotCount -= 1;
       time.after(workMs, () => {
-        freeCount += 1;
+        freeSlotCount += 1;
         if (arrivedAtMs >= scenario.warmUpMs) {
           outcome.latenciesMs.push(time.nowMs - arrivedAtMs + 2 * ONE_WAY_MS);
         }
         waiting.shift()?.();
       });
     };
-    if (freeCount > 0) begin();
+    if (freeSlotCount > 0) begin();
     else waiting.push(begin);
   });
   time.runUntil(scenario.durationMs * 2);
--- a/soak/test/platform/fleetWorker.ts
+++ b/soak/test/platform/fleetWorker.ts
@@ -181,16 +181,16 @@
   advance(nowMs: number): void {
     if (!this.isUp) return;
     this.#model.advance(nowMs);
-    const { lapsesAtMs } = this.#model;
+    const { leaseEndsAtMs } = this.#model;
     this.#running.forEach((run, taskName) => {
       if (this.#model.runs.get(taskName) === run) return;
       this.#running.delete(taskName);
-      const isOwnEnd = run.endsAtMs <= lapsesAtMs;
+      const isOwnEnd = run.endsAtMs <= leaseEndsAtMs;
       const outcome = isOwnEnd && run.end === 'done' ? RunOutcome.Done : RunOutcome.Other;
-      const endedAtMs = Math.min(run.endsAtMs, lapsesAtMs);
+      const endedAtMs = Math.min(run.endsAtMs, leaseEndsAtMs);
       this.#noteEnd(taskName, outcome, endedAtMs);
     });
-    if (lapsesAtMs <= nowMs) this.#options.judge.noteLeaseLapsed(this.incarnationKey);
+    if (leaseEndsAtMs <= nowMs) this.#options.judge.noteLeaseLapsed(this.incarnationKey);
   }
 
   async close(): Promise<void> {
@@ -293,7 +293,7 @@
 
   #hasNews(acknowledgedSequence: number): boolean {
     this.advance(this.#options.nowMs());
-    return this.#model.hasNews(acknowledgedSequence, this.#options.nowMs());
+    return this.#model.hasNewEnds(acknowledgedSequence, this.#options.nowMs());
   }
 
   async #start(order: Order, reply: FastifyReply): Promise<FastifyReply> {
--- a/soak/test/platform/platformJudge.ts
+++ b/soak/test/platform/platformJudge.ts
@@ -152,7 +152,7 @@
     this.#workers.start(incarnationKey, taskName, step.size);
     if (this.#workers.isOverCapacity(incarnationKey))
       this.#addFinding(`${label}: is over capacity`, nowMs);
-    if (this.#ends.hasRecordedDone(taskName))
+    if (this.#ends.hasAcknowledgedDone(taskName))
       this.#addFinding(`${label}: its end is recorded`, nowMs);
     this.#lastStartsMs.set(taskName, nowMs);
     this.persistentTasks.noteStart(taskName, nowMs);
--- a/src/cli/node/operatorClient.ts
+++ b/src/cli/node/operatorClient.ts
@@ -1,4 +1,4 @@
-/** Calls the operators' interface of a daemon. */
+/** Calls the operator API of a daemon. */
 import { type Either, left, right } from 'fp-ts/lib/Either.js';
 import { request } from 'undici';
 
@@ -13,8 +13,8 @@
 const FIRST_ERROR_STATUS = 400;
 const CALL_TIMEOUT_MS = 30_000;
 
-/** Tells a call that surely reached no daemon from one that may have been carried out. */
-const noAnswer = (origin: string, error: unknown): ErrorBody => {
+/** Distinguishes a call that certainly reached no daemon from one that may have been executed. */
+const noAnswerError = (origin: string, error: unknown): ErrorBody => {
   const kind = isSurelyNotSent(error) ? ErrorKind.DaemonUnreachable : ErrorKind.DaemonAnswerLost;
   const reason = (error as Error).message;
   return errorBody(failure(kind, `no answer of a daemon at ${origin}: ${reason}`));
@@ -57,7 +57,7 @@
       if (response.statusCode >= FIRST_ERROR_STATUS) return left(answer as ErrorBody);
       return right(answer);
     } catch (error) {
-      return left(noAnswer(this.#origin, error));
+      return left(noAnswerError(this.#origin, error));
     }
   }
 }
--- a/src/entry/test/entryHarness.ts
+++ b/src/entry/test/entryHarness.ts
@@ -1,4 +1,4 @@
-/** One entry over fakes: routes and table in memory, real sockets on both sides. */
+/** One entry with routes and table in memory, and real sockets to callers and servers. */
 import { left, right } from 'fp-ts/lib/Either.js';
 import { request } from 'undici';
 
@@ -16,8 +16,8 @@
 import { LatencyWeightedOfTwo, type ServerChooser } from '../common/serverChoice.js';
 import { BackendConnections } from '../node/backendConnections.js';
 import { CallerServer } from '../node/callerServer.js';
-import { ClaimKeeper } from '../node/claimKeeper.js';
-import type { Journey } from '../node/journey.js';
+import { ClaimManager } from '../node/claimManager.js';
+import type { ActiveRequest } from '../node/activeRequest.js';
 import { RequestHandler } from '../node/requestHandler.js';
 
 export const entrySettings = (changes: Partial<Settings['entry']> = {}): Settings['entry'] => {
@@ -40,18 +40,18 @@
   connectionCount: 64,
 });
 
-/** A table whose faults a test switches on. */
+/** A table with faults that a test can switch on. */
 export class FaultyTable implements TableService {
-  /** Entries on one table may have faults of their own. */
-  readonly stand: TableStandIn;
+  /** The table behind the faults. Several entries may share it and have different faults. */
+  readonly standIn: TableStandIn;
 
-  constructor(stand = new TableStandIn()) {
-    this.stand = stand;
+  constructor(standIn = new TableStandIn()) {
+    this.standIn = standIn;
   }
 
   isOut = false;
 
-  /** How many more transactions lose their answer after they took effect. */
+  /** The number of further transactions that take effect but whose answer is lost. */
   lostAnswerCount = 0;
 
   /** Runs before the answer of each transaction. */
@@ -59,12 +59,12 @@
 
   read: TableService['read'] = (question) => () => {
     if (this.isOut) return Promise.resolve(left(failure(ErrorKind.StoreUnavailable, 'out')));
-    return Promise.resolve(right(this.stand.read(question)));
+    return Promise.resolve(right(this.standIn.read(question)));
   };
 
   transact: TableService['transact'] = (transaction) => async () => {
     if (this.isOut) return left(failure(ErrorKind.StoreUnavailable, 'out'));
-    const result = this.stand.transact(transaction);
+    const result = this.standIn.transact(transaction);
     await this.onDidTransact();
     if (this.lostAnswerCount === 0) return right(result);
     this.lostAnswerCount -= 1;
@@ -79,8 +79,8 @@
   readonly text: string;
 }
 
-/** Parts that tests break to show that something else notices; only tests have these switches. */
-export interface EntrySabotage {
+/** Replacements by which tests break a part of the entry. Only tests have these switches. */
+export interface EntryOverrides {
   readonly chooser?: ServerChooser;
   readonly Connections?: typeof BackendConnections;
 }
@@ -102,9 +102,13 @@
 
   readonly #connections: BackendConnections;
 
-  readonly #claims: ClaimKeeper;
+  readonly #claims: ClaimManager;
 
-  constructor(settings = entrySettings(), table = new FaultyTable(), sabotage: EntrySabotage = {}) {
+  constructor(
+    settings = entrySettings(),
+    table = new FaultyTable(),
+    overrides: EntryOverrides = {},
+  ) {
     this.table = table;
     const metrics: Metrics = {
       count: (name) => this.counters.set(name, this.counter(name) + 1),
@@ -113,12 +117,12 @@
     };
     const random = new SeededRandom(1);
     const { Connections = BackendConnections, chooser = new LatencyWeightedOfTwo(random) } =
-      sabotage;
+      overrides;
     this.#connections = new Connections(settings, metrics);
-    this.#claims = new ClaimKeeper(table, systemClock, metrics, settings);
+    this.#claims = new ClaimManager(table, systemClock, metrics, settings);
     const services = {
       routing: { routes: this.#routes, onDidChange: this.#didChange.event },
-      admission: new Admission<Journey>(settings, chooser, random),
+      admission: new Admission<ActiveRequest>(settings, chooser, random),
       connections: this.#connections,
       claims: this.#claims,
       configuration: { current: undefined },
@@ -136,7 +140,7 @@
     return this.counters.get(name) ?? 0;
   }
 
-  get breaches(): readonly string[] {
+  get brokenInvariants(): readonly string[] {
     return [...this.counters.keys()].filter((name) => name.startsWith('invariant_'));
   }
 
@@ -149,7 +153,7 @@
     this.origin = `http://127.0.0.1:${await this.callerServer.listen('127.0.0.1', 0)}`;
   }
 
-  /** Sends a request of the service `s` and reads the whole answer. */
+  /** Sends a request to the service `s` and reads the whole answer. */
   async call(
     path: string,
     headers: Record<string, string> = {},
@@ -165,7 +169,7 @@
     return { statusCode, headers: response.headers, text: await response.body.text() };
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Stops at once, as a killed process does. */
   async dispose(): Promise<void> {
     this.#handler.dispose();
     this.#claims.dispose();
@@ -174,6 +178,6 @@
   }
 }
 
-/** What an error answer says about the work. */
+/** The work outcome that an answer states; `answered` when it states none. */
 export const workOutcome = (answer: CallerAnswer): string =>
   String(answer.headers['snipethread-work'] ?? 'answered');
--- a/src/operator/common/dealing.ts
+++ b/src/operator/common/taskDistribution.ts
@@ -1,5 +1,5 @@
-/** Deals a job's tasks out to the availability zones in use. */
-import { fractionOf } from '../../base/common/hash.js';
+/** Distributes a job's tasks over the availability zones in use. */
+import { hashFraction } from '../../base/common/hash.js';
 import {
   InstanceState,
   type WorkerInstance,
@@ -7,8 +7,8 @@
 import type { Resources } from '../../services/worker/common/resources.js';
 import type { FreshTasks } from './freshTasks.js';
 
-/** How many tasks of a size an empty worker takes. */
-const taskCountOn = ({ capacity }: WorkerInstance, size: Resources): number => {
+/** How many tasks of a size fit on an empty worker. */
+const taskCountOnEmptyWorker = ({ capacity }: WorkerInstance, size: Resources): number => {
   const limits = [
     size.processorMillis === 0 ? Infinity : capacity.processorMillis / size.processorMillis,
     size.memoryBytes === 0 ? Infinity : capacity.memoryBytes / size.memoryBytes,
@@ -17,7 +17,10 @@
   return limits.length === 0 ? 1 : Math.floor(Math.min(...limits));
 };
 
-/** How many tasks of the size each zone's workers take; all alike when none is known to. */
+/**
+ * How many tasks of the size fit on each zone's empty workers. Counts live workers; if none of
+ * them has room, all workers; if still none has room, all zones get equal weights.
+ */
 const zoneWeights = (
   workers: readonly WorkerInstance[],
   zones: readonly string[],
@@ -27,29 +30,32 @@
     zones.map((zone) =>
       usable
         .filter(({ availabilityZone }) => availabilityZone === zone)
-        .reduce((sum, worker) => sum + taskCountOn(worker, size), 0),
+        .reduce((sum, worker) => sum + taskCountOnEmptyWorker(worker, size), 0),
     );
   const live = weightsOf(workers.filter(({ state }) => state === InstanceState.Live));
   const candidates = [live, weightsOf(workers)];
   return candidates.find((weights) => weights.some((weight) => weight > 0)) ?? zones.map(() => 1);
 };
 
-/** Tasks of a job that are dealt to one zone; their indexes follow one another. */
+/** The tasks of a job that go to one zone. Their indexes are consecutive. */
 export interface ZoneShare extends FreshTasks {
   readonly zone: string;
 }
 
 /**
- * The zones that a job's tasks are dealt to, and which tasks each gets. Made for 10,000 jobs a day, most of few
- * tasks: dealt from the first zone on, all one-task jobs came to one cell, which filled up while
- * the others idled. Each job starts at a point of its own, drawn from its id, and its tasks stand
- * at even distances from there on a line of which each zone holds a stretch as long as its share
- * of the capacity. A zone thus gets its share of each job to within one task, also of many small
- * jobs together, and nothing has to be read for it: reading what is free would cost each
- * submission the whole ledger. What that leaves uneven, the cells hand on to each other later.
- * A zone in which no worker is large enough for the task gets none.
+ * Distributes a job's tasks over the zones in proportion to the zones' capacity.
+ *
+ * Each zone covers an interval whose length is its share of the total capacity. The tasks are
+ * spaced evenly over these intervals, from an offset that is a hash of the job's id. Each zone
+ * therefore gets its share of every job to within one task, and its share of many small jobs
+ * together. Most of the 10,000 jobs a day have few tasks: without the offset, every one-task job
+ * went to the first zone's cell, which filled up while the others were idle.
+ *
+ * Free capacity is not considered, because every submission would have to read the whole ledger
+ * for it. Cells hand over tasks to each other later to correct an uneven load. A zone without a
+ * worker that is large enough for the task gets no tasks.
  */
-export const dealTasks = (
+export const distributeTasks = (
   jobId: string,
   taskCount: number,
   size: Resources,
@@ -57,15 +63,15 @@
   workers: readonly WorkerInstance[],
 ): readonly ZoneShare[] => {
   const weights = zoneWeights(workers, zones, size);
-  const total = weights.reduce((sum, weight) => sum + weight, 0);
-  const offset = fractionOf(jobId);
-  // Rounding may carry the last task past the end of the line.
+  const totalWeight = weights.reduce((sum, weight) => sum + weight, 0);
+  const offset = hashFraction(jobId);
+  // A rounding error can place the last task beyond the last interval.
   const lastUsedIndex = weights.findLastIndex((weight) => weight > 0);
   const zoneIndexOf = (taskIndex: number): number => {
-    let left = ((taskIndex + offset) / taskCount) * total;
+    let remaining = ((taskIndex + offset) / taskCount) * totalWeight;
     const zoneIndex = weights.findIndex((weight) => {
-      left -= weight;
-      return left < 0;
+      remaining -= weight;
+      return remaining < 0;
     });
     return zoneIndex < 0 ? lastUsedIndex : zoneIndex;
   };
@@ -74,9 +80,9 @@
     const zoneIndex = zoneIndexOf(taskIndex);
     if (!firstIndexes.has(zoneIndex)) firstIndexes.set(zoneIndex, taskIndex);
   }
-  return [...firstIndexes].map(([zoneIndex, firstIndex], place, all) => ({
+  return [...firstIndexes].map(([zoneIndex, firstIndex], position, entries) => ({
     zone: zones[zoneIndex] as string,
     firstIndex,
-    count: (all[place + 1]?.[1] ?? taskCount) - firstIndex,
+    count: (entries[position + 1]?.[1] ?? taskCount) - firstIndex,
   }));
 };
--- a/src/services/worker/common/reportMirror.ts
+++ b/src/services/worker/common/reportMirror.ts
@@ -1,4 +1,4 @@
-/** The owner's half of the exchange: holds a worker's tasks as of a revision. */
+/** The owner's side of the worker exchange: keeps a worker's tasks as of a known revision. */
 import {
   type TaskAttempt,
   type WorkerCommand,
@@ -8,17 +8,17 @@
 } from './workerClient.js';
 import type { WireCommand, WireReport } from './workerExchange.js';
 
-interface Held {
+interface KnownState {
   readonly workerId: string;
   readonly incarnation: string;
   readonly cellEpoch: number;
   readonly revision: number;
   readonly tasks: ReadonlyMap<string, WorkerTaskReport>;
-  /** Stays the same list while nothing changes, by which readers know that nothing has. */
+  /** The same array while no task changes, so that readers can detect a change by identity. */
   readonly taskList: WorkerTaskReport[];
 }
 
-/** A command as sent, kept to understand its answer. */
+/** A sent command, kept for the interpretation of its answer. */
 export interface SentCommand {
   readonly message: WireCommand;
   readonly incarnation: string;
@@ -29,9 +29,9 @@
 
 const toAttempt = ({ taskId, attempt }: TaskAttempt): TaskAttempt => ({ taskId, attempt });
 
-/** The renewals of a command as one for all, as far as the held tasks allow. */
-const foldedRenewals = (
-  held: Held,
+/** Replaces a command's renewals by one blanket renewal, as far as the known tasks allow. */
+const toBlanketRenewal = (
+  known: KnownState,
   { renewals }: WorkerCommand,
 ): Pick<WireCommand, 'renewals' | 'blanketRenewal'> => {
   const leaseUntilWorkerMs = renewals[0]?.leaseUntilWorkerMs;
@@ -40,9 +40,9 @@
     return { renewals };
   }
   const isRunning = (key: string): boolean =>
-    held.tasks.get(key)?.state === WorkerTaskState.Running;
+    known.tasks.get(key)?.state === WorkerTaskState.Running;
   const renewed = new Set(renewals.map(keyOf));
-  const except = held.taskList.filter(
+  const except = known.taskList.filter(
     (task) => task.state === WorkerTaskState.Running && !renewed.has(keyOf(task)),
   );
   const others = renewals.filter((renewal) => !isRunning(keyOf(renewal)));
@@ -55,8 +55,8 @@
   };
 };
 
-/** Lists that hold something; the others are left out of the message. */
-const filledLists = ({
+/** Returns the non-empty lists; empty ones are left out of the message. */
+const nonEmptyLists = ({
   starts,
   evictions,
   throttles,
@@ -69,75 +69,80 @@
 });
 
 /**
- * Turns whole commands into the short messages of the exchange and short answers into whole
- * reports. Made for a cell of 123 workers with 20 tasks each, whose renewals and reports came to
- * 850 KB a second when each named every task.
+ * Encodes full commands as short messages, and decodes short answers into full reports. In a cell
+ * of 123 workers with 20 tasks each, renewals and reports took 850 KB a second when each message
+ * named every task.
  *
- * Safety. A task may be given to another worker only when its worker has confirmed the stop or
- * its lease has surely run out, so a message must renew no attempt that the command does not
- * name: the owner counts on the lease of an attempt that it drops to run out, for example of one
- * that a transaction under way takes off the worker. The blanket renewal keeps this:
+ * Safety. A task may move to another worker only if its worker has confirmed the stop or its lease
+ * has certainly expired. So a message must not renew an attempt that the command does not name:
+ * the owner relies on the lease of a dropped attempt to expire, for example when a running
+ * transaction takes the attempt off the worker. The blanket renewal guarantees this:
  *
- * 1. What is held at revision R is exactly what the worker had at R. A whole report tells all of
- *    it. Changes are applied only to the revision that they were counted from; an answer that
- *    names another base is dropped, and the next message names no revision.
- * 2. The worker renews an attempt by the blanket only if it runs now, ran at R, and is not
- *    excepted. By 1 it is then held as running, and what is held as running and not named by the
- *    command is excepted. So what is renewed is named by the command. An attempt that was started
- *    after R is not renewed, whatever became of the answer that told of it.
- * 3. R counts for one incarnation, which the message names; another incarnation carries nothing
- *    out. It also counts for one epoch: a revision is held only from an answer to a command of the
- *    same epoch, and a worker that has seen a higher one carries nothing out either. An owner that
- *    lost the cell and has it back thus begins with a whole report, and learns the leases that
- *    were granted in between.
- * 4. The renewal ends at an instant of the worker's clock that was set when the command was made,
- *    so a message held up by a pause renews for no longer than a list of renewals would.
+ * 1. The known state at revision R is exactly the worker's state at R. A full report contains all
+ *    of it. Changes are applied only to the revision that they are based on; an answer with another
+ *    base is dropped, and the next message names no revision.
+ * 2. The worker applies the blanket renewal to an attempt only if the attempt runs now, ran at R,
+ *    and is not excepted. By 1 the attempt is then known as running. The message excepts every
+ *    attempt that is known as running and not named by the command, so every renewed attempt is
+ *    named by the command. An attempt started after R is not renewed, even if the answer that
+ *    reported it was lost.
+ * 3. R is valid for one incarnation, which the message names; another incarnation ignores the
+ *    message. R is also valid for one epoch only: a revision is known only from an answer to a
+ *    command of the same epoch, and a worker that has seen a higher epoch ignores the message. An
+ *    owner that lost the cell and regained it therefore begins with a full report, and learns the
+ *    leases that were granted in between.
+ * 4. The renewal ends at an instant of the worker's clock that was fixed when the command was
+ *    created, so a delayed message renews for no longer than a list of renewals would.
  *
- * An answer that is lost changes nothing here: what is held was true at R, and the next message
+ * A lost answer changes nothing: the known state is still the state at R, and the next message
  * names R again.
  */
 export class ReportMirror {
-  #held: Held | undefined;
+  #known: KnownState | undefined;
 
-  /** The incarnation and epoch of which no lease lasts longer than the instant below. */
+  /** The incarnation and epoch that `#latestLeaseUntilWorkerMs` applies to. */
   #leaseScope = '';
 
+  /** No lease granted in the scope ends later. */
   #latestLeaseUntilWorkerMs = Number.NEGATIVE_INFINITY;
 
   toMessage(command: WorkerCommand): SentCommand {
     const { incarnation, cellEpoch } = command;
-    const held = this.#heldFor(command);
-    this.#noteLeases(command, [...command.renewals, ...command.starts]);
-    if (held === undefined) return { message: command, incarnation, cellEpoch };
+    const known = this.#knownStateFor(command);
+    this.#recordLeases(command, [...command.renewals, ...command.starts]);
+    if (known === undefined) return { message: command, incarnation, cellEpoch };
     const message = {
       incarnation,
       cellEpoch,
-      knownRevision: held.revision,
-      ...foldedRenewals(held, command),
-      ...filledLists(command),
+      knownRevision: known.revision,
+      ...toBlanketRenewal(known, command),
+      ...nonEmptyLists(command),
     };
     return { message, incarnation, cellEpoch };
   }
 
-  /** The whole report; undefined when the answer cannot be understood, then one is asked for. */
+  /**
+   * Decodes an answer into a full report. Returns undefined if the answer has another base
+   * revision; the next message then requests a full report.
+   */
   toReport(sent: SentCommand, answer: WireReport): WorkerReport | undefined {
-    if (!('baseRevision' in answer)) return this.#takeWhole(sent, answer);
-    const held = this.#heldFor(sent);
-    if (held?.revision !== answer.baseRevision) {
-      this.#held = undefined;
+    if (!('baseRevision' in answer)) return this.#acceptFullReport(sent, answer);
+    const known = this.#knownStateFor(sent);
+    if (known?.revision !== answer.baseRevision) {
+      this.#known = undefined;
       return undefined;
     }
     const { revision, workerNowMs } = answer;
-    this.#held = { ...ReportMirror.#withChanges(held, answer), revision };
-    return this.#toReport(this.#held, workerNowMs);
+    this.#known = { ...ReportMirror.#withChanges(known, answer), revision };
+    return this.#toReport(this.#known, workerNowMs);
   }
 
-  #heldFor({ incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>) {
-    const held = this.#held;
-    return held?.incarnation === incarnation && held.cellEpoch === cellEpoch ? held : undefined;
+  #knownStateFor({ incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>) {
+    const known = this.#known;
+    return known?.incarnation === incarnation && known.cellEpoch === cellEpoch ? known : undefined;
   }
 
-  #noteLeases(
+  #recordLeases(
     { incarnation, cellEpoch }: Pick<SentCommand, 'incarnation' | 'cellEpoch'>,
     leases: readonly { readonly leaseUntilWorkerMs: number }[],
   ): void {
@@ -151,38 +156,38 @@
     );
   }
 
-  #takeWhole(
+  #acceptFullReport(
     { cellEpoch }: SentCommand,
     { revision, ...report }: WorkerReport & { readonly revision?: number | undefined },
   ): WorkerReport {
     if (revision === undefined) {
-      this.#held = undefined;
+      this.#known = undefined;
       return report;
     }
     const { workerId, incarnation, workerNowMs, tasks: taskList } = report;
-    this.#noteLeases({ incarnation, cellEpoch }, taskList);
+    this.#recordLeases({ incarnation, cellEpoch }, taskList);
     const tasks = new Map(taskList.map((task) => [keyOf(task), task]));
-    this.#held = { workerId, incarnation, cellEpoch, revision, tasks, taskList };
-    return this.#toReport(this.#held, workerNowMs);
+    this.#known = { workerId, incarnation, cellEpoch, revision, tasks, taskList };
+    return this.#toReport(this.#known, workerNowMs);
   }
 
-  #toReport({ workerId, incarnation, taskList }: Held, workerNowMs: number): WorkerReport {
+  #toReport({ workerId, incarnation, taskList }: KnownState, workerNowMs: number): WorkerReport {
     const report = { workerId, incarnation, workerNowMs, tasks: taskList };
     if (taskList.length === 0) return report;
     return { ...report, latestLeaseUntilWorkerMs: this.#latestLeaseUntilWorkerMs };
   }
 
   static #withChanges(
-    held: Held,
+    known: KnownState,
     changes: {
       readonly tasks: readonly WorkerTaskReport[];
       readonly forgotten: readonly TaskAttempt[];
     },
-  ): Held {
-    if (changes.tasks.length + changes.forgotten.length === 0) return held;
-    const tasks = new Map(held.tasks);
+  ): KnownState {
+    if (changes.tasks.length + changes.forgotten.length === 0) return known;
+    const tasks = new Map(known.tasks);
     changes.forgotten.forEach((attempt) => tasks.delete(keyOf(attempt)));
     changes.tasks.forEach((task) => tasks.set(keyOf(task), task));
-    return { ...held, tasks, taskList: [...tasks.values()] };
+    return { ...known, tasks, taskList: [...tasks.values()] };
   }
 }
