--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -2,7 +2,10 @@
 import prettier from 'eslint-config-prettier';
 import jsdoc from 'eslint-plugin-jsdoc';
 
-/** Layers from the bottom up; a layer imports only from those before it. */
+/**
+ * The layers above base and services, from the bottom up: subsystems, then programs. A layer
+ * imports only from lower layers, and subsystems do not import each other.
+ */
 const SUBSYSTEMS = ['entry', 'intake', 'scheduler', 'operator', 'peers'];
 const PROGRAMS = ['daemon', 'cli'];
 
@@ -56,18 +59,18 @@
       'import-x/extensions': 'off',
       'import-x/order': 'off',
       'import-x/no-rename-default': 'off',
-      // A resource or rule may stand beside the class it serves.
+      // A small class may be in the same file as the class that uses it.
       'max-classes-per-file': 'off',
-      // Floating promises are marked with `void`, as the compiler's lint asks for.
+      // `no-floating-promises` requires `void` before a promise that is not awaited.
       'no-void': 'off',
       'no-underscore-dangle': ['error', { allow: ['_tag'] }],
       'max-lines': ['error', { max: 400, skipBlankLines: true, skipComments: true }],
-      // A type and the constant it is made of share a name.
+      // A type has the same name as the constant that it is derived from.
       '@typescript-eslint/no-redeclare': 'off',
       '@typescript-eslint/no-use-before-define': ['error', { functions: false }],
       'n/no-process-exit': 'off',
       'n/hashbang': 'off',
-      // A policy may need no state of its own; its interface still asks for methods.
+      // A class without state still has to implement the methods of its interface.
       'class-methods-use-this': 'off',
       '@typescript-eslint/class-methods-use-this': [
         'error',
@@ -78,7 +81,7 @@
     },
   },
   {
-    // The deciding core knows no sockets, files, timers or clock.
+    // Code in common/ only makes decisions: it uses no sockets, files, timers or clocks.
     files: ['src/**/common/**/*.ts'],
     rules: {
       'no-restricted-imports': [
@@ -108,8 +111,8 @@
     },
   },
   {
-    // Records of thousands of tasks change in place: copies would cost the processor time that a
-    // hundred starts a second need.
+    // Records of thousands of tasks are changed in place. Copying them would use the processor
+    // time that is needed for a hundred starts a second.
     files: [
       'src/scheduler/common/fleet/**/*.ts',
       'src/scheduler/test/fleet/**/*.ts',
@@ -120,12 +123,12 @@
   {
     files: ['tools/**/*.mjs', 'tools/**/*.cjs'],
     rules: {
-      // A loader that starts a bundle is CommonJS, and has nothing to do meanwhile.
+      // A loader that starts a bundle is CommonJS, and may block because it has no other work.
       '@typescript-eslint/no-require-imports': 'off',
       'n/no-sync': 'off',
       'n/no-process-exit': 'off',
       'no-console': 'off',
-      // What builds and checks is no part of what runs.
+      // Build and check tools are not part of the product, so they may use development packages.
       'import-x/no-extraneous-dependencies': 'off',
     },
   },
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -13,8 +13,9 @@
     setupFiles: ['tools/test/eventLoopTurns.ts'],
     testTimeout: 60_000,
     hookTimeout: 60_000,
-    // A poll waits for a state to come; how long it takes says how busy the machine is, no more.
-    // The library's own limit of a second failed on a slow machine what was about to come true.
+    // A poll waits for an expected state. How long that takes depends only on how busy the machine
+    // is. With the library's default limit of a second, tests failed on a slow machine although
+    // the state was about to be reached.
     expect: { poll: { timeout: 20_000 } },
   },
 });
