--- a/tools/stats.mjs
+++ b/tools/stats.mjs
@@ -7,8 +7,11 @@
 /** The purposes of product files by path; the first matching pattern decides. */
 const PURPOSES = [
   ['membership', /^src\/(peers|services\/instanceList)\//u],
-  ['membership', /^src\/scheduler\/(common\/cellLease|node\/cellTasks)/u],
+  ['membership', /^src\/scheduler\/(common\/cellLease\.|node\/cellTasks)/u],
   ['retries', /^src\/(entry|services)\/.*([rR]etr|attempt|claim|backoff)/u],
+  // The names of these files contain words of the pattern for limits.
+  ['routing', /^src\/entry\/common\/dequeueInterval\./u],
+  ['other', /^src\/services\/log\/common\/rateLimitedLog\./u],
   ['limits', /^src\/(entry|services|operator)\/.*(limit|[qQ]ueue|admission|share|quota|budget)/iu],
   ['routing', /^src\/entry\//u],
   ['state and recovery', /^src\/(intake|services\/(submissions|fleet))\//u],
