--- a/bench/capacity/operatorCapacity.ts
+++ b/bench/capacity/operatorCapacity.ts
@@ -1,4 +1,4 @@
-/** What one plan and its confirmation cost, by the number of documents in the configuration. */
+/** Measures the cost of a plan and its confirmation by the number of configuration documents. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import { isLeft, right } from 'fp-ts/lib/Either.js';
@@ -19,7 +19,7 @@
 import { silentMetrics } from '../../src/services/metrics/common/metrics.js';
 import type { TableService } from '../../src/services/table/common/table.js';
 import { TableStandIn } from '../../standIns/platform/tableStandIn.js';
-import { toFigure } from './slopes.js';
+import { roundFigure } from './slopes.js';
 
 const PLAN_COUNT = 50;
 const PLAN_LIFETIME_MS = 600_000;
@@ -30,7 +30,7 @@
 
 export interface OperatorFigures {
   readonly documentCount: number;
-  /** Processor time of planning and confirming, that of the table's stand-in included. */
+  /** Processor time to plan and confirm, including the time of the table's stand-in. */
   readonly processorMsPerPlan: number;
   readonly readsPerPlan: number;
   readonly readRowsPerPlan: number;
@@ -39,7 +39,7 @@
   readonly readBytesPerPlan: number;
 }
 
-const fill = (table: TableStandIn, documentCount: number): void => {
+const fillTable = (table: TableStandIn, documentCount: number): void => {
   const zones = ZONES.map((name) => ({
     key: zoneKey(name),
     value: { name, region: 'r', state: 'in-use' },
@@ -57,7 +57,7 @@
 
 export const measureOperator = async (documentCount: number): Promise<OperatorFigures> => {
   const table = new TableStandIn();
-  fill(table, documentCount);
+  fillTable(table, documentCount);
   let readBytes = 0;
   const service: TableService = {
     read: (request) => {
@@ -112,7 +112,7 @@
   }
   const usage = process.cpuUsage(usageBefore);
   const { counts } = table;
-  const perPlan = (value: number): number => toFigure(value / PLAN_COUNT);
+  const perPlan = (value: number): number => roundFigure(value / PLAN_COUNT);
   return {
     documentCount,
     processorMsPerPlan: perPlan((usage.user + usage.system) / MICROSECONDS_PER_MS),
--- a/bench/colocation/batchArrivals.ts
+++ b/bench/colocation/batchArrivals.ts
@@ -1,14 +1,14 @@
-/** Batch jobs of several kinds that arrive at an even rate, drawn from a seed. */
+/** Generates batch jobs of several kinds at a constant rate, drawn from a seed. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import type { WorkRow } from '../../src/services/workload/common/workRows.js';
 import { trueMillis } from './idealPool.js';
-import type { ColocationSize, KindTruth } from './truth.js';
+import type { ColocationSize, BatchKind } from './workloadModel.js';
 
 const MAXIMUM_TASKS_OF_JOB = 6;
 
 export interface ArrivedJob {
   readonly row: WorkRow;
-  readonly kind: KindTruth;
+  readonly kind: BatchKind;
 }
 
 export class BatchArrivals {
@@ -18,7 +18,7 @@
 
   readonly #tasksPerMs: number;
 
-  /** Tasks that are due and have not been submitted, in parts of one. */
+  /** The fractional number of tasks that are due but not yet submitted. */
   #dueTasks = 0;
 
   #jobCount = 0;
@@ -35,11 +35,11 @@
       (sum, { declared }) => sum + declared.processorMillis * replicaCount,
       0,
     );
-    const roomMillis = capacity.processorMillis * workerCount - serviceMillis;
-    this.#tasksPerMs = (demand * roomMillis) / perTaskMs;
+    const freeMillis = capacity.processorMillis * workerCount - serviceMillis;
+    this.#tasksPerMs = (demand * freeMillis) / perTaskMs;
   }
 
-  /** The jobs that arrived in `elapsedMs`, each in one of `zones`. */
+  /** Returns the jobs that arrive within `elapsedMs`, each in one of `zones`. */
   next(elapsedMs: number, zones: readonly string[]): readonly ArrivedJob[] {
     const jobs: ArrivedJob[] = [];
     this.#dueTasks += this.#tasksPerMs * elapsedMs;
@@ -76,13 +76,13 @@
     return { row, kind };
   }
 
-  #drawKind(): KindTruth {
+  #drawKind(): BatchKind {
     const { kinds } = this.#size;
-    let left = this.#random.nextFraction();
+    let remainingShare = this.#random.nextFraction();
     const drawn = kinds.find(({ share }) => {
-      left -= share;
-      return left <= 0;
+      remainingShare -= share;
+      return remainingShare <= 0;
     });
-    return drawn ?? (kinds[0] as KindTruth);
+    return drawn ?? (kinds[0] as BatchKind);
   }
 }
--- a/bench/colocation/idealPool.ts
+++ b/bench/colocation/idealPool.ts
@@ -1,29 +1,29 @@
 /**
- * What could be done at best: true sizes, run times and pairs are known at each moment, work is
- * divided at will and moves for nothing, and no service is slowed by more than is tolerated. Only
- * the places of the replicas are those of the run. No scheduler does as well, so a share of it is
- * a cautious figure.
+ * An upper bound of the batch work that a scheduler can do. The pool knows the true sizes, run
+ * times and interference at each moment, divides and moves work at no cost, and slows no service
+ * by more than the tolerated slowdown. Only the replicas are placed as in the run. No scheduler
+ * reaches this bound, so a ratio to it is a conservative figure.
  */
-import { type KindTruth, loadAt, type ServiceTruth } from './truth.js';
+import { type BatchKind, loadAt, type ServiceModel } from './workloadModel.js';
 
-/** One worker as the ideal sees it. */
-export interface IdealRoom {
+/** The processors that services leave free on one worker, and these services. */
+export interface WorkerRoom {
   readonly freeMillis: number;
-  readonly services: readonly ServiceTruth[];
+  readonly services: readonly ServiceModel[];
 }
 
 interface IdealTask {
   remainingMs: number;
 }
 
-interface Room {
+interface RemainingRoom {
   freeMillis: number;
-  readonly services: readonly ServiceTruth[];
-  /** The slowdown that each service here may still take. */
-  readonly leftSlowdowns: number[];
+  readonly services: readonly ServiceModel[];
+  /** The additional slowdown that each service on the worker still tolerates. */
+  readonly remainingSlowdowns: number[];
 }
 
-export const trueMillis = (kind: KindTruth): number =>
+export const trueMillis = (kind: BatchKind): number =>
   kind.declared.processorMillis * kind.useRatio;
 
 export class IdealPool {
@@ -31,7 +31,7 @@
 
   readonly #toleratedSlowdown: number;
 
-  readonly #tasks = new Map<KindTruth, IdealTask[]>();
+  readonly #tasks = new Map<BatchKind, IdealTask[]>();
 
   /** `toleratedSlowdown` is 0.15 for a service that may take 1.15 times as long. */
   constructor(capacityMillis: number, toleratedSlowdown: number) {
@@ -39,52 +39,52 @@
     this.#toleratedSlowdown = toleratedSlowdown;
   }
 
-  submit(kind: KindTruth): void {
+  submit(kind: BatchKind): void {
     const task = { remainingMs: kind.declaredWorkMs * kind.workRatio };
     this.#tasks.set(kind, [...(this.#tasks.get(kind) ?? []), task]);
   }
 
-  /** Lets the workers do what they can in `elapsedMs`; returns processor-milliseconds done. */
-  advance(workers: readonly IdealRoom[], nowMs: number, elapsedMs: number): number {
+  /** Runs the workers for `elapsedMs`. Returns the processor-milliseconds of work done. */
+  advance(workers: readonly WorkerRoom[], nowMs: number, elapsedMs: number): number {
     const rooms = workers.map(({ freeMillis, services }) => ({
       freeMillis,
       services,
-      leftSlowdowns: services.map(() => this.#toleratedSlowdown),
+      remainingSlowdowns: services.map(() => this.#toleratedSlowdown),
     }));
-    // What hurts most has the fewest places, so it chooses first.
+    // The kind with the highest pressure fits on the fewest workers, so it chooses first.
     const kinds = [...this.#tasks.keys()].sort(
       (left, right) =>
-        this.#harm(right, rooms, nowMs) - this.#harm(left, rooms, nowMs) ||
+        this.#totalPressure(right, rooms, nowMs) - this.#totalPressure(left, rooms, nowMs) ||
         (left.name < right.name ? -1 : 1),
     );
     return kinds.reduce((doneMs, kind) => doneMs + this.#run(kind, rooms, nowMs, elapsedMs), 0);
   }
 
-  #harm(kind: KindTruth, rooms: readonly Room[], nowMs: number): number {
+  #totalPressure(kind: BatchKind, rooms: readonly RemainingRoom[], nowMs: number): number {
     return rooms.reduce((sum, room) => sum + this.#worstPressure(kind, room, nowMs), 0);
   }
 
-  /** The slowdown by one thousandth of a processor of the kind. */
-  #pressures(kind: KindTruth, { services }: Room, nowMs: number): readonly number[] {
+  /** The slowdown of each service for each thousandth of a processor that the kind uses. */
+  #pressures(kind: BatchKind, { services }: RemainingRoom, nowMs: number): readonly number[] {
     return services.map(
       ({ name }) => (loadAt(nowMs) * kind.pressure(name, nowMs)) / this.#capacityMillis,
     );
   }
 
-  #worstPressure(kind: KindTruth, room: Room, nowMs: number): number {
+  #worstPressure(kind: BatchKind, room: RemainingRoom, nowMs: number): number {
     return Math.max(0, ...this.#pressures(kind, room, nowMs));
   }
 
-  #run(kind: KindTruth, rooms: readonly Room[], nowMs: number, elapsedMs: number): number {
+  #run(kind: BatchKind, rooms: readonly RemainingRoom[], nowMs: number, elapsedMs: number): number {
     const tasks = this.#tasks.get(kind) ?? [];
     const wantedMillis = tasks.length * trueMillis(kind);
-    const grantedMillis = this.#take(kind, rooms, wantedMillis, nowMs);
-    let leftMillis = grantedMillis;
+    const grantedMillis = this.#allocate(kind, rooms, wantedMillis, nowMs);
+    let unusedMillis = grantedMillis;
     let doneMs = 0;
     tasks.forEach((one) => {
       const task = one;
-      const millis = Math.min(trueMillis(kind), leftMillis);
-      leftMillis -= millis;
+      const millis = Math.min(trueMillis(kind), unusedMillis);
+      unusedMillis -= millis;
       const stepMs = Math.min(task.remainingMs, (elapsedMs * millis) / trueMillis(kind));
       task.remainingMs -= stepMs;
       doneMs += (stepMs * trueMillis(kind)) / 1_000;
@@ -96,9 +96,14 @@
     return doneMs;
   }
 
-  /** Takes up to `wantedMillis` of the rooms, first where the kind hurts least. */
-  #take(kind: KindTruth, rooms: readonly Room[], wantedMillis: number, nowMs: number): number {
-    let takenMillis = 0;
+  /** Allocates up to `wantedMillis`, first on the workers where the kind causes least slowdown. */
+  #allocate(
+    kind: BatchKind,
+    rooms: readonly RemainingRoom[],
+    wantedMillis: number,
+    nowMs: number,
+  ): number {
+    let allocatedMillis = 0;
     [...rooms]
       .sort(
         (left, right) =>
@@ -108,16 +113,19 @@
         const room = one;
         const pressures = this.#pressures(kind, room, nowMs);
         const limits = pressures.map((pressure, index) =>
-          pressure === 0 ? Number.POSITIVE_INFINITY : (room.leftSlowdowns[index] ?? 0) / pressure,
+          pressure === 0
+            ? Number.POSITIVE_INFINITY
+            : (room.remainingSlowdowns[index] ?? 0) / pressure,
         );
-        const millis = Math.min(wantedMillis - takenMillis, room.freeMillis, ...limits);
+        const millis = Math.min(wantedMillis - allocatedMillis, room.freeMillis, ...limits);
         if (millis <= 0) return;
-        takenMillis += millis;
+        allocatedMillis += millis;
         room.freeMillis -= millis;
         pressures.forEach((pressure, index) => {
-          room.leftSlowdowns[index] = (room.leftSlowdowns[index] ?? 0) - pressure * millis;
+          room.remainingSlowdowns[index] =
+            (room.remainingSlowdowns[index] ?? 0) - pressure * millis;
         });
       });
-    return takenMillis;
+    return allocatedMillis;
   }
 }
--- a/bench/configuration/inForce.ts
+++ b/bench/configuration/inForce.ts
@@ -1,8 +1,8 @@
-/** How long a change takes to be in force on the last daemon, in virtual time. */
+/** Measures in virtual time how long a change takes to be in force on the last daemon. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
 import { SeededRandom } from '../../src/base/common/random.js';
-import { chosenPeers } from '../../src/peers/common/peerTable.js';
+import { selectPeers } from '../../src/peers/common/peerTable.js';
 import { ConfigurationFollower } from '../../src/services/configuration/node/configurationFollower.js';
 import { acceptChange } from '../../src/services/configuration/test/acceptedChanges.js';
 import {
@@ -19,8 +19,8 @@
 import { silentLog } from '../../src/services/log/common/log.js';
 import { silentMetrics } from '../../src/services/metrics/common/metrics.js';
 
-const INTERVAL_MS = 600;
-const HEARTBEAT_MS = 1_000;
+const POLL_INTERVAL_MS = 600;
+const HEARTBEAT_INTERVAL_MS = 1_000;
 const HINT_DELAY_MS = 2;
 const START_MS = 5_000;
 const SETTLE_MS = 5_000;
@@ -32,7 +32,7 @@
   readonly name: string;
   readonly daemonCount: number;
   readonly changeCount: number;
-  /** The mean time between two changes, which come at random. */
+  /** The mean time between two changes. The times are random. */
   readonly meanGapMs: number;
   readonly hasPeers: boolean;
   readonly behaviour: Partial<TableBehaviour>;
@@ -42,7 +42,7 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
-  /** What one daemon costs the store. */
+  /** The load that one daemon puts on the store. */
   readonly readsPerDaemonPerSecond: number;
   readonly rowsPerDaemonPerSecond: number;
   readonly bytesPerDaemonPerSecond: number;
@@ -81,7 +81,7 @@
   operatorAddress: { host: '127.0.0.1', port: 1 },
 });
 
-/** Daemons with the real following logic; heartbeats and hints as `PeerService` sends them. */
+/** Daemons with real followers. Heartbeats and hints are simulated as `PeerService` sends them. */
 class Fleet {
   readonly followers: readonly ConfigurationFollower[];
 
@@ -94,22 +94,22 @@
       () => new ConfigurationFollower(table, time, silentLog, silentMetrics),
     );
     this.followers.forEach((follower) => {
-      const look = async (): Promise<void> => {
+      const poll = async (): Promise<void> => {
         await follower.refresh();
-        time.after(INTERVAL_MS, () => void look());
+        time.after(POLL_INTERVAL_MS, () => void poll());
       };
-      time.after(random.nextFraction() * INTERVAL_MS, () => void look());
+      time.after(random.nextFraction() * POLL_INTERVAL_MS, () => void poll());
     });
     if (!scenario.hasPeers) return;
     instances.forEach(({ id }, index) => {
-      const peers = chosenPeers(instances, id).map((peer) => Number(peer.id.slice(1)));
-      this.#beat(index, peers, random.nextFraction() * HEARTBEAT_MS);
+      const peers = selectPeers(instances, id).map((peer) => Number(peer.id.slice(1)));
+      this.#startHeartbeats(index, peers, random.nextFraction() * HEARTBEAT_INTERVAL_MS);
     });
   }
 
-  #beat(index: number, peers: readonly number[], firstMs: number): void {
+  #startHeartbeats(index: number, peers: readonly number[], firstDelayMs: number): void {
     const own = this.followers[index] as ConfigurationFollower;
-    const tell = (): void => {
+    const sendHints = (): void => {
       const version = own.current?.version ?? 0;
       peers.forEach((peer) => {
         const follower = this.followers[peer] as ConfigurationFollower;
@@ -118,20 +118,20 @@
         });
       });
     };
-    own.onDidChange(tell);
-    const beat = (): void => {
-      tell();
-      this.#time.after(HEARTBEAT_MS, beat);
+    own.onDidChange(sendHints);
+    const sendHeartbeat = (): void => {
+      sendHints();
+      this.#time.after(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
     };
-    this.#time.after(firstMs, beat);
+    this.#time.after(firstDelayMs, sendHeartbeat);
   }
 }
 
 const createHistogram = (): Histogram =>
   build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000, useWebAssembly: false });
 
-/** Records, for each version, when the last daemon has it in force. */
-const recordLast = (
+/** Records for each version how long it takes until the last daemon has it in force. */
+const recordLastInForce = (
   fleet: Fleet,
   time: VirtualTime,
   acceptedAtMs: readonly number[],
@@ -139,15 +139,15 @@
   const histogram = createHistogram();
   const remaining = acceptedAtMs.map(() => fleet.followers.length);
   fleet.followers.forEach((follower) => {
-    let known = follower.current?.version ?? 0;
+    let knownVersion = follower.current?.version ?? 0;
     follower.onDidChange(({ version }) => {
-      for (let passed = known + 1; passed <= version; passed += 1) {
-        remaining[passed] = (remaining[passed] ?? fleet.followers.length) - 1;
-        if (remaining[passed] === 0) {
-          histogram.recordValue(Math.max(1, time.nowMs() - (acceptedAtMs[passed] ?? 0)));
+      for (let reached = knownVersion + 1; reached <= version; reached += 1) {
+        remaining[reached] = (remaining[reached] ?? fleet.followers.length) - 1;
+        if (remaining[reached] === 0) {
+          histogram.recordValue(Math.max(1, time.nowMs() - (acceptedAtMs[reached] ?? 0)));
         }
       }
-      known = version;
+      knownVersion = version;
     });
   });
   return histogram;
@@ -161,7 +161,7 @@
   const fleet = new Fleet(time, table, random, scenario);
   await time.runUntil(START_MS);
   const acceptedAtMs = [0, 0];
-  const histogram = recordLast(fleet, time, acceptedAtMs);
+  const histogram = recordLastInForce(fleet, time, acceptedAtMs);
   const before = { ...table.truth.counts, byteCount: table.readByteCount };
   for (let version = 2; version < scenario.changeCount + 2; version += 1) {
     const state = version % 2 === 0 ? 'withdrawn' : 'in-use';
@@ -169,11 +169,13 @@
       [zoneKey('zone-0')]: { name: 'zone-0', region: 'r', state },
     });
     acceptedAtMs[version] = time.nowMs();
-    // The daemon that confirmed the plan knows of it first.
-    const confirming = fleet.followers[version % scenario.daemonCount] as ConfigurationFollower;
-    if (scenario.hasPeers) void confirming.refresh(version);
+    // The daemon that confirms the plan refreshes first.
+    const confirmingFollower = fleet.followers[
+      version % scenario.daemonCount
+    ] as ConfigurationFollower;
+    if (scenario.hasPeers) void confirmingFollower.refresh(version);
     const gapMs = -Math.log(1 - random.nextFraction()) * scenario.meanGapMs;
-    // eslint-disable-next-line no-await-in-loop -- changes come one after the other
+    // eslint-disable-next-line no-await-in-loop -- one change after the other
     await time.runUntil(time.nowMs() + gapMs);
   }
   await time.runUntil(time.nowMs() + SETTLE_MS);
--- a/bench/fleet/fleetRun.ts
+++ b/bench/fleet/fleetRun.ts
@@ -8,24 +8,25 @@
 import { FleetTruth } from './truth.js';
 import { Workload } from './workload.js';
 
-/** Distance between the seeds of the parts of one simulation. */
+/** Difference between the seeds of the random sources of one simulation. */
 const SEED_STRIDE = 1_000_003;
 
 export interface FleetResult extends SimulationOutcome {
   readonly counts: DriverCounts;
-  /** Share of the time for which the owner's processor was busy, where it is charged. */
+  /** Share of the time during which the owner's processor was busy; 0 if it is not charged. */
   readonly ownerBusyShare: number;
-  /** The share of the attainable value that was earned. */
+  /** Earned value as a share of the attainable value. */
   readonly share: number;
 }
 
-const schedule = (driver: FleetDriver, shape: FleetShape, seed: number): void => {
+/** Schedules the lost workers, the faulty workers and the crash of the owner. */
+const scheduleFailures = (driver: FleetDriver, shape: FleetShape, seed: number): void => {
   const random = new SeededRandom(seed);
   const ids = [...driver.workers.keys()];
-  const takeOne = (): string => ids.splice(random.nextIndex(ids.length), 1)[0] as string;
+  const drawWorkerId = (): string => ids.splice(random.nextIndex(ids.length), 1)[0] as string;
   const { lostWorkerCount, lossAtMs, faultyWorkerCount, faultyFromMs, faultyUntilMs } = shape;
-  const lost = Array.from({ length: lostWorkerCount }, takeOne);
-  const faulty = Array.from({ length: faultyWorkerCount }, takeOne);
+  const lost = Array.from({ length: lostWorkerCount }, drawWorkerId);
+  const faulty = Array.from({ length: faultyWorkerCount }, drawWorkerId);
   const setFaulty = (isFaulty: boolean): void =>
     faulty.forEach((id) => {
       const worker = driver.workers.get(id);
@@ -39,7 +40,7 @@
   }
 };
 
-/** `policyOf` gets the ground truth, for oracle baselines. */
+/** Runs one simulation. `policyOf` receives the ground truth, which oracle baselines need. */
 export const simulateFleet = async (
   shape: FleetShape,
   policyOf: (truth: FleetTruth) => FleetPolicy,
@@ -52,14 +53,14 @@
   const driver = new FleetDriver(shape, truth, policy, seed + 2 * SEED_STRIDE, ownerCores);
   const meter = new OutcomeMeter(shape, driver, arrivals);
   arrivals.forEach((arrival) => driver.submit(arrival));
-  schedule(driver, shape, seed + 3 * SEED_STRIDE);
+  scheduleFailures(driver, shape, seed + 3 * SEED_STRIDE);
   await driver.runUntil(shape.endMs);
   const outcome = meter.finish();
   const { urgent, filler, service } = outcome;
-  const parts = [urgent, filler, service];
+  const kindOutcomes = [urgent, filler, service];
   const share = shareEarned({
-    earned: parts.reduce((sum, { earned }) => sum + earned, 0),
-    attainable: parts.reduce((sum, { attainable }) => sum + attainable, 0),
+    earned: kindOutcomes.reduce((sum, { earned }) => sum + earned, 0),
+    attainable: kindOutcomes.reduce((sum, { attainable }) => sum + attainable, 0),
   });
   const ownerBusyShare = driver.ownerBusyMs / shape.endMs;
   return { ...outcome, counts: driver.counts, ownerBusyShare, share };
--- a/bench/fleet/ownerProcessor.ts
+++ b/bench/fleet/ownerProcessor.ts
@@ -1,7 +1,10 @@
-/** The owner's processor in virtual time: while it is busy, answers and steps wait. */
+/** Models the owner's processor in virtual time. Answers and steps wait while it is busy. */
 import type { VirtualTime } from '../virtualTime.js';
 
-/** Processor time of calls at some hundreds a second, by `bench fleet calls` (docs/CAPACITY.md). */
+/**
+ * Processor time per call at a few hundred calls a second, as `bench fleet calls` measures it (see
+ * docs/CAPACITY.md).
+ */
 export const CALL_COST_MS = {
   hold: 0.23,
   order: 0.13,
@@ -9,10 +12,13 @@
   read: 0.56,
   feed: 0.2,
 } as const;
-/** Collections beside the decisions that make the garbage, by `bench fleet profile`. */
-const COLLECTION_FACTOR = 1.1;
+/**
+ * Adds the garbage collection that decisions cause to the time of the decisions, in the proportion
+ * that `bench fleet profile` shows.
+ */
+const GARBAGE_COLLECTION_FACTOR = 1.1;
 
-interface Work {
+interface QueuedWork {
   readonly costMs: number;
   readonly run: () => void;
 }
@@ -20,16 +26,16 @@
 export class OwnerProcessor {
   readonly #time: VirtualTime;
 
-  /** Undefined for a processor on which nothing takes time. */
+  /** Number of cores; undefined if work takes no virtual time. */
   readonly #cores: number | undefined;
 
-  readonly #queue: Work[] = [];
+  readonly #queue: QueuedWork[] = [];
 
   #busyUntilMs = 0;
 
-  #isDue = false;
+  #isScheduled = false;
 
-  /** For how long the processor has been busy. */
+  /** Total virtual time during which the processor was busy. */
   busyMs = 0;
 
   constructor(time: VirtualTime, cores: number | undefined) {
@@ -37,32 +43,35 @@
     this.#cores = cores;
   }
 
-  /** Runs the work in its turn; it takes its own time on this machine, and `costMs` more. */
+  /**
+   * Queues the work and runs it when the processor is free. The work occupies the processor for the
+   * time measured on this machine plus `costMs`.
+   */
   run(costMs: number, run: () => void): void {
     if (this.#cores === undefined) {
       run();
       return;
     }
     this.#queue.push({ costMs, run });
-    this.#runNextSoon();
+    this.#scheduleNext();
   }
 
-  /** How long a decision that takes so long on this machine takes there. */
-  inVirtualMs(measuredMs: number): number {
-    return this.#cores === undefined ? 0 : (measuredMs * COLLECTION_FACTOR) / this.#cores;
+  /** Converts a decision's measured duration on this machine into its duration in virtual time. */
+  toVirtualMs(measuredMs: number): number {
+    return this.#cores === undefined ? 0 : (measuredMs * GARBAGE_COLLECTION_FACTOR) / this.#cores;
   }
 
   #spend(costMs: number): void {
-    const takenMs = costMs / (this.#cores ?? 1);
-    this.busyMs += takenMs;
-    this.#busyUntilMs = Math.max(this.#busyUntilMs, this.#time.nowMs) + takenMs;
+    const durationMs = costMs / (this.#cores ?? 1);
+    this.busyMs += durationMs;
+    this.#busyUntilMs = Math.max(this.#busyUntilMs, this.#time.nowMs) + durationMs;
   }
 
-  #runNextSoon(): void {
-    if (this.#isDue || this.#queue.length === 0) return;
-    this.#isDue = true;
+  #scheduleNext(): void {
+    if (this.#isScheduled || this.#queue.length === 0) return;
+    this.#isScheduled = true;
     this.#time.after(Math.max(0, this.#busyUntilMs - this.#time.nowMs), () => {
-      this.#isDue = false;
+      this.#isScheduled = false;
       this.#runNext();
     });
   }
@@ -70,9 +79,9 @@
   #runNext(): void {
     const next = this.#queue.shift();
     if (next === undefined) return;
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     next.run();
-    this.#spend(next.costMs + (performance.now() - beganAtMs) * COLLECTION_FACTOR);
-    this.#runNextSoon();
+    this.#spend(next.costMs + (performance.now() - startedAtMs) * GARBAGE_COLLECTION_FACTOR);
+    this.#scheduleNext();
   }
 }
--- a/bench/fleet/sharedWorker.ts
+++ b/bench/fleet/sharedWorker.ts
@@ -1,6 +1,7 @@
 /**
- * Models a worker whose tasks share its processors: services use a periodic share, fillers get the
- * remainder, and a service's tail latency is inversely proportional to its spare capacity.
+ * Models a worker whose tasks share its processors. Services use a share that varies periodically,
+ * and fillers share the processors that the other tasks leave idle. A service's tail latency is
+ * inversely proportional to its spare capacity.
  */
 import type { RandomSource } from '../../src/base/common/random.js';
 import {
@@ -13,33 +14,36 @@
 import type { FleetTruth, TaskTruth } from './truth.js';
 
 const FULL_PERCENT = 100;
-/** Time for a change of pace, and for a run to restore its checkpoint. */
+/** Time until a change of pace takes effect, and time for a run to restore its checkpoint. */
 const PACE_DELAY_MS = 100;
 const RESTORE_MS = 600;
 const SAVE_INTERVAL_MS = 1_000;
 export const STOP_MS = 200;
-const LONGEST_LEASE_MS = 6_000;
-/** Averaging window and relative noise of the listed figures. */
+const MAXIMUM_LEASE_MS = 6_000;
+/** Averaging window and relative noise of the figures that the worker reports. */
 const FIGURE_WINDOW_MS = 500;
-const FIGURE_SCATTER = 0.05;
-const LEAST_SPARE_SHARE = 0.01;
+const FIGURE_NOISE = 0.05;
+const MINIMUM_SPARE_SHARE = 0.01;
 
 /** Simulated state of one run. */
 export interface SharedRun {
   readonly run: ModelRun;
   readonly truth: TaskTruth;
-  /** Completed work, in milliseconds at full speed; may be negative during a restore. */
+  /** Completed work, in milliseconds at full speed; can be negative during a restore. */
   doneMs: number;
   savedMs: number;
   pacePercent: number;
   nextPacePercent: number;
   paceChangesAtMs: number;
-  /** Processors in use now. */
+  /** Processors currently in use. */
   usedMillis: number;
-  /** For a service: its tail latency now, and without fillers. */
+  /**
+   * For a service: its current tail latency, and the tail latency that it would have if no fillers
+   * ran.
+   */
   tailMs: number;
   tailWithoutFillersMs: number;
-  /** The listed figure: smoothed tail latency, or processors in use. */
+  /** The reported figure: a service's smoothed tail latency, or a batch task's smoothed usage. */
   figure: number;
 }
 
@@ -49,19 +53,19 @@
   readonly shape: FleetShape;
   readonly truth: FleetTruth;
   readonly random: RandomSource;
-  /** Called with discarded work, in processor-seconds. */
+  /** Called with the work that is lost when a run ends, in processor-seconds. */
   readonly onWasted: (processorSeconds: number) => void;
 }
 
 const NO_FIGURES: RunFigures = { checkpoint: '', workedPercent: 0, recentMeasurement: 0 };
 
-/** The progress from which the next run of the task would start. */
+/** The progress that the task's next run starts from. */
 const savedMsOf = ({ truth, savedMs, doneMs, run }: SharedRun): number => {
   if (!truth.savesProgress) return 0;
   return run.end === RunEnd.Stopped ? Math.max(savedMs, doneMs) : savedMs;
 };
 
-const measureFigure = (shared: SharedRun, passedMs: number): void => {
+const updateFigure = (shared: SharedRun, passedMs: number): void => {
   const isServing = shared.truth.loadPhase !== undefined;
   const now = isServing ? shared.tailMs : shared.usedMillis;
   const weight = shared.figure === 0 ? 1 : Math.min(1, (2 * passedMs) / FIGURE_WINDOW_MS);
@@ -73,7 +77,7 @@
 
   readonly shared = new Map<ModelRun, SharedRun>();
 
-  /** While set, every batch run fails at its next tick. */
+  /** While this is set, every batch run fails at its next tick. */
   isFaulty = false;
 
   readonly #options: SharedWorkerOptions;
@@ -91,7 +95,7 @@
       {
         id,
         capacity: { processorMillis, memoryBytes: shape.memoryBytes, acceleratorCount: 0 },
-        maximumLeaseMs: LONGEST_LEASE_MS,
+        maximumLeaseMs: MAXIMUM_LEASE_MS,
         stopMs: STOP_MS,
         clockRate: 1,
         taskOf: () => ({ workMs: Number.POSITIVE_INFINITY, end: RunEnd.Done }),
@@ -102,8 +106,8 @@
     );
   }
 
-  /** Tracks a run that was started from a checkpoint. */
-  noteStart(taskName: string, checkpoint: string, nowMs: number): void {
+  /** Tracks a new run, which starts from the checkpoint unless that is empty. */
+  trackStart(taskName: string, checkpoint: string, nowMs: number): void {
     const run = this.model.runs.get(taskName);
     const truth = this.#options.truth.tasks.get(taskName);
     if (run === undefined || truth === undefined || this.shared.has(run)) return;
@@ -130,17 +134,17 @@
   tick(nowMs: number): void {
     const passedMs = nowMs - this.#tickedAtMs;
     this.#tickedAtMs = nowMs;
-    this.#dropEnded();
+    this.#removeEnded();
     const runs = [...this.shared.values()];
-    this.#share(runs, nowMs);
+    this.#shareProcessors(runs, nowMs);
     runs.forEach((shared) => this.#advance(shared, passedMs, nowMs));
     this.#measureTails(runs, nowMs);
-    runs.forEach((shared) => measureFigure(shared, passedMs));
+    runs.forEach((shared) => updateFigure(shared, passedMs));
     this.model.advance(nowMs);
-    this.#dropEnded();
+    this.#removeEnded();
   }
 
-  #dropEnded(): void {
+  #removeEnded(): void {
     this.shared.forEach((shared, run) => {
       if (this.model.runs.get(run.taskName) === run) return;
       this.shared.delete(run);
@@ -150,26 +154,28 @@
     });
   }
 
-  #share(runs: readonly SharedRun[], nowMs: number): void {
+  #shareProcessors(runs: readonly SharedRun[], nowMs: number): void {
     let idleMillis = this.#options.processorMillis;
-    let wantedMillis = 0;
+    let requestedMillis = 0;
     runs.forEach((shared) => {
       const { truth } = shared;
       if (nowMs >= shared.paceChangesAtMs) shared.pacePercent = shared.nextPacePercent;
-      const wanted = (truth.processorMillis * shared.pacePercent) / FULL_PERCENT;
+      const runMillis = (truth.processorMillis * shared.pacePercent) / FULL_PERCENT;
       if (truth.isFiller) {
-        wantedMillis += wanted;
+        requestedMillis += runMillis;
         return;
       }
       const load =
         truth.loadPhase === undefined ? 1 : this.#options.truth.loadAt(truth.loadPhase, nowMs);
-      shared.usedMillis = wanted * load;
+      shared.usedMillis = runMillis * load;
       idleMillis -= shared.usedMillis;
     });
-    const part = wantedMillis === 0 ? 0 : Math.min(1, Math.max(0, idleMillis) / wantedMillis);
+    const grantedShare =
+      requestedMillis === 0 ? 0 : Math.min(1, Math.max(0, idleMillis) / requestedMillis);
     runs.forEach((shared) => {
       if (!shared.truth.isFiller) return;
-      shared.usedMillis = (shared.truth.processorMillis * shared.pacePercent * part) / FULL_PERCENT;
+      shared.usedMillis =
+        (shared.truth.processorMillis * shared.pacePercent * grantedShare) / FULL_PERCENT;
     });
   }
 
@@ -189,20 +195,20 @@
   }
 
   #measureTails(runs: readonly SharedRun[], nowMs: number): void {
-    const { truth: fleet, shape, processorMillis } = this.#options;
+    const { truth: fleetTruth, shape, processorMillis } = this.#options;
     const { unloadedTailMs } = shape.service;
     runs.forEach((shared) => {
       const { truth } = shared;
       if (truth.loadPhase === undefined) return;
-      const load = fleet.loadAt(truth.loadPhase, nowMs);
+      const load = fleetTruth.loadAt(truth.loadPhase, nowMs);
       let pressure = 0;
       runs.forEach((other) => {
         if (!other.truth.isFiller) return;
-        const cost = fleet.costAt(truth.image, other.truth.image, nowMs);
+        const cost = fleetTruth.costAt(truth.image, other.truth.image, nowMs);
         pressure += (cost * other.usedMillis) / processorMillis;
       });
-      shared.tailWithoutFillersMs = unloadedTailMs / Math.max(LEAST_SPARE_SHARE, 1 - load);
-      shared.tailMs = unloadedTailMs / Math.max(LEAST_SPARE_SHARE, 1 - load - pressure);
+      shared.tailWithoutFillersMs = unloadedTailMs / Math.max(MINIMUM_SPARE_SHARE, 1 - load);
+      shared.tailMs = unloadedTailMs / Math.max(MINIMUM_SPARE_SHARE, 1 - load - pressure);
     });
   }
 
@@ -212,12 +218,12 @@
     const { truth, doneMs, figure } = shared;
     const isServing = truth.loadPhase !== undefined;
     const worked = isServing ? 1 : Math.max(0, doneMs) / truth.workMs;
-    const scatter = 1 + FIGURE_SCATTER * (2 * this.#options.random.nextFraction() - 1);
+    const noise = 1 + FIGURE_NOISE * (2 * this.#options.random.nextFraction() - 1);
     const savedMs = savedMsOf(shared);
     return {
       checkpoint: savedMs > 0 ? String(Math.round(savedMs)) : '',
       workedPercent: Math.min(FULL_PERCENT, Math.floor(worked * FULL_PERCENT)),
-      recentMeasurement: Math.round(figure * (isServing ? scatter : 1)),
+      recentMeasurement: Math.round(figure * (isServing ? noise : 1)),
     };
   }
 }
--- a/bench/fleet/workload.ts
+++ b/bench/fleet/workload.ts
@@ -12,16 +12,17 @@
 } from './truth.js';
 
 const TWO_PI = 2 * Math.PI;
-/** Lower bound of the share of its requested processors that a task uses. */
+/** Minimum share of its requested processors that a batch task uses. */
 const MINIMUM_USE_SHARE = 0.7;
 const ID_DIGITS = 16;
 
+/** Size of a batch submission, from which its objective and value follow. */
 export interface BatchObjective {
   readonly kind: BatchKind;
   /** Work at full speed, in processor-seconds. */
   readonly processorSeconds: number;
-  /** Critical path at full speed. */
-  readonly chainMs: number;
+  /** Duration of the critical path at full speed. */
+  readonly criticalPathMs: number;
 }
 
 export interface Arrival {
@@ -69,7 +70,7 @@
     this.#random = new SeededRandom(seed);
   }
 
-  /** All submissions in order of arrival. */
+  /** Generates all submissions in order of arrival. */
   generate(): readonly Arrival[] {
     const { service, urgent, filler, burst, trafficFromMs, trafficUntilMs } = this.#shape;
     const arrivals: Arrival[] = [];
@@ -145,7 +146,7 @@
   #newBatch(kind: BatchKind, atMs: number): Arrival {
     const random = this.#random;
     const stepCount = positiveInteger(sampleFrom(random, kind.stepCount));
-    const savesProgress = random.nextFraction() < kind.savingShare;
+    const savesProgress = random.nextFraction() < kind.checkpointingShare;
     const image = kind.isFiller
       ? fillerImage(random.nextIndex(this.#shape.interference.fillerImageCount))
       : '';
@@ -155,7 +156,7 @@
     const steps = generated.map(({ step }) => step);
     const submission = this.#newSubmission(kind.queueName, steps, atMs);
     let processorSeconds = 0;
-    let chainMs = 0;
+    let criticalPathMs = 0;
     generated.forEach(({ step, workMs, usedMillis }, stepIndex) => {
       let longestMs = 0;
       for (let index = 0; index < step.taskCount; index += 1) {
@@ -168,9 +169,9 @@
           failureCount: random.nextFraction() < kind.failureShare ? 1 : 0,
         });
       }
-      chainMs += longestMs;
+      criticalPathMs += longestMs;
     });
-    const batch = { kind, processorSeconds, chainMs };
+    const batch = { kind, processorSeconds, criticalPathMs };
     return { atMs, submission, batch, cancelledAtMs: undefined };
   }
 
--- a/bench/scheduling/scheduling.ts
+++ b/bench/scheduling/scheduling.ts
@@ -1,7 +1,7 @@
 /**
- * What scheduling costs at the size to design for: 860 workers, 17,500 tasks and 150 starts a
- * second over 7 cells, of which one is run here. Figures of virtual time are the same on every
- * machine and have bounds; real time is printed beside them.
+ * Measures the cost of scheduling at the design size: 860 workers, 17,500 tasks and 150 starts a
+ * second over 7 cells. The benchmark runs one of the cells. Figures in virtual time are the same
+ * on every machine and have bounds; figures in real time are only printed.
  */
 import type { CellTiming } from '../../src/scheduler/common/cellState.js';
 import {
@@ -18,7 +18,7 @@
 const CELL_COUNT = 7;
 const NS_PER_US = 1_000;
 
-/** Times each choice of the policy it wraps. */
+/** Wraps a placement policy and records the duration of each choice. */
 class TimedPolicy implements PlacementPolicy {
   readonly durationsUs: number[] = [];
 
@@ -40,8 +40,8 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 };
 
-/** Ways to write: with changes gathered for so long, or a transaction for each change. */
-const WAYS: readonly { readonly name: string; readonly timing: Partial<CellTiming> }[] = [
+/** Changes are written in one transaction each, or combined over the default round interval. */
+const WRITE_MODES: readonly { readonly name: string; readonly timing: Partial<CellTiming> }[] = [
   {
     name: 'a transaction for each change',
     timing: { roundIntervalMs: 0, rowsPerSecond: 1e6, maximumRowsPerRound: 1 },
@@ -50,7 +50,7 @@
 ];
 
 const WORKER_COUNT = 123;
-/** So few that batch work queues and urgent work has to be made room for. */
+/** So few workers that batch work queues and urgent work needs evictions. */
 const FULL_WORKER_COUNT = 60;
 const FILL_MS = 18_000;
 const WARM_UP_MS = 60_000;
@@ -76,7 +76,11 @@
   return { figures, durationsUs: policy.durationsUs };
 };
 
-const line = (name: string, figures: CellRunFigures, durationsUs: readonly number[]): string =>
+const formatFigures = (
+  name: string,
+  figures: CellRunFigures,
+  durationsUs: readonly number[],
+): string =>
   [
     name.padEnd(32),
     `tx/s ${figures.transactionsPerSecond.toFixed(1)}`,
@@ -93,27 +97,29 @@
 
 const run = async (): Promise<boolean> => {
   const bounds = await readBounds('scheduling');
-  const results = WAYS.map(({ name, timing }) => {
+  const results = WRITE_MODES.map(({ name, timing }) => {
     const { figures, durationsUs } = measure(timing, WORKER_COUNT);
-    process.stdout.write(`${line(name, figures, durationsUs)}\n`);
+    process.stdout.write(`${formatFigures(name, figures, durationsUs)}\n`);
     return figures;
   });
   const full = measure({}, FULL_WORKER_COUNT);
-  process.stdout.write(`${line('by default, in a full cell', full.figures, full.durationsUs)}\n`);
+  process.stdout.write(
+    `${formatFigures('by default, in a full cell', full.figures, full.durationsUs)}\n`,
+  );
   process.stdout.write(`rss ${Math.round(process.memoryUsage().rss / 1024 ** 2)} MB\n`);
   const single = results[0] as CellRunFigures;
-  const chosen = results[results.length - 1] as CellRunFigures;
-  const rowRatio = chosen.rowsPerSecond / single.rowsPerSecond;
-  const transactionRatio = chosen.transactionsPerSecond / single.transactionsPerSecond;
+  const combined = results[results.length - 1] as CellRunFigures;
+  const rowRatio = combined.rowsPerSecond / single.rowsPerSecond;
+  const transactionRatio = combined.transactionsPerSecond / single.transactionsPerSecond;
   const urgentP99Ms = Math.max(
-    percentile(chosen.urgentDelaysMs, 0.99),
+    percentile(combined.urgentDelaysMs, 0.99),
     percentile(full.figures.urgentDelaysMs, 0.99),
   );
   process.stdout.write(
     `combined beside single: rows ${rowRatio.toFixed(2)}, transactions ${transactionRatio.toFixed(2)}\n`,
   );
   return (
-    chosen.rowsPerSecond <= (bounds.maximumRowsPerSecond ?? 0) &&
+    combined.rowsPerSecond <= (bounds.maximumRowsPerSecond ?? 0) &&
     rowRatio <= (bounds.maximumRowRatio ?? 0) &&
     transactionRatio <= (bounds.maximumTransactionRatio ?? 0) &&
     full.figures.urgentDelaysMs.length > 0 &&
--- a/soak/test/platform/faultPlan.ts
+++ b/soak/test/platform/faultPlan.ts
@@ -1,4 +1,4 @@
-/** Draws which faults a run meets and when; the same seed gives the same plan. */
+/** Draws the faults of a run and their times. The same seed gives the same plan. */
 import type { RandomSource } from '../../../src/base/common/random.js';
 
 export const FaultKind = {
@@ -9,13 +9,13 @@
   WorkersLeave: 'workers-leave',
   AddWorkers: 'add-workers',
   CrashWorkers: 'crash-workers',
-  /** Processes of workers end and are back within a second or so, several times. */
+  /** Worker processes crash and restart several times, each time within about a second. */
   RestartWorkers: 'restart-workers',
   LoseWorkers: 'lose-workers',
   CutWorkers: 'cut-workers',
-  /** Workers that run on cannot be reached while all instances are killed. */
+  /** All instances are killed while some running workers are unreachable. */
   KillBesideCut: 'kill-beside-cut',
-  /** A zone and the rest, the store among it, do not reach one another. */
+  /** A zone is cut off from the other zones and the store. */
   CutZone: 'cut-zone',
   ResetConnections: 'reset-connections',
   SilenceConnections: 'silence-connections',
@@ -33,51 +33,58 @@
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Of instances or workers that it meets. */
+  /** The number of affected instances or workers. */
   readonly count: number;
   readonly isSilent: boolean;
-  /** Seeds what is chosen when it happens. */
+  /** The seed of the choices made when the fault is carried out. */
   readonly choiceSeed: number;
 }
 
 const FIRST_AT_MS = 3_000;
 const INCIDENT_MS = 34_000;
-const STOPPED_IN_TURN = 6;
-const LEAVING_WORKERS = 20;
-/** Most gaps are short, so that faults overlap; some leave room for the checks of calm times. */
-const HIGHEST_CALM_RATIO = 0.3;
+const STOPPED_INSTANCE_COUNT = 6;
+const LEAVING_WORKER_COUNT = 20;
+/**
+ * Most gaps between faults are short, so that faults overlap. Some gaps are long, because some
+ * checks apply only in calm periods.
+ */
+const MAXIMUM_CALM_RATIO = 0.3;
 const CALM_GAP_MS = 13_000;
-const GAP_MS = 3_500;
+const MAXIMUM_GAP_MS = 3_500;
 const DURATION_MS = { least: 1_000, spread: 6_000 };
 const ZONE_CUT_MS = { least: 4_000, spread: 3_000 };
-const CHOICE_SEEDS = 2 ** 30;
+const CHOICE_SEED_COUNT = 2 ** 30;
 
-/** Instances stop in turn while workers leave without refusing connections. */
+/** Instances stop one after the other while workers leave and their addresses become silent. */
 const incident = (random: RandomSource): readonly PlannedFault[] => {
-  const choiceSeed = random.nextIndex(CHOICE_SEEDS);
+  const choiceSeed = random.nextIndex(CHOICE_SEED_COUNT);
   const common = { durationMs: 0, isSilent: true, choiceSeed };
-  const roll = { kind: FaultKind.StopInTurn, atMs: FIRST_AT_MS, count: STOPPED_IN_TURN };
-  const leave = { kind: FaultKind.WorkersLeave, atMs: FIRST_AT_MS + 1_000, count: LEAVING_WORKERS };
+  const stop = { kind: FaultKind.StopInTurn, atMs: FIRST_AT_MS, count: STOPPED_INSTANCE_COUNT };
+  const leave = {
+    kind: FaultKind.WorkersLeave,
+    atMs: FIRST_AT_MS + 1_000,
+    count: LEAVING_WORKER_COUNT,
+  };
   return [
-    { ...common, ...roll },
+    { ...common, ...stop },
     { ...common, ...leave },
   ];
 };
 
-/** Long enough for entries to expire while leases last. */
+/** A zone cut that is long enough for worker entries to expire while leases still hold. */
 const zoneCut = (random: RandomSource, atMs: number): PlannedFault => ({
   kind: FaultKind.CutZone,
   atMs,
   durationMs: ZONE_CUT_MS.least + random.nextIndex(ZONE_CUT_MS.spread),
   count: 0,
   isSilent: false,
-  choiceSeed: random.nextIndex(CHOICE_SEEDS),
+  choiceSeed: random.nextIndex(CHOICE_SEED_COUNT),
 });
 
 const mixed = (random: RandomSource, fromMs: number, untilMs: number): readonly PlannedFault[] => {
   const kinds = Object.values(FaultKind);
   const faults: PlannedFault[] = [];
-  const calmRatio = random.nextFraction() * HIGHEST_CALM_RATIO;
+  const calmRatio = random.nextFraction() * MAXIMUM_CALM_RATIO;
   let atMs = fromMs;
   while (atMs < untilMs) {
     faults.push({
@@ -86,15 +93,15 @@
       durationMs: DURATION_MS.least + random.nextIndex(DURATION_MS.spread),
       count: 1 + random.nextIndex(6),
       isSilent: random.nextFraction() < 0.6,
-      choiceSeed: random.nextIndex(CHOICE_SEEDS),
+      choiceSeed: random.nextIndex(CHOICE_SEED_COUNT),
     });
     const isCalm = random.nextFraction() < calmRatio;
-    atMs += isCalm ? CALM_GAP_MS : random.nextIndex(GAP_MS);
+    atMs += isCalm ? CALM_GAP_MS : random.nextIndex(MAXIMUM_GAP_MS);
   }
   return faults;
 };
 
-/** Faults of a run in the order of their times. */
+/** Draws the faults of a run: the incident, mixed faults, or both with a zone cut in between. */
 export const drawPlan = (
   scenario: Scenario,
   random: RandomSource,
--- a/soak/test/platform/main.ts
+++ b/soak/test/platform/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak:platform -- --seed N`: plays seeds from N on with real processes of the platform's
- * daemon, one after the other. The exit code is 1 when a check has failed.
+ * `npm run soak:platform -- --seed N` runs the seeds from N on, one after the other, against real
+ * processes of the daemon. The exit code is 1 if a check fails.
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -14,7 +14,7 @@
 const MS_PER_SECOND = 1_000;
 const SHOWN_FINDINGS = 20;
 
-const say = (line: unknown): void => {
+const printLine = (line: unknown): void => {
   process.stdout.write(`${typeof line === 'string' ? line : JSON.stringify(line)}\n`);
 };
 
@@ -54,14 +54,14 @@
       const options = { seed, scenario, durationMs, instanceCount, workerCount, folder };
       // eslint-disable-next-line no-await-in-loop
       const { findings, figures } = await new PlatformRun(options).run();
-      say({ seed, scenario, ok: findings.length === 0, ...figures });
-      findings.slice(0, SHOWN_FINDINGS).forEach(say);
+      printLine({ seed, scenario, ok: findings.length === 0, ...figures });
+      findings.slice(0, SHOWN_FINDINGS).forEach(printLine);
       if (findings.length > 0) {
         failedCount += 1;
         const sizes = `--instances ${instanceCount} --workers ${workerCount}`;
         const command = `--seed ${seed} --scenario ${scenario} --seconds ${seconds} ${sizes}`;
-        say(`seed ${seed}: ${findings.length} checks failed; logs: ${folder}`);
-        say(`repeat: npm run soak:platform -- ${command}`);
+        printLine(`seed ${seed}: ${findings.length} checks failed; logs: ${folder}`);
+        printLine(`repeat: npm run soak:platform -- ${command}`);
       } else if (args.logs === '') {
         // eslint-disable-next-line no-await-in-loop
         await rm(folder, { recursive: true });
@@ -71,6 +71,6 @@
   },
 });
 
-// Processes that a run has started end with it.
+// Exits on a signal, so that the exit handler of the run kills the processes that it started.
 (['SIGINT', 'SIGTERM'] as const).forEach((signal) => process.once(signal, () => process.exit(1)));
 void runMain(main);
--- a/soak/test/platform/orderForms.ts
+++ b/soak/test/platform/orderMessages.ts
@@ -1,4 +1,4 @@
-/** Orders to workers and their answers, as the platform writes them. */
+/** The JSON bodies of orders to workers and of their answers. */
 import type { FastifyReply } from 'fastify';
 
 import {
@@ -7,11 +7,11 @@
   StartOutcome,
 } from '../../../src/services/fleet/common/fleetWorker.js';
 
-/** Names the worker that an order is for. */
+/** The header that names the worker to which an order is addressed. */
 export const INSTANCE_HEADER = 'snipethread-target-instance';
 export const STATUS_OTHER_WORKER = 421;
 const STATUS_CONFLICT = 409;
-const LASTING_START_MS = 500;
+const PERSISTENT_START_MS = 500;
 const WHOLE_PERCENT = 100;
 
 export interface Order {
@@ -35,9 +35,9 @@
   return Reason === undefined ? reply.send({}) : reply.code(STATUS_CONFLICT).send({ Reason });
 };
 
-/** A task that lasts is at work, at 100, after a short start. */
-export const lastingPercent = (runsForMs: number): number =>
-  Math.min(WHOLE_PERCENT, Math.floor((WHOLE_PERCENT * runsForMs) / LASTING_START_MS));
+/** A persistent task reports 100 per cent after a short start. */
+export const persistentPercent = (runsForMs: number): number =>
+  Math.min(WHOLE_PERCENT, Math.floor((WHOLE_PERCENT * runsForMs) / PERSISTENT_START_MS));
 
 export const toHoldBody = (
   { workerClockMs, incarnation, running, finished }: HoldAnswer,
--- a/soak/test/platform/lastingTasks.ts
+++ b/soak/test/platform/persistentTasks.ts
@@ -1,33 +1,34 @@
-/** How long tasks that last wait to be at work again. */
-import type { FaultTimes } from './faultTimes.js';
+/** Tracks how long persistent tasks wait to run again. */
+import type { FaultWindows } from './faultWindows.js';
 import { type SoakSubmission, type TaskSize, taskNames } from './soakTypes.js';
-import type { WorkerLedger } from './workerLedger.js';
+import type { WorkerTracker } from './workerTracker.js';
 
 export const LONGEST_WAIT_MS = 9_000;
-/** No fault for so long, and calm for as long as the room must have lasted. */
+/** The calm period that is required before the period of `ROOM_MS`, which must be calm as well. */
 const CALM_BEFORE_MS = 4_000;
+/** A wait is too long only if a worker has had room for the task for this time. */
 const ROOM_MS = 3_000;
 
 interface Wait {
   readonly size: TaskSize;
   readonly sinceMs: number;
   roomSinceMs: number | undefined;
-  isFound: boolean;
+  isReported: boolean;
 }
 
-export class LastingTasks {
-  readonly #faults: FaultTimes;
+export class PersistentTasks {
+  readonly #faults: FaultWindows;
 
-  readonly #workers: WorkerLedger;
+  readonly #workers: WorkerTracker;
 
   readonly #sizes = new Map<string, TaskSize>();
 
   readonly #waits = new Map<string, Wait>();
 
-  /** The longest wait that ended or was found, whatever excuses it. */
+  /** The longest wait that ended with a start, including waits that a fault excuses. */
   longestWaitMs = 0;
 
-  constructor(faults: FaultTimes, workers: WorkerLedger) {
+  constructor(faults: FaultWindows, workers: WorkerTracker) {
     this.#faults = faults;
     this.#workers = workers;
   }
@@ -37,7 +38,8 @@
       if (!isPersistent) return;
       taskNames(submission, stepIndex).forEach((name) => {
         this.#sizes.set(name, size);
-        if (this.#workers.placesOf(name).length === 0) this.#wait(name, size, nowMs);
+        if (this.#workers.incarnationsRunning(name).length === 0)
+          this.#startWait(name, size, nowMs);
       });
     });
   }
@@ -60,26 +62,26 @@
 
   noteEnd(taskName: string, nowMs: number): void {
     const size = this.#sizes.get(taskName);
-    if (size !== undefined) this.#wait(taskName, size, nowMs);
+    if (size !== undefined) this.#startWait(taskName, size, nowMs);
   }
 
   waiting(): readonly string[] {
     return [...this.#waits.keys()];
   }
 
-  /** Names the waits that are too long now, each once. */
+  /** Returns a finding for each wait that is now too long. Each wait is reported once. */
   advance(nowMs: number): readonly string[] {
     return [...this.#waits].flatMap(([name, wait]) => {
       const hasRoom = this.#workers.hasRoom(wait.size);
       Object.assign(wait, { roomSinceMs: hasRoom ? (wait.roomSinceMs ?? nowMs) : undefined });
-      if (wait.isFound || !this.#isTooLong(wait, nowMs)) return [];
-      Object.assign(wait, { isFound: true });
-      return [`${name} lasts and waits for ${Math.round(nowMs - wait.sinceMs)} ms`];
+      if (wait.isReported || !this.#isTooLong(wait, nowMs)) return [];
+      Object.assign(wait, { isReported: true });
+      return [`${name} is persistent and waits for ${Math.round(nowMs - wait.sinceMs)} ms`];
     });
   }
 
-  #wait(name: string, size: TaskSize, nowMs: number): void {
-    this.#waits.set(name, { size, sinceMs: nowMs, roomSinceMs: undefined, isFound: false });
+  #startWait(name: string, size: TaskSize, nowMs: number): void {
+    this.#waits.set(name, { size, sinceMs: nowMs, roomSinceMs: undefined, isReported: false });
   }
 
   #isTooLong({ sinceMs, roomSinceMs }: Wait, nowMs: number): boolean {
--- a/soak/test/platform/silentPort.ts
+++ b/soak/test/platform/silentPort.ts
@@ -1,26 +1,26 @@
 /**
- * A port that neither answers nor refuses, as the address of a machine that is gone: a thread
- * listens on it, at each of its addresses, and never accepts, and its queue is full.
+ * A port that neither answers nor refuses connections, like the address of a machine that is gone.
+ * A blocked thread listens on the port at each host and never accepts, with a full backlog.
  */
 import { createConnection, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
 
-const GO = 0;
+const TAKE_OVER = 0;
 const LISTENING = 1;
 const LISTEN_TIMEOUT_MS = 2_000;
-/** What a queue of length one takes. */
+/** The number of connections that fill a backlog of one. */
 const QUEUED_CONNECTIONS = 2;
 
-const HOLDER = `
+const LISTENER_SOURCE = `
 const { workerData: { port, hosts, signal } } = require('node:worker_threads');
-Atomics.wait(signal, ${GO}, 0);
+Atomics.wait(signal, ${TAKE_OVER}, 0);
 let left = hosts.length;
 hosts.forEach((host) => require('node:net').createServer().listen({ port, host, backlog: 1 }, () => {
   left -= 1;
   if (left > 0) return;
   Atomics.store(signal, ${LISTENING}, 1);
   Atomics.notify(signal, ${LISTENING});
-  Atomics.wait(signal, ${GO}, 1);
+  Atomics.wait(signal, ${TAKE_OVER}, 1);
 }));`;
 
 export class SilentPort {
@@ -34,19 +34,19 @@
 
   readonly #queued: Socket[] = [];
 
-  /** Prepares the thread, so that the port refuses for an instant only when it is taken over. */
+  /** Starts the thread in advance, so that the port refuses only for an instant at the takeover. */
   constructor(port: number, hosts: readonly string[]) {
     this.#port = port;
     this.#hosts = hosts;
     const workerData = { port, hosts, signal: this.#signal };
-    this.#thread = new Worker(HOLDER, { eval: true, workerData });
+    this.#thread = new Worker(LISTENER_SOURCE, { eval: true, workerData });
     this.#thread.on('error', () => {});
   }
 
-  /** Takes the port, which must be free; false when it could not. */
+  /** Listens on the port, which must be free. Returns false if that fails. */
   takeOver(): boolean {
-    Atomics.store(this.#signal, GO, 1);
-    Atomics.notify(this.#signal, GO);
+    Atomics.store(this.#signal, TAKE_OVER, 1);
+    Atomics.notify(this.#signal, TAKE_OVER);
     const isTaken = Atomics.wait(this.#signal, LISTENING, 0, LISTEN_TIMEOUT_MS) !== 'timed-out';
     const hosts = isTaken ? this.#hosts : [];
     hosts
--- a/soak/test/platform/soakClients.ts
+++ b/soak/test/platform/soakClients.ts
@@ -1,4 +1,4 @@
-/** Callers of the daemon: they hand in, repeat, read and cancel over connections that stay open. */
+/** Clients of the daemon that submit, repeat, read and cancel over persistent connections. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 import type { RandomSource } from '../../../src/base/common/random.js';
@@ -7,30 +7,30 @@
 import type { DaemonInstance } from './daemonInstance.js';
 import type { PlatformJudge } from './platformJudge.js';
 import { drawSubmission, toBody } from './soakSubmissions.js';
-import type { SoakLog, SoakSubmission } from './soakTypes.js';
+import type { WriteLog, SoakSubmission } from './soakTypes.js';
 
 export const QUEUE_HOST = 'soak.example';
 export const QUEUE_PREFIX = '/soak/';
 const TIMEOUT_MS = 3_000;
 const CLIENT_MARGIN_MS = 500;
-const ATTEMPTS = 4;
+const SUBMIT_ATTEMPTS = 4;
 const RETRY_MS = 300;
 const CANCEL_ATTEMPTS = 10;
 const SUBMIT_INTERVAL_MS = 300;
 const READ_INTERVAL_MS = 40;
-const FIRST_LASTING = 8;
-const LASTING_LIMIT = 14;
-const LASTING_RATIO = 0.06;
+const INITIAL_PERSISTENT_COUNT = 8;
+const PERSISTENT_LIMIT = 14;
+const PERSISTENT_RATIO = 0.06;
 const REPEAT = { ratio: 0.15, withinMs: 4_000 };
 const CANCEL = { ratio: 0.12, withinMs: 2_500 };
-const CANCEL_LASTING = { ratio: 0.25, withinMs: 25_000 };
-/** Tasks that last and end by themselves do so within this time. */
+const CANCEL_PERSISTENT = { ratio: 0.25, withinMs: 25_000 };
+/** The share of persistent tasks that fail by themselves, and the time after which they do. */
 const FAILING = { ratio: 0.3, leastMs: 4_000, withinMs: 20_000 };
 const NEVER_MS = 2 ** 40;
 const OK = 200;
 const GONE = 410;
 const REFUSALS: readonly number[] = [429, 503];
-const UNSURE: readonly number[] = [502, 504];
+const UNCERTAIN: readonly number[] = [502, 504];
 
 interface Answer {
   readonly statusCode: number | undefined;
@@ -47,7 +47,7 @@
 
   readonly #nowMs: () => number;
 
-  readonly #log: SoakLog;
+  readonly #log: WriteLog;
 
   readonly #accepted: string[] = [];
 
@@ -55,7 +55,7 @@
 
   #isReading = true;
 
-  #lastingCount = 0;
+  #persistentCount = 0;
 
   unansweredCount = 0;
 
@@ -64,7 +64,7 @@
     instances: readonly DaemonInstance[],
     judge: PlatformJudge,
     nowMs: () => number,
-    log: SoakLog,
+    log: WriteLog,
   ) {
     this.#random = random;
     this.#instances = instances;
@@ -73,7 +73,7 @@
     this.#log = log;
   }
 
-  /** What a task of the submissions does once it is started. */
+  /** Returns how a started task behaves: how long it works and how it ends. */
   taskOf(taskName: string): ModelTask {
     const step = this.#judge.stepOf(taskName);
     if (step?.isPersistent !== true) return { workMs: step?.workMs ?? 0, end: RunEnd.Done };
@@ -83,17 +83,17 @@
   }
 
   async submitUntilStopped(): Promise<void> {
-    const lives: Promise<void>[] = [];
+    const lifecycles: Promise<void>[] = [];
     while (this.#isSubmitting) {
-      const isFirst = this.#lastingCount < FIRST_LASTING;
-      const isDrawn = this.#random.nextFraction() < LASTING_RATIO;
-      const isLasting = isFirst || (isDrawn && this.#lastingCount < LASTING_LIMIT);
-      if (isLasting) this.#lastingCount += 1;
-      lives.push(this.#live(drawSubmission(this.#random, isLasting), isLasting));
+      const isInitial = this.#persistentCount < INITIAL_PERSISTENT_COUNT;
+      const isDrawn = this.#random.nextFraction() < PERSISTENT_RATIO;
+      const isPersistent = isInitial || (isDrawn && this.#persistentCount < PERSISTENT_LIMIT);
+      if (isPersistent) this.#persistentCount += 1;
+      lifecycles.push(this.#runLifecycle(drawSubmission(this.#random, isPersistent), isPersistent));
       // eslint-disable-next-line no-await-in-loop -- one after the other
-      await delay(isFirst ? 1 : this.#random.nextIndex(SUBMIT_INTERVAL_MS));
+      await delay(isInitial ? 1 : this.#random.nextIndex(SUBMIT_INTERVAL_MS));
     }
-    await Promise.all(lives);
+    await Promise.all(lifecycles);
   }
 
   async readUntilStopped(): Promise<void> {
@@ -121,13 +121,13 @@
     }
   }
 
-  async #live(submission: SoakSubmission, isLasting: boolean): Promise<void> {
+  async #runLifecycle(submission: SoakSubmission, isPersistent: boolean): Promise<void> {
     const { id } = submission;
     this.#judge.noteSubmission(submission);
-    await this.#handIn(submission);
+    await this.#submit(submission);
     if (this.#judge.submissions.get(id)?.acceptedAtMs === undefined) return;
     this.#accepted.push(id);
-    const cancel = isLasting ? CANCEL_LASTING : CANCEL;
+    const cancel = isPersistent ? CANCEL_PERSISTENT : CANCEL;
     const isRepeated = this.#random.nextFraction() < REPEAT.ratio;
     const isCancelled = this.#random.nextFraction() < cancel.ratio;
     const repeatAfterMs = this.#random.nextIndex(REPEAT.withinMs);
@@ -138,10 +138,10 @@
     ]);
   }
 
-  async #handIn(submission: SoakSubmission): Promise<void> {
+  async #submit(submission: SoakSubmission): Promise<void> {
     const { id } = submission;
     const statuses: (number | undefined)[] = [];
-    for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < SUBMIT_ATTEMPTS; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- the next attempt depends on this one's answer
       const { statusCode } = await this.#call('POST', id, submission);
       statuses.push(statusCode);
@@ -149,7 +149,8 @@
         this.#judge.noteAccepted(id, this.#nowMs());
         return;
       }
-      const isExpected = statusCode === undefined || [...REFUSALS, ...UNSURE].includes(statusCode);
+      const isExpected =
+        statusCode === undefined || [...REFUSALS, ...UNCERTAIN].includes(statusCode);
       if (!isExpected) this.#judge.noteUnexpected(`${id} is answered ${statusCode}`, this.#nowMs());
       // eslint-disable-next-line no-await-in-loop
       await delay(RETRY_MS);
@@ -161,7 +162,7 @@
   async #cancel(id: string): Promise<void> {
     this.#judge.noteCancelSent(id);
     for (let attempt = 0; attempt < CANCEL_ATTEMPTS; attempt += 1) {
-      // eslint-disable-next-line no-await-in-loop -- again only when this one got no answer
+      // eslint-disable-next-line no-await-in-loop -- retries only if this attempt was not confirmed
       const { statusCode, sentAtMs } = await this.#call('DELETE', id);
       if (statusCode === OK) {
         this.#judge.noteCancelled(id, this.#nowMs());
@@ -173,15 +174,15 @@
     }
   }
 
-  /** Calls any instance whose process is there, also one that drains. */
+  /** Calls a random instance whose process runs, even if it drains. */
   async #call(
     method: 'GET' | 'POST' | 'DELETE',
     id: string,
     submission?: SoakSubmission,
   ): Promise<Answer> {
     const sentAtMs = this.#nowMs();
-    const present = this.#instances.filter(({ pool }) => pool !== undefined);
-    const instance = present[this.#random.nextIndex(Math.max(1, present.length))];
+    const running = this.#instances.filter(({ pool }) => pool !== undefined);
+    const instance = running[this.#random.nextIndex(Math.max(1, running.length))];
     const pool = instance?.pool;
     if (pool === undefined) return { statusCode: undefined, state: undefined, sentAtMs };
     try {
@@ -200,7 +201,7 @@
       const body = (await response.body.json()) as { readonly State?: string };
       return { statusCode: response.statusCode, state: body.State, sentAtMs };
     } catch (error) {
-      // The process has ended, or answers too late: whether it acted is not known.
+      // The process has ended or timed out. Whether the request took effect is unknown.
       this.unansweredCount += 1;
       const { code, message } = error as { readonly code?: unknown; readonly message: string };
       this.#log('unanswered', { method, id, sentAtMs, instance: instance?.id, code, message });
--- a/soak/test/soakCommands.ts
+++ b/soak/test/soakCommands.ts
@@ -1,8 +1,8 @@
-/** What happens in a randomised run: work, operators' changes and faults, as model commands. */
+/** The steps of a randomised run as model commands: submitted work, operator changes and faults. */
 import fc from 'fast-check';
 
 import { isEnded, workRowSchema } from '../../src/services/workload/common/workRows.js';
-import { FAILING_JOB_MARK, type SoakWorker } from './soakWorker.js';
+import { FAILING_JOB_PREFIX, type SoakWorker } from './soakWorker.js';
 import {
   CAPACITY,
   DAEMON_COUNT,
@@ -12,10 +12,10 @@
   WORKERS_PER_RACK,
   WORKERS_PER_ZONE,
   ZONES,
-} from './soakParts.js';
+} from './soakTypes.js';
 import type { SoakWorld } from './soakWorld.js';
 
-/** What the run has asked for; the rest of the truth is in the stand-ins. */
+/** Counts the jobs and steps of the run. All other state is in the stand-ins. */
 export interface SoakModel {
   jobCount: number;
   stepCount: number;
@@ -24,14 +24,14 @@
 type Action = (world: SoakWorld, model: SoakModel) => void;
 
 export const assertNothingFound = (world: SoakWorld): void => {
-  const broken = [...world.counters]
+  const violations = [...world.counters]
     .filter(([name, count]) => name.startsWith('invariant_') && count > 0)
     .map(([name, count]) => `${name} ${count}`);
-  const findings = [...world.judge.allFindings(), ...broken];
+  const findings = [...world.judge.allFindings(), ...violations];
   if (findings.length > 0) throw new Error(findings.join('\n'));
 };
 
-/** One step: something happens, then time passes. */
+/** One step: performs an action, then advances the virtual time. */
 class Step implements fc.AsyncCommand<SoakModel, SoakWorld> {
   readonly #name: string;
 
@@ -50,7 +50,7 @@
   }
 
   async run(model: SoakModel, world: SoakWorld): Promise<void> {
-    // fast-check's model is changed in place.
+    // fast-check requires that the model is changed in place.
     // eslint-disable-next-line no-param-reassign
     model.stepCount += 1;
     this.#action(world, model);
@@ -116,7 +116,7 @@
 
 const submitStep = submitOf(9_000, 'usual', 'usual', 'usual', 'too-large', 'failing');
 
-const cancelWave = step(
+const cancelStep = step(
   'cancel',
   fc.tuple(fc.integer({ min: 1, max: 5 }), anyDaemon),
   (count, index) => (world, model) => {
@@ -169,7 +169,7 @@
     if (daemon === undefined) return;
     daemon.isCut = true;
     world.schedule(durationMs, () =>
-      Object.assign(daemon, { isCut: false, hinderedAtMs: world.nowMs }),
+      Object.assign(daemon, { isCut: false, faultedAtMs: world.nowMs }),
     );
   }),
 ];
@@ -186,7 +186,7 @@
       Object.assign(world[target], toFault(percent / 100));
       world.schedule(durationMs, () => {
         Object.assign(world[target], NO_FAULTS);
-        world.daemons.forEach((daemon) => Object.assign(daemon, { hinderedAtMs: world.nowMs }));
+        world.daemons.forEach((daemon) => Object.assign(daemon, { faultedAtMs: world.nowMs }));
       });
     },
   );
@@ -220,7 +220,10 @@
   }),
 ];
 
-/** Longer than owners renew leases without the table, so what is cut off runs again elsewhere. */
+/**
+ * Longer than owners renew leases without the table, so tasks on workers that are cut off run again
+ * elsewhere.
+ */
 const LONG_CUT_MS = 100_000;
 
 const cutWorkers = (world: SoakWorld, isAffected: (worker: SoakWorker) => boolean): void => {
@@ -231,8 +234,8 @@
   );
 };
 
-/** What takes many instances at once: a switch, a zone, a link between regions. */
-const losses = [
+/** Faults that affect many instances at once: the loss of a rack switch, a zone or a region link. */
+const groupFaults = [
   step('rack-cut', fc.tuple(anyWorker), (index) => (world) => {
     const rack = rackOf(workerAt(world, index)?.id ?? '');
     cutWorkers(world, (worker) => rackOf(worker.id) === rack);
@@ -250,7 +253,7 @@
     if (daemon === undefined) return;
     daemon.isCut = true;
     world.schedule(LONG_CUT_MS, () =>
-      Object.assign(daemon, { isCut: false, hinderedAtMs: world.nowMs }),
+      Object.assign(daemon, { isCut: false, faultedAtMs: world.nowMs }),
     );
   }),
 ];
@@ -264,18 +267,25 @@
   }),
 ];
 
-const WORK = [submitOf(3_000, 'usual'), submitOf(3_000, 'accelerated')];
+const submitSteps = [submitOf(3_000, 'usual'), submitOf(3_000, 'accelerated')];
 
-/** Steps of a run by what they touch. */
+/** Steps of each scenario. A step that is listed more than once is drawn more often. */
 export const SCENARIOS = {
   badWorkers: [submitStep, submitStep, ...badWorkers],
-  losses: [...WORK, ...WORK, ...WORK, cancelWave, ...operatorSteps, ...losses],
+  losses: [
+    ...submitSteps,
+    ...submitSteps,
+    ...submitSteps,
+    cancelStep,
+    ...operatorSteps,
+    ...groupFaults,
+  ],
   scheduler: [submitStep, submitStep, ...daemonFaults, ...callFaults, ...workerFaults],
-  operator: [submitStep, cancelWave, ...operatorSteps, ...daemonFaults, ...callFaults],
+  operator: [submitStep, cancelStep, ...operatorSteps, ...daemonFaults, ...callFaults],
   all: [
     submitStep,
     submitStep,
-    cancelWave,
+    cancelStep,
     ...operatorSteps,
     ...daemonFaults,
     ...callFaults,
@@ -285,20 +295,20 @@
 export type Scenario = keyof typeof SCENARIOS;
 
 const HEAL_MS = 10_000;
-/** Of a scenario whose faults last longer. */
+/** Healing time of a scenario with faults that last for `LONG_CUT_MS`. */
 export const LONG_HEAL_MS = LONG_CUT_MS + HEAL_MS;
-const QUIET_STEP_MS = 5_000;
-const QUIET_LIMIT_MS = 180_000;
+const SETTLE_STEP_MS = 5_000;
+const SETTLE_LIMIT_MS = 180_000;
 
-/** What is not yet as it should be once faults have ended; empty when all is. */
-const unsettled = (world: SoakWorld): readonly string[] => {
+/** Lists what has not recovered after the faults ended. The list is empty if everything has. */
+const listUnsettled = (world: SoakWorld): readonly string[] => {
   const rows = world.table
     .read({ keys: [], prefixes: ['work/', 'finished/'] })
     .rows.map((row) => workRowSchema.parse(row.value));
   const jobs = world.table.read({ keys: [], prefixes: ['job/'] }).rows;
   const jobIds = new Set(jobs.map((row) => row.key.slice('job/'.length)));
-  const lost = [...world.acceptedJobIds].filter((jobId) => !jobIds.has(jobId));
-  const problems = lost.map((jobId) => `accepted job ${jobId} is gone`);
+  const missingJobIds = [...world.acceptedJobIds].filter((jobId) => !jobIds.has(jobId));
+  const problems = missingJobIds.map((jobId) => `accepted job ${jobId} is gone`);
   jobs.forEach(({ value }) => {
     const { jobId, taskCount, size } = value as {
       jobId: string;
@@ -310,13 +320,13 @@
     if (tasks.length !== taskCount || indexes.size !== taskCount) {
       problems.push(`${jobId} has ${tasks.length} tasks of ${taskCount}`);
     }
-    const open = tasks.filter((task) => !isEnded(task)).length;
+    const openCount = tasks.filter((task) => !isEnded(task)).length;
     const canRun = size.processorMillis <= CAPACITY.processorMillis;
-    if (open > 0 && canRun) problems.push(`${jobId} has ${open} open tasks`);
-    const failed = tasks.filter((task) => task.state === 'failed').length;
-    // What fits nowhere is refused in the end: seed 7, all, a job marked too-large.
-    if (failed > 0 && canRun && !jobId.startsWith(FAILING_JOB_MARK)) {
-      problems.push(`${jobId} was given up: ${failed} tasks`);
+    if (openCount > 0 && canRun) problems.push(`${jobId} has ${openCount} open tasks`);
+    const failedCount = tasks.filter((task) => task.state === 'failed').length;
+    // A job that fits on no worker is refused in the end: seed 7 of `all`, a too-large job.
+    if (failedCount > 0 && canRun && !jobId.startsWith(FAILING_JOB_PREFIX)) {
+      problems.push(`${jobId} was given up: ${failedCount} tasks`);
     }
   });
   const { configurationVersion } = world.judge;
@@ -326,21 +336,27 @@
   return problems;
 };
 
-/** Ends all faults, waits and expects everything to be as it was accepted. */
+/**
+ * Waits until the faults have ended, puts all zones and draining workers back into use and waits
+ * until all accepted work has ended. Throws if that takes too long or the judge has findings.
+ */
 export const expectSettled = async (world: SoakWorld, healMs = HEAL_MS): Promise<void> => {
   await world.runFor(healMs);
   ZONES.forEach((zone) => void world.operate(0, { intent: 'use-zone', zone, region: 'r' }));
-  // One worker that is left in a zone would need longer than the limit: seed 2577, all.
+  // If a zone had only one worker left, its work would exceed the limit: seed 2577 of `all`.
   world.daemons[0]?.reader.current?.workers.forEach(({ id, isDraining }) => {
     if (isDraining) void world.operate(0, { intent: 'return-worker', workerId: id });
   });
-  const limitMs = world.nowMs + QUIET_LIMIT_MS;
+  const limitMs = world.nowMs + SETTLE_LIMIT_MS;
   while (world.nowMs < limitMs) {
     // eslint-disable-next-line no-await-in-loop -- time passes in steps
-    await world.runFor(QUIET_STEP_MS);
+    await world.runFor(SETTLE_STEP_MS);
     assertNothingFound(world);
-    if (unsettled(world).length === 0) return;
+    if (listUnsettled(world).length === 0) return;
   }
-  const open = world.table.read({ keys: [], prefixes: ['work/', 'configuration/document/zone'] });
-  throw new Error([...unsettled(world), JSON.stringify(open.rows)].join('\n'));
+  const openRows = world.table.read({
+    keys: [],
+    prefixes: ['work/', 'configuration/document/zone'],
+  });
+  throw new Error([...listUnsettled(world), JSON.stringify(openRows.rows)].join('\n'));
 };
--- a/soak/test/soakJudge.ts
+++ b/soak/test/soakJudge.ts
@@ -1,4 +1,4 @@
-/** Judges a randomised run from the workers' own records and from what the table has committed. */
+/** Checks a randomised run against the workers' own records and the committed transactions. */
 import {
   CHANGE_PREFIX,
   changeRowSchema,
@@ -19,7 +19,7 @@
 import type { WorkerEvent } from '../../standIns/workers/workerStandIn.js';
 import type { SoakWorker } from './soakWorker.js';
 
-/** "A few seconds": no start in a zone, and no request to it, later than this. */
+/** The longest time after a withdrawal in which tasks may start in, or requests go to, the zone. */
 export const WITHDRAWAL_BOUND_MS = 3_000;
 
 interface AttemptRecord {
@@ -33,7 +33,7 @@
   checkpoint === null ? 0 : Number(checkpoint.split('@')[1]);
 
 export class SoakJudge {
-  /** What was found, one line each with its instant. */
+  /** One line per finding, with its time. */
   readonly findings: string[] = [];
 
   readonly withdrawnAtMs = new Map<string, number>();
@@ -48,9 +48,9 @@
 
   readonly #acceptedPlans = new Map<string, number>();
 
-  readonly #highestInForce = new Map<string, number>();
+  readonly #highestVersions = new Map<string, number>();
 
-  readonly #deniedPlans = new Set<string>();
+  readonly #notRunPlans = new Set<string>();
 
   constructor(zoneOf: ReadonlyMap<string, string>) {
     this.#workers = new Judge(zoneOf, WITHDRAWAL_BOUND_MS);
@@ -60,7 +60,7 @@
     return this.#workers.verdict();
   }
 
-  find(text: string, nowMs: number): void {
+  addFinding(text: string, nowMs: number): void {
     this.findings.push(`${Math.round(nowMs)} ms: ${text}`);
   }
 
@@ -70,14 +70,15 @@
     if (event.kind !== 'ended' || event.state !== WorkerTaskState.Finished || !isBatch) return;
     const first = this.#completions.get(event.taskId);
     this.#completions.set(event.taskId, first ?? { worker, endedAtMs: nowMs });
-    // A worker that lost its memory or its connections before it could tell has taken the only
-    // record of the end along, for the platform keeps none: seed 1, scheduler, where a worker
-    // restarts 0.6 s after the end and before its next report.
-    const isTold = first !== undefined && first.worker.faultedAtMs < first.endedAtMs;
-    if (isTold && !first.worker.isCut) this.find(`${event.taskId} was completed twice`, nowMs);
+    // The worker holds the only record of an end until it reports it. If the worker restarts or
+    // loses its connections before that, the task runs again: seed 1 of `scheduler`, in which a
+    // worker restarts 0.6 s after the end and before its next report.
+    const isReported = first !== undefined && first.worker.faultedAtMs < first.endedAtMs;
+    if (isReported && !first.worker.isCut)
+      this.addFinding(`${event.taskId} was completed twice`, nowMs);
   }
 
-  /** Takes in every start a worker carried out; `report` is its state after the message. */
+  /** Records the starts that a worker carried out. `report` is its state after the command. */
   noteStarted(
     worker: SoakWorker,
     starts: readonly StartRequest[],
@@ -95,23 +96,26 @@
       });
   }
 
-  /** An attempt starts once; the one after an eviction goes on from the eviction's checkpoint. */
+  /**
+   * Checks that an attempt starts only once, and that an attempt after an eviction resumes from the
+   * checkpoint of that eviction.
+   */
   #noteAttempt(worker: SoakWorker, start: StartRequest, nowMs: number): void {
     const key = `${start.taskId}#${start.attempt}`;
-    if (this.#attempts.has(key)) this.find(`attempt ${key} was started twice`, nowMs);
+    if (this.#attempts.has(key)) this.addFinding(`attempt ${key} was started twice`, nowMs);
     const startProgressMs = progressOf(start.checkpoint);
     const record = { worker, startedAtMs: nowMs, startProgressMs, evictedProgressMs: undefined };
     this.#attempts.set(key, record);
-    const before = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
-    if (before === undefined) return;
-    if (startProgressMs < before.startProgressMs) {
-      this.find(`${key} lost the checkpoint its former attempt had`, nowMs);
+    const previous = this.#attempts.get(`${start.taskId}#${start.attempt - 1}`);
+    if (previous === undefined) return;
+    if (startProgressMs < previous.startProgressMs) {
+      this.addFinding(`${key} lost the checkpoint of the previous attempt`, nowMs);
     }
-    // A worker that was cut off or lost its memory could not hand its checkpoint over.
-    const isHandedOver = before.worker.faultedAtMs < before.startedAtMs;
-    const isOther = startProgressMs !== before.evictedProgressMs;
-    if (before.evictedProgressMs !== undefined && isHandedOver && isOther) {
-      this.find(`${key} did not resume from the checkpoint of its eviction`, nowMs);
+    // A worker that was cut off or restarted could not report its checkpoint.
+    const isHandedOver = previous.worker.faultedAtMs < previous.startedAtMs;
+    const isDifferent = startProgressMs !== previous.evictedProgressMs;
+    if (previous.evictedProgressMs !== undefined && isHandedOver && isDifferent) {
+      this.addFinding(`${key} did not resume from the checkpoint of its eviction`, nowMs);
     }
   }
 
@@ -131,39 +135,43 @@
     });
   }
 
-  /** An operator was told that the plan surely did not take effect. */
-  noteDenied(planId: string, nowMs: number): void {
-    this.#deniedPlans.add(planId);
-    if (this.#acceptedPlans.has(planId)) this.find('"not run", but the plan was accepted', nowMs);
+  /** Records that an operator was told that the plan did not take effect. */
+  noteNotRun(planId: string, nowMs: number): void {
+    this.#notRunPlans.add(planId);
+    if (this.#acceptedPlans.has(planId))
+      this.addFinding('"not run", but the plan was accepted', nowMs);
   }
 
-  /** An operator was told that the plan is in force. */
+  /** Records that an operator was told that the plan is in force. */
   noteConfirmed(planId: string, nowMs: number): void {
-    if (!this.#acceptedPlans.has(planId)) this.find('confirmed, but nothing was accepted', nowMs);
+    if (!this.#acceptedPlans.has(planId))
+      this.addFinding('confirmed, but nothing was accepted', nowMs);
   }
 
   noteRouted(daemonId: string, zone: string, nowMs: number): void {
     const withdrawnAtMs = this.withdrawnAtMs.get(zone);
     if (withdrawnAtMs === undefined || nowMs - withdrawnAtMs <= WITHDRAWAL_BOUND_MS) return;
-    this.find(`${daemonId} sends new work to ${zone}, which was withdrawn`, nowMs);
+    this.addFinding(`${daemonId} sends new work to ${zone}, which was withdrawn`, nowMs);
   }
 
   noteInForce(daemonId: string, version: number, nowMs: number): void {
-    const highest = this.#highestInForce.get(daemonId) ?? 0;
-    if (version < highest) this.find(`${daemonId} went back from ${highest} to ${version}`, nowMs);
-    if (version > this.configurationVersion) this.find(`${daemonId} is ahead of the table`, nowMs);
-    this.#highestInForce.set(daemonId, Math.max(version, highest));
+    const highest = this.#highestVersions.get(daemonId) ?? 0;
+    if (version < highest)
+      this.addFinding(`${daemonId} went back from ${highest} to ${version}`, nowMs);
+    if (version > this.configurationVersion)
+      this.addFinding(`${daemonId} is ahead of the table`, nowMs);
+    this.#highestVersions.set(daemonId, Math.max(version, highest));
   }
 
-  /** Everything found up to now, the workers' records included. */
+  /** Returns all findings so far, including those from the workers' records. */
   allFindings(): readonly string[] {
     const verdict = this.verdict();
-    const named = (label: string, items: readonly string[]): string[] =>
+    const toLines = (label: string, items: readonly string[]): string[] =>
       items.length === 0 ? [] : [`${label}: ${items.join(', ')}`];
     return [
       ...this.findings,
-      ...named('ran in two places', verdict.doubleRuns),
-      ...named('overcommitted', verdict.overcommittedWorkers),
+      ...toLines('ran in two places', verdict.doubleRuns),
+      ...toLines('overcommitted', verdict.overcommittedWorkers),
       ...(verdict.startsInWithdrawnZones > 0
         ? [`${verdict.startsInWithdrawnZones} starts in a withdrawn zone`]
         : []),
@@ -172,7 +180,7 @@
 
   #noteVersion(version: number, nowMs: number): void {
     if (version !== this.configurationVersion + 1) {
-      this.find(`version ${this.configurationVersion} was followed by ${version}`, nowMs);
+      this.addFinding(`version ${this.configurationVersion} was followed by ${version}`, nowMs);
     }
     this.configurationVersion = version;
   }
@@ -180,7 +188,8 @@
   #noteAccepted(planId: string, nowMs: number): void {
     const count = (this.#acceptedPlans.get(planId) ?? 0) + 1;
     this.#acceptedPlans.set(planId, count);
-    if (count > 1) this.find('a plan was accepted twice', nowMs);
-    if (this.#deniedPlans.has(planId)) this.find('"not run", but the plan took effect', nowMs);
+    if (count > 1) this.addFinding('a plan was accepted twice', nowMs);
+    if (this.#notRunPlans.has(planId))
+      this.addFinding('"not run", but the plan took effect', nowMs);
   }
 }
--- a/soak/test/soakPlans.ts
+++ b/soak/test/soakPlanService.ts
@@ -1,4 +1,4 @@
-/** The operators' side of one daemon in a randomised run. */
+/** Creates the plan service of one daemon in a randomised run. */
 import type { RandomSource } from '../../src/base/common/random.js';
 import { PlanService } from '../../src/operator/node/planService.js';
 import type { ConfigurationService } from '../../src/services/configuration/common/configurationService.js';
@@ -9,21 +9,21 @@
 const PLAN_LIFETIME_MS = 600_000;
 const CONFIRM_TIMEOUT_MS = 10_000;
 
-export interface SoakPlanParts {
+export interface PlanServiceOptions {
   readonly table: TableService;
   readonly time: SoakTime;
   readonly random: RandomSource;
   readonly counters: Map<string, number>;
-  /** Of the daemon; ids of plans and operations begin with it. */
+  /** The daemon's id, which prefixes the ids of its plans and operations. */
   readonly id: string;
 }
 
-/** Plans without the list of instances, so that jobs which can never run get in as well. */
-export const createPlans = (
-  parts: SoakPlanParts,
+/** Creates a plan service with an empty instance list, so that it accepts jobs that can never run. */
+export const createPlanService = (
+  options: PlanServiceOptions,
   configuration: ConfigurationService,
 ): PlanService => {
-  const { table, time, random, counters, id } = parts;
+  const { table, time, random, counters, id } = options;
   let idCount = 0;
   const nextId = (): string => {
     idCount += 1;
@@ -36,7 +36,7 @@
     new Promise((resolve) => {
       time.after(delayMs, () => {
         resolve();
-        time.noteSettled();
+        time.requestMicrotaskDrain();
       });
     });
   const services = {
--- a/src/daemon/node/daemon.ts
+++ b/src/daemon/node/daemon.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of one daemon together; nothing is decided here. */
+/** Wires the components of one daemon together. It contains no scheduling or routing logic. */
 import { randomBytes, randomInt, randomUUID } from 'node:crypto';
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -34,10 +34,10 @@
 import { CellTasks } from '../../scheduler/node/cellTasks.js';
 
 const SEED_LIMIT = 2 ** 31;
-/** How long operators' calls that are under way may hold the end of a shutdown up. */
-const OPERATOR_CLOSE_MS = 1_000;
-/** Time for final answers to be written, before connections are closed. */
-const LAST_ANSWERS_MS = 200;
+/** The longest time that operator calls in progress can delay the end of a shutdown. */
+const OPERATOR_CLOSE_TIMEOUT_MS = 1_000;
+/** The time to write final answers before connections are closed. */
+const FINAL_ANSWERS_MS = 200;
 const PLAN_SUFFIX_BYTES = 6;
 
 /** The ports a daemon listens on. */
@@ -69,7 +69,7 @@
   constructor(settings: Settings) {
     this.#settings = settings;
     const { platform, instanceId, roles, entry } = settings;
-    const own = this.#disposables;
+    const disposables = this.#disposables;
     const clock = systemClock;
     const random = new SeededRandom(randomInt(SEED_LIMIT));
     const log = new ConsolaLog(settings.log.format, { instance: instanceId });
@@ -80,37 +80,39 @@
       random,
     );
     const { callTimeoutMs, tableConnectionCount } = platform;
-    const httpTable = own.add(
+    const httpTable = disposables.add(
       new HttpTableService(platform.tableOrigin, callTimeoutMs, tableConnectionCount),
     );
     const table = new TracedTableService(httpTable, tracing);
-    const list = own.add(new HttpInstanceList(platform.instanceListOrigin, callTimeoutMs));
-    const directory = own.add(
-      new InstanceListReader(list, metrics, platform.instanceListIntervalMs),
+    const instanceList = disposables.add(
+      new HttpInstanceList(platform.instanceListOrigin, callTimeoutMs),
     );
-    const configuration = own.add(
+    const directory = disposables.add(
+      new InstanceListReader(instanceList, metrics, platform.instanceListIntervalMs),
+    );
+    const configuration = disposables.add(
       new ConfigurationReader(table, clock, log, metrics, platform.configurationIntervalMs),
     );
-    this.#peers = own.add(
+    this.#peers = disposables.add(
       new PeerService(settings, configuration, directory, clock, metrics, tracing),
     );
     let latencies: LatencySampleSource | undefined;
     if (roles.includes(Role.Entry)) {
       const { configurationIntervalMs } = platform;
-      const routing = own.add(
+      const routing = disposables.add(
         new RoutingReader(table, configuration, directory, metrics, configurationIntervalMs),
       );
-      const connections = own.add(new BackendConnections(entry, metrics));
+      const connections = disposables.add(new BackendConnections(entry, metrics));
       const chooser = new LatencyWeightedOfTwo(random);
       const admission = new Admission<ActiveRequest>(entry, chooser, random);
       latencies = admission.latencyWindows;
-      const claims = own.add(new ClaimManager(table, clock, metrics, entry));
-      own.add(
+      const claims = disposables.add(new ClaimManager(table, clock, metrics, entry));
+      disposables.add(
         new ClaimSweeper(table, metrics, entry.claimLifetimeMs, Date.now, randomInt(SEED_LIMIT)),
       );
       const entries = this.#peers;
       const services = { routing, admission, connections, claims, configuration, entries };
-      const handler = own.add(
+      const handler = disposables.add(
         new RequestHandler({ ...services, clock, metrics, tracing, wallNowMs: Date.now }, entry),
       );
       this.#handler = handler;
@@ -118,9 +120,11 @@
     }
     if (roles.includes(Role.Scheduler)) {
       const services = { table, configuration, directory, clock, log, metrics, tracing };
-      own.add(new CellTasks(services, settings, `${instanceId}#${randomUUID()}`, latencies));
+      disposables.add(
+        new CellTasks(services, settings, `${instanceId}#${randomUUID()}`, latencies),
+      );
     }
-    const plans = own.add(
+    const plans = disposables.add(
       new PlanService(
         {
           table,
@@ -139,10 +143,12 @@
     );
     if (roles.includes(Role.Operator)) {
       const sweep = new PlanSweep(table, metrics, settings.operator.planRetentionMs);
-      own.add(new PlanSweeper(sweep, Date.now));
+      disposables.add(new PlanSweeper(sweep, Date.now));
     }
-    // This daemon knows of the new version first; its peers hear of it from here.
-    own.add(plans.onDidAccept(({ acceptedVersion }) => configuration.refresh(acceptedVersion)));
+    // This daemon learns of the accepted version first and then announces it to its peers.
+    disposables.add(
+      plans.onDidAccept(({ acceptedVersion }) => configuration.refresh(acceptedVersion)),
+    );
     this.#operatorServer = new OperatorServer(
       {
         plans,
@@ -159,7 +165,7 @@
     this.#log = log;
   }
 
-  /** Opens the listeners and logs the ports. */
+  /** Opens the listeners and logs their ports. */
   async start(): Promise<DaemonPorts> {
     const { callers, operators, peers } = this.#settings.listen;
     const ports = {
@@ -176,11 +182,12 @@
   }
 
   /**
-   * Leaves without cutting a request off. Readiness falls first; the listener stays open until
-   * the balancer has seen that and sends no more; then everything in flight is answered. What
-   * is not answered in `drainTimeoutMs` gets its final answer, unknown if it was sent. Answers
-   * under idempotency keys are recorded before the table is let go. A second call joins the
-   * first: a signal that is sent twice must not end the process in the middle.
+   * Shuts down without cutting off a request. The daemon first reports that it is not ready. The
+   * listener stays open until the load balancer has noticed and sends no more requests. The daemon
+   * then answers all requests in flight. A request that is not answered within `drainTimeoutMs`
+   * gets a final answer, whose outcome is unknown if the request was sent to a backend server.
+   * Answers with idempotency keys are recorded before the table connections close. A second call
+   * returns the promise of the first, so that a repeated signal does not end the process early.
    */
   drain(): Promise<void> {
     this.#draining ??= this.#drain();
@@ -195,7 +202,7 @@
     const timer = new AbortController();
     const { signal } = timer;
     const timeout = delay(this.#settings.entry.drainTimeoutMs, undefined, { signal }).then(
-      () => this.#endAll(),
+      () => this.#giveUpRemaining(),
       () => {},
     );
     await this.#callerServer?.close();
@@ -204,15 +211,15 @@
     await this.#handler?.settle();
     const cutOffCount = this.#handler?.activeCount ?? 0;
     if (cutOffCount > 0) this.#log.error('cut-off-at-shutdown', { cutOffCount });
-    await Promise.race([this.#operatorServer.close(), delay(OPERATOR_CLOSE_MS)]);
+    await Promise.race([this.#operatorServer.close(), delay(OPERATOR_CLOSE_TIMEOUT_MS)]);
     this.#disposables.dispose();
     this.#log.info('drained');
   }
 
-  /** Answers what is left, and then closes what sends nothing. */
-  async #endAll(): Promise<void> {
+  /** Answers all remaining requests and then closes all connections. */
+  async #giveUpRemaining(): Promise<void> {
     this.#handler?.giveUpAll();
-    await delay(LAST_ANSWERS_MS);
+    await delay(FINAL_ANSWERS_MS);
     this.#callerServer?.closeAllConnections();
   }
 }
--- a/src/daemon/test/cutOffFromTable.test.ts
+++ b/src/daemon/test/cutOffFromTable.test.ts
@@ -16,11 +16,11 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-/** The test's own timeout bounds the wait. */
-const until = async (isReached: () => Promise<boolean>): Promise<void> => {
+/** Polls until the condition holds. The timeout of the test limits the wait. */
+const waitUntil = async (isReached: () => Promise<boolean>): Promise<void> => {
   if (await isReached()) return;
   await delay(POLL_MS);
-  await until(isReached);
+  await waitUntil(isReached);
 };
 
 const start = async (): Promise<DaemonHarness> => {
@@ -45,8 +45,11 @@
   return { statusCode, ...((await body.json()) as object) };
 };
 
-/** Tells the daemon, as a peer would, of a version of the configuration. */
-const hint = async (daemon: DaemonHarness, configurationVersion: number): Promise<void> => {
+/** Sends the daemon a peer heartbeat that announces a configuration version. */
+const announceVersion = async (
+  daemon: DaemonHarness,
+  configurationVersion: number,
+): Promise<void> => {
   const socket = connect(daemon.peersPort, '127.0.0.1');
   cleanups.push(() => socket.destroy());
   const params = { instanceId: 'peer', configurationVersion, isLeaving: false };
@@ -57,48 +60,51 @@
 };
 
 describe('a daemon that cannot reach the table', () => {
-  // The platform goes out for all daemons alike. Callers must go on being answered by the last
-  // configuration, so the daemon stays ready; operators see what is the matter in the answer of
-  // /readyz, in the gauge and in one line of the log, however long it takes.
+  // The platform is down for all daemons. Callers must still be served by the last known
+  // configuration, so the daemon stays ready. Operators see the fault in the answer of /readyz, in
+  // the gauge and in a single log line, regardless of how long the outage lasts.
   it(
-    'says so and goes on routing',
+    'reports the outage and continues to route requests',
     async () => {
       const daemon = await start();
-      await until(async () => (await daemon.metric(IS_CONFIRMED)) === 1);
+      await waitUntil(async () => (await daemon.metric(IS_CONFIRMED)) === 1);
       await daemon.setPlatformDown(true);
-      await until(async () => (await daemon.metric(IS_CONFIRMED)) === 0);
+      await waitUntil(async () => (await daemon.metric(IS_CONFIRMED)) === 0);
       expect(await readiness(daemon)).toMatchObject({
         statusCode: 200,
         configuration: { isConfirmed: false, isBehind: false },
       });
       expect(await statusOfRequest(daemon)).toBe(200);
       await daemon.setPlatformDown(false);
-      await until(async () => daemon.events.includes('configuration-confirmed-again'));
+      await waitUntil(async () => daemon.events.includes('configuration-confirmed-again'));
       expect(await daemon.metric(IS_CONFIRMED)).toBe(1);
-      const told = daemon.events.filter((event) => event.startsWith('configuration-c'));
-      expect(told).toEqual(['configuration-cannot-be-learnt', 'configuration-confirmed-again']);
+      const outageEvents = daemon.events.filter((event) => event.startsWith('configuration-c'));
+      expect(outageEvents).toEqual([
+        'configuration-cannot-be-learnt',
+        'configuration-confirmed-again',
+      ]);
     },
     TEST_TIMEOUT_MS,
   );
 
-  // Only this daemon is cut off: a peer tells of a version that it cannot read. It would route by
-  // an old configuration, so the balancer is told to send it nothing; what comes all the same is
-  // still answered.
+  // Only this daemon is cut off: a peer announces a version that it cannot read. It would route by
+  // an old configuration, so it reports to the load balancer that it is not ready. It still answers
+  // requests that arrive.
   it(
-    'is not ready while its peers know more',
+    'is not ready while a peer has a newer configuration',
     async () => {
       const daemon = await start();
       expect(await daemon.isReady()).toBe(true);
       await daemon.setPlatformDown(true);
-      await hint(daemon, 99);
-      await until(async () => !(await daemon.isReady()));
+      await announceVersion(daemon, 99);
+      await waitUntil(async () => !(await daemon.isReady()));
       expect(await readiness(daemon)).toMatchObject({
         statusCode: 503,
         configuration: { isBehind: true },
       });
       expect(await statusOfRequest(daemon)).toBe(200);
       await daemon.setPlatformDown(false);
-      await until(() => daemon.isReady());
+      await waitUntil(() => daemon.isReady());
     },
     TEST_TIMEOUT_MS,
   );
